--- /dev/null
+++ b/tests/rules/fingerprint.rs
@@ -0,0 +1,42 @@
+//! The behaviour of the controllers as one number, to compare versions of the sources that should behave alike:
+//!
+//!     cargo test --test rules fingerprint -- --nocapture
+
+use super::world::{MS, Place, S, World};
+use super::{finish, ordinary_jobs, seeds};
+
+/// A day with most kinds of troubles, and what the controllers did in it.
+fn day_with_troubles(seed: u64) -> String {
+    let mut world = World::new(seed);
+    ordinary_jobs(&mut world, 25);
+    world.lag_watches(200 * MS);
+    world.close_looks = true;
+    world.cancel_at_end = 6;
+    for step in 0..8 {
+        world.run_for(5 * S);
+        let nth = world.pick(9) as usize;
+        let node = world.pick(3) as usize;
+        let span = (2 + world.pick(20)) * S;
+        match (step + seed) % 8 {
+            0 => world.crash(node, span.min(6 * S)),
+            1 => world.state_outage(span.min(8 * S)),
+            2 => world.refuse_node(node, span),
+            3 => world.hang(nth, span),
+            4 => world.kill_machine(nth),
+            5 => world.late_writes(span, 5),
+            6 => world.freeze(node, span.min(4 * S)),
+            _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_))),
+        }
+    }
+    finish(&mut world, &format!("fingerprint {seed}"));
+    world.fingerprint.to_string()
+}
+
+#[test]
+fn a_day_with_troubles_repeats_to_the_last_effect() {
+    for seed in seeds(99, 4) {
+        let fingerprint = day_with_troubles(seed);
+        println!("fingerprint {seed}: {fingerprint}");
+        assert_eq!(day_with_troubles(seed), fingerprint, "equal seeds lead to equal effects");
+    }
+}
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -4,6 +4,7 @@
 mod cancellations;
 mod controllers;
 mod days;
+mod fingerprint;
 mod machines;
 mod meetings;
 mod on_call;
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -39,6 +39,7 @@
     }
 
     pub(super) fn carry_out(&mut self, node: usize, effect: Effect) {
+        self.fingerprint.add(self.now, node, &effect);
         let life = self.nodes[node].life;
         match effect {
             Effect::AnswerUser(waiter, answer) => self.user_answer(node, waiter, answer),
--- /dev/null
+++ b/tests/rules/world/fingerprint.rs
@@ -0,0 +1,117 @@
+//! A fingerprint of behaviour: one hash over all effects of all controllers in the order in which they leave, each
+//! with its time and encoded as on the wire or in the store, so that no renaming of a type can change it.
+//!
+//! With `BURLHATCH_WORLD_FINGERPRINTS=FILE` every world appends its fingerprint to that file when it ends; two versions
+//! of the sources that behave alike leave the same lines, in any order.
+
+use super::World;
+use burlhatch::coordination::{CloudCall, Effect, ReadKind, StateCall, UserAnswer, WorkerAnswer};
+use burlhatch::protocol::worker::Redirect;
+use burlhatch::protocol::{cloud, encode, state};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::io::Write;
+
+/// Hash over everything that the controllers of a world had carried out.
+#[derive(Default)]
+pub struct Fingerprint {
+    hasher: DefaultHasher,
+    effects: u64,
+}
+
+impl Fingerprint {
+    /// Adds an effect that a controller had carried out at some time.
+    pub(super) fn add(&mut self, now: u64, node: usize, effect: &Effect) {
+        self.effects += 1;
+        (now, node).hash(&mut self.hasher);
+        encoded(effect).hash(&mut self.hasher);
+    }
+}
+
+impl std::fmt::Display for Fingerprint {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{:016x} {} effects", self.hasher.finish(), self.effects)
+    }
+}
+
+impl Drop for World {
+    fn drop(&mut self) {
+        let Ok(path) = std::env::var("BURLHATCH_WORLD_FINGERPRINTS") else { return };
+        if std::thread::panicking() {
+            return;
+        }
+        let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
+        let line = format!("{} until {}\n", self.fingerprint, self.now);
+        file.and_then(|mut file| file.write_all(line.as_bytes())).expect("the file of fingerprints can be written");
+    }
+}
+
+/// An effect as a kind, the numbers that name it, and the bytes that leave the process.
+type Encoded = (&'static str, u64, String, Vec<u8>);
+
+fn encoded(effect: &Effect) -> Encoded {
+    match effect {
+        Effect::AnswerUser(waiter, answer) => {
+            let (status, body) = user_answer(answer);
+            ("user", *waiter, status, body)
+        }
+        Effect::AnswerWorker(waiter, answer) => {
+            let (status, body) = worker_answer(answer);
+            ("worker", *waiter, status, body)
+        }
+        Effect::AnswerPeer(waiter, answer) => ("peer answer", *waiter, String::new(), bitcode::encode(answer)),
+        Effect::Peer { call, to, message } => ("peer", *call, to.clone(), bitcode::encode(message)),
+        Effect::State(call) => store_call(call),
+        Effect::Orders { machine, addr, orders } => ("direct", 0, format!("{machine} {addr}"), encode(orders)),
+        Effect::Cloud { call, request } => {
+            let (path, body) = cloud_call(request);
+            ("cloud", *call, path, body)
+        }
+    }
+}
+
+fn user_answer(answer: &UserAnswer) -> (String, Vec<u8>) {
+    match answer {
+        UserAnswer::Accepted(id) => (format!("201 {id}"), Vec::new()),
+        UserAnswer::Status(status) => ("200".into(), encode(status)),
+        UserAnswer::Malformed => ("400".into(), Vec::new()),
+        UserAnswer::CanNeverRun(why) => (format!("422 {why}"), Vec::new()),
+        UserAnswer::NotFound => ("404".into(), Vec::new()),
+        UserAnswer::Unavailable { retry_after_s } => (format!("503 {retry_after_s}"), Vec::new()),
+    }
+}
+
+fn worker_answer(answer: &WorkerAnswer) -> (String, Vec<u8>) {
+    match answer {
+        WorkerAnswer::Orders(orders) => ("200".into(), encode(orders)),
+        WorkerAnswer::Redirect(to) => ("409".into(), encode(&Redirect { report_to: to.clone() })),
+        WorkerAnswer::Unavailable => ("503".into(), Vec::new()),
+    }
+}
+
+fn store_call(call: &StateCall) -> Encoded {
+    match call {
+        StateCall::Txn { ticket, txn, urgent } => ("txn", *ticket, urgent.to_string(), encode(txn)),
+        StateCall::Changes { ticket, kind, after, wait_ms } => {
+            let kind = match kind {
+                ReadKind::Watch => "watch",
+                ReadKind::Fresh => "fresh",
+            };
+            (kind, *ticket, state::changes_path("", *after, *wait_ms), Vec::new())
+        }
+        StateCall::Page { ticket, after } => ("page", *ticket, state::page_path("", after.as_deref()), Vec::new()),
+        StateCall::NewLease { ticket, ttl_ms } => ("new lease", *ticket, ttl_ms.to_string(), Vec::new()),
+        StateCall::Touch { ticket, lease } => ("keep alive", *ticket, state::touch_path(*lease), Vec::new()),
+    }
+}
+
+fn cloud_call(call: &CloudCall) -> (String, Vec<u8>) {
+    match call {
+        CloudCall::Types => (cloud::TYPES_PATH.into(), Vec::new()),
+        CloudCall::List { after } => (cloud::list_path(after.as_ref()), Vec::new()),
+        CloudCall::Rent(rental) => (cloud::RENT_PATH.into(), encode(rental)),
+        CloudCall::Delete(machines) => {
+            let names = cloud::MachineNames { machines: machines.clone() };
+            (cloud::DELETE_PATH.into(), encode(&names))
+        }
+    }
+}
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -6,6 +6,7 @@
 mod cloud;
 mod control;
 mod faults;
+mod fingerprint;
 mod network;
 mod records;
 mod state;
@@ -19,6 +20,7 @@
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::units::{JobId, MachineId};
 use cloud::Cloud;
+use fingerprint::Fingerprint;
 pub use network::Place;
 use network::{Cut, Fate, LateCommands};
 use rand::rngs::SmallRng;
@@ -241,6 +243,8 @@
     old: BTreeSet<usize>,
     /// What was written, checked record by record.
     pub records: Records,
+    /// Everything that the controllers had carried out.
+    pub fingerprint: Fingerprint,
 }
 
 impl World {
@@ -296,6 +300,7 @@
             next_limits: String::new(),
             old: BTreeSet::new(),
             records: Records::new(size.nodes),
+            fingerprint: Fingerprint::default(),
         };
         for i in 0..size.nodes {
             let drift = 1.0 + world.rng.random_range(-0.0005..0.0005);
