--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -4,7 +4,7 @@
 //! answered last. Lines are bounded in rate, so that a wave of cancellations does not cost more than the work itself; a
 //! summary every few seconds counts what is open, and what was left out.
 
-use super::Core;
+use super::Controller;
 use super::usage::Phase;
 use crate::bookkeeping::schema::Outcome;
 use crate::units::{JobId, MachineId, Micros};
@@ -87,7 +87,7 @@
     OwnShare,
 }
 
-impl Core {
+impl Controller {
     fn state_silence_ms(&self) -> u64 {
         self.now().since(self.state_heard).millis()
     }
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -11,7 +11,7 @@
 use super::clearing::Clearing;
 use super::usage::Phase;
 use super::users::BUSY;
-use super::{Core, Effect, UserAnswer, Waiter};
+use super::{Controller, Effect, UserAnswer, Waiter};
 use crate::bookkeeping::schema::{EndRecord, Key, Role, to_value};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
@@ -56,7 +56,7 @@
 /// What is known of jobs is dropped once the stored records no longer need it; looked at so often.
 const PRUNE_AT: usize = 64;
 
-impl Core {
+impl Controller {
     fn acknowledgement(&self, id: &JobId) -> Acknowledgement {
         let Some(end) = self.replica.ends.get(id) else {
             // Over because a job that it needs was cancelled: nothing of it was ever started.
--- a/src/coordination/capacity.rs
+++ b/src/coordination/capacity.rs
@@ -1,7 +1,7 @@
 //! Planning capacity: which share lacks room for what waits, which machines go to another share, and which are
 //! returned.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use crate::bookkeeping::schema::Hold;
 use crate::protocol::user::{JobSpec, Kind, Priority};
@@ -58,7 +58,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     pub(super) fn plan(&mut self) {
         let mut unmet: Vec<Unmet> = Vec::new();
         let mut slots: BTreeMap<u32, Vec<Slot>> = BTreeMap::new();
--- a/src/coordination/clearing.rs
+++ b/src/coordination/clearing.rs
@@ -4,7 +4,7 @@
 //! over. That needs neither the state service nor the leader, and holds for a machine that hangs. It needs the cloud;
 //! what holds without it is in [`super::lease_renewal`].
 
-use super::Core;
+use super::Controller;
 use super::audit::AbsenceProof;
 use super::leader::Call;
 use super::usage::Phase;
@@ -47,7 +47,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// So long after a cancellation its tasks' machines are deleted: late enough that a lease may have run
     /// out first, which proves as much and costs nothing.
     fn clear_after(&self) -> Micros {
--- a/src/coordination/draining.rs
+++ b/src/coordination/draining.rs
@@ -1,6 +1,6 @@
 //! Machines that tasks have to leave: faulty ones, those to be returned, and those about to be taken.
 
-use super::Core;
+use super::Controller;
 use super::machines::{Failures, Machine};
 use super::usage::{Phase, Start};
 use crate::bookkeeping::schema::{Hold, Outcome};
@@ -10,7 +10,7 @@
 /// A job that failed so often on one machine, and on no other, was tried there again after a pause.
 const FAILED_AGAIN: u32 = 2;
 
-impl Core {
+impl Controller {
     /// Tasks of different jobs that fail on one machine and get on elsewhere speak against the machine.
     pub(super) fn retire_faulty(&mut self, ours: &[MachineId]) {
         for id in ours {
--- a/src/coordination/evacuation.rs
+++ b/src/coordination/evacuation.rs
@@ -4,7 +4,7 @@
 //! Nothing starts elsewhere before the old attempt is proven gone. Machines of a zone that is merely cut off work on, so
 //! none is deleted for batch work, nor before the controllers agree that the zone is lost.
 
-use super::Core;
+use super::Controller;
 use super::capacity::count_in;
 use super::jobs::Job;
 use super::share_view::Spot;
@@ -21,7 +21,7 @@
 /// Places for replicas: how many for each job.
 type Places = BTreeMap<JobId, u32>;
 
-impl Core {
+impl Controller {
     /// Replicas of services on machines of lost zones, of all shares: the leader plans for them all.
     pub(super) fn find_displaced(&mut self) {
         let mut displaced: BTreeMap<JobId, u32> = BTreeMap::new();
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -1,6 +1,6 @@
 //! Which machines have failed: leases that have run out, probes, and the decision to replace a machine.
 
-use super::Core;
+use super::Controller;
 use super::audit::AbsenceProof;
 use super::machines::Machine;
 use super::usage::Phase;
@@ -70,7 +70,7 @@
     machine: &'a MachineId,
 }
 
-impl Core {
+impl Controller {
     /// A worker whose lease has surely run out has killed its tasks. Only our answers can have
     /// renewed it once it has shown our token.
     pub(super) fn expire_leases(&mut self, ours: &[MachineId]) {
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs and their starts, kept in line with the replica and with what machines report.
 
-use super::Core;
+use super::Controller;
 use super::audit::AbsenceProof;
 use super::failures::{Failure, FailureHistory};
 use super::pipelines::Urgency;
@@ -214,7 +214,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Share that looks after a job; the same on every controller. A team's jobs stay together, so
     /// that its limit and guarantee can be kept; one that has neither is parted by job where most shares
     /// would stand idle otherwise.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -3,7 +3,7 @@
 use super::boots::BootHistory;
 use super::capacity::Unmet;
 use super::txns::{Draft, MachineChange, Purpose};
-use super::{CloudCall, CloudOutcome, Core, Effect, TypeInfo};
+use super::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
 use crate::bookkeeping::schema::{Hold, Key, MachineRecord, to_value};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
 use crate::units::{MachineId, Micros, Room};
@@ -77,7 +77,7 @@
 /// How often capacity is planned.
 pub(super) const PLAN_EVERY: Micros = Micros::from_millis(500);
 
-impl Core {
+impl Controller {
     pub(super) fn cloud(&mut self, call: Call) {
         let request = match &call {
             Call::Types => CloudCall::Types,
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -11,12 +11,12 @@
 //!   makes the command void. Under a later term the answer does so by itself.
 
 use super::orders::ORDERS_MAX;
-use super::{Core, WorkerAnswer};
+use super::{Controller, WorkerAnswer};
 use crate::bookkeeping::schema::Outcome;
 use crate::protocol::worker::{Order, Orders, Report, TaskState};
 use crate::units::{MachineId, TaskId, Term};
 
-impl Core {
+impl Controller {
     /// The answer to a report that was just taken in, under our token.
     pub(super) fn renewing_answer(&mut self, report: &Report, token: Term) -> WorkerAnswer {
         let now = self.now();
--- a/src/coordination/machine_terms.rs
+++ b/src/coordination/machine_terms.rs
@@ -1,6 +1,6 @@
 //! New terms for machines, which prove older commands void.
 
-use super::Core;
+use super::Controller;
 use super::txns::{Draft, MachineChange, Purpose};
 use crate::bookkeeping::schema::{Key, Role, to_value};
 use crate::units::{MachineId, Micros, Term};
@@ -12,7 +12,7 @@
 /// Usual pause between new terms for machines in doubt.
 const RENEW_EVERY: Micros = Micros::from_millis(1000);
 
-impl Core {
+impl Controller {
     /// Machines with a direct command in doubt get a new term once they are heard again: a report
     /// that carries it proves the command void. For a few each gets one of its own; many in one
     /// share get the share's, which costs two changes however many they are.
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -2,7 +2,7 @@
 
 use super::audit::AbsenceProof;
 use super::txns::{Draft, MachineChange, Purpose};
-use super::{Core, Effect, WorkerAnswer};
+use super::{Controller, Effect, WorkerAnswer};
 use crate::bookkeeping::schema::{Hold, Key, MachineRecord, Role, to_value};
 use crate::units::{JobId, MachineId, Micros, Room, Term};
 use std::collections::BTreeMap;
@@ -211,7 +211,7 @@
 /// How often all machines are looked over.
 const MACHINES_EVERY: Micros = Micros::from_millis(100);
 
-impl Core {
+impl Controller {
     pub(super) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
         self.replica.machines.get(id).map(|m| Role::Share(m.value.share))
     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,4 +1,4 @@
-//! What reaches a controller's core and what it has carried out: commands in, effects out.
+//! What reaches a controller's state machine and what it has carried out: commands in, effects out.
 
 use crate::protocol::cloud::{MachineList, MachineNames, MachineTypes, Rental};
 use crate::protocol::peer::{CancellationAck, Cancelled};
@@ -134,7 +134,7 @@
     Delete(Vec<MachineId>),
 }
 
-/// What reaches the core.
+/// What reaches the controller.
 #[derive(Debug)]
 pub enum Command {
     /// A user's request.
@@ -293,7 +293,7 @@
     },
 }
 
-/// What the core has carried out for it.
+/// What the controller has carried out for it.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// An answer to a user.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,6 +1,6 @@
 //! Who owns what and what runs where.
 //!
-//! Pure: commands and the time come in, effects go out. One [`Core`] owns all state of a
+//! Pure: commands and the time come in, effects go out. One [`Controller`] owns all state of a
 //! controller; the daemon feeds it a queue of commands in batches. Everything a decision rests on
 //! is either in the state service (see [`crate::bookkeeping`]) or was proven by a worker's report.
 
@@ -76,7 +76,7 @@
 }
 
 /// The state of one controller, and all its decisions.
-pub struct Core {
+pub struct Controller {
     platform: Arc<Platform>,
     policy: Arc<Policy>,
     label: String,
@@ -151,13 +151,13 @@
 /// Without any command for so long a process has stood still.
 const STANDSTILL: Micros = Micros::from_millis(1000);
 
-impl Core {
+impl Controller {
     /// `seed` must differ between processes: it names this incarnation.
-    pub fn new(platform: Arc<Platform>, policy: Arc<Policy>, seed: u64) -> Core {
+    pub fn new(platform: Arc<Platform>, policy: Arc<Policy>, seed: u64) -> Controller {
         let mut rng = SmallRng::seed_from_u64(seed);
         let incarnation = rng.random::<u64>() >> 12;
         let direct_most = platform.deployment.quota.part_of_sockets(policy.direct_part);
-        Core {
+        Controller {
             label: platform.label.clone(),
             budget: budget::Budget::new(
                 platform.deployment.state.write_rps,
@@ -234,7 +234,7 @@
         self.now().since(self.state_heard) < patience
     }
 
-    /// Takes in one command. What it leads to comes with the next [`Core::round`].
+    /// Takes in one command. What it leads to comes with the next [`Controller::round`].
     pub fn handle(&mut self, clock: Clock, command: Command) {
         let pause = clock.steady.since(self.clock.steady);
         self.clock = clock;
@@ -375,7 +375,7 @@
     fn start_over(&mut self) {
         tracing::warn!("the watch is too far behind, reading everything again");
         let seed = self.rng.random();
-        let mut fresh = Core::new(self.platform.clone(), self.policy.clone(), seed);
+        let mut fresh = Controller::new(self.platform.clone(), self.policy.clone(), seed);
         fresh.clock = self.clock;
         fresh.out = std::mem::take(&mut self.out);
         fresh.types = std::mem::take(&mut self.types);
--- a/src/coordination/moves.rs
+++ b/src/coordination/moves.rs
@@ -9,7 +9,7 @@
 //! Next to controllers of the first record version the leader makes the second write, as that version expects; see
 //! [`super::versions`].
 
-use super::Core;
+use super::Controller;
 use super::txns::{Draft, MachineChange, Purpose};
 use super::versions::{Mover, mover};
 use crate::bookkeeping::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
@@ -24,7 +24,7 @@
     occupied: Vec<(MachineId, u32)>,
 }
 
-impl Core {
+impl Controller {
     /// Keeps machines that were to go to other shares and have something on them, unless that has to make way for more
     /// urgent work there, and notes by when the others should move.
     pub(super) fn plan_moves(&mut self) {
--- a/src/coordination/orders.rs
+++ b/src/coordination/orders.rs
@@ -5,7 +5,7 @@
 use super::machines::{Machine, UnrecordedTask};
 use super::reports::Source;
 use super::usage::{Phase, Start};
-use super::{Core, Effect, Failure, OrdersOutcome};
+use super::{Controller, Effect, Failure, OrdersOutcome};
 use crate::bookkeeping::schema::Hold;
 use crate::protocol::worker::{DirectOrders, Order};
 use crate::units::{MachineId, Micros};
@@ -55,7 +55,7 @@
     machine.unrecorded.iter().filter_map(order).collect()
 }
 
-impl Core {
+impl Controller {
     pub(super) fn want_push(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.push = true;
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -1,7 +1,7 @@
 //! Which machine a task goes to: steps 1 to 6 of the design, after DataHelix's deadline-aware
 //! placement with image caches standing in for its locality.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use super::machines::Machine;
 use super::share_view::{ShareView, Spot};
@@ -89,7 +89,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Looks at waiting jobs in order until the time is up; the next round goes on from there.
     pub(super) fn place(&mut self, time_left: &mut dyn FnMut() -> bool) {
         if self.pass.is_empty() {
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -1,7 +1,7 @@
 //! Room for urgent work where none is left: which running work of lower priority has to leave, and where that costs
 //! least.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use super::share_view::Spot;
 use super::usage::Start;
@@ -20,7 +20,7 @@
 /// Starts that would have to make way.
 type Victims = Vec<(JobId, u32)>;
 
-impl Core {
+impl Controller {
     /// Stops lower work where that lets waiting tasks of a more urgent job in, where least is lost
     /// first.
     pub(super) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
--- a/src/coordination/reads.rs
+++ b/src/coordination/reads.rs
@@ -5,7 +5,7 @@
 //! call that its ticket names.
 
 use super::evidence::{Evidence, LogicalTime};
-use super::{Core, Effect, ReadKind, ReadOutcome, StateCall};
+use super::{Controller, Effect, ReadKind, ReadOutcome, StateCall};
 use crate::protocol::state::{Changes, Page};
 use crate::units::{Micros, Revision};
 
@@ -48,7 +48,7 @@
 
 const PAUSE_AFTER_FAILURE: Micros = Micros::from_millis(300);
 
-impl Core {
+impl Controller {
     pub(super) fn tick_reads(&mut self) {
         let now = self.now();
         if !self.sync.done {
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -5,7 +5,7 @@
 //! only for a moment. The stop and the new start are ordinary ones: the start is recorded after the old attempt is
 //! proven gone.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use super::share_view::Spot;
 use super::usage::Phase;
@@ -24,7 +24,7 @@
 /// A replica that has not come to work elsewhere after this is no longer kept out of the zone that it left.
 const MOVE_SPAN: Micros = Micros::from_millis(60_000);
 
-impl Core {
+impl Controller {
     /// Looks at a few services and moves at most one replica.
     pub(super) fn move_replicas(&mut self) {
         self.forget_moves();
--- a/src/coordination/reclaim.rs
+++ b/src/coordination/reclaim.rs
@@ -5,7 +5,7 @@
 //! ones: by a hold (see [`super::moves`]). The holder stops what runs there, as long as more urgent work waits where
 //! the machine is to go; otherwise it lifts the hold.
 
-use super::Core;
+use super::Controller;
 use super::capacity::{Slot, Unmet, fit};
 use crate::bookkeeping::schema::Hold;
 use crate::protocol::user::Priority;
@@ -15,7 +15,7 @@
 /// A machine whose holder keeps it is not asked for again so soon.
 const ASK_AGAIN: Micros = Micros::from_millis(30_000);
 
-impl Core {
+impl Controller {
     /// For tasks that find no room, nor any machine to rent: asks for machines of other shares that only do work of the
     /// lowest priority.
     pub(super) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -3,7 +3,7 @@
 //! A start is recorded under the conditions that this controller still holds the job's share, that the job is not
 //! over, that its run chunk is as the replica has it, and that its machine can't have left the share meanwhile.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use super::txns::{CONDITIONS_PER_WRITE, Draft, Purpose};
 use super::usage::{Phase, Start};
@@ -228,7 +228,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Jobs whose records are to be brought up to date, those that can wait least first, and until
     /// when each may wait for others when the change budget is short.
     pub(super) fn due_records(&mut self) -> Vec<DueRecord> {
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -3,7 +3,7 @@
 use super::capacity::{Slot, fit};
 use super::submissions::VALUE_FILL;
 use super::txns::{CONDITIONS_PER_WRITE, Draft, MachineChange, Purpose};
-use super::{Core, Effect};
+use super::{Controller, Effect};
 use crate::bookkeeping::schema::{FleetMember, Key, MachineRecord, Role, to_value};
 use crate::protocol::worker::Report;
 use crate::units::{MachineId, Micros, Term};
@@ -23,7 +23,7 @@
     Alive,
 }
 
-impl Core {
+impl Controller {
     /// Machines that report and have no record get one, in the share that needs them most.
     pub(super) fn register_machines(&mut self) {
         let limits = self.platform.deployment.state.clone();
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -1,6 +1,6 @@
 //! What is rented: which kind of machine, and how many, for tasks that find no room.
 
-use super::Core;
+use super::Controller;
 use super::boots::{Reliability, overdue};
 use super::capacity::{Slot, Unmet, count_in, fit};
 use super::leader::{Boot, Call, Offer};
@@ -24,7 +24,7 @@
     reliability: &'a Reliability,
 }
 
-impl Core {
+impl Controller {
     /// When a machine that boots should be up.
     fn boot_span(&self, boot: &Boot) -> Micros {
         let usual_s = self.types.get(&boot.machine_type).map_or(USUAL_BOOT_S, |info| info.wire.boot_s);
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -4,7 +4,7 @@
 use super::machines::{Failures, Fetch, LastReport, UnrecordedTask};
 use super::usage::{Phase, Start};
 use super::zones::ZoneStart;
-use super::{Core, Effect, Unregistered, Waiter, WorkerAnswer};
+use super::{Controller, Effect, Unregistered, Waiter, WorkerAnswer};
 use crate::bookkeeping::schema::Role;
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Report, TaskState};
@@ -23,7 +23,7 @@
     DirectAnswer,
 }
 
-impl Core {
+impl Controller {
     pub(super) fn report(&mut self, waiter: Waiter, report: Report, relayed: bool) {
         let answer = match self.sync.done {
             true => self.report_answer(waiter, report, relayed),
--- a/src/coordination/roles.rs
+++ b/src/coordination/roles.rs
@@ -6,7 +6,7 @@
 
 use super::machines::Machine;
 use super::txns::{Draft, Purpose};
-use super::{Core, Effect, LeaseOutcome, StateCall};
+use super::{Controller, Effect, LeaseOutcome, StateCall};
 use crate::bookkeeping::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
 use crate::units::{MachineId, Micros, Term};
 use std::collections::BTreeMap;
@@ -57,7 +57,7 @@
 const UNFIT_DOUBLINGS: u32 = 4;
 const LEASE_PART: f64 = 0.5;
 
-impl Core {
+impl Controller {
     pub(super) fn shares(&self) -> u32 {
         self.platform.deployment.nodes
     }
--- a/src/coordination/scheduling_order.rs
+++ b/src/coordination/scheduling_order.rs
@@ -1,11 +1,11 @@
 //! In which order waiting jobs are looked at.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use crate::bookkeeping::schema::Role;
 use crate::units::{JobId, Micros, Room};
 
-impl Core {
+impl Controller {
     /// When it is a job's turn among those of its priority: its deadline if it has one, else its
     /// submission, put off the more the more work is left. With more asked than can be done, pure
     /// order of submission makes all late; this way the small ones are on time, and as the time of
--- a/src/coordination/share_view.rs
+++ b/src/coordination/share_view.rs
@@ -1,6 +1,6 @@
 //! The machines of a share that take work, with what is kept free on them and what a job's conditions allow.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::units::{JobId, MachineId, Micros, Room};
@@ -97,7 +97,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     /// Keeps room on holders of their images for as many tasks of services as came lately in the time
     /// that room takes to fall free. A service that finds none waits for a fetch, and batch work
     /// takes whatever is free.
--- a/src/coordination/stages.rs
+++ b/src/coordination/stages.rs
@@ -5,7 +5,7 @@
 //! itself and may tell it at once, and there are no tasks to end. The job's own outcome is written when there is
 //! time for it, so that its batch can be cleared away.
 
-use super::Core;
+use super::Controller;
 use super::jobs::Job;
 use super::pipelines::Urgency;
 use super::txns::{Draft, Purpose};
@@ -26,7 +26,7 @@
     number.max(1).ilog10() as usize + 1
 }
 
-impl Core {
+impl Controller {
     /// What became of a job, whether its own key says so or that of one it needs.
     pub(super) fn outcome(&self, id: &JobId) -> Option<Outcome> {
         let written = self.replica.ends.get(id).map(|e| e.value.outcome);
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -10,7 +10,7 @@
 use super::evidence::Fresh;
 use super::txns::{CONDITIONS_PER_WRITE, Draft, Purpose, TxnEnd};
 use super::users::{Asked, BUSY, Question};
-use super::{Core, UserAnswer, Waiter};
+use super::{Controller, UserAnswer, Waiter};
 use crate::bookkeeping::schema::{BatchMember, JobRecord, Key, to_value};
 use crate::protocol::user::{JobSpec, Kind, Submission};
 use crate::units::{JobId, Micros, Revision, Room};
@@ -101,7 +101,7 @@
     }
 }
 
-impl Core {
+impl Controller {
     pub(super) fn submit(&mut self, asked: Asked, submission: Submission) {
         let Some(id) = submission.id else {
             return self.answer(asked.waiter, UserAnswer::Malformed);
--- a/src/coordination/tidying.rs
+++ b/src/coordination/tidying.rs
@@ -1,6 +1,6 @@
 //! Clearing away records that nothing needs any more, a little at a time.
 
-use super::Core;
+use super::Controller;
 use super::txns::{Draft, Purpose};
 use crate::bookkeeping::schema::{Key, Role};
 use crate::units::{JobId, Micros};
@@ -10,7 +10,7 @@
 const UNNAMED_SPAN: Micros = Micros::from_millis(60_000);
 const TIDY_EVERY: Micros = Micros::from_millis(2000);
 
-impl Core {
+impl Controller {
     /// Clears away, a little at a time, fleets and notes of machines long gone, and batches whose
     /// jobs are over.
     pub(super) fn tidy(&mut self) {
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -6,7 +6,7 @@
 
 use super::evidence::{Evidence, LogicalTime};
 use super::submissions::Submitted;
-use super::{Core, Effect, Failure, StateCall, TxnOutcome};
+use super::{Controller, Effect, Failure, StateCall, TxnOutcome};
 use crate::bookkeeping::Replica;
 use crate::bookkeeping::schema::Key;
 use crate::protocol::state::{Condition, Txn, Write};
@@ -189,7 +189,7 @@
 /// Conditions a transaction may hold for each write the service allows.
 pub(super) const CONDITIONS_PER_WRITE: usize = 4;
 
-impl Core {
+impl Controller {
     /// Puts a transaction in the queue for the change budget. Roles don't wait: everything else
     /// depends on them.
     pub(super) fn submit_txn(&mut self, draft: Draft, purpose: Purpose) {
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -6,7 +6,7 @@
 use super::evidence::{Evidence, Fresh, LogicalTime, reached};
 use super::submissions::{Form, Submissions};
 use super::txns::{Draft, Purpose};
-use super::{Core, Effect, UserAnswer, UserRequest, Waiter};
+use super::{Controller, Effect, UserAnswer, UserRequest, Waiter};
 use crate::bookkeeping::schema::{EndRecord, Key, Outcome, to_value};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
 use crate::units::{JobId, Revision};
@@ -69,7 +69,7 @@
 
 pub(super) const BUSY: UserAnswer = UserAnswer::Unavailable { retry_after_s: 1 };
 
-impl Core {
+impl Controller {
     pub(super) fn answer(&mut self, waiter: Waiter, answer: UserAnswer) {
         self.out.push(Effect::AnswerUser(waiter, answer));
     }
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones.rs
@@ -1,11 +1,11 @@
-//! Zones as a whole: takes the package `burlhatch_zones` into the core.
+//! Zones as a whole: takes the package `burlhatch_zones` into the controller.
 //!
 //! Each holder of a share judges zones by its own machines and stores its view under its lease on the share; from all
 //! views every controller derives the same condition (see `docs/zones.md`). What follows from it is decided where such
 //! work is decided already: [`super::placement`] asks which zones take work and in which order jobs are looked at,
 //! [`super::capacity`] and [`super::rentals`] plan around lost zones, [`super::evacuation`] proves tasks gone.
 
-use super::Core;
+use super::Controller;
 use super::share_view::Spot;
 use super::txns::{Draft, Purpose};
 use super::usage::Start;
@@ -28,7 +28,7 @@
     pub since: Micros,
 }
 
-/// What the core knows about zones.
+/// What the controller knows about zones.
 #[derive(Default)]
 pub(super) struct ZoneControl {
     pub zones: Zones,
@@ -45,7 +45,7 @@
     pub last_looked: Option<JobId>,
 }
 
-impl Core {
+impl Controller {
     pub(super) fn judges_zones(&self) -> bool {
         self.policy.zones.enabled
     }
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -1,4 +1,4 @@
-//! Carries out the core's effects and brings back what came of them.
+//! Carries out the controller's effects and brings back what came of them.
 
 use super::client::{Answer, Client};
 use super::limits::{Class, Limiter};
@@ -68,7 +68,7 @@
         self.client.call(self.state, method, path, body, limit).await
     }
 
-    /// Calls the state service; what the core hears of it.
+    /// Calls the state service; what the controller hears of it.
     pub async fn state(&self, call: StateCall) -> Command {
         match call {
             StateCall::Txn { ticket, txn, urgent } => {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Sends a direct message to a worker; what the core hears of it.
+    /// Sends a direct message to a worker; what the controller hears of it.
     pub async fn orders(&self, machine: MachineId, addr: SocketAddr, orders: DirectOrders) -> Command {
         let empty = orders.orders.is_empty();
         let limit = if empty { self.probe_limit } else { ORDERS_LIMIT };
@@ -162,7 +162,7 @@
         Command::Orders { machine, outcome }
     }
 
-    /// Calls the cloud; what the core hears of it.
+    /// Calls the cloud; what the controller hears of it.
     pub async fn cloud(&self, call: u64, request: CloudCall) -> Command {
         let outcome = self.cloud_outcome(request).await;
         Command::Cloud { call, outcome }
--- a/src/transport/daemon.rs
+++ b/src/transport/daemon.rs
@@ -1,10 +1,10 @@
-//! The running controller: one loop owns the core and works through its queue in batches.
+//! The running controller: one loop owns the controller and works through its queue in batches.
 
 use super::calls::{Services, spawn};
 use super::client::Client;
 use super::server::{Gate, PeerAsk, UserAsk, WorkerAsk, serve};
 use super::siblings::{NodeStatus, RedirectedWorkers, look_at_siblings, notify_sibling};
-use crate::coordination::{Clock, Command, Core, Effect, UserAnswer, Waiter, WorkerAnswer};
+use crate::coordination::{Clock, Command, Controller, Effect, UserAnswer, Waiter, WorkerAnswer};
 use crate::protocol::peer::CancellationAck;
 use crate::settings::{Platform, Policy};
 use crate::units::Micros;
@@ -19,11 +19,11 @@
 
 /// Commands of one batch at most, so that effects don't wait for long.
 const BATCH: usize = 64;
-/// Users' requests that may queue for the core; more are refused at once.
+/// Users' requests that may queue for the controller; more are refused at once.
 const USER_ASKS: usize = 512;
-/// Reports that may queue for the core; more wait in their sockets.
+/// Reports that may queue for the controller; more wait in their sockets.
 const WORKER_ASKS: usize = 256;
-/// Siblings' messages that may queue for the core; more are refused at once.
+/// Siblings' messages that may queue for the controller; more are refused at once.
 const PEER_ASKS: usize = 64;
 const TICK: Duration = Duration::from_millis(100);
 /// Connections from siblings.
@@ -74,7 +74,7 @@
         steady: Micros(began.elapsed().as_micros() as u64 + 1),
         wall: Micros(SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)),
     };
-    let mut core = Core::new(platform.clone(), policy.clone(), rand::random());
+    let mut controller = Controller::new(platform.clone(), policy.clone(), rand::random());
     let mut waiters = Waiters { next: 0, users: HashMap::new(), workers: HashMap::new(), peers: HashMap::new() };
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -82,24 +82,24 @@
     let budget = Duration::from_micros(policy.round_budget_us);
     tracing::info!(label = %platform.label, public = %platform.public_addr, "controller started");
     loop {
-        if core.has_more() {
+        if controller.has_more() {
             // The last round ran out of time: others get their turn, then it goes on.
             tokio::task::yield_now().await;
         } else {
-            queues.wait(&mut core, &mut waiters, &clock).await;
+            queues.wait(&mut controller, &mut waiters, &clock).await;
         }
-        queues.take_batch(&mut core, &mut waiters, &clock);
+        queues.take_batch(&mut controller, &mut waiters, &clock);
         let until = Instant::now() + budget;
-        let effects = core.round(clock(), &mut || Instant::now() < until);
-        gate.status.ready.store(core.is_ready(), Ordering::Relaxed);
-        gate.status.reaches_state.store(core.reaches_state(), Ordering::Relaxed);
+        let effects = controller.round(clock(), &mut || Instant::now() < until);
+        gate.status.ready.store(controller.is_ready(), Ordering::Relaxed);
+        gate.status.reaches_state.store(controller.reaches_state(), Ordering::Relaxed);
         for effect in effects {
             carry_out(effect, &services, &deliver, &mut waiters, &gate);
         }
     }
 }
 
-/// What waits for the core.
+/// What waits for the controller.
 struct Queues {
     /// Answers to calls, which come first: much waits for them.
     done: mpsc::UnboundedReceiver<Command>,
@@ -110,32 +110,32 @@
 }
 
 impl Queues {
-    /// Waits for one command and feeds it to the core.
-    async fn wait(&mut self, core: &mut Core, waiters: &mut Waiters, clock: &impl Fn() -> Clock) {
+    /// Waits for one command and feeds it to the controller.
+    async fn wait(&mut self, controller: &mut Controller, waiters: &mut Waiters, clock: &impl Fn() -> Clock) {
         tokio::select! {
             biased;
-            Some(command) = self.done.recv() => core.handle(clock(), command),
-            Some(ask) = self.peers.recv() => waiters.peer(core, clock(), ask),
-            Some(ask) = self.users.recv() => waiters.user(core, clock(), ask),
-            Some(ask) = self.workers.recv() => waiters.worker(core, clock(), ask),
-            _ = self.tick.tick() => core.handle(clock(), Command::Tick),
+            Some(command) = self.done.recv() => controller.handle(clock(), command),
+            Some(ask) = self.peers.recv() => waiters.peer(controller, clock(), ask),
+            Some(ask) = self.users.recv() => waiters.user(controller, clock(), ask),
+            Some(ask) = self.workers.recv() => waiters.worker(controller, clock(), ask),
+            _ = self.tick.tick() => controller.handle(clock(), Command::Tick),
         }
     }
 
     /// Feeds what has come meanwhile, up to a batch.
-    fn take_batch(&mut self, core: &mut Core, waiters: &mut Waiters, clock: &impl Fn() -> Clock) {
+    fn take_batch(&mut self, controller: &mut Controller, waiters: &mut Waiters, clock: &impl Fn() -> Clock) {
         for _ in 0..BATCH {
             if let Ok(command) = self.done.try_recv() {
-                core.handle(clock(), command);
+                controller.handle(clock(), command);
                 continue;
             }
             if let Ok(ask) = self.peers.try_recv() {
-                waiters.peer(core, clock(), ask);
+                waiters.peer(controller, clock(), ask);
                 continue;
             }
             // One of each in turn, so that neither keeps out the other.
-            let user = self.users.try_recv().map(|ask| waiters.user(core, clock(), ask));
-            let worker = self.workers.try_recv().map(|ask| waiters.worker(core, clock(), ask));
+            let user = self.users.try_recv().map(|ask| waiters.user(controller, clock(), ask));
+            let worker = self.workers.try_recv().map(|ask| waiters.worker(controller, clock(), ask));
             if user.is_err() && worker.is_err() {
                 break;
             }
@@ -144,23 +144,23 @@
 }
 
 impl Waiters {
-    fn user(&mut self, core: &mut Core, clock: Clock, ask: UserAsk) {
+    fn user(&mut self, controller: &mut Controller, clock: Clock, ask: UserAsk) {
         self.next += 1;
         self.users.insert(self.next, ask.back);
-        core.handle(clock, Command::User(self.next, ask.request));
+        controller.handle(clock, Command::User(self.next, ask.request));
     }
 
-    fn peer(&mut self, core: &mut Core, clock: Clock, ask: PeerAsk) {
+    fn peer(&mut self, controller: &mut Controller, clock: Clock, ask: PeerAsk) {
         self.next += 1;
         self.peers.insert(self.next, ask.back);
-        core.handle(clock, Command::Peer(self.next, ask.message));
+        controller.handle(clock, Command::Peer(self.next, ask.message));
     }
 
-    fn worker(&mut self, core: &mut Core, clock: Clock, ask: WorkerAsk) {
+    fn worker(&mut self, controller: &mut Controller, clock: Clock, ask: WorkerAsk) {
         let WorkerAsk { report, relayed, back } = ask;
         self.next += 1;
         self.workers.insert(self.next, back);
-        core.handle(clock, Command::Report { waiter: self.next, report, relayed });
+        controller.handle(clock, Command::Report { waiter: self.next, report, relayed });
     }
 }
 
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,8 +1,8 @@
-//! One controller's core, driven by hand: its calls to the state service wait until the test answers them.
+//! One controller's state machine, driven by hand: its calls to the state service wait until the test answers them.
 
 use burlhatch::bookkeeping::schema::{BatchMember, EndRecord, JobRecord, Key, to_value};
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, Command, Core, Effect, LeaseOutcome, ReadOutcome, StateCall, TxnOutcome,
+    Clock, CloudCall, CloudOutcome, Command, Controller, Effect, LeaseOutcome, ReadOutcome, StateCall, TxnOutcome,
     UserAnswer, UserRequest, Waiter,
 };
 use burlhatch::protocol::cloud::{MachineType, MachineTypes};
@@ -45,27 +45,28 @@
 pub const FIRST: u64 = 10;
 
 /// One controller, and the calls of its that are not answered yet.
-pub struct Controller {
-    pub core: Core,
+pub struct ControllerHarness {
+    pub controller: Controller,
     now: u64,
     pub calls: Vec<StateCall>,
     answers: Vec<(Waiter, UserAnswer)>,
     waiters: Waiter,
 }
 
-impl Controller {
+impl ControllerHarness {
     /// One that has read nothing yet.
-    pub fn new() -> Controller {
+    pub fn new() -> ControllerHarness {
         let platform = Platform::parse(SETTINGS).expect("valid settings");
-        let core = Core::new(Arc::new(platform), Arc::new(Policy::default()), 7);
-        let mut controller = Controller { core, now: 1_000_000, calls: Vec::new(), answers: Vec::new(), waiters: 0 };
+        let controller = Controller::new(Arc::new(platform), Arc::new(Policy::default()), 7);
+        let mut controller =
+            ControllerHarness { controller, now: 1_000_000, calls: Vec::new(), answers: Vec::new(), waiters: 0 };
         controller.feed(Command::Tick);
         controller
     }
 
     /// One that has read these records, and what has changed since the first page.
-    pub fn started(items: Vec<Item>) -> Controller {
-        let mut controller = Controller::new();
+    pub fn started(items: Vec<Item>) -> ControllerHarness {
+        let mut controller = ControllerHarness::new();
         controller.answer_page(items, false);
         controller.answer_changes(|_| true, FIRST, Vec::new());
         controller.settle();
@@ -83,8 +84,8 @@
     pub fn feed(&mut self, command: Command) {
         self.now += 10;
         let clock = Clock { steady: Micros(self.now), wall: Micros(1_700_000_000_000_000 + self.now) };
-        self.core.handle(clock, command);
-        for effect in self.core.round(clock, &mut || true) {
+        self.controller.handle(clock, command);
+        for effect in self.controller.round(clock, &mut || true) {
             match effect {
                 Effect::State(call) => self.calls.push(call),
                 Effect::AnswerUser(waiter, answer) => self.answers.push((waiter, answer)),
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -5,7 +5,7 @@
 //! behind, and hears of cancellations from siblings before it reads of them. After each piece it is asked about every
 //! job, and answers what the model derives from the records at the revision that its read was answered with.
 
-use super::controller::{Controller, batch, id, spec};
+use super::controller::{ControllerHarness, batch, id, spec};
 use burlhatch::bookkeeping::schema::{EndRecord, Key, Outcome, to_value};
 use burlhatch::coordination::{Command, ReadOutcome, StateCall, UserAnswer, UserRequest, Waiter};
 use burlhatch::protocol::peer::{Cancelled, CancelledJob};
@@ -177,7 +177,7 @@
 
 struct Day {
     history: History,
-    controller: Controller,
+    controller: ControllerHarness,
     siblings: Waiter,
 }
 
@@ -221,7 +221,7 @@
             }
         }
         for _ in 0..20 {
-            if self.controller.core.is_ready() {
+            if self.controller.controller.is_ready() {
                 return;
             }
             self.answer_calls(false);
@@ -270,7 +270,7 @@
         steps in proptest::collection::vec(step(), 1..50),
         looks in proptest::collection::vec((1usize..6, look()), 1..12),
     ) {
-        let controller = Controller::started(Vec::new());
+        let controller = ControllerHarness::started(Vec::new());
         // The first revision that it knows of.
         let history = History { revision: super::controller::FIRST, ..History::default() };
         let mut day = Day { history, controller, siblings: 0 };
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -1,6 +1,6 @@
 //! What one controller may answer, against the state service's records.
 //!
-//! [`controller`] drives one core by hand; the sequences here are minimal, each in the order that once led to an answer
+//! [`controller`] drives one controller by hand; the sequences here are minimal, each in the order that once led to an answer
 //! older than what another controller had told. [`histories`] compares answers with a plain model on random histories.
 
 mod controller;
@@ -11,14 +11,14 @@
 use burlhatch::protocol::state::{Changes, Event};
 use burlhatch::protocol::user::{JobSpec, JobState};
 use burlhatch::units::{JobId, Micros};
-use controller::{Controller, FIRST, batch, cancelled, id, item, put, spec, written};
+use controller::{ControllerHarness, FIRST, batch, cancelled, id, item, put, spec, written};
 
 /// The batch of a submission is carried out at once and its answer comes late. Meanwhile another controller sees the
 /// job, its user calls it off there and is told so, and then the submission is repeated here. The commit says how
 /// things stood before that, and must not answer the repeat.
 #[test]
 fn a_commit_answers_nobody_who_asked_after_it_was_sent() {
-    let mut controller = Controller::started(Vec::new());
+    let mut controller = ControllerHarness::started(Vec::new());
     let first = controller.submit(&id(1), spec(&[]));
     let (ticket, _) = controller.take_batch();
     // Carried out at 11. Elsewhere: cancelled at 12, and told.
@@ -35,7 +35,7 @@
 /// tells one user that the job is cancelled must not tell another that it is queued.
 #[test]
 fn a_late_commit_does_not_undo_what_the_watch_brought() {
-    let mut controller = Controller::started(Vec::new());
+    let mut controller = ControllerHarness::started(Vec::new());
     let first = controller.submit(&id(1), spec(&[]));
     let (ticket, txn) = controller.take_batch();
     controller.answer_changes(|fresh| !fresh, 12, vec![written(&txn, 11), cancelled(&id(1), 12)]);
@@ -53,7 +53,7 @@
 #[test]
 fn a_commit_tells_nothing_of_the_jobs_that_one_needs() {
     let known = batch(&[(id(1), spec(&[]))]);
-    let mut controller = Controller::started(vec![item(Key::Batch("1".into()), known, 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), known, 5)]);
     let repeat = controller.submit(&id(2), spec(&[id(1)]));
     let (ticket, txn) = controller.take_batch();
     controller.commit(ticket, 13);
@@ -68,7 +68,7 @@
 #[test]
 fn an_own_batch_does_not_count_before_an_earlier_one_is_read() {
     let known = batch(&[(id(1), spec(&[])), (id(2), spec(&[]))]);
-    let mut controller = Controller::started(vec![item(Key::Batch("1".into()), known, 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), known, 5)]);
     let repeat = controller.submit(&id(3), spec(&[id(2)]));
     let (ticket, txn) = controller.take_batch();
     controller.commit(ticket, 13);
@@ -82,7 +82,7 @@
 /// submission is malformed.
 #[test]
 fn a_submission_too_large_to_be_written_down_may_repeat_a_known_job() {
-    let mut controller = Controller::started(Vec::new());
+    let mut controller = ControllerHarness::started(Vec::new());
     let mut large = spec(&[]);
     large.image = "x".repeat(5000);
     let repeat = controller.submit(&id(1), large);
@@ -95,7 +95,7 @@
 #[test]
 fn an_answer_to_a_read_of_before_counts_for_no_later_one() {
     let known = batch(&[(id(1), spec(&[]))]);
-    let mut controller = Controller::started(vec![item(Key::Batch("1".into()), known.clone(), 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), known.clone(), 5)]);
     controller.ask(UserRequest::Get(id(1)));
     let early = controller.take_changes(|fresh| fresh);
     let watch = controller.take_changes(|fresh| !fresh);
@@ -122,16 +122,16 @@
 /// before as well: the job then stands in the records without its list until what changed meanwhile is read.
 #[test]
 fn nothing_is_known_before_the_changes_since_the_first_page_are_read() {
-    let mut controller = Controller::new();
+    let mut controller = ControllerHarness::new();
     let mut record = JobRecord { accepted: Micros(1), pieces: Some(("7".into(), 1)), spec: spec(&[]) };
     record.spec.awaits.clear();
     let member = BatchMember { id: id(2), record };
     controller.answer_page(vec![item(Key::Batch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
     controller.answer_page(vec![item(Key::Batch("2".into()), to_value(&vec![member]), 12)], false);
-    assert!(!controller.core.is_ready(), "ready with pages of different times");
+    assert!(!controller.controller.is_ready(), "ready with pages of different times");
     let list = put(Key::AwaitedPart("7".into(), 0), to_value(&vec![id(1)]), 11);
     controller.answer_changes(|_| true, 13, vec![list, cancelled(&id(1), 13)]);
-    assert!(controller.core.is_ready());
+    assert!(controller.controller.is_ready());
     controller.settle();
     let question = controller.ask(UserRequest::Get(id(2)));
     controller.pass(300);
@@ -144,12 +144,12 @@
 fn a_late_commit_brings_no_deleted_record_back() {
     let many: Vec<JobId> = (1..=400).map(id).collect();
     let jobs: Vec<(JobId, JobSpec)> = many.iter().map(|id| (id.clone(), spec(&[]))).collect();
-    let mut controller = Controller::started(vec![item(Key::Batch("1".into()), batch(&jobs), 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), batch(&jobs), 5)]);
     controller.submit(&id(500), spec(&many));
     let (ticket, txn) = controller.take_txn("/awaits/");
     let put = written(&txn, 11);
     let cleared = Event { put: None, delete: put.put.clone(), value: None, version: 13 };
     controller.answer_changes(|fresh| !fresh, 13, vec![put, cleared]);
     controller.commit(ticket, 11);
-    assert!(controller.core.replica().pieces.is_empty(), "it is in the replica again");
+    assert!(controller.controller.replica().pieces.is_empty(), "it is in the replica again");
 }
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -20,16 +20,16 @@
         let clock = self.clock(node);
         let _at = tracing::debug_span!("at", ms = self.now / MS, node).entered();
         let frozen = self.now < self.nodes[node].frozen_until;
-        let Some(core) = self.nodes[node].core.as_mut() else { return };
+        let Some(controller) = self.nodes[node].controller.as_mut() else { return };
         if frozen {
             if !matches!(command, Command::Tick) {
                 self.nodes[node].backlog.push(command);
             }
             return;
         }
-        core.handle(clock, command);
+        controller.handle(clock, command);
         let mut looks = 50;
-        let effects = core.round(clock, &mut || {
+        let effects = controller.round(clock, &mut || {
             looks -= 1;
             looks > 0
         });
@@ -132,9 +132,9 @@
     /// One controller's answer to a question about a job, if it comes at once.
     pub fn ask_at(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
-        let core = self.nodes[node].core.as_mut()?;
-        core.handle(clock, Command::User(u64::MAX, UserRequest::Get(id.clone())));
-        let effects = core.round(clock, &mut || true);
+        let controller = self.nodes[node].controller.as_mut()?;
+        controller.handle(clock, Command::User(u64::MAX, UserRequest::Get(id.clone())));
+        let effects = controller.round(clock, &mut || true);
         let mut answer = None;
         for effect in effects {
             match effect {
@@ -148,8 +148,8 @@
     /// One controller's answer to a question about a job, after the read that it may need.
     pub fn ask_fresh(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
-        let core = self.nodes[node].core.as_mut()?;
-        core.handle(clock, Command::User(u64::MAX, UserRequest::Get(id.clone())));
+        let controller = self.nodes[node].controller.as_mut()?;
+        controller.handle(clock, Command::User(u64::MAX, UserRequest::Get(id.clone())));
         self.overheard = None;
         for _ in 0..60 {
             self.run_for(50 * MS);
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -10,7 +10,7 @@
 impl World {
     pub fn crash(&mut self, node: usize, back_after: u64) {
         tracing::info!(at_ms = self.now / MS, node, back_after, "trouble: crash");
-        self.nodes[node].core = None;
+        self.nodes[node].controller = None;
         self.nodes[node].life += 1;
         // Workers and users on its connections see a reset.
         let lost: Vec<_> = std::mem::take(&mut self.nodes[node].workers).into_values().collect();
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,5 +1,5 @@
 //! A simulated world, written from the protocol page: state service, cloud, workers, users and
-//! the network between them. It drives the pure cores of several controllers on simulated time
+//! the network between them. It drives the pure state machines of several controllers on simulated time
 //! and fixed seeds, breaks things, and checks the protocol's rules after every step.
 
 mod checks;
@@ -14,7 +14,7 @@
 mod worker;
 
 use burlhatch::bookkeeping::schema::RecordVersion;
-use burlhatch::coordination::{CloudCall, Command, Core, StateCall, UserAnswer, WorkerAnswer};
+use burlhatch::coordination::{CloudCall, Command, Controller, StateCall, UserAnswer, WorkerAnswer};
 use burlhatch::protocol::peer::Cancelled;
 use burlhatch::protocol::worker::{DirectOrders, Report};
 use burlhatch::settings::{Platform, Policy};
@@ -169,7 +169,7 @@
 }
 
 struct Node {
-    core: Option<Core>,
+    controller: Option<Controller>,
     life: u64,
     began: u64,
     drift: f64,
@@ -305,7 +305,7 @@
         for i in 0..size.nodes {
             let drift = 1.0 + world.rng.random_range(-0.0005..0.0005);
             let node = Node {
-                core: None,
+                controller: None,
                 life: 0,
                 began: 0,
                 drift,
@@ -369,17 +369,17 @@
                 policy.record_version = if old { RecordVersion::FIRST.0 } else { policy.record_version };
                 let platform = Platform::parse(&(settings(i, self.size) + next)).expect("valid settings");
                 let node = &mut self.nodes[i];
-                if node.core.is_some() {
+                if node.controller.is_some() {
                     return;
                 }
                 node.life += 1;
                 node.began = self.now;
-                node.core = Some(Core::new(Arc::new(platform), Arc::new(policy), seed));
+                node.controller = Some(Controller::new(Arc::new(platform), Arc::new(policy), seed));
                 let life = node.life;
                 self.at(0, Event::Tick(i, life));
             }
             Event::Tick(i, life) => {
-                if self.nodes[i].life == life && self.nodes[i].core.is_some() {
+                if self.nodes[i].life == life && self.nodes[i].controller.is_some() {
                     self.feed(i, Command::Tick);
                     self.at(50 * MS, Event::Tick(i, life));
                 }
@@ -402,7 +402,7 @@
             }
             Event::State { node, life, call, request } => self.state_request(node, life, call, request),
             Event::Peer { node, life, call, to, number, message } => {
-                if self.nodes[to].core.is_none() {
+                if self.nodes[to].controller.is_none() {
                     return;
                 }
                 self.nodes[to].next_waiter += 1;
@@ -426,7 +426,7 @@
             }
             Event::Report { node, report, serial } => {
                 let machine = report.machine.clone();
-                if self.nodes[node].core.is_none() {
+                if self.nodes[node].controller.is_none() {
                     self.at(MS, Event::ReportAnswer { machine, serial, answer: None });
                     return;
                 }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -1,7 +1,7 @@
 //! Users: what they submit, ask and call off, and the rules about what they are told.
 
 use super::{Event, MS, S, World};
-use burlhatch::coordination::{Command, Core, UserAnswer, UserRequest};
+use burlhatch::coordination::{Command, Controller, UserAnswer, UserRequest};
 use burlhatch::protocol::user::{JobSpec, JobState, JobStatus, Kind, Priority, Submission};
 use burlhatch::units::JobId;
 use rand::Rng;
@@ -109,7 +109,7 @@
     }
 
     pub(super) fn ask_node(&mut self, node: usize, asked: Asked, request: UserRequest) {
-        let ready = self.nodes[node].core.as_ref().is_some_and(Core::is_ready);
+        let ready = self.nodes[node].controller.as_ref().is_some_and(Controller::is_ready);
         if !ready {
             return;
         }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -191,8 +191,8 @@
         else {
             return;
         };
-        let Some(core) = &self.nodes[node].core else { return };
-        let ends = &core.replica().ends;
+        let Some(controller) = &self.nodes[node].controller else { return };
+        let ends = &controller.replica().ends;
         let cancelled = |task: &ReportedTask| {
             let job = TaskId::parse(&task.task).map(|task| task.job);
             job.and_then(|job| ends.get(&job)).is_some_and(|end| end.value.outcome == Outcome::Cancelled)
