--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -4,7 +4,7 @@
 use crate::worker::{Link, Machine, RunningMachine, Surroundings, WorkerTrouble, ZoneLink, start};
 use burlhatch::protocol::cloud::{MachineNames, Rental};
 use burlhatch::protocol::decode;
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/testbed/src/users.rs
+++ b/crates/testbed/src/users.rs
@@ -5,7 +5,7 @@
 use burlhatch::protocol::user::JobSpec;
 use burlhatch::protocol::{decode, encode};
 use burlhatch::transport::client::Client;
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -6,7 +6,7 @@
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Orders, Report, ReportedTask, TaskState};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::transport::client::Client;
-use burlhatch::units::{JobId, MachineId, TaskId, Term};
+use burlhatch::types::{JobId, MachineId, TaskId, Term};
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
--- a/crates/zones/src/census.rs
+++ b/crates/zones/src/census.rs
@@ -1,7 +1,7 @@
 //! How many machines each zone and share has, and how many of them are silent. Kept by single changes: with thousands
 //! of machines a walk over all of them for each question would take most of a round.
 
-use burlhatch_units::MachineId;
+use burlhatch_types::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
--- a/crates/zones/src/condition.rs
+++ b/crates/zones/src/condition.rs
@@ -3,7 +3,7 @@
 use crate::damping::Penalty;
 use crate::ramp::Ramp;
 use crate::settings::ZoneSettings;
-use burlhatch_units::Micros;
+use burlhatch_types::Micros;
 use serde::{Deserialize, Serialize};
 
 /// How a zone stands.
--- a/crates/zones/src/damping.rs
+++ b/crates/zones/src/damping.rs
@@ -1,7 +1,7 @@
 //! Flap damping: a penalty that grows with each loss of a zone and decays, as for routes that come and go (RFC 2439).
 
 use crate::settings::ZoneSettings;
-use burlhatch_units::Micros;
+use burlhatch_types::Micros;
 
 /// An amount that halves in a set time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/zones/src/disruption.rs
+++ b/crates/zones/src/disruption.rs
@@ -1,7 +1,7 @@
 //! Disruption budget: how many replicas may be stopped without need, for each job and in total.
 
 use crate::settings::ZoneSettings;
-use burlhatch_units::{JobId, Micros};
+use burlhatch_types::{JobId, Micros};
 use std::collections::BTreeMap;
 
 const MINUTE_S: f64 = 60.0;
--- a/crates/zones/src/order.rs
+++ b/crates/zones/src/order.rs
@@ -1,7 +1,7 @@
 //! Order of restoration: which waiting work is looked at first after a zone was lost.
 
 use crate::settings::ZoneSettings;
-use burlhatch_units::Micros;
+use burlhatch_types::Micros;
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
--- a/crates/zones/src/ramp.rs
+++ b/crates/zones/src/ramp.rs
@@ -6,7 +6,7 @@
 //! once.
 
 use crate::settings::ZoneSettings;
-use burlhatch_units::Micros;
+use burlhatch_types::Micros;
 
 /// Part of a step's allowance that must have been used, and part of the starts that must be at work by then, for the
 /// allowance to double.
--- a/crates/zones/src/rebalance.rs
+++ b/crates/zones/src/rebalance.rs
@@ -3,7 +3,7 @@
 
 use crate::disruption::DisruptionBudget;
 use crate::settings::ZoneSettings;
-use burlhatch_units::{JobId, Micros};
+use burlhatch_types::{JobId, Micros};
 use std::collections::BTreeMap;
 
 /// Where the replicas of a service run.
--- a/crates/zones/src/record.rs
+++ b/crates/zones/src/record.rs
@@ -1,7 +1,7 @@
 //! What a share's holder stores about a zone, so that other holders and its successor know.
 
 use crate::condition::Condition;
-use burlhatch_units::Micros;
+use burlhatch_types::Micros;
 use serde::{Deserialize, Serialize};
 
 /// A share's view of a zone. One key for each zone and share, there only while the view is not simply `Up`.
--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings for zone failures, with their defaults and bounds.
 
-use burlhatch_units::Micros;
+use burlhatch_types::Micros;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -5,7 +5,7 @@
 use crate::damping::decay;
 use crate::record::ZoneRecord;
 use crate::settings::ZoneSettings;
-use burlhatch_units::{MachineId, Micros};
+use burlhatch_types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A moment on both clocks of a process.
--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -1,6 +1,6 @@
 //! The package against slow plain models, and its bounds, on random sequences.
 
-use burlhatch_units::{JobId, MachineId, Micros};
+use burlhatch_types::{JobId, MachineId, Micros};
 use burlhatch_zones::condition::ZoneState;
 use burlhatch_zones::damping::Penalty;
 use burlhatch_zones::disruption::DisruptionBudget;
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -6,8 +6,8 @@
 
 use super::Controller;
 use super::usage::Phase;
-use crate::bookkeeping::schema::Outcome;
-use crate::units::{JobId, MachineId, Micros};
+use crate::storage::schema::Outcome;
+use crate::types::{JobId, MachineId, Micros};
 
 /// Lines in a second, and at once after a quiet time.
 const LINES_PER_S: f64 = 10.0;
--- a/src/coordination/boots.rs
+++ b/src/coordination/boots.rs
@@ -5,7 +5,7 @@
 //! `boot_patience` allows.
 
 use super::leader::{Boot, Offer};
-use crate::units::{MachineId, Micros};
+use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
 /// Weights of the newest boot in the running mean and deviation, and deviations allowed above the mean: as TCP
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -3,7 +3,7 @@
 //! The limit holds for all controllers together, and none knows what the others need. So each
 //! begins with more than an equal part, grows while it is not refused, and slows down when it is.
 
-use crate::units::Micros;
+use crate::types::Micros;
 use std::collections::BTreeMap;
 
 /// Growth per second, and what is left after a refusal, as parts of the limit and of the rate.
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -12,10 +12,10 @@
 use super::usage::Phase;
 use super::users::BUSY;
 use super::{Controller, Effect, UserAnswer, Waiter};
-use crate::bookkeeping::schema::{EndRecord, Key, Role, to_value};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
-use crate::units::{JobId, Micros, Term};
+use crate::storage::schema::{EndRecord, Key, Role, to_value};
+use crate::types::{JobId, Micros, Term};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
--- a/src/coordination/capacity.rs
+++ b/src/coordination/capacity.rs
@@ -3,9 +3,9 @@
 
 use super::Controller;
 use super::jobs::Job;
-use crate::bookkeeping::schema::Hold;
 use crate::protocol::user::{JobSpec, Kind, Priority};
-use crate::units::{MachineId, Micros, Room};
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros, Room};
 use std::collections::{BTreeMap, HashMap};
 
 /// A machine's room in the plan.
--- a/src/coordination/clearing.rs
+++ b/src/coordination/clearing.rs
@@ -8,8 +8,8 @@
 use super::audit::AbsenceProof;
 use super::leader::Call;
 use super::usage::Phase;
-use crate::bookkeeping::schema::{Outcome, Role};
-use crate::units::{JobId, MachineId, Micros};
+use crate::storage::schema::{Outcome, Role};
+use crate::types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
 
 /// By when a cancelled job's tasks have to be proven gone.
--- a/src/coordination/draining.rs
+++ b/src/coordination/draining.rs
@@ -3,9 +3,9 @@
 use super::Controller;
 use super::machines::{Failures, Machine};
 use super::usage::{Phase, Start};
-use crate::bookkeeping::schema::{Hold, Outcome};
 use crate::protocol::user::Kind;
-use crate::units::{JobId, MachineId};
+use crate::storage::schema::{Hold, Outcome};
+use crate::types::{JobId, MachineId};
 
 /// A job that failed so often on one machine, and on no other, was tried there again after a pause.
 const FAILED_AGAIN: u32 = 2;
--- a/src/coordination/evacuation.rs
+++ b/src/coordination/evacuation.rs
@@ -8,9 +8,9 @@
 use super::capacity::count_in;
 use super::jobs::Job;
 use super::share_view::Spot;
-use crate::bookkeeping::schema::{Hold, Role};
 use crate::protocol::user::Kind;
-use crate::units::{JobId, MachineId, Micros, Room};
+use crate::storage::schema::{Hold, Role};
+use crate::types::{JobId, MachineId, Micros, Room};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
 
--- a/src/coordination/evidence.rs
+++ b/src/coordination/evidence.rs
@@ -7,7 +7,7 @@
 //!
 //! [`Fresh`] stands for both. Nothing but [`Evidence`] makes one, and nothing but a call's answer makes evidence.
 
-use crate::units::Revision;
+use crate::types::Revision;
 
 /// A point in the order in which questions reach this controller and calls leave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -4,9 +4,9 @@
 use super::audit::AbsenceProof;
 use super::machines::Machine;
 use super::usage::Phase;
-use crate::bookkeeping::schema::{Hold, Role};
 use crate::protocol::worker::DirectOrders;
-use crate::units::{MachineId, Micros, Term};
+use crate::storage::schema::{Hold, Role};
+use crate::types::{MachineId, Micros, Term};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// With fewer silent machines in a zone nothing is concluded about the zone.
--- a/src/coordination/failures.rs
+++ b/src/coordination/failures.rs
@@ -6,7 +6,7 @@
 //! emptied or suspected for it; as soon as a task gets further than those that failed, more of them follow.
 
 use super::usage::{JobStarts, Phase, Start};
-use crate::units::{MachineId, Micros};
+use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A job without any success is taken to be at fault once it has failed on so many machines.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -4,9 +4,9 @@
 use super::capacity::Unmet;
 use super::txns::{Draft, MachineChange, Purpose};
 use super::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
-use crate::bookkeeping::schema::{Hold, Key, MachineRecord, to_value};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
-use crate::units::{MachineId, Micros, Room};
+use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
+use crate::types::{MachineId, Micros, Room};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine rented or listed that has no record yet.
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -12,9 +12,9 @@
 
 use super::orders::ORDERS_MAX;
 use super::{Controller, WorkerAnswer};
-use crate::bookkeeping::schema::Outcome;
 use crate::protocol::worker::{Order, Orders, Report, TaskState};
-use crate::units::{MachineId, TaskId, Term};
+use crate::storage::schema::Outcome;
+use crate::types::{MachineId, TaskId, Term};
 
 impl Controller {
     /// The answer to a report that was just taken in, under our token.
--- a/src/coordination/machine_terms.rs
+++ b/src/coordination/machine_terms.rs
@@ -2,8 +2,8 @@
 
 use super::Controller;
 use super::txns::{Draft, MachineChange, Purpose};
-use crate::bookkeeping::schema::{Key, Role, to_value};
-use crate::units::{MachineId, Micros, Term};
+use crate::storage::schema::{Key, Role, to_value};
+use crate::types::{MachineId, Micros, Term};
 use rand::Rng;
 use std::collections::BTreeMap;
 
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -3,8 +3,8 @@
 use super::audit::AbsenceProof;
 use super::txns::{Draft, MachineChange, Purpose};
 use super::{Controller, Effect, WorkerAnswer};
-use crate::bookkeeping::schema::{Hold, Key, MachineRecord, Role, to_value};
-use crate::units::{JobId, MachineId, Micros, Room, Term};
+use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
+use crate::types::{JobId, MachineId, Micros, Room, Term};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -5,7 +5,7 @@
 use crate::protocol::state::{Changes, Page, Txn};
 use crate::protocol::user::{JobStatus, Submission};
 use crate::protocol::worker::{DirectOrders, Orders, Report};
-use crate::units::{JobId, MachineId, Micros};
+use crate::types::{JobId, MachineId, Micros};
 use std::net::SocketAddr;
 
 /// The time as one process sees it.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: commands and the time come in, effects go out. One [`Controller`] owns all state of a
 //! controller; the daemon feeds it a queue of commands in batches. Everything a decision rests on
-//! is either in the state service (see [`crate::bookkeeping`]) or was proven by a worker's report.
+//! is either in the state service (see [`crate::storage`]) or was proven by a worker's report.
 
 mod audit;
 mod boots;
@@ -50,12 +50,12 @@
     StateCall, TxnOutcome, UserAnswer, UserRequest, Waiter, WorkerAnswer,
 };
 
-use crate::bookkeeping::schema::RecordVersion;
-use crate::bookkeeping::{Change, Replica, schema};
 use crate::protocol::cloud::MachineType;
 use crate::protocol::worker::Report;
 use crate::settings::{Platform, Policy};
-use crate::units::{JobId, MachineId, Micros, Room};
+use crate::storage::schema::RecordVersion;
+use crate::storage::{Change, Replica, schema};
+use crate::types::{JobId, MachineId, Micros, Room};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/src/coordination/moves.rs
+++ b/src/coordination/moves.rs
@@ -12,8 +12,8 @@
 use super::Controller;
 use super::txns::{Draft, MachineChange, Purpose};
 use super::versions::{Mover, mover};
-use crate::bookkeeping::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
-use crate::units::{MachineId, Micros, Term};
+use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
+use crate::types::{MachineId, Micros, Term};
 use std::collections::BTreeMap;
 
 /// Machines that are to leave a share.
--- a/src/coordination/orders.rs
+++ b/src/coordination/orders.rs
@@ -6,9 +6,9 @@
 use super::reports::Source;
 use super::usage::{Phase, Start};
 use super::{Controller, Effect, Failure, OrdersOutcome};
-use crate::bookkeeping::schema::Hold;
 use crate::protocol::worker::{DirectOrders, Order};
-use crate::units::{MachineId, Micros};
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros};
 use std::net::SocketAddr;
 
 /// Commands in one message at most, so that it stays below the size limit.
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/pipelines.rs
@@ -6,7 +6,7 @@
 //! and has to be done early enough for it.
 
 use crate::protocol::user::Priority;
-use crate::units::{JobId, Micros};
+use crate::types::{JobId, Micros};
 use std::collections::{BTreeSet, HashMap};
 
 /// How urgent a job is, by itself or for those that need it.
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -7,9 +7,9 @@
 use super::share_view::{ShareView, Spot};
 use super::usage::{Phase, Start};
 use super::zones::ZoneStart;
-use crate::bookkeeping::schema::Role;
 use crate::protocol::user::Kind;
-use crate::units::{JobId, MachineId, Micros, Room};
+use crate::storage::schema::Role;
+use crate::types::{JobId, MachineId, Micros, Room};
 use std::collections::{BTreeSet, HashMap};
 
 /// A machine that could take the task, seen through the prediction.
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -6,7 +6,7 @@
 use super::share_view::Spot;
 use super::usage::Start;
 use crate::protocol::user::{Kind, Priority};
-use crate::units::{JobId, Micros, Room};
+use crate::types::{JobId, Micros, Room};
 
 /// A job that made others leave does so again only after this.
 const PREEMPTION_PAUSE: Micros = Micros::from_millis(1000);
--- a/src/coordination/reads.rs
+++ b/src/coordination/reads.rs
@@ -7,7 +7,7 @@
 use super::evidence::{Evidence, LogicalTime};
 use super::{Controller, Effect, ReadKind, ReadOutcome, StateCall};
 use crate::protocol::state::{Changes, Page};
-use crate::units::{Micros, Revision};
+use crate::types::{Micros, Revision};
 
 /// The first reading of all records: pages one after the other, then what changed since the first of them. Only then
 /// is the replica what the state service held at one moment, and anything decided or told by it.
--- a/src/coordination/reclaim.rs
+++ b/src/coordination/reclaim.rs
@@ -7,9 +7,9 @@
 
 use super::Controller;
 use super::capacity::{Slot, Unmet, fit};
-use crate::bookkeeping::schema::Hold;
 use crate::protocol::user::Priority;
-use crate::units::{MachineId, Micros};
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
 /// A machine whose holder keeps it is not asked for again so soon.
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -8,12 +8,12 @@
 use super::txns::{CONDITIONS_PER_WRITE, Draft, Purpose};
 use super::usage::{Phase, Start};
 use super::versions::leader_leaves_moves;
-use crate::bookkeeping::schema::{EndRecord, Key, Role, RunChunk, StartRecord, to_value};
-use crate::bookkeeping::{Replica, Versioned};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
-use crate::units::{JobId, MachineId, Micros};
+use crate::storage::schema::{EndRecord, Key, Role, RunChunk, StartRecord, to_value};
+use crate::storage::{Replica, Versioned};
+use crate::types::{JobId, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 type StoredChunks = BTreeMap<u32, Versioned<RunChunk>>;
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -4,9 +4,9 @@
 use super::submissions::VALUE_FILL;
 use super::txns::{CONDITIONS_PER_WRITE, Draft, MachineChange, Purpose};
 use super::{Controller, Effect};
-use crate::bookkeeping::schema::{FleetMember, Key, MachineRecord, Role, to_value};
 use crate::protocol::worker::Report;
-use crate::units::{MachineId, Micros, Term};
+use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
+use crate::types::{MachineId, Micros, Term};
 
 /// So long a machine's answer counts as a sign that it exists.
 const ALIVE_SPAN: Micros = Micros::from_millis(5000);
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -4,10 +4,10 @@
 use super::boots::{Reliability, overdue};
 use super::capacity::{Slot, Unmet, count_in, fit};
 use super::leader::{Boot, Call, Offer};
-use crate::bookkeeping::schema::Role;
 use crate::protocol::cloud::Rental;
 use crate::protocol::user::JobSpec;
-use crate::units::{Micros, Room};
+use crate::storage::schema::Role;
+use crate::types::{Micros, Room};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that one request may ask for.
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -5,10 +5,10 @@
 use super::usage::{Phase, Start};
 use super::zones::ZoneStart;
 use super::{Controller, Effect, Unregistered, Waiter, WorkerAnswer};
-use crate::bookkeeping::schema::Role;
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Report, TaskState};
-use crate::units::{JobId, MachineId, TaskId, Term};
+use crate::storage::schema::Role;
+use crate::types::{JobId, MachineId, TaskId, Term};
 use std::collections::BTreeSet;
 
 /// Exited tasks a worker is left with before its machine gets a new term so that it may forget them.
--- a/src/coordination/roles.rs
+++ b/src/coordination/roles.rs
@@ -7,8 +7,8 @@
 use super::machines::Machine;
 use super::txns::{Draft, Purpose};
 use super::{Controller, Effect, LeaseOutcome, StateCall};
-use crate::bookkeeping::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
-use crate::units::{MachineId, Micros, Term};
+use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
+use crate::types::{MachineId, Micros, Term};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
--- a/src/coordination/scheduling_order.rs
+++ b/src/coordination/scheduling_order.rs
@@ -2,8 +2,8 @@
 
 use super::Controller;
 use super::jobs::Job;
-use crate::bookkeeping::schema::Role;
-use crate::units::{JobId, Micros, Room};
+use crate::storage::schema::Role;
+use crate::types::{JobId, Micros, Room};
 
 impl Controller {
     /// When it is a job's turn among those of its priority: its deadline if it has one, else its
--- a/src/coordination/share_view.rs
+++ b/src/coordination/share_view.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::jobs::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
-use crate::units::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Room};
 use burlhatch_zones::fetches::FetchQueues;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/coordination/stages.rs
+++ b/src/coordination/stages.rs
@@ -9,9 +9,9 @@
 use super::jobs::Job;
 use super::pipelines::Urgency;
 use super::txns::{Draft, Purpose};
-use crate::bookkeeping::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
 use crate::protocol::user::{JobSpec, Priority};
-use crate::units::{JobId, Micros};
+use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
+use crate::types::{JobId, Micros};
 
 /// Bytes of a run chunk besides its starts and ranges: field names, attempts so far, and the write's number.
 const CHUNK_BYTES: usize = 60;
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -11,9 +11,9 @@
 use super::txns::{CONDITIONS_PER_WRITE, Draft, Purpose, TxnEnd};
 use super::users::{Asked, BUSY, Question};
 use super::{Controller, UserAnswer, Waiter};
-use crate::bookkeeping::schema::{BatchMember, JobRecord, Key, to_value};
 use crate::protocol::user::{JobSpec, Kind, Submission};
-use crate::units::{JobId, Micros, Revision, Room};
+use crate::storage::schema::{BatchMember, JobRecord, Key, to_value};
+use crate::types::{JobId, Micros, Revision, Room};
 use std::collections::{HashMap, VecDeque};
 
 /// Part of the allowed size that a value of several entries is filled to.
--- a/src/coordination/tidying.rs
+++ b/src/coordination/tidying.rs
@@ -2,8 +2,8 @@
 
 use super::Controller;
 use super::txns::{Draft, Purpose};
-use crate::bookkeeping::schema::{Key, Role};
-use crate::units::{JobId, Micros};
+use crate::storage::schema::{Key, Role};
+use crate::types::{JobId, Micros};
 use std::collections::BTreeSet;
 
 /// A submission's lists are written down some time before the job that names them, but not so long.
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -7,10 +7,10 @@
 use super::evidence::{Evidence, LogicalTime};
 use super::submissions::Submitted;
 use super::{Controller, Effect, Failure, StateCall, TxnOutcome};
-use crate::bookkeeping::Replica;
-use crate::bookkeeping::schema::Key;
 use crate::protocol::state::{Condition, Txn, Write};
-use crate::units::{JobId, MachineId, Micros, Revision};
+use crate::storage::Replica;
+use crate::storage::schema::Key;
+use crate::types::{JobId, MachineId, Micros, Revision};
 use ciborium::Value;
 use rand::Rng;
 use std::collections::{BTreeMap, VecDeque};
--- a/src/coordination/usage.rs
+++ b/src/coordination/usage.rs
@@ -3,7 +3,7 @@
 
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::protocol::worker::ExitCause;
-use crate::units::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Room};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// How far a start has come.
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -7,9 +7,9 @@
 use super::submissions::{Form, Submissions};
 use super::txns::{Draft, Purpose};
 use super::{Controller, Effect, UserAnswer, UserRequest, Waiter};
-use crate::bookkeeping::schema::{EndRecord, Key, Outcome, to_value};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
-use crate::units::{JobId, Revision};
+use crate::storage::schema::{EndRecord, Key, Outcome, to_value};
+use crate::types::{JobId, Revision};
 use std::collections::HashMap;
 
 /// Who asks, and when the question came.
--- a/src/coordination/versions.rs
+++ b/src/coordination/versions.rs
@@ -4,8 +4,8 @@
 //! announced counts as the first. What a version changes may be relied on only where the record that says so is a
 //! condition of the same transaction: then an older controller that takes the role in between makes it fail.
 
-use crate::bookkeeping::Replica;
-use crate::bookkeeping::schema::{RecordVersion, Role};
+use crate::storage::Replica;
+use crate::storage::schema::{RecordVersion, Role};
 
 /// From this version on a leader only asks for a machine to be moved; the holder of the machine's share, the one
 /// controller that records starts there, moves it once nothing is left on it. Before, the leader moved it by
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,14 +5,14 @@
 //! * [`transport`]: sockets, HTTP, peer links and the limits a client keeps;
 //! * [`protocol`]: the messages as they look on the wire and what makes them valid;
 //! * [`coordination`]: who owns what, what runs where; pure, without I/O or clock;
-//! * [`bookkeeping`]: what is kept in the state service and the replica of it.
+//! * [`storage`]: what is kept in the state service and the replica of it.
 //!
-//! Packages of their own under `crates/`: [`units`], the types that all share.
+//! Packages of their own under `crates/`: [`types`], the types that all share.
 
-pub mod bookkeeping;
 pub mod coordination;
 pub mod protocol;
 pub mod settings;
+pub mod storage;
 pub mod transport;
 
-pub use burlhatch_units as units;
+pub use burlhatch_types as types;
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 use burlhatch::settings::{Platform, Policy, SettingsError};
 use burlhatch::transport::daemon;
 use burlhatch::transport::zone_admin::{self, ZoneAction};
-use burlhatch::units::Micros;
+use burlhatch::types::Micros;
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,7 +1,7 @@
 //! Messages of the cloud.
 
 use super::{list, maybe_number, number};
-use crate::units::MachineId;
+use crate::types::MachineId;
 use serde::{Deserialize, Serialize};
 
 /// A kind of machine.
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -1,7 +1,7 @@
 //! Messages of users.
 
 use super::{WireError, decode, maybe_number, number};
-use crate::units::{JobId, Micros, Room};
+use crate::types::{JobId, Micros, Room};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,7 +1,7 @@
 //! Messages of workers.
 
 use super::{list, maybe_number};
-use crate::units::{MachineId, Term};
+use crate::types::{MachineId, Term};
 use serde::{Deserialize, Serialize};
 
 /// How far a task on a machine has come.
--- a/src/bookkeeping/replica.rs
+++ b/src/storage/replica.rs
@@ -6,7 +6,7 @@
     ZoneHoldRecord, from_value,
 };
 use crate::protocol::state::Event;
-use crate::units::{JobId, MachineId, Revision, Term};
+use crate::types::{JobId, MachineId, Revision, Term};
 use burlhatch_zones::ZoneRecord;
 use ciborium::Value;
 use std::collections::{BTreeMap, HashMap};
--- a/src/bookkeeping/schema.rs
+++ b/src/storage/schema.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::pipelines::Urgency;
 use crate::protocol::user::JobSpec;
-use crate::units::{JobId, MachineId, Micros, Term};
+use crate::types::{JobId, MachineId, Micros, Term};
 use ciborium::Value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -9,7 +9,7 @@
 use crate::protocol::worker::{DirectOrders, Report};
 use crate::protocol::{cloud, decode, encode, state};
 use crate::settings::{Platform, Policy};
-use crate::units::MachineId;
+use crate::types::MachineId;
 use hyper::Method;
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
             cloud_requests: limiter_of(limits.cloud.rps * policy.cloud_limit_part),
             state_limit: Duration::from_millis(policy.state_timeout_ms),
             probe_limit: Duration::from_millis(policy.probe_ms),
-            prefix: crate::bookkeeping::schema::ROOT,
+            prefix: crate::storage::schema::ROOT,
         }
     }
 
--- a/src/transport/daemon.rs
+++ b/src/transport/daemon.rs
@@ -7,7 +7,7 @@
 use crate::coordination::{Clock, Command, Controller, Effect, UserAnswer, Waiter, WorkerAnswer};
 use crate::protocol::peer::CancellationAck;
 use crate::settings::{Platform, Policy};
-use crate::units::Micros;
+use crate::types::Micros;
 use std::collections::HashMap;
 use std::io;
 use std::sync::Arc;
--- a/src/transport/limits.rs
+++ b/src/transport/limits.rs
@@ -1,6 +1,6 @@
 //! Limits this process keeps towards a service, with precedence among its own calls.
 
-use crate::units::Micros;
+use crate::types::Micros;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -9,7 +9,7 @@
 use crate::protocol::user::{self, JobState, JobStatus, Refusal};
 use crate::protocol::worker::{Orders, Redirect, Report};
 use crate::protocol::{BODY_LIMIT, decode, encode};
-use crate::units::{JobId, Term};
+use crate::types::{JobId, Term};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/src/transport/siblings.rs
+++ b/src/transport/siblings.rs
@@ -4,7 +4,7 @@
 use super::client::Client;
 use super::server::{ANSWER_LIMIT, Gate, PeerAsk, Plain, route};
 use crate::protocol::peer::{CANCELLED_PATH, CancellationAck, Cancelled, Relay, Relayed};
-use crate::units::MachineId;
+use crate::types::MachineId;
 use hyper::Method;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -1,12 +1,12 @@
 //! The operators' view of zones and their holds, read from and written to the state service: `burlhatch zones`.
 
 use super::client::{Answer, Client};
-use crate::bookkeeping::Replica;
-use crate::bookkeeping::schema::{Key, ROOT, ZoneHoldRecord, to_value};
 use crate::protocol::state::{Committed, Condition, Page, TXN_PATH, Txn, Write, page_path};
 use crate::protocol::{decode, encode};
 use crate::settings::Platform;
-use crate::units::Micros;
+use crate::storage::Replica;
+use crate::storage::schema::{Key, ROOT, ZoneHoldRecord, to_value};
+use crate::types::Micros;
 use burlhatch_zones::ZoneRecord;
 use hyper::Method;
 use std::fmt::Write as _;
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,6 +1,5 @@
 //! One controller's state machine, driven by hand: its calls to the state service wait until the test answers them.
 
-use burlhatch::bookkeeping::schema::{BatchMember, EndRecord, JobRecord, Key, to_value};
 use burlhatch::coordination::{
     Clock, CloudCall, CloudOutcome, Command, Controller, Effect, LeaseOutcome, ReadOutcome, StateCall, TxnOutcome,
     UserAnswer, UserRequest, Waiter,
@@ -9,7 +8,8 @@
 use burlhatch::protocol::state::{Changes, Event, Item, Page, Txn, Write};
 use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority, Submission};
 use burlhatch::settings::{Platform, Policy};
-use burlhatch::units::{JobId, Micros};
+use burlhatch::storage::schema::{BatchMember, EndRecord, JobRecord, Key, to_value};
+use burlhatch::types::{JobId, Micros};
 use ciborium::Value;
 use std::sync::Arc;
 
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -6,12 +6,12 @@
 //! job, and answers what the model derives from the records at the revision that its read was answered with.
 
 use super::controller::{ControllerHarness, batch, id, spec};
-use burlhatch::bookkeeping::schema::{EndRecord, Key, Outcome, to_value};
 use burlhatch::coordination::{Command, ReadOutcome, StateCall, UserAnswer, UserRequest, Waiter};
 use burlhatch::protocol::peer::{Cancelled, CancelledJob};
 use burlhatch::protocol::state::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
-use burlhatch::units::{JobId, Micros};
+use burlhatch::storage::schema::{EndRecord, Key, Outcome, to_value};
+use burlhatch::types::{JobId, Micros};
 use ciborium::Value;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -6,11 +6,11 @@
 mod controller;
 mod histories;
 
-use burlhatch::bookkeeping::schema::{BatchMember, JobRecord, Key, to_value};
 use burlhatch::coordination::{Command, ReadOutcome, UserAnswer, UserRequest};
 use burlhatch::protocol::state::{Changes, Event};
 use burlhatch::protocol::user::{JobSpec, JobState};
-use burlhatch::units::{JobId, Micros};
+use burlhatch::storage::schema::{BatchMember, JobRecord, Key, to_value};
+use burlhatch::types::{JobId, Micros};
 use controller::{ControllerHarness, FIRST, batch, cancelled, id, item, put, spec, written};
 
 /// The batch of a submission is carried out at once and its answer comes late. Meanwhile another controller sees the
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,7 +1,5 @@
 //! The real code against slow, plain models.
 
-use burlhatch::bookkeeping::Replica;
-use burlhatch::bookkeeping::schema::{Key, Outcome, RunChunk, StartRecord, to_value};
 use burlhatch::coordination::budget::Budget;
 use burlhatch::coordination::pipelines::{Pipelines, Urgency};
 use burlhatch::coordination::placement::{Candidate, choose};
@@ -9,8 +7,10 @@
 use burlhatch::protocol::state::Event;
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
 use burlhatch::protocol::worker::ExitCause;
+use burlhatch::storage::Replica;
+use burlhatch::storage::schema::{Key, Outcome, RunChunk, StartRecord, to_value};
 use burlhatch::transport::limits::{Bucket, Class};
-use burlhatch::units::{JobId, MachineId, Micros, Revision, Room};
+use burlhatch::types::{JobId, MachineId, Micros, Revision, Room};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -317,7 +317,7 @@
 
 #[test]
 fn keys_read_back_as_they_were_written() {
-    use burlhatch::bookkeeping::Role;
+    use burlhatch::storage::Role;
     let keys = [
         Key::Term,
         Key::Role(Role::Leader),
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -2,15 +2,15 @@
 //! both versions read each other. The bytes were printed by that version: a test added to a checkout of it encoded
 //! these very values with `encode(&to_value(..))` and `bitcode::encode(..)`.
 
-use burlhatch::bookkeeping::Replica;
-use burlhatch::bookkeeping::schema::{
-    BatchMember, EndRecord, FleetMember, Hold, JobRecord, Key, MachineRecord, NodeRecord, Outcome, RecordVersion, Role,
-    RoleRecord, RunChunk, StartRecord, from_value, to_value,
-};
 use burlhatch::protocol::peer::{CancellationAck, Cancelled, CancelledJob, Relay, Relayed};
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
 use burlhatch::protocol::{decode, encode};
-use burlhatch::units::{JobId, MachineId, Micros, Term};
+use burlhatch::storage::Replica;
+use burlhatch::storage::schema::{
+    BatchMember, EndRecord, FleetMember, Hold, JobRecord, Key, MachineRecord, NodeRecord, Outcome, RecordVersion, Role,
+    RoleRecord, RunChunk, StartRecord, from_value, to_value,
+};
+use burlhatch::types::{JobId, MachineId, Micros, Term};
 use ciborium::Value;
 use serde::Deserialize;
 use serde::Serialize;
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -6,7 +6,7 @@
 use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Orders, Report, TaskState};
 use burlhatch::protocol::{decode, encode};
-use burlhatch::units::{JobId, Term};
+use burlhatch::types::{JobId, Term};
 use ciborium::Value;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -5,7 +5,7 @@
 use super::{assert_clean, finish, ordinary_jobs, seeds};
 use burlhatch::protocol::user::{JobState, Kind};
 use burlhatch::settings::Policy;
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 
 /// One-task jobs that are soon over, of all teams, over so long a time.
 fn small_jobs(world: &mut World, first: u64, count: u64, span: u64) -> Vec<JobId> {
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -3,7 +3,7 @@
 use super::world::{CANCEL_S, LARGE, MS, Place, S, SHORT_LEASES, SLOW_REPORTS, SMALL, Size, TIMES, Times, World};
 use super::{assert_clean, finish, keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobState, Kind};
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 
 /// Arrays that run for much longer than a cancellation may take, of all teams.
 fn long_jobs(world: &mut World, count: u64, tasks: u32) -> Vec<JobId> {
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -4,7 +4,7 @@
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::Kind;
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 
 #[test]
 fn controllers_crash_one_after_the_other_and_all_at_once() {
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -4,7 +4,7 @@
 use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::{JobState, Kind};
 use burlhatch::settings::Policy;
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 use std::collections::BTreeSet;
 
 #[test]
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -3,7 +3,7 @@
 use super::world::{MS, S, SMALL, Size, World};
 use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::Kind;
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 
 #[test]
 fn machines_hang_die_and_fail() {
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -5,7 +5,7 @@
 use super::{finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::Kind;
 use burlhatch::settings::Policy;
-use burlhatch::units::{JobId, MachineId};
+use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeSet;
 
 /// Some unfinished jobs are called off at once.
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -6,7 +6,7 @@
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority};
 use burlhatch::settings::Policy;
-use burlhatch::units::{JobId, MachineId};
+use burlhatch::types::{JobId, MachineId};
 
 /// How often it is looked at who holds a share.
 const LOOK_EVERY: u64 = 20 * MS;
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -5,7 +5,7 @@
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobState, Kind, Priority};
 use burlhatch::settings::Policy;
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 
 fn stage(world: &mut World, number: u64, team: &str, tasks: u32, awaits: &[JobId]) -> JobId {
     let mut spec = World::spec(Kind::Array, team, tasks, 1.0);
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -1,10 +1,10 @@
 //! What holds while nothing is in the way, and what scenarios look at.
 
 use super::{MS, S, World};
-use burlhatch::bookkeeping::Replica;
-use burlhatch::bookkeeping::schema::ROOT;
 use burlhatch::protocol::user::Kind;
-use burlhatch::units::{JobId, MachineId};
+use burlhatch::storage::Replica;
+use burlhatch::storage::schema::ROOT;
+use burlhatch::types::{JobId, MachineId};
 use burlhatch_zones::Condition;
 use std::collections::BTreeSet;
 
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -3,7 +3,7 @@
 use super::{Event, S, World};
 use burlhatch::coordination::{CloudCall, CloudOutcome};
 use burlhatch::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes};
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
 const LAG: u64 = 4 * S;
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -5,7 +5,7 @@
 use burlhatch::coordination::{
     Clock, CloudOutcome, Command, Effect, Failure, OrdersOutcome, StateCall, UserAnswer, UserRequest,
 };
-use burlhatch::units::{JobId, Micros};
+use burlhatch::types::{JobId, Micros};
 
 impl World {
     pub(super) fn clock(&self, node: usize) -> Clock {
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -2,7 +2,7 @@
 
 use super::network::{Cut, LateCommands};
 use super::{Event, Limits, MS, Place, S, World};
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 use ciborium::Value;
 use std::collections::BTreeSet;
 use std::ops::Range;
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -13,12 +13,12 @@
 mod users;
 mod worker;
 
-use burlhatch::bookkeeping::schema::RecordVersion;
 use burlhatch::coordination::{CloudCall, Command, Controller, StateCall, UserAnswer, WorkerAnswer};
 use burlhatch::protocol::peer::Cancelled;
 use burlhatch::protocol::worker::{DirectOrders, Report};
 use burlhatch::settings::{Platform, Policy};
-use burlhatch::units::{JobId, MachineId};
+use burlhatch::storage::schema::RecordVersion;
+use burlhatch::types::{JobId, MachineId};
 use cloud::Cloud;
 use fingerprint::Fingerprint;
 pub use network::Place;
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, MS, S, STATE_LIMIT, World};
 use burlhatch::coordination::{Command, Failure};
-use burlhatch::units::MachineId;
+use burlhatch::types::MachineId;
 use rand::Rng;
 use std::ops::Range;
 
--- a/tests/rules/world/records.rs
+++ b/tests/rules/world/records.rs
@@ -1,9 +1,9 @@
 //! What controllers write to the state service, checked record by record.
 
-use burlhatch::bookkeeping::schema::{Key, MachineRecord, RunChunk, StartRecord, from_value};
-use burlhatch::bookkeeping::{Replica, Versioned};
 use burlhatch::protocol::state::{Txn, Write};
-use burlhatch::units::{JobId, MachineId};
+use burlhatch::storage::schema::{Key, MachineRecord, RunChunk, StartRecord, from_value};
+use burlhatch::storage::{Replica, Versioned};
+use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeMap;
 
 /// The teams of the world's settings, in their order.
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -3,7 +3,7 @@
 use super::{Event, MS, S, World};
 use burlhatch::coordination::{Command, Controller, UserAnswer, UserRequest};
 use burlhatch::protocol::user::{JobSpec, JobState, JobStatus, Kind, Priority, Submission};
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 use rand::Rng;
 
 /// Users who look closely ask everywhere within so long.
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -3,11 +3,11 @@
 
 use super::cloud::cpus_of;
 use super::{Event, Fate, MS, Place, S, World};
-use burlhatch::bookkeeping::schema::Outcome;
 use burlhatch::coordination::{Command, OrdersOutcome, WorkerAnswer};
 use burlhatch::protocol::user::{JobSpec, Kind};
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Report, ReportedTask, TaskState};
-use burlhatch::units::{JobId, MachineId, TaskId, Term};
+use burlhatch::storage::schema::Outcome;
+use burlhatch::types::{JobId, MachineId, TaskId, Term};
 use std::collections::BTreeMap;
 
 const GANG_WAIT: u64 = 30 * S;
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -5,7 +5,7 @@
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::{JobState, Kind, Priority};
 use burlhatch::settings::{Policy, ZoneSettings};
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 use burlhatch_zones::Condition;
 use ciborium::Value;
 
--- a/tests/rules/zones_measured.rs
+++ b/tests/rules/zones_measured.rs
@@ -6,7 +6,7 @@
 use super::{assert_clean, keeping_idle_machines};
 use burlhatch::protocol::user::{JobState, Kind};
 use burlhatch::settings::{Policy, ZoneSettings};
-use burlhatch::units::JobId;
+use burlhatch::types::JobId;
 use burlhatch_testbed::report::Sample;
 use std::collections::BTreeMap;
 use std::io::Write;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,9 +1,9 @@
 //! Who moves machines out of a share, by what the roles in the replica announce.
 
-use burlhatch::bookkeeping::Replica;
-use burlhatch::bookkeeping::schema::{Key, RecordVersion, Role, RoleRecord, to_value};
 use burlhatch::coordination::versions::{Mover, leader_leaves_moves, mover};
-use burlhatch::units::Term;
+use burlhatch::storage::Replica;
+use burlhatch::storage::schema::{Key, RecordVersion, Role, RoleRecord, to_value};
+use burlhatch::types::Term;
 
 const FIRST: RecordVersion = RecordVersion::FIRST;
 const LATER: RecordVersion = RecordVersion(1);
