--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// Whether all shares' views of the lost zone name a condition.
+/// Whether all shards' views of the lost zone name a condition.
 fn is_in_condition(cluster: &Cluster, condition: &str) -> bool {
     let keys = cluster.state.keys(&format!("bh/zone/{LOST}/"));
     let views: Vec<_> = keys.iter().filter_map(|key| cluster.state.get(key)).collect();
--- a/crates/zones/src/census.rs
+++ b/crates/zones/src/census.rs
@@ -1,11 +1,11 @@
-//! How many machines each zone and share has, and how many of them are silent. Kept by single changes: with thousands
+//! How many machines each zone and shard has, and how many of them are silent. Kept by single changes: with thousands
 //! of machines a walk over all of them for each question would take most of a round.
 
 use burlhatch_types::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Machines of one share in one zone.
+/// Machines of one shard in one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count {
     /// All of them.
@@ -48,18 +48,18 @@
 #[derive(Debug)]
 struct Entry {
     zone: Arc<str>,
-    share: u32,
+    shard: u32,
     life: Life,
 }
 
 /// The machines of one zone.
 #[derive(Debug, Default)]
 struct ZoneMachines {
-    shares: BTreeMap<u32, Count>,
+    shards: BTreeMap<u32, Count>,
     machines: BTreeSet<MachineId>,
 }
 
-/// All machines by zone and share.
+/// All machines by zone and shard.
 #[derive(Debug, Default)]
 pub struct Census {
     entries: HashMap<MachineId, Entry>,
@@ -67,10 +67,10 @@
 }
 
 impl Census {
-    /// A machine is in that zone and belongs to that share.
-    pub fn put(&mut self, id: &MachineId, zone: &str, share: u32) {
+    /// A machine is in that zone and belongs to that shard.
+    pub fn put(&mut self, id: &MachineId, zone: &str, shard: u32) {
         if let Some(entry) = self.entries.get(id) {
-            if &*entry.zone == zone && entry.share == share {
+            if &*entry.zone == zone && entry.shard == shard {
                 return;
             }
             self.remove(id);
@@ -81,8 +81,8 @@
         };
         let there = self.zones.entry(name.clone()).or_default();
         there.machines.insert(id.clone());
-        there.shares.entry(share).or_default().machines += 1;
-        self.entries.insert(id.clone(), Entry { zone: name, share, life: Life::Heard });
+        there.shards.entry(shard).or_default().machines += 1;
+        self.entries.insert(id.clone(), Entry { zone: name, shard, life: Life::Heard });
     }
 
     /// A machine is gone.
@@ -90,11 +90,11 @@
         let Some(entry) = self.entries.remove(id) else { return };
         let Some(there) = self.zones.get_mut(&entry.zone) else { return };
         there.machines.remove(id);
-        if let Some(count) = there.shares.get_mut(&entry.share) {
+        if let Some(count) = there.shards.get_mut(&entry.shard) {
             count.machines -= 1;
             count.change(entry.life, -1);
             if count.machines == 0 {
-                there.shares.remove(&entry.share);
+                there.shards.remove(&entry.shard);
             }
         }
         if there.machines.is_empty() {
@@ -106,7 +106,7 @@
     pub fn set_life(&mut self, id: &MachineId, life: Life) {
         let Some(entry) = self.entries.get_mut(id).filter(|entry| entry.life != life) else { return };
         let before = std::mem::replace(&mut entry.life, life);
-        let count = self.zones.get_mut(&entry.zone).and_then(|there| there.shares.get_mut(&entry.share));
+        let count = self.zones.get_mut(&entry.zone).and_then(|there| there.shards.get_mut(&entry.shard));
         if let Some(count) = count {
             count.change(before, -1);
             count.change(life, 1);
@@ -123,10 +123,10 @@
         self.zones.keys()
     }
 
-    /// Each share's machines in a zone.
-    pub fn shares(&self, zone: &str) -> impl Iterator<Item = (u32, Count)> {
-        let shares = self.zones.get(zone).into_iter().flat_map(|there| &there.shares);
-        shares.map(|(share, count)| (*share, *count))
+    /// Each shard's machines in a zone.
+    pub fn shards(&self, zone: &str) -> impl Iterator<Item = (u32, Count)> {
+        let shards = self.zones.get(zone).into_iter().flat_map(|there| &there.shards);
+        shards.map(|(shard, count)| (*shard, *count))
     }
 
     /// The machines of a zone.
--- a/crates/zones/src/condition.rs
+++ b/crates/zones/src/condition.rs
@@ -1,4 +1,4 @@
-//! The condition of one zone: a state machine with hysteresis over what the shares' holders say of it.
+//! The condition of one zone: a state machine with hysteresis over what the shards' holders say of it.
 
 use crate::damping::Penalty;
 use crate::ramp::Ramp;
@@ -27,9 +27,9 @@
 /// What speaks for and against a zone at a moment, in machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Machines in the zone, of all shares.
+    /// Machines in the zone, of all shards.
     pub machines: u32,
-    /// Of these those of shares whose holders speak against the zone.
+    /// Of these those of shards whose holders speak against the zone.
     pub against: u32,
 }
 
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -7,7 +7,7 @@
 //!
 //! Pure: time and observations come in, decisions go out. There is no I/O, no clock and no randomness, so that equal
 //! inputs give equal decisions. [`Zones`] is the entry point; it keeps its counts by single changes, and a round costs
-//! work by the number of zones and shares, not of machines.
+//! work by the number of zones and shards, not of machines.
 
 pub mod census;
 pub mod condition;
--- a/crates/zones/src/record.rs
+++ b/crates/zones/src/record.rs
@@ -1,13 +1,13 @@
-//! What a share's holder stores about a zone, so that other holders and its successor know.
+//! What a shard's holder stores about a zone, so that other holders and its successor know.
 
 use crate::condition::Condition;
 use burlhatch_types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// A share's view of a zone. One key for each zone and share, there only while the view is not simply `Up`.
+/// A shard's view of a zone. One key for each zone and shard, there only while the view is not simply `Up`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneRecord {
-    /// The holder's process. The view counts as a vote only while that process holds the share.
+    /// The holder's process. The view counts as a vote only while that process holds the shard.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Whether the holder finds most of its machines there silent.
--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -22,15 +22,15 @@
     pub enabled: bool,
     /// Silence after which a machine counts as silent for its zone, if it failed to answer probes meanwhile.
     pub silent_after_ms: u64,
-    /// A share's holder speaks against a zone while more than this part of its machines there is silent.
+    /// A shard's holder speaks against a zone while more than this part of its machines there is silent.
     pub silent_part: f64,
-    /// A zone with fewer machines of all shares is never judged as a whole.
+    /// A zone with fewer machines of all shards is never judged as a whole.
     pub least_machines: u32,
-    /// A zone is lost when shares with more than this part of its machines speak against it.
+    /// A zone is lost when shards with more than this part of its machines speak against it.
     pub agree_part: f64,
     /// For so long they must do so without a break.
     pub confirm_ms: u64,
-    /// A lost zone returns when shares with no more than this part of its machines speak against it.
+    /// A lost zone returns when shards with no more than this part of its machines speak against it.
     pub return_part: f64,
     /// For so long it must have been heard again.
     pub return_after_ms: u64,
@@ -49,11 +49,11 @@
     pub services_per_starved: u32,
     /// Images that a machine may have waiting to be fetched during restoration; 0 for no limit.
     pub fetches_per_machine: u32,
-    /// The same for all machines of one share in a zone; 0 for no limit.
+    /// The same for all machines of one shard in a zone; 0 for no limit.
     pub fetches_per_zone: u32,
     /// Length of one step of the return.
     pub ramp_step_ms: u64,
-    /// Starts that each share may make in the zone in the first step.
+    /// Starts that each shard may make in the zone in the first step.
     pub ramp_initial: u32,
     /// The allowance doubles with each step that went well, after a failure only up to half of what it was then.
     /// Otherwise it grows by this.
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -22,26 +22,26 @@
 pub struct RecordDue {
     /// The zone.
     pub zone: String,
-    /// The share whose view it is.
-    pub share: u32,
+    /// The shard whose view it is.
+    pub shard: u32,
     /// What should be stored; nothing if the key should be removed.
     pub record: Option<ZoneRecord>,
 }
 
-/// A stored view, with whether it counts as a vote: it does while the process that wrote it holds the share.
+/// A stored view, with whether it counts as a vote: it does while the process that wrote it holds the shard.
 #[derive(Clone, Debug)]
 struct StoredView {
     record: ZoneRecord,
     counts: bool,
 }
 
-/// A share that this controller holds.
+/// A shard that this controller holds.
 #[derive(Clone, Copy, Debug)]
-struct HeldShare {
+struct HeldShard {
     since: Micros,
 }
 
-/// A share's own machines are given this multiple of the time that silence takes to show before their holder speaks;
+/// A shard's own machines are given this multiple of the time that silence takes to show before their holder speaks;
 /// until then the view of the holder before counts.
 const OPINION_FACTOR: u64 = 2;
 /// Views older than this say nothing about the present.
@@ -53,16 +53,16 @@
     census: Census,
     states: BTreeMap<String, ZoneState>,
     views: BTreeMap<(String, u32), StoredView>,
-    held_shares: BTreeMap<u32, HeldShare>,
+    held_shards: BTreeMap<u32, HeldShard>,
     on_hold: BTreeSet<String>,
     operations: u64,
 }
 
 impl Zones {
-    /// A machine is in that zone and belongs to that share.
-    pub fn machine(&mut self, id: &MachineId, zone: &str, share: u32) {
+    /// A machine is in that zone and belongs to that shard.
+    pub fn machine(&mut self, id: &MachineId, zone: &str, shard: u32) {
         self.operations += 1;
-        self.census.put(id, zone, share);
+        self.census.put(id, zone, shard);
     }
 
     /// A machine is gone.
@@ -71,7 +71,7 @@
         self.census.remove(id);
     }
 
-    /// Whether a machine of a held share gives signs of life.
+    /// Whether a machine of a held shard gives signs of life.
     pub fn set_life(&mut self, id: &MachineId, life: Life) {
         if self.census.life(id) != life {
             self.operations += 1;
@@ -84,34 +84,34 @@
         self.census.life(id) == Life::Silent
     }
 
-    /// The machines of a zone, of all shares.
+    /// The machines of a zone, of all shards.
     pub fn machines(&self, zone: &str) -> impl Iterator<Item = &MachineId> {
         self.census.machines(zone)
     }
 
-    /// Which shares this controller holds at this moment.
-    pub fn set_held_shares(&mut self, shares: &BTreeSet<u32>, now: Micros) {
-        if self.held_shares.keys().eq(shares.iter()) {
+    /// Which shards this controller holds at this moment.
+    pub fn set_held_shards(&mut self, shards: &BTreeSet<u32>, now: Micros) {
+        if self.held_shards.keys().eq(shards.iter()) {
             return;
         }
-        self.held_shares.retain(|share, _| shares.contains(share));
-        for share in shares {
-            self.held_shares.entry(*share).or_insert(HeldShare { since: now });
+        self.held_shards.retain(|shard, _| shards.contains(shard));
+        for shard in shards {
+            self.held_shards.entry(*shard).or_insert(HeldShard { since: now });
         }
     }
 
-    /// A share's view of a zone was stored or removed. `counts`: whether the process that wrote it holds the share.
+    /// A shard's view of a zone was stored or removed. `counts`: whether the process that wrote it holds the shard.
     /// Goes on from it if nothing is known here yet: the zone was lost before this process began.
     pub fn set_view(
         &mut self,
         zone: &str,
-        share: u32,
+        shard: u32,
         view: Option<(&ZoneRecord, bool)>,
         now: Moment,
         settings: &ZoneSettings,
     ) {
         self.operations += 1;
-        let key = (zone.to_string(), share);
+        let key = (zone.to_string(), shard);
         let Some((record, counts)) = view else {
             self.views.remove(&key);
             return;
@@ -177,10 +177,10 @@
         self.states.values().any(|state| troubled(state) && recent(state))
     }
 
-    /// Whether a share's holder speaks against a zone.
-    fn speaks_against(&self, zone: &str, share: u32, count: Count, now: Micros, settings: &ZoneSettings) -> bool {
-        let stored = self.views.get(&(zone.to_string(), share));
-        match self.held_shares.get(&share) {
+    /// Whether a shard's holder speaks against a zone.
+    fn speaks_against(&self, zone: &str, shard: u32, count: Count, now: Micros, settings: &ZoneSettings) -> bool {
+        let stored = self.views.get(&(zone.to_string(), shard));
+        match self.held_shards.get(&shard) {
             Some(held) => {
                 let opinion_after = Micros::from_millis(settings.silent_after_ms * OPINION_FACTOR);
                 let fresh = now.since(held.since) < opinion_after;
@@ -194,7 +194,7 @@
     /// Whether this controller hears most of its machines in any other zone. If it does not, the silence may be its own.
     fn hears_another(&self, zone: &str, settings: &ZoneSettings) -> bool {
         self.census.zones().filter(|other| ***other != *zone).any(|other| {
-            let own = self.census.shares(other).filter(|(share, _)| self.held_shares.contains_key(share));
+            let own = self.census.shards(other).filter(|(shard, _)| self.held_shards.contains_key(shard));
             let sum = own.fold(Count::default(), |sum, (_, count)| Count {
                 machines: sum.machines + count.machines,
                 silent: sum.silent + count.silent,
@@ -206,11 +206,11 @@
 
     fn evidence(&mut self, zone: &str, now: Micros, settings: &ZoneSettings) -> Evidence {
         let mut evidence = Evidence::default();
-        let shares: Vec<(u32, Count)> = self.census.shares(zone).collect();
-        for (share, count) in shares {
+        let shards: Vec<(u32, Count)> = self.census.shards(zone).collect();
+        for (shard, count) in shards {
             self.operations += 1;
             evidence.machines += count.machines;
-            if self.speaks_against(zone, share, count, now, settings) {
+            if self.speaks_against(zone, shard, count, now, settings) {
                 evidence.against += count.machines;
             }
         }
@@ -234,40 +234,40 @@
         transitions
     }
 
-    /// Views of held shares that the stored records lack or have otherwise. `incarnation` is this process's.
+    /// Views of held shards that the stored records lack or have otherwise. `incarnation` is this process's.
     pub fn records_due(&self, incarnation: u64, now: Moment, settings: &ZoneSettings) -> Vec<RecordDue> {
         let mut due = Vec::new();
         let zones: BTreeSet<&str> =
             self.states.keys().map(String::as_str).chain(self.views.keys().map(|(zone, _)| zone.as_str())).collect();
         for zone in zones {
-            for share in self.held_shares.keys() {
-                let stored = self.views.get(&(zone.to_string(), *share)).map(|view| &view.record);
-                let record = self.present_view(zone, *share, incarnation, now, settings);
+            for shard in self.held_shards.keys() {
+                let stored = self.views.get(&(zone.to_string(), *shard)).map(|view| &view.record);
+                let record = self.present_view(zone, *shard, incarnation, now, settings);
                 let same = match (stored, &record) {
                     (None, None) => true,
                     (Some(stored), Some(record)) => stored.says_the_same(record),
                     _ => false,
                 };
                 if !same {
-                    due.push(RecordDue { zone: zone.to_string(), share: *share, record });
+                    due.push(RecordDue { zone: zone.to_string(), shard: *shard, record });
                 }
             }
         }
         due
     }
 
-    /// What a held share's holder has to say of a zone. Nothing once the zone is up and its penalty has decayed.
+    /// What a held shard's holder has to say of a zone. Nothing once the zone is up and its penalty has decayed.
     fn present_view(
         &self,
         zone: &str,
-        share: u32,
+        shard: u32,
         incarnation: u64,
         now: Moment,
         settings: &ZoneSettings,
     ) -> Option<ZoneRecord> {
         let state = self.states.get(zone)?;
-        let count = self.census.shares(zone).find(|(other, _)| *other == share).map(|(_, count)| count);
-        let silent = count.is_some_and(|count| self.speaks_against(zone, share, count, now.steady, settings));
+        let count = self.census.shards(zone).find(|(other, _)| *other == shard).map(|(_, count)| count);
+        let silent = count.is_some_and(|count| self.speaks_against(zone, shard, count, now.steady, settings));
         let condition = state.condition();
         let penalty = state.penalty.value(now.steady, settings).round() as u32;
         let forgotten = f64::from(penalty) < settings.trust_below.min(settings.penalty_per_loss / 2.0);
--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -25,7 +25,7 @@
 
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
-        3 => (0..30u32, 0..3usize, 0..4u32).prop_map(|(id, zone, share)| Change::Put(id, zone, share)),
+        3 => (0..30u32, 0..3usize, 0..4u32).prop_map(|(id, zone, shard)| Change::Put(id, zone, shard)),
         1 => (0..30u32).prop_map(Change::Remove),
         3 => (0..30u32, 0..3usize).prop_map(|(id, life)| Change::Life(id, [Life::Heard, Life::Unknown, Life::Silent][life])),
     ]
@@ -39,11 +39,11 @@
         let mut machines: BTreeMap<u32, (usize, u32, Life)> = BTreeMap::new();
         for change in changes {
             match change {
-                Change::Put(number, zone, share) => {
-                    census.put(&id(number), ZONES[zone], share);
-                    let same = machines.get(&number).is_some_and(|m| (m.0, m.1) == (zone, share));
+                Change::Put(number, zone, shard) => {
+                    census.put(&id(number), ZONES[zone], shard);
+                    let same = machines.get(&number).is_some_and(|m| (m.0, m.1) == (zone, shard));
                     if !same {
-                        machines.insert(number, (zone, share, Life::Heard));
+                        machines.insert(number, (zone, shard, Life::Heard));
                     }
                 }
                 Change::Remove(number) => {
@@ -59,13 +59,13 @@
             }
             for (zone, name) in ZONES.iter().enumerate() {
                 let mut plain: BTreeMap<u32, Count> = BTreeMap::new();
-                for (_, share, life) in machines.values().filter(|m| m.0 == zone) {
-                    let count = plain.entry(*share).or_default();
+                for (_, shard, life) in machines.values().filter(|m| m.0 == zone) {
+                    let count = plain.entry(*shard).or_default();
                     count.machines += 1;
                     count.silent += u32::from(*life == Life::Silent);
                     count.unknown += u32::from(*life == Life::Unknown);
                 }
-                prop_assert_eq!(census.shares(name).collect::<BTreeMap<_, _>>(), plain);
+                prop_assert_eq!(census.shards(name).collect::<BTreeMap<_, _>>(), plain);
                 let there: BTreeSet<MachineId> = census.machines(name).cloned().collect();
                 let plain: BTreeSet<MachineId> = machines.iter().filter(|(_, m)| m.0 == zone).map(|(n, _)| id(*n)).collect();
                 prop_assert_eq!(there, plain);
@@ -274,13 +274,13 @@
     assert!(penalties[0].value(later(1), &settings) <= settings.penalty_most);
 }
 
-/// With 4,000 machines a round costs steps by zones and shares, and a machine that falls silent a constant number.
+/// With 4,000 machines a round costs steps by zones and shards, and a machine that falls silent a constant number.
 #[test]
 fn a_round_costs_nothing_for_machines_that_did_not_change() {
     let settings = ZoneSettings { enabled: true, ..ZoneSettings::default() };
     let mut zones = Zones::default();
-    let shares: BTreeSet<u32> = (0..5).collect();
-    zones.set_held_shares(&shares, Micros::ZERO);
+    let shards: BTreeSet<u32> = (0..5).collect();
+    zones.set_held_shards(&shards, Micros::ZERO);
     for number in 0..4000 {
         zones.machine(&id(number), ["a", "b", "c", "d"][number as usize % 4], number / 4 % 5);
     }
@@ -311,7 +311,7 @@
 fn who_hears_nobody_has_no_view() {
     let settings = ZoneSettings { enabled: true, ..ZoneSettings::default() };
     let mut zones = Zones::default();
-    zones.set_held_shares(&BTreeSet::from([0]), Micros::ZERO);
+    zones.set_held_shards(&BTreeSet::from([0]), Micros::ZERO);
     for number in 0..20 {
         zones.machine(&id(number), ["a", "b"][number as usize % 2], 0);
         zones.set_life(&id(number), Life::Silent);
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -79,12 +79,12 @@
 pub(super) enum AcknowledgedBy {
     /// It needs a cancelled job, so nothing of it was ever started.
     Cascade,
-    /// The holder of its share said so.
+    /// The holder of its shard said so.
     Sibling,
     /// The stored records show no start of it.
     NoStarts,
-    /// The share is held here, and the machines obey.
-    OwnShare,
+    /// The shard is held here, and the machines obey.
+    OwnShard,
 }
 
 impl Controller {
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -22,7 +22,7 @@
 pub(super) struct Cancellations {
     /// Users who asked about cancelled jobs, and since when they wait.
     waiting: BTreeMap<JobId, Vec<(Micros, Waiter)>>,
-    /// Jobs whose share's holder said that it knows.
+    /// Jobs whose shard's holder said that it knows.
     confirmed: BTreeSet<JobId>,
     /// Siblings being told of jobs.
     notifying: BTreeMap<u64, Vec<JobId>>,
@@ -43,11 +43,11 @@
 enum Acknowledgement {
     /// It may be told.
     Sure(AcknowledgedBy),
-    /// The share is held here, but a machine with a task of the job may still obey an earlier holder.
+    /// The shard is held here, but a machine with a task of the job may still obey an earlier holder.
     NotObeyed,
     /// The replica is older than the cancellation.
     Stale,
-    /// Nobody holds the share now.
+    /// Nobody holds the shard now.
     Nobody,
     /// That sibling holds it under that term.
     Ask(u32, String, Term),
@@ -68,7 +68,7 @@
         if self.cancellations.confirmed.contains(id) {
             return Acknowledgement::Sure(AcknowledgedBy::Sibling);
         }
-        // Who holds the share is only known as of what was read. A holder from before the cancellation
+        // Who holds the shard is only known as of what was read. A holder from before the cancellation
         // may have a successor by now, and a start may be in the stored records that is not seen here yet.
         if self.replica.applied.0 < end.version {
             return Acknowledgement::Stale;
@@ -79,17 +79,17 @@
             return Acknowledgement::Sure(AcknowledgedBy::NoStarts);
         }
         let Some(job) = self.jobs.get(id) else { return Acknowledgement::Stale };
-        let role = Role::Share(job.share);
+        let role = Role::Shard(job.shard);
         // Held here, and the replica shows no later holder.
         if self.held(role).is_some() {
             return match self.is_obeyed_on(id) {
-                true => Acknowledgement::Sure(AcknowledgedBy::OwnShare),
+                true => Acknowledgement::Sure(AcknowledgedBy::OwnShard),
                 false => Acknowledgement::NotObeyed,
             };
         }
         match self.replica.roles.get(&role) {
             Some(held) if held.value.owner != self.label => {
-                Acknowledgement::Ask(job.share, held.value.owner.clone(), held.value.term)
+                Acknowledgement::Ask(job.shard, held.value.owner.clone(), held.value.term)
             }
             _ => Acknowledgement::Nobody,
         }
@@ -112,7 +112,7 @@
         self.cancellations.waiting.entry(id).or_default().push((now, waiter));
     }
 
-    /// Answers whoever can be answered about cancelled jobs, and asks the holders of their shares.
+    /// Answers whoever can be answered about cancelled jobs, and asks the holders of their shards.
     pub(super) fn confirm_cancellations(&mut self) {
         if self.cancellations.waiting.is_empty() {
             return;
@@ -137,9 +137,9 @@
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
                 }
-                Acknowledgement::Ask(share, holder, term) => {
+                Acknowledgement::Ask(shard, holder, term) => {
                     if !self.cancellations.notifying.values().flatten().any(|told| *told == id) {
-                        ask.entry((share, holder, term)).or_default().push(id.clone());
+                        ask.entry((shard, holder, term)).or_default().push(id.clone());
                     }
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
@@ -149,12 +149,12 @@
                 self.answer(waiter, answer.clone());
             }
         }
-        for ((share, holder, term), ids) in ask {
+        for ((shard, holder, term), ids) in ask {
             let (alone, together): (Vec<_>, Vec<_>) =
                 ids.into_iter().partition(|id| self.cancellations.ask_alone.remove(id));
             let messages = alone.into_iter().map(|id| vec![id]).chain([together]).filter(|ids| !ids.is_empty());
             for ids in messages.collect::<Vec<_>>() {
-                self.notify_holder(share, holder.clone(), term, ids);
+                self.notify_holder(shard, holder.clone(), term, ids);
             }
         }
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    fn notify_holder(&mut self, share: u32, holder: String, term: Term, ids: Vec<JobId>) {
+    fn notify_holder(&mut self, shard: u32, holder: String, term: Term, ids: Vec<JobId>) {
         let told = |id: &JobId| {
             let end = self.replica.ends.get(id)?;
             Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
@@ -179,7 +179,7 @@
         self.cancellations.next_call += 1;
         let call = self.cancellations.next_call;
         self.cancellations.notifying.insert(call, ids);
-        self.out.push(Effect::Peer { call, to: holder, message: Cancelled { share, term: term.0, jobs } });
+        self.out.push(Effect::Peer { call, to: holder, message: Cancelled { shard, term: term.0, jobs } });
     }
 
     pub(super) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
@@ -223,7 +223,7 @@
         self.changed(changes);
         let obeyed =
             message.jobs.iter().filter(|job| valid_id(&job.id)).all(|job| self.is_obeyed_on(&JobId::new(&job.id)));
-        let holds = obeyed && self.held(Role::Share(message.share)).is_some_and(|term| term.0 >= message.term);
+        let holds = obeyed && self.held(Role::Shard(message.shard)).is_some_and(|term| term.0 >= message.term);
         self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds }));
     }
 }
--- a/src/coordination/capacity.rs
+++ b/src/coordination/capacity.rs
@@ -1,4 +1,4 @@
-//! Planning capacity: which share lacks room for what waits, which machines go to another share, and which are
+//! Planning capacity: which shard lacks room for what waits, which machines go to another shard, and which are
 //! returned.
 
 use super::Controller;
@@ -29,10 +29,10 @@
 /// Tasks that found no room in the plan.
 #[derive(Clone)]
 pub(super) struct Unmet {
-    pub share: u32,
+    pub shard: u32,
     pub spec: JobSpec,
     pub count: u64,
-    /// Whether it is worth renting for. What isn't gets machines that stand idle in other shares.
+    /// Whether it is worth renting for. What isn't gets machines that stand idle in other shards.
     pub worth_renting: bool,
     /// Where the job's other tasks are or will be.
     pub zones: BTreeMap<String, u64>,
@@ -44,7 +44,7 @@
 /// Estimates below this are taken for it, in seconds.
 const ESTIMATE_LEAST_S: f64 = 5.0;
 
-/// Batch work of a share that waits.
+/// Batch work of a shard that waits.
 #[derive(Default)]
 struct Backlog {
     cpu_seconds: f64,
@@ -62,10 +62,10 @@
     pub(super) fn plan(&mut self) {
         let mut unmet: Vec<Unmet> = Vec::new();
         let mut slots: BTreeMap<u32, Vec<Slot>> = BTreeMap::new();
-        for share in 0..self.shares() {
-            let mut own = self.slots_of(share);
-            self.fill(share, &mut own, &mut unmet);
-            slots.insert(share, own);
+        for shard in 0..self.shard_count() {
+            let mut own = self.slots_of(shard);
+            self.fill(shard, &mut own, &mut unmet);
+            slots.insert(shard, own);
         }
         // Whoever is most urgent gets what is free, what is coming, and is rented for first.
         unmet.sort_by_key(|u| (std::cmp::Reverse(u.spec.priority), !u.worth_renting));
@@ -82,11 +82,11 @@
         self.return_idle(&slots, &unmet);
     }
 
-    fn slots_of(&self, share: u32) -> Vec<Slot> {
+    fn slots_of(&self, shard: u32) -> Vec<Slot> {
         self.replica
             .machines
             .iter()
-            .filter(|(_, r)| r.value.share == share && r.value.hold.is_none())
+            .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
             .filter(|(_, r)| self.zone_takes_work(&r.value.zone))
             .map(|(id, r)| {
                 let free = self.free_room(id);
@@ -102,11 +102,11 @@
             .collect()
     }
 
-    /// Fits the waiting tasks of a share into its machines and notes what is left over, as far as
+    /// Fits the waiting tasks of a shard into its machines and notes what is left over, as far as
     /// that is worth machines of its own.
-    pub(super) fn fill(&self, share: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
+    pub(super) fn fill(&self, shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
         let has_zone = |job: &Job| job.spec.zone.as_ref().is_none_or(|zone| self.zone_takes_work(zone));
-        let open = |job: &&Job| job.share == share && job.recorded && job.over.is_none() && has_zone(job);
+        let open = |job: &&Job| job.shard == shard && job.recorded && job.over.is_none() && has_zone(job);
         let mut jobs: Vec<&Job> = self.jobs.values().filter(open).collect();
         jobs.sort_by_key(|j| (std::cmp::Reverse(j.urgency.priority), j.ready));
         let mut batch = Backlog::default();
@@ -137,7 +137,7 @@
             if left == 0 {
                 continue;
             }
-            let rest = Unmet { share, spec: (*job.spec).clone(), count: left, worth_renting: true, zones };
+            let rest = Unmet { shard, spec: (*job.spec).clone(), count: left, worth_renting: true, zones };
             if job.spec.kind == Kind::Array {
                 batch.add(job, left);
                 batch.unmet.push((rest, job.ready));
@@ -145,7 +145,7 @@
                 unmet.push(rest);
             }
         }
-        self.add_spare(&jobs, share, slots, unmet);
+        self.add_spare(&jobs, shard, slots, unmet);
         unmet.extend(self.worth_machines(batch, &jobs));
     }
 
@@ -178,7 +178,7 @@
         zones
     }
 
-    /// Batch work may queue as long as what the share has works it off in time; the rest needs machines. What has waited
+    /// Batch work may queue as long as what the shard has works it off in time; the rest needs machines. What has waited
     /// for a while none the less gets those that others have no use for: no task should wait next to a machine with room.
     fn worth_machines(&self, batch: Backlog, jobs: &[&Job]) -> Vec<Unmet> {
         let drain = Micros::from_millis(self.policy.drain_ms).secs();
@@ -215,7 +215,7 @@
     }
 
     /// Room for a few more of the largest services, so that the next one starts at once.
-    fn add_spare(&self, jobs: &[&Job], share: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
+    fn add_spare(&self, jobs: &[&Job], shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
         let services = jobs.iter().filter(|j| j.spec.kind == Kind::Service);
         let Some(largest) = services.max_by_key(|j| j.room.cpus) else { return };
         // Lower work running there can make way as well.
@@ -231,11 +231,11 @@
         spec.one_zone = false;
         let left = count - fit(&spec, count, slots, &mut BTreeMap::new());
         if left > 0 {
-            unmet.push(Unmet { share, spec, count: left, worth_renting: true, zones: BTreeMap::new() });
+            unmet.push(Unmet { shard, spec, count: left, worth_renting: true, zones: BTreeMap::new() });
         }
     }
 
-    /// Machines a share doesn't need go to shares whose tasks wait.
+    /// Machines a shard doesn't need go to shards whose tasks wait.
     fn shift(&mut self, slots: &mut BTreeMap<u32, Vec<Slot>>, unmet: &mut [Unmet]) {
         let now = self.now();
         let patience = Micros::from_millis(self.policy.shift_after_ms);
@@ -252,7 +252,7 @@
                 let machine = s.id.as_ref().and_then(|id| self.machines.get(id));
                 urgent || machine.and_then(|m| m.free_since).is_some_and(|since| now.since(since) >= patience)
             };
-            for (from, own) in slots.iter_mut().filter(|(s, _)| **s != u.share) {
+            for (from, own) in slots.iter_mut().filter(|(s, _)| **s != u.shard) {
                 for slot in own.iter_mut().filter(|s| s.untouched && free_enough(s)) {
                     if u.count == 0 || moves.len() >= most {
                         break;
@@ -262,7 +262,7 @@
                         u.count -= taken;
                         slot.untouched = false;
                         idle -= 1;
-                        moves.push((slot.id.clone(), *from, u.share));
+                        moves.push((slot.id.clone(), *from, u.shard));
                     }
                 }
             }
@@ -275,7 +275,7 @@
         }
     }
 
-    /// How many more machines may be on their way to other shares. Each move costs two changes, which starts and
+    /// How many more machines may be on their way to other shards. Each move costs two changes, which starts and
     /// submissions need more.
     pub(super) fn moves_left(&self) -> usize {
         let moving = self.replica.machines.values().filter(|m| matches!(m.value.hold, Some(Hold::Move(_)))).count();
--- a/src/coordination/clearing.rs
+++ b/src/coordination/clearing.rs
@@ -94,7 +94,7 @@
             // Also with nothing left for now: a late commit may still bring a start.
             let Some(job) = self.jobs.get(id) else { return false };
             let Deadline { delete, .. } = *deadline;
-            if delete > now || job.live.occupying() == 0 || !self.clears_share(job.share) {
+            if delete > now || job.live.occupying() == 0 || !self.clears_shard(job.shard) {
                 return true;
             }
             for live in job.live.values().filter(|l| l.occupies() && l.phase() != Phase::Decided) {
@@ -144,10 +144,10 @@
         })
     }
 
-    /// Whether this controller has to see to it that a share's cancelled tasks are gone: it holds the share; or nobody
+    /// Whether this controller has to see to it that a shard's cancelled tasks are gone: it holds the shard; or nobody
     /// does, and as long as the state service is away nobody can take it.
-    fn clears_share(&self, share: u32) -> bool {
-        let role = Role::Share(share);
+    fn clears_shard(&self, shard: u32) -> bool {
+        let role = Role::Shard(shard);
         self.held(role).is_some() || (!self.replica.roles.contains_key(&role) && !self.reaches_state())
     }
 
--- a/src/coordination/draining.rs
+++ b/src/coordination/draining.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Everything leaves a machine that another share needs more urgently.
+    /// Everything leaves a machine that another shard needs more urgently.
     pub(super) fn vacate(&mut self, id: &MachineId) {
         self.stop_where(id, |_| true);
     }
--- a/src/coordination/evacuation.rs
+++ b/src/coordination/evacuation.rs
@@ -7,14 +7,14 @@
 use super::Controller;
 use super::capacity::count_in;
 use super::jobs::Job;
-use super::share_view::Spot;
+use super::shard_view::Spot;
 use crate::protocol::user::Kind;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{JobId, MachineId, Micros, Room};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
 
-/// Machines of one share that are on their way to deletion at a time, at least. More follow from the rate of changes:
+/// Machines of one shard that are on their way to deletion at a time, at least. More follow from the rate of changes:
 /// the starts that the deletions make room for need changes as well.
 const EVACUATIONS_LEAST: usize = 2;
 
@@ -22,7 +22,7 @@
 type Places = BTreeMap<JobId, u32>;
 
 impl Controller {
-    /// Replicas of services on machines of lost zones, of all shares: the leader plans for them all.
+    /// Replicas of services on machines of lost zones, of all shards: the leader plans for them all.
     pub(super) fn find_displaced(&mut self) {
         let mut displaced: BTreeMap<JobId, u32> = BTreeMap::new();
         for zone in self.zone_control.zones.in_condition(Condition::Lost) {
@@ -65,16 +65,16 @@
         of_team.fold(Room::default(), |sum, room| sum.plus(&room))
     }
 
-    /// Keeps room for displaced replicas of a share on machines that take work, holders of their images first. Says for
+    /// Keeps room for displaced replicas of a shard on machines that take work, holders of their images first. Says for
     /// how many of each job there is room.
-    pub(super) fn reserve_displaced(&self, share: u32, spots: &mut [Spot]) -> Places {
-        self.reserve_places(&self.zone_control.displaced, share, spots)
+    pub(super) fn reserve_displaced(&self, shard: u32, spots: &mut [Spot]) -> Places {
+        self.reserve_places(&self.zone_control.displaced, shard, spots)
     }
 
-    fn reserve_places(&self, wanted: &Places, share: u32, spots: &mut [Spot]) -> Places {
+    fn reserve_places(&self, wanted: &Places, shard: u32, spots: &mut [Spot]) -> Places {
         let mut places = Places::new();
         for (id, count) in wanted {
-            let Some(job) = self.jobs.get(id).filter(|job| job.share == share) else { continue };
+            let Some(job) = self.jobs.get(id).filter(|job| job.shard == shard) else { continue };
             let allowance = self.allowance_beyond_lost_zones(job);
             let mut left = u64::from(*count);
             for holders in [true, false] {
@@ -104,23 +104,23 @@
         if !self.policy.zones.evacuate || self.zone_control.displaced.is_empty() {
             return;
         }
-        let shares: Vec<u32> = self.held_shares().collect();
-        for share in shares {
-            self.evacuate_share(share);
+        let shards: Vec<u32> = self.held_shards().collect();
+        for shard in shards {
+            self.evacuate_shard(shard);
         }
     }
 
-    fn evacuate_share(&mut self, share: u32) {
-        let candidates = self.machines_to_evacuate(share);
+    fn evacuate_shard(&mut self, shard: u32) {
+        let candidates = self.machines_to_evacuate(shard);
         if candidates.is_empty() {
             return;
         }
-        let mut spots = self.spots_of(share);
+        let mut spots = self.spots_of(shard);
         spots.iter_mut().for_each(Spot::clear_reserved);
         // What was proven gone a moment ago waits for its place, and takes it first.
-        self.reserve_places(&self.waiting_services(share), share, &mut spots);
-        let mut places = self.reserve_displaced(share, &mut spots);
-        let mut on_their_way = self.evacuations_on_their_way(share);
+        self.reserve_places(&self.waiting_services(shard), shard, &mut spots);
+        let mut places = self.reserve_displaced(shard, &mut spots);
+        let mut on_their_way = self.evacuations_on_their_way(shard);
         for id in &on_their_way {
             take_places(&mut places, &self.services_on(id));
         }
@@ -139,14 +139,14 @@
         }
     }
 
-    fn waiting_services(&self, share: u32) -> Places {
-        let waits = |job: &&Job| job.share == share && job.spec.kind == Kind::Service && job.waiting() > 0;
+    fn waiting_services(&self, shard: u32) -> Places {
+        let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting() > 0;
         self.jobs.values().filter(waits).map(|job| (job.live.job().clone(), job.waiting())).collect()
     }
 
-    /// Silent machines of a share in zones that have been lost for long enough, with services, not yet to be deleted.
-    fn machines_to_evacuate(&self, share: u32) -> Vec<MachineId> {
-        if self.held(Role::Share(share)).is_none() {
+    /// Silent machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
+    fn machines_to_evacuate(&self, shard: u32) -> Vec<MachineId> {
+        if self.held(Role::Shard(shard)).is_none() {
             return Vec::new();
         }
         let now = self.now();
@@ -155,16 +155,16 @@
         let lost_long = |zone: &&str| zones.state(zone).is_some_and(|state| now.since(state.since()) >= patience);
         let machines = zones.in_condition(Condition::Lost).filter(lost_long).flat_map(|zone| zones.machines(zone));
         let is_due = |id: &&MachineId| {
-            let in_share = self.replica.machines.get(*id).is_some_and(|record| {
-                record.value.share == share && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
+            let in_shard = self.replica.machines.get(*id).is_some_and(|record| {
+                record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
             let idle = self.machines.get(*id).is_some_and(|machine| !machine.writing);
-            in_share && idle && zones.is_silent(id) && self.usage.serves(id)
+            in_shard && idle && zones.is_silent(id) && self.usage.serves(id)
         };
         machines.filter(is_due).cloned().collect()
     }
 
-    fn evacuations_on_their_way(&self, share: u32) -> Vec<MachineId> {
+    fn evacuations_on_their_way(&self, shard: u32) -> Vec<MachineId> {
         let zones = &self.zone_control.zones;
         let machines = zones.in_condition(Condition::Lost).flat_map(|zone| zones.machines(zone));
         let is_on_its_way = |id: &&MachineId| {
@@ -172,8 +172,8 @@
                 .replica
                 .machines
                 .get(*id)
-                .is_some_and(|record| record.value.share == share && record.value.hold == Some(Hold::Doomed));
-            doomed || self.machines.get(*id).is_some_and(|machine| machine.share == Some(share) && machine.writing)
+                .is_some_and(|record| record.value.shard == shard && record.value.hold == Some(Hold::Doomed));
+            doomed || self.machines.get(*id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
         };
         machines.filter(is_on_its_way).cloned().collect()
     }
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -30,7 +30,7 @@
     fn of<'a>(machines: impl Iterator<Item = &'a Machine>) -> Contacts {
         let (mut failing, mut all) = (Vec::new(), Vec::new());
         for machine in machines {
-            // Those of a share just taken were not heard yet, though their silence counts from then.
+            // Those of a shard just taken were not heard yet, though their silence counts from then.
             let heard = if machine.term_confirmed { machine.heard } else { Micros::ZERO };
             all.push(heard);
             if machine.probes_failed > 0 {
@@ -98,7 +98,7 @@
 
     /// Asks for a sign of life: machines that didn't answer or whose report is late, and between their
     /// reports those with services, whose loss is felt at once. The latter only as far as the rate of
-    /// probes allows, those heard longest ago first: a controller that holds all shares would do little
+    /// probes allows, those heard longest ago first: a controller that holds all shards would do little
     /// else. What has no place now comes first in the next round.
     pub(super) fn probe(&mut self, ours: &[MachineId]) {
         let due = self.due_probes(ours);
@@ -181,13 +181,13 @@
         self.send_direct(id, addr, DirectOrders { token: Term(0), session: 0, orders: Vec::new() });
     }
 
-    /// Asks a few machines for a sign of life, of shares that are not held here if there are any. The token 0 moves
+    /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The token 0 moves
     /// nobody to anything.
     pub(super) fn look_for_machines(&mut self) {
         let machines = &self.replica.machines;
-        let is_ours = |share: u32| self.held(Role::Share(share)).is_some();
+        let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
         let mut ids: Vec<&MachineId> =
-            machines.iter().filter(|(_, m)| !is_ours(m.value.share)).map(|(id, _)| id).collect();
+            machines.iter().filter(|(_, m)| !is_ours(m.value.shard)).map(|(id, _)| id).collect();
         if ids.is_empty() {
             ids = machines.keys().collect();
         }
@@ -235,7 +235,7 @@
         ours.iter().filter(|id| self.machines.get(*id).is_some_and(silent)).cloned().collect()
     }
 
-    /// Never heard since we took the share, for longer than a lease: nothing but a deletion can prove its tasks gone,
+    /// Never heard since we took the shard, for longer than a lease: nothing but a deletion can prove its tasks gone,
     /// however many are silent.
     fn replace_never_heard(&mut self, silent: &[MachineId]) {
         let now = self.now();
@@ -248,7 +248,7 @@
         }
     }
 
-    /// What the silence of each machine says, compared with the share's others and those of its zone.
+    /// What the silence of each machine says, compared with the shard's others and those of its zone.
     fn judge_silence(&self, ours: &[MachineId], silent: Vec<MachineId>, after: Micros) -> Vec<Silence> {
         // Machines go silent one by one even if all are cut off at once, as each was last heard at
         // a moment of its own. So the others must have been heard well after this one fell silent.
@@ -277,7 +277,7 @@
         verdicts
     }
 
-    /// In a small share one other may well be lost too, but if none at all was heard the fault is ours.
+    /// In a small shard one other may well be lost too, but if none at all was heard the fault is ours.
     fn many_are_silent(&self, (lost, heard): (usize, usize)) -> bool {
         // The one that is judged is itself among the lost.
         let (lost, all) = (lost.saturating_sub(1), (lost + heard).saturating_sub(1));
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -21,7 +21,7 @@
     pub spec: Arc<JobSpec>,
     pub accepted: Micros,
     pub room: Room,
-    pub share: u32,
+    pub shard: u32,
     pub live: JobStarts,
     /// Seen done, not yet in the stored records.
     pub done_unrecorded: BTreeSet<u32>,
@@ -54,12 +54,12 @@
 }
 
 impl Job {
-    fn new(id: &JobId, record: &JobRecord, share: u32) -> Job {
+    fn new(id: &JobId, record: &JobRecord, shard: u32) -> Job {
         Job {
             spec: Arc::new(record.spec.clone()),
             accepted: record.accepted,
             room: record.spec.room(),
-            share,
+            shard,
             live: JobStarts::new(id.clone(), &record.spec),
             done_unrecorded: BTreeSet::new(),
             done: 0,
@@ -215,17 +215,17 @@
 }
 
 impl Controller {
-    /// Share that looks after a job; the same on every controller. A team's jobs stay together, so
-    /// that its limit and guarantee can be kept; one that has neither is parted by job where most shares
+    /// Shard that looks after a job; the same on every controller. A team's jobs stay together, so
+    /// that its limit and guarantee can be kept; one that has neither is parted by job where most shards
     /// would stand idle otherwise.
-    fn share_of(&self, team: Option<&str>, id: &JobId) -> u32 {
-        let shares = self.shares();
+    fn shard_of(&self, team: Option<&str>, id: &JobId) -> u32 {
+        let shards = self.shard_count();
         let teams = &self.platform.deployment.teams;
         let parts = self.platform.deployment.parts_by_job();
         let whole = team.and_then(|name| teams.iter().position(|t| t.name == name && (t.is_bounded() || !parts)));
         match whole {
-            Some(i) => i as u32 % shares,
-            None => id.as_str().bytes().fold(0u32, |h, b| h.wrapping_mul(31).wrapping_add(u32::from(b))) % shares,
+            Some(i) => i as u32 % shards,
+            None => id.as_str().bytes().fold(0u32, |h, b| h.wrapping_mul(31).wrapping_add(u32::from(b))) % shards,
         }
     }
 
@@ -264,8 +264,8 @@
                 return false;
             }
             let Some(known) = self.replica.jobs.get(id) else { return false };
-            let share = self.share_of(known.record.spec.team.as_deref(), id);
-            let job = Job::new(id, &known.record, share);
+            let shard = self.shard_of(known.record.spec.team.as_deref(), id);
+            let job = Job::new(id, &known.record, shard);
             self.urgent_pass |= known.record.spec.priority > Priority::Normal;
             self.jobs.insert(id.clone(), job);
             if over.is_none() {
@@ -420,9 +420,9 @@
         }
     }
 
-    /// The share was taken or lost: what was believed about its jobs' starts is void.
-    pub(super) fn jobs_of_share_reset(&mut self, share: u32) {
-        for job in self.jobs.values_mut().filter(|j| j.share == share) {
+    /// The shard was taken or lost: what was believed about its jobs' starts is void.
+    pub(super) fn jobs_of_shard_reset(&mut self, shard: u32) {
+        for job in self.jobs.values_mut().filter(|j| j.shard == shard) {
             job.done_unrecorded.clear();
             job.not_before.clear();
             job.dirty_since = None;
@@ -437,7 +437,7 @@
                 }
             }
         }
-        let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.share == share).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.shard == shard).map(|(id, _)| id.clone()).collect();
         self.usage.touched.extend(ids.iter().cloned());
         for id in ids {
             self.job_changed(&id);
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -1,4 +1,4 @@
-//! The leader's work: takes machines into the stored records, plans which share gets which, rents and returns.
+//! The leader's work: takes machines into the stored records, plans which shard gets which, rents and returns.
 
 use super::boots::BootHistory;
 use super::capacity::Unmet;
@@ -31,7 +31,7 @@
     List,
     Rent(Rental, u32),
     Delete(Vec<MachineId>),
-    /// By their share's holder, as nothing else proved in time that cancelled tasks are gone.
+    /// By their shard's holder, as nothing else proved in time that cancelled tasks are gone.
     Clear(Vec<MachineId>),
 }
 
@@ -60,7 +60,7 @@
     pub alive: BTreeMap<MachineId, Micros>,
     /// Busy machines asked for on behalf of more urgent work, and when.
     pub reclaimed: BTreeMap<MachineId, Micros>,
-    /// What the shares lacked in the last plan, most urgent first.
+    /// What the shards lacked in the last plan, most urgent first.
     pub need: Vec<Unmet>,
     pub rental_requests: u64,
     /// Since when lists of submissions were seen that no job names.
@@ -200,7 +200,7 @@
         self.strike_out(recorded);
     }
 
-    /// Takes deleted machines out of the stored records, which proves to their shares that nothing is left
+    /// Takes deleted machines out of the stored records, which proves to their shards that nothing is left
     /// on them.
     pub(super) fn strike_out(&mut self, ids: Vec<MachineId>) {
         let returned =
--- a/src/coordination/machine_terms.rs
+++ b/src/coordination/machine_terms.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Machines in doubt that get a term each; more of one share get a common one.
+/// Machines in doubt that get a term each; more of one shard get a common one.
 const OWN_TERMS_MOST: usize = 3;
 /// Usual pause between new terms for machines in doubt.
 const RENEW_EVERY: Micros = Micros::from_millis(1000);
@@ -15,7 +15,7 @@
 impl Controller {
     /// Machines with a direct command in doubt get a new term once they are heard again: a report
     /// that carries it proves the command void. For a few each gets one of its own; many in one
-    /// share get the share's, which costs two changes however many they are.
+    /// shard get the shard's, which costs two changes however many they are.
     pub(super) fn renew_terms(&mut self, ours: &[MachineId]) {
         let now = self.now();
         if now < self.next_renewal {
@@ -26,13 +26,13 @@
         for id in ours {
             let token = self.token(id).unwrap_or_default();
             let Some(machine) = self.machines.get(id) else { continue };
-            let Some(share) = machine.share else { continue };
+            let Some(shard) = machine.shard else { continue };
             let in_doubt = machine.unacknowledged.is_some_and(|d| d >= token);
             if in_doubt && !machine.writing && !machine.direct && now.since(machine.heard) < recent {
-                unacknowledged.entry(share).or_default().push(id.clone());
+                unacknowledged.entry(shard).or_default().push(id.clone());
             }
         }
-        let Some((share, ids)) = unacknowledged.into_iter().max_by_key(|(_, ids)| ids.len()) else {
+        let Some((shard, ids)) = unacknowledged.into_iter().max_by_key(|(_, ids)| ids.len()) else {
             return self.clear_exited(ours);
         };
         // All controllers draw from one counter: at random times they rarely meet.
@@ -41,12 +41,12 @@
         let worst = ids.iter().filter_map(|id| self.machines.get(id)?.unacknowledged).max().unwrap_or_default();
         let term = Term(self.replica.term_now().0.max(worst.0) + 1);
         if ids.len() > OWN_TERMS_MOST {
-            self.renew_share(share, term);
+            self.renew_shard(shard, term);
             return;
         }
         let mut draft = Draft::default();
         draft.unchanged(&self.replica, Key::Term);
-        draft.unchanged(&self.replica, Key::Role(Role::Share(share)));
+        draft.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
         draft.put(Key::Term, to_value(&term));
         for id in &ids {
             let Some(held) = self.replica.machines.get(id) else { continue };
@@ -66,22 +66,22 @@
     fn clear_exited(&mut self, ours: &[MachineId]) {
         let mut kept: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
         for machine in ours.iter().filter_map(|id| self.machines.get(id)) {
-            if let Some(share) = machine.share {
-                let usage = kept.entry(share).or_default();
+            if let Some(shard) = machine.shard {
+                let usage = kept.entry(shard).or_default();
                 *usage = (usage.0 + machine.kept, usage.1 + 1);
             }
         }
         let mean = |(exited, machines): (usize, usize)| exited as f64 / machines.max(1) as f64;
         let worst = kept.into_iter().max_by(|a, b| mean(a.1).total_cmp(&mean(b.1)));
-        if let Some((share, usage)) = worst.filter(|(_, usage)| mean(*usage) > self.policy.exited_mean) {
+        if let Some((shard, usage)) = worst.filter(|(_, usage)| mean(*usage) > self.policy.exited_mean) {
             tracing::debug!(
-                share,
+                shard,
                 exited = usage.0,
                 machines = usage.1,
                 "a new term, so that exited tasks are forgotten"
             );
             self.next_renewal = self.now() + Micros::from_millis(self.policy.exited_every_ms);
-            self.renew_share(share, Term(self.replica.term_now().0 + 1));
+            self.renew_shard(shard, Term(self.replica.term_now().0 + 1));
         }
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -57,8 +57,8 @@
 
 #[derive(Default)]
 pub(super) struct Machine {
-    /// Share it was last seen in.
-    pub share: Option<u32>,
+    /// Shard it was last seen in.
+    pub shard: Option<u32>,
     pub session: u64,
     /// Newest message's number in this session.
     pub seq: u64,
@@ -69,9 +69,9 @@
     pub heard: Micros,
     /// Last report answered in a way that may have renewed the lease.
     pub answered: Micros,
-    /// Has shown our token since we took its share: what it reports counts.
+    /// Has shown our token since we took its shard: what it reports counts.
     pub term_confirmed: bool,
-    /// Has shown some term of its share's present holder: it obeys no earlier holder any more. Unlike
+    /// Has shown some term of its shard's present holder: it obeys no earlier holder any more. Unlike
     /// `term_confirmed` this stays when the same holder draws a new term.
     pub obeys_holder: bool,
     /// Its lease is not renewed, on account of a cancelled task.
@@ -98,7 +98,7 @@
     pub last_delivered: Micros,
     /// When its newest report came.
     pub reported: Micros,
-    /// Since when it is in this share, under this holder.
+    /// Since when it is in this shard, under this holder.
     pub owned_since: Micros,
     pub last_report: LastReport,
     pub next_probe: Micros,
@@ -175,7 +175,7 @@
         self.unanswered += 1;
     }
 
-    /// Its share was taken, or it came into another: what was known of it is void. Until now the
+    /// Its shard was taken, or it came into another: what was known of it is void. Until now the
     /// former owner may have been heard by it and renewed its lease.
     pub fn new_owner(&mut self, now: Micros) {
         self.term_confirmed = false;
@@ -213,13 +213,13 @@
 
 impl Controller {
     pub(super) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
-        self.replica.machines.get(id).map(|m| Role::Share(m.value.share))
+        self.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
 
-    /// The token for orders to a machine of a share we hold.
+    /// The token for orders to a machine of a shard we hold.
     pub(super) fn token(&self, id: &MachineId) -> Option<Term> {
         let record = &self.replica.machines.get(id)?.value;
-        let term = self.held(Role::Share(record.share))?;
+        let term = self.held(Role::Shard(record.shard))?;
         Some(term.max(record.term))
     }
 
@@ -259,17 +259,17 @@
             }
             Some(record) => {
                 let addr = record.value.addr.parse().ok();
-                let share = record.value.share;
+                let shard = record.value.shard;
                 let machine = self.machines.entry(id.clone()).or_default();
                 machine.addr = addr.or(machine.addr);
-                if machine.share != Some(share) {
-                    machine.share = Some(share);
+                if machine.shard != Some(shard) {
+                    machine.shard = Some(shard);
                     machine.new_owner(now);
                 }
                 if self.usage.is_empty(id) {
                     machine.free_since.get_or_insert(now);
                 }
-                // A new term or share: only reports that carry it count.
+                // A new term or shard: only reports that carry it count.
                 let token_seen = machine.token_seen;
                 let term_confirmed = self.token(id).is_some_and(|t| token_seen >= t);
                 if let Some(machine) = self.machines.get_mut(id) {
@@ -292,24 +292,24 @@
         }
     }
 
-    /// A share was taken or lost.
-    pub(super) fn share_changed(&mut self, share: u32) {
+    /// A shard was taken or lost.
+    pub(super) fn shard_changed(&mut self, shard: u32) {
         let now = self.now();
         let ids: Vec<MachineId> =
-            self.replica.machines.iter().filter(|(_, m)| m.value.share == share).map(|(id, _)| id.clone()).collect();
+            self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
         for id in &ids {
             self.machines.entry(id.clone()).or_default().new_owner(now);
             self.pushes.insert(id.clone());
         }
-        self.jobs_of_share_reset(share);
+        self.jobs_of_shard_reset(shard);
         self.pass_wanted = true;
     }
 
-    /// The share has a new term under the same owner: what is known stays, but from here on only
+    /// The shard has a new term under the same owner: what is known stays, but from here on only
     /// messages that carry the term prove anything.
-    pub(super) fn share_renewed(&mut self, share: u32) {
+    pub(super) fn shard_renewed(&mut self, shard: u32) {
         let ids: Vec<MachineId> =
-            self.replica.machines.iter().filter(|(_, m)| m.value.share == share).map(|(id, _)| id.clone()).collect();
+            self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
         for id in ids {
             let token = self.token(&id);
             if let Some(machine) = self.machines.get_mut(&id) {
@@ -349,7 +349,7 @@
             .replica
             .machines
             .iter()
-            .filter(|(_, m)| self.held(Role::Share(m.value.share)).is_some())
+            .filter(|(_, m)| self.held(Role::Shard(m.value.shard)).is_some())
             .map(|(id, _)| id.clone())
             .collect();
         let recorded = &self.replica.machines;
@@ -381,8 +381,8 @@
     ) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let Some(held) = self.replica.machines.get(id) else { return };
-        let share = Role::Share(held.value.share);
-        let role = [share, Role::Leader].into_iter().find(|role| self.roles.held.contains_key(role));
+        let shard = Role::Shard(held.value.shard);
+        let role = [shard, Role::Leader].into_iter().find(|role| self.roles.held.contains_key(role));
         let Some(role) = role.filter(|_| !machine.writing) else { return };
         let mut record = held.value.clone();
         change(&mut record);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -35,7 +35,7 @@
 mod reports;
 mod roles;
 mod scheduling_order;
-mod share_view;
+mod shard_view;
 mod stages;
 mod submissions;
 mod tidying;
@@ -139,7 +139,7 @@
     urgent_pass: bool,
     leader: leader::Leader,
     zone_control: zones::ZoneControl,
-    /// By when machines of shares held here should move to others, if any are to.
+    /// By when machines of shards held here should move to others, if any are to.
     moves_due: Option<Micros>,
     /// The oldest version of the rules for stored records among the controllers alive.
     oldest_version: Option<RecordVersion>,
@@ -364,7 +364,7 @@
                     self.job_over(&id);
                 }
                 Change::Node(_) => self.versions_changed(),
-                Change::Zone(zone, share) => self.zone_view_changed(&zone, share),
+                Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
                 Change::ZoneHold(zone) => self.zone_hold_changed(&zone),
                 Change::Nothing => {}
             }
--- a/src/coordination/moves.rs
+++ b/src/coordination/moves.rs
@@ -1,10 +1,10 @@
-//! Machines moving from one share to another.
+//! Machines moving from one shard to another.
 //!
 //! A machine moves in two writes. In the first the leader asks for it: the machine is put on hold, so that nothing more
-//! starts there. The second gives it to the other share under a new term, above any that its last commands carried, and
-//! is safe only if no start can be recorded there any more. Only the holder of a share records starts on its machines,
+//! starts there. The second gives it to the other shard under a new term, above any that its last commands carried, and
+//! is safe only if no start can be recorded there any more. Only the holder of a shard records starts on its machines,
 //! so the holder makes the second write, once it knows of no start there, not even one on its way to the state service.
-//! That write is conditional on its lease on the share, as its starts are.
+//! That write is conditional on its lease on the shard, as its starts are.
 //!
 //! Next to controllers of the first record version the leader makes the second write, as that version expects; see
 //! [`super::versions`].
@@ -16,26 +16,26 @@
 use crate::types::{MachineId, Micros, Term};
 use std::collections::BTreeMap;
 
-/// Machines that are to leave a share.
+/// Machines that are to leave a shard.
 #[derive(Default)]
 struct Leaving {
-    /// No start is recorded or decided on them: each with the share it goes to.
+    /// No start is recorded or decided on them: each with the shard it goes to.
     empty: Vec<(MachineId, u32)>,
     occupied: Vec<(MachineId, u32)>,
 }
 
 impl Controller {
-    /// Keeps machines that were to go to other shares and have something on them, unless that has to make way for more
+    /// Keeps machines that were to go to other shards and have something on them, unless that has to make way for more
     /// urgent work there, and notes by when the others should move.
     pub(super) fn plan_moves(&mut self) {
         let mut wanted = false;
-        for (share, machines) in self.machines_to_move() {
-            if self.roles_for_moves(share).is_empty() {
+        for (shard, machines) in self.machines_to_move() {
+            if self.roles_for_moves(shard).is_empty() {
                 continue;
             }
             wanted |= !machines.empty.is_empty();
             for (id, to) in machines.occupied {
-                if self.held(Role::Share(share)).is_some() && self.should_vacate(&id, to) {
+                if self.held(Role::Shard(shard)).is_some() && self.should_vacate(&id, to) {
                     self.vacate(&id);
                 } else {
                     self.write_machine(&id, MachineChange::Move, |record| record.hold = None);
@@ -46,27 +46,27 @@
         self.moves_due = wanted.then(|| self.moves_due.unwrap_or(latest));
     }
 
-    /// Moves machines, those of one share. Put into words only when it is sent: all controllers draw terms from one
+    /// Moves machines, those of one shard. Put into words only when it is sent: all controllers draw terms from one
     /// counter, so what waited for the change budget would mostly be refused, and a refusal costs as much.
     pub(super) fn send_moves(&mut self) {
         self.moves_due = None;
-        for (share, machines) in self.machines_to_move() {
-            let roles = self.roles_for_moves(share);
+        for (shard, machines) in self.machines_to_move() {
+            let roles = self.roles_for_moves(shard);
             if !roles.is_empty() && !machines.empty.is_empty() {
                 return self.send_moves_of(&roles, machines.empty);
             }
         }
     }
 
-    /// The roles by which this controller may move machines out of a share, which must last; none if it is not for
+    /// The roles by which this controller may move machines out of a shard, which must last; none if it is not for
     /// it to do.
-    fn roles_for_moves(&self, share: u32) -> Vec<Role> {
-        let holder = Role::Share(share);
+    fn roles_for_moves(&self, shard: u32) -> Vec<Role> {
+        let holder = Role::Shard(shard);
         let leads = self.is_leader() && self.surely_leads();
         if self.record_version() == RecordVersion::FIRST {
             return if leads { vec![Role::Leader] } else { Vec::new() };
         }
-        match mover(&self.replica, share) {
+        match mover(&self.replica, shard) {
             Mover::Holder if self.held(holder).is_some() => vec![holder],
             // Its holder is of the first version, and must still be when the machine moves.
             Mover::Leader if leads => vec![Role::Leader, holder],
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Machines on hold to be moved, by the share that they are to leave.
+    /// Machines on hold to be moved, by the shard that they are to leave.
     fn machines_to_move(&self) -> BTreeMap<u32, Leaving> {
         let mut leaving: BTreeMap<u32, Leaving> = BTreeMap::new();
         for (id, held) in &self.replica.machines {
@@ -85,7 +85,7 @@
             if !visible || writing || self.leader.deleting.contains(id) {
                 continue;
             }
-            let machines = leaving.entry(held.value.share).or_default();
+            let machines = leaving.entry(held.value.shard).or_default();
             if self.usage.is_empty(id) {
                 machines.empty.push((id.clone(), to));
             } else {
@@ -95,7 +95,7 @@
         leaving
     }
 
-    /// Gives machines to their new shares, as many as one transaction takes.
+    /// Gives machines to their new shards, as many as one transaction takes.
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
         moves.truncate(self.platform.deployment.state.ops() - 1);
         let term = Term(self.replica.term_now().0 + 1);
@@ -108,7 +108,7 @@
         let mut ids = Vec::new();
         for (id, to) in moves {
             let Some(held) = self.replica.machines.get(&id) else { continue };
-            let record = MachineRecord { share: to, term, hold: None, ..held.value.clone() };
+            let record = MachineRecord { shard: to, term, hold: None, ..held.value.clone() };
             draft.unchanged(&self.replica, Key::Machine(id.clone()));
             draft.put(Key::Machine(id.clone()), to_value(&record));
             self.machines.entry(id.clone()).or_default().writing = true;
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/pipelines.rs
@@ -1,4 +1,4 @@
-//! Which jobs wait for which, across shares and teams.
+//! Which jobs wait for which, across shards and teams.
 //!
 //! A job names only jobs that were accepted before it, so there are no circles. Kept in step with what is over:
 //! each job that waits holds the set of those it still waits for, and each that is waited for knows by whom, so
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use super::jobs::Job;
 use super::machines::Machine;
-use super::share_view::{ShareView, Spot};
+use super::shard_view::{ShardView, Spot};
 use super::usage::{Phase, Start};
 use super::zones::ZoneStart;
 use crate::protocol::user::Kind;
@@ -46,7 +46,7 @@
 /// One pass over the jobs keeps these from job to job.
 #[derive(Default)]
 struct Field {
-    shares: HashMap<u32, ShareView>,
+    shards: HashMap<u32, ShardView>,
 }
 
 /// Where a job's next tasks may go, besides its own conditions.
@@ -114,21 +114,21 @@
 
     fn place_job(&mut self, id: &JobId, field: &mut Field) {
         let Some(job) = self.jobs.get(id) else { return };
-        let share = job.share;
-        if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Share(share)).is_none() {
+        let shard = job.shard;
+        if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
             return;
         }
         let gang = job.spec.kind == Kind::Gang;
-        let mut view = field.shares.remove(&share).unwrap_or_else(|| self.view_of(share));
+        let mut view = field.shards.remove(&shard).unwrap_or_else(|| self.view_of(shard));
         if gang {
             self.place_gang(id, &mut view);
         } else {
             self.place_tasks(id, &mut view);
         }
-        field.shares.insert(share, view);
+        field.shards.insert(shard, view);
     }
 
-    fn place_tasks(&mut self, id: &JobId, view: &mut ShareView) {
+    fn place_tasks(&mut self, id: &JobId, view: &mut ShardView) {
         let now = self.now();
         let Some(job) = self.jobs.get(id) else { return };
         let begins = job.spec.kind == Kind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
@@ -174,7 +174,7 @@
     }
 
     /// Step 6: all tasks in one pass or none.
-    fn place_gang(&mut self, id: &JobId, view: &mut ShareView) {
+    fn place_gang(&mut self, id: &JobId, view: &mut ShardView) {
         let Some(job) = self.jobs.get(id) else { return };
         let named = |chunk| self.chunk_has_room(id, job, chunk);
         if !job.live.is_empty() || job.waiting() < job.spec.tasks || !named(0) || !job.may_start(self.now()) {
@@ -228,7 +228,7 @@
         (limit.cpus == 0 || next.cpus <= limit.cpus) && (limit.gpus == 0 || next.gpus <= limit.gpus)
     }
 
-    fn choices(&self, id: &JobId, job: &Job, view: &ShareView, search: Search) -> Choices {
+    fn choices(&self, id: &JobId, job: &Job, view: &ShardView, search: Search) -> Choices {
         let allowance = self.allowance(job, search.zone);
         let mut choices = Choices { at: Vec::new(), candidates: Vec::new() };
         for (i, spot) in view.spots.iter().enumerate() {
@@ -247,7 +247,7 @@
 
     /// After a task was placed: its machine has less room, and the job's own conditions may have
     /// closed a zone.
-    fn choose_again(&self, id: &JobId, view: &ShareView, choices: &mut Choices, chosen: usize, search: Search) {
+    fn choose_again(&self, id: &JobId, view: &ShardView, choices: &mut Choices, chosen: usize, search: Search) {
         let Some(job) = self.jobs.get(id) else { return };
         let spot = &view.spots[choices.at[chosen]];
         if job.spec.one_zone || job.spec.spread {
@@ -327,7 +327,7 @@
         pending
     }
 
-    fn decide_start(&mut self, id: &JobId, task: u32, view: &mut ShareView, at: usize) {
+    fn decide_start(&mut self, id: &JobId, task: u32, view: &mut ShardView, at: usize) {
         let spot = &mut view.spots[at];
         if let Some(queues) = &mut view.fetch_queues
             && self.jobs.get(id).is_some_and(|job| self.adds_fetch(job, spot))
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -3,7 +3,7 @@
 
 use super::Controller;
 use super::jobs::Job;
-use super::share_view::Spot;
+use super::shard_view::Spot;
 use super::usage::Start;
 use crate::protocol::user::{Kind, Priority};
 use crate::types::{JobId, Micros, Room};
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -7,7 +7,7 @@
 
 use super::Controller;
 use super::jobs::Job;
-use super::share_view::Spot;
+use super::shard_view::Spot;
 use super::usage::Phase;
 use super::zones::MovingReplica;
 use crate::protocol::user::Kind;
@@ -57,7 +57,7 @@
         let last = looked.last().map(|id| (*id).clone());
         let is_ours = |id: &&JobId| {
             let job = self.jobs.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
-            job.is_some_and(|job| self.held(Role::Share(job.share)).is_some())
+            job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
         };
         let services = looked.into_iter().filter(is_ours).cloned().collect();
         self.zone_control.last_looked = last;
@@ -71,7 +71,7 @@
             return None;
         }
         let replicas = self.replicas_of(id, job);
-        let spots = if self.may_need_move(&replicas) { self.spots_of(job.share) } else { return None };
+        let spots = if self.may_need_move(&replicas) { self.spots_of(job.shard) } else { return None };
         let mut budget = std::mem::take(&mut self.zone_control.disruption);
         let job = self.jobs.get(id)?;
         let is_held = |zone: &str| self.zone_control.zones.is_on_hold(zone);
--- a/src/coordination/reclaim.rs
+++ b/src/coordination/reclaim.rs
@@ -1,6 +1,6 @@
-//! Machines taken back from work of the lowest priority for more urgent work of another share.
+//! Machines taken back from work of the lowest priority for more urgent work of another shard.
 //!
-//! Where nothing more can be rented, a share's waiting work would wait until whole machines of others fall free. So the
+//! Where nothing more can be rented, a shard's waiting work would wait until whole machines of others fall free. So the
 //! leader also asks for machines on which nothing but arrays of the lowest priority runs, in the same way as for free
 //! ones: by a hold (see [`super::moves`]). The holder stops what runs there, as long as more urgent work waits where
 //! the machine is to go; otherwise it lifts the hold.
@@ -16,7 +16,7 @@
 const ASK_AGAIN: Micros = Micros::from_millis(30_000);
 
 impl Controller {
-    /// For tasks that find no room, nor any machine to rent: asks for machines of other shares that only do work of the
+    /// For tasks that find no room, nor any machine to rent: asks for machines of other shards that only do work of the
     /// lowest priority.
     pub(super) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
         let now = self.now();
@@ -28,7 +28,7 @@
         let mut asked: Vec<(MachineId, u32)> = Vec::new();
         for u in unmet.iter().filter(|u| u.spec.priority > Priority::Low && !self.can_rent_for(u)) {
             let (mut count, mut zones) = (u.count, u.zones.clone());
-            let others = slots.iter().filter(|(share, _)| **share != u.share).flat_map(|(_, own)| own);
+            let others = slots.iter().filter(|(shard, _)| **shard != u.shard).flat_map(|(_, own)| own);
             for slot in others {
                 let Some(id) = slot.id.as_ref().filter(|_| count > 0 && left > 0) else { break };
                 let free = !self.leader.reclaimed.contains_key(id) && !asked.iter().any(|(other, _)| other == id);
@@ -39,7 +39,7 @@
                 let taken = fit(&u.spec, count, &mut [emptied], &mut zones);
                 if taken > 0 {
                     (count, left) = (count - taken, left - 1);
-                    asked.push((id.clone(), u.share));
+                    asked.push((id.clone(), u.shard));
                 }
             }
         }
@@ -55,11 +55,11 @@
         self.usage.placed(id).is_some_and(|placed| placed.lowest > 0 && placed.lowest == placed.occupying)
     }
 
-    /// Whether the holder of a machine that another share asks for should empty it: more urgent work waits there.
+    /// Whether the holder of a machine that another shard asks for should empty it: more urgent work waits there.
     pub(super) fn should_vacate(&self, id: &MachineId, to: u32) -> bool {
         let waits = || {
             self.jobs.values().any(|job| {
-                job.share == to && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
+                job.shard == to && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
             })
         };
         self.does_lowest_only(id) && waits()
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -1,7 +1,7 @@
 //! Writing down what was decided and seen about jobs: starts before their commands leave, tasks done or lost, outcomes.
 //!
-//! A start is recorded under the conditions that this controller still holds the job's share, that the job is not
-//! over, that its run chunk is as the replica has it, and that its machine can't have left the share meanwhile.
+//! A start is recorded under the conditions that this controller still holds the job's shard, that the job is not
+//! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
 
 use super::Controller;
 use super::jobs::Job;
@@ -23,7 +23,7 @@
 pub(super) struct DueRecord {
     /// Until then it may wait for others when the change budget is short.
     pub latest: Micros,
-    share: u32,
+    shard: u32,
     id: JobId,
 }
 
@@ -35,12 +35,12 @@
     value_bytes: usize,
 }
 
-/// What proves that a machine stays in its share until a start on it is recorded.
+/// What proves that a machine stays in its shard until a start on it is recorded.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum MachineGuard {
     /// Its record is a condition of each start there: the leader moves machines by itself.
     Records,
-    /// The leader's role is a condition: this leader leaves it to the share's holder to move its machines, which is
+    /// The leader's role is a condition: this leader leaves it to the shard's holder to move its machines, which is
     /// this controller. One condition, however many machines the starts name.
     Leadership,
 }
@@ -64,7 +64,7 @@
         ChunkChanges { stored, chunk_tasks, limits, guard, chunks, machines, left_over: false }
     }
 
-    /// Conditions besides those that the guard takes for each machine: the share's role, the outcome, perhaps the
+    /// Conditions besides those that the guard takes for each machine: the shard's role, the outcome, perhaps the
     /// leader's role, and each chunk.
     fn conditions(&self) -> usize {
         let roles = if self.guard == MachineGuard::Leadership { 2 } else { 1 };
@@ -189,7 +189,7 @@
     }
 
     /// Puts changes of these tasks into words. Says which starts can't be recorded: their machines have been put on
-    /// hold or have left the share since, the job is over, or no more machines fit.
+    /// hold or have left the shard since, the job is over, or no more machines fit.
     fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
         let highest = changes.stored.values().map(|c| c.value.attempts).max().unwrap_or(0);
         let gang_attempt = (self.spec.kind == Kind::Gang).then_some(highest + 1);
@@ -205,7 +205,7 @@
                 continue;
             }
             let machine = replica.machines.get(live.machine());
-            let usable = machine.is_some_and(|m| m.value.hold.is_none() && m.value.share == self.share);
+            let usable = machine.is_some_and(|m| m.value.hold.is_none() && m.value.shard == self.shard);
             if !usable || self.over.is_some() || !changes.admits_machine(task, live.machine()) {
                 dropped.push(task);
                 continue;
@@ -246,9 +246,9 @@
             if job.locked || now < job.too_large_until {
                 continue;
             }
-            // Its owner's matter; all are looked at again when the share is taken. Jobs cancelled with another
+            // Its owner's matter; all are looked at again when the shard is taken. Jobs cancelled with another
             // have nothing in the records but the outcome that is written with others'.
-            if self.cascaded.contains(id) || !self.roles.held.contains_key(&Role::Share(job.share)) {
+            if self.cascaded.contains(id) || !self.roles.held.contains_key(&Role::Shard(job.shard)) {
                 settled.push(id.clone());
                 continue;
             }
@@ -274,7 +274,7 @@
             if waits {
                 continue;
             }
-            due.push(DueRecord { latest, share: job.share, id: id.clone() });
+            due.push(DueRecord { latest, shard: job.shard, id: id.clone() });
         }
         for id in settled {
             self.usage.touched.remove(&id);
@@ -290,11 +290,11 @@
         // Near the limit the service rather refuses large transactions than small ones.
         let rate = self.platform.deployment.state.write_rps;
         let enough = ((rate * self.policy.txn_part) as usize).clamp(4, limits.writes);
-        let Some(share) = due.front().map(|first| first.share) else { return };
-        let role = Role::Share(share);
+        let Some(shard) = due.front().map(|first| first.shard) else { return };
+        let role = Role::Shard(shard);
         let mut draft = Draft::default();
         let mut ids: Vec<JobId> = Vec::new();
-        while due.front().is_some_and(|next| next.share == share) {
+        while due.front().is_some_and(|next| next.shard == shard) {
             let Some(DueRecord { id, .. }) = due.pop_front() else { break };
             let what = self.jobs.get(&id).and_then(Need::of).map_or("nothing", Need::name);
             let part = self.job_part(&id, role, limits);
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -24,7 +24,7 @@
 }
 
 impl Controller {
-    /// Machines that report and have no record get one, in the share that needs them most.
+    /// Machines that report and have no record get one, in the shard that needs them most.
     pub(super) fn register_machines(&mut self) {
         let limits = self.platform.deployment.state.clone();
         let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
@@ -77,7 +77,7 @@
 
     fn new_member(&mut self, report: &Report, members: &[FleetMember]) -> FleetMember {
         let record = MachineRecord {
-            share: self.neediest_share(report, members),
+            shard: self.neediest_shard(report, members),
             term: Term(0),
             machine_type: report.machine_type.clone(),
             zone: report.zone.clone(),
@@ -127,8 +127,8 @@
         }
     }
 
-    /// The share with the most unmet need, else the one with the least room for its teams.
-    fn neediest_share(&mut self, report: &Report, registered: &[FleetMember]) -> u32 {
+    /// The shard with the most unmet need, else the one with the least room for its teams.
+    fn neediest_shard(&mut self, report: &Report, registered: &[FleetMember]) -> u32 {
         let cpus = self.types.get(&report.machine_type).map_or(1_000_000, |t| t.room.cpus);
         // The most urgent tasks that it can really take decide, wherever else room is lacking.
         let mut slot = Slot {
@@ -141,23 +141,23 @@
         };
         let mut chosen = None;
         for need in &mut self.leader.need {
-            if chosen.is_none_or(|share| share == need.share) {
+            if chosen.is_none_or(|shard| shard == need.shard) {
                 let taken = fit(&need.spec, need.count, std::slice::from_mut(&mut slot), &mut need.zones);
                 need.count -= taken;
                 if taken > 0 {
-                    chosen = Some(need.share);
+                    chosen = Some(need.shard);
                 }
             }
         }
-        if let Some(share) = chosen {
-            return share;
+        if let Some(shard) = chosen {
+            return shard;
         }
-        let shares = self.shares();
-        let mut teams = vec![0u64; shares as usize];
+        let shards = self.shard_count();
+        let mut teams = vec![0u64; shards as usize];
         for (i, team) in self.platform.deployment.teams.iter().enumerate() {
             // One without limit or guarantee may be parted over all of them.
             if team.is_bounded() || !self.platform.deployment.parts_by_job() {
-                teams[i % shares as usize] += u64::from(shares);
+                teams[i % shards as usize] += u64::from(shards);
             } else {
                 teams.iter_mut().for_each(|weight| *weight += 1);
             }
@@ -165,14 +165,14 @@
         if teams.iter().all(|n| *n == 0) {
             teams.fill(1);
         }
-        let mut have = vec![0u64; shares as usize];
+        let mut have = vec![0u64; shards as usize];
         let recorded = self.replica.machines.values().map(|held| &held.value);
         for record in recorded.chain(registered.iter().map(|m| &m.record)) {
-            if let Some(sum) = have.get_mut(record.share as usize) {
+            if let Some(sum) = have.get_mut(record.shard as usize) {
                 *sum += self.types.get(&record.machine_type).map_or(1_000_000, |t| t.room.cpus);
             }
         }
-        (0..shares)
+        (0..shards)
             .filter(|s| teams[*s as usize] > 0)
             .min_by_key(|s| (have[*s as usize] + cpus) / teams[*s as usize])
             .unwrap_or(0)
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Somebody has a later term than we know of, or this is news from the future of another share: learn which, and
+    /// Somebody has a later term than we know of, or this is news from the future of another shard: learn which, and
     /// draw a higher one if the machine is ours after all.
     fn later_term_shown(&mut self, id: &MachineId, token: Term) {
         self.reads.wanted = true;
--- a/src/coordination/roles.rs
+++ b/src/coordination/roles.rs
@@ -1,4 +1,4 @@
-//! The controller's session in the state service, and the roles (shares, leadership) it holds.
+//! The controller's session in the state service, and the roles (shards, leadership) it holds.
 //!
 //! A role's key is bound to its holder's session, so it vanishes with it. Taking one draws the
 //! next term from the one counter in the same transaction. A controller holds a role only once
@@ -38,7 +38,7 @@
     /// Machines that answered since this controller became unfit.
     pub answered: u32,
     next_look: Micros,
-    /// Since when other shares' machines are asked whether it is our own that are lost.
+    /// Since when other shards' machines are asked whether it is our own that are lost.
     pub looking_since: Option<Micros>,
     /// How often this controller became unfit lately, and when it last was.
     unfit_times: u32,
@@ -58,7 +58,7 @@
 const LEASE_PART: f64 = 0.5;
 
 impl Controller {
-    pub(super) fn shares(&self) -> u32 {
+    pub(super) fn shard_count(&self) -> u32 {
         self.platform.deployment.nodes
     }
 
@@ -138,14 +138,14 @@
             tracing::info!(?role, "lost: the session has ended");
             match role {
                 Role::Leader => self.leader_changed(),
-                Role::Share(share) => self.share_changed(share),
+                Role::Shard(shard) => self.shard_changed(shard),
             }
         }
         self.reads.wanted = true;
     }
 
     fn role_list(&self) -> Vec<Role> {
-        std::iter::once(Role::Leader).chain((0..self.shares()).map(Role::Share)).collect()
+        std::iter::once(Role::Leader).chain((0..self.shard_count()).map(Role::Shard)).collect()
     }
 
     /// Labels of all controllers in order; the same on each of them.
@@ -163,7 +163,7 @@
         let me = labels.iter().position(|l| *l == self.label).unwrap_or(0) as u32;
         let home = match role {
             Role::Leader => 0,
-            Role::Share(k) => k % n,
+            Role::Shard(k) => k % n,
         };
         (me + n - home) % n
     }
@@ -190,7 +190,7 @@
             return;
         }
         if self.roles.unfit && self.fit_sibling() {
-            self.give_up_share();
+            self.give_up_shard();
             return;
         }
         let step = Micros::from_millis(self.policy.takeover_step_ms);
@@ -205,7 +205,7 @@
                     let burden = self.roles.held.len() as u64;
                     let distance = u64::from(self.distance(role));
                     // When all begin at once, some have read the stored records a moment before the others: a
-                    // share taken from one of these would be handed back, and all its machines asked
+                    // shard taken from one of these would be handed back, and all its machines asked
                     // anew twice.
                     let early = now.since(self.synced_at) < Micros::from_millis(self.policy.settle_ms);
                     if early && distance > 0 {
@@ -243,9 +243,9 @@
         self.submit_txn(txn, Purpose::Role);
     }
 
-    /// Gives a share we hold a new term.
-    pub(super) fn renew_share(&mut self, share: u32, term: Term) {
-        let role = Role::Share(share);
+    /// Gives a shard we hold a new term.
+    pub(super) fn renew_shard(&mut self, shard: u32, term: Term) {
+        let role = Role::Shard(shard);
         let Some(lease) = self.session.lease else { return };
         if !self.roles.taking && self.held(role).is_some() {
             self.take_role(role, lease, term);
@@ -263,23 +263,23 @@
         }
     }
 
-    /// Gives up one share if a sibling that has been back for a while holds none.
+    /// Gives up one shard if a sibling that has been back for a while holds none.
     fn hand_back(&mut self) {
-        let shares: Vec<Role> = self.roles.held.keys().copied().filter(|s| matches!(s, Role::Share(_))).collect();
-        if shares.len() < 2 {
+        let shards: Vec<Role> = self.roles.held.keys().copied().filter(|s| matches!(s, Role::Shard(_))).collect();
+        if shards.len() < 2 {
             return;
         }
         let patience = Micros::from_millis(self.policy.hand_back_after_ms);
         let now = self.now();
         let idle = self.roles.siblings_since.iter().find(|(label, since)| {
             now.since(**since) >= patience
-                && !self.replica.roles.iter().any(|(s, r)| matches!(s, Role::Share(_)) && r.value.owner == **label)
+                && !self.replica.roles.iter().any(|(s, r)| matches!(s, Role::Shard(_)) && r.value.owner == **label)
         });
         if idle.is_none() {
             return;
         }
         // The one that stands farthest from us in the order, so that its home takes it first.
-        let Some(role) = shares.into_iter().max_by_key(|s| self.distance(*s)) else { return };
+        let Some(role) = shards.into_iter().max_by_key(|s| self.distance(*s)) else { return };
         tracing::info!(?role, "handing back");
         self.release(role);
     }
@@ -288,10 +288,10 @@
         self.replica.nodes.iter().any(|(label, n)| *label != self.label && !n.value.unfit)
     }
 
-    /// A controller that can't reach its machines leaves its shares to one that may.
-    fn give_up_share(&mut self) {
-        let share = self.roles.held.keys().copied().find(|s| matches!(s, Role::Share(_)));
-        if let Some(role) = share {
+    /// A controller that can't reach its machines leaves its shards to one that may.
+    fn give_up_shard(&mut self) {
+        let shard = self.roles.held.keys().copied().find(|s| matches!(s, Role::Shard(_)));
+        if let Some(role) = shard {
             tracing::warn!(?role, "given up: most machines can't be reached from here");
             self.release(role);
         }
@@ -331,8 +331,8 @@
         }
     }
 
-    /// A whole share's machines may well be lost together, with their zone or on their own. Then machines of other
-    /// shares answer, and a sibling would reach ours no better: the share would only go to and fro.
+    /// A whole shard's machines may well be lost together, with their zone or on their own. Then machines of other
+    /// shards answer, and a sibling would reach ours no better: the shard would only go to and fro.
     fn contact_is_lost(&mut self, ours: usize) -> bool {
         let now = self.now();
         if self.replica.machines.len() <= ours {
@@ -353,7 +353,7 @@
         self.roles.answered == 0 && now.since(since) >= LOOK_SPAN
     }
 
-    /// How long most machines must have been silent. It grows if that happens again and again, but a share must be
+    /// How long most machines must have been silent. It grows if that happens again and again, but a shard must be
     /// given away while the leases of its machines last.
     fn contact_patience(&mut self) -> Micros {
         if self.now().since(self.roles.last_unfit) >= UNFIT_REMEMBERED {
@@ -398,9 +398,9 @@
         match mine {
             Some(term) => {
                 self.roles.held.insert(role, term);
-                if let (Role::Share(share), Some(_)) = (role, before) {
+                if let (Role::Shard(shard), Some(_)) = (role, before) {
                     tracing::debug!(?role, term = term.0, revision, "has a new term");
-                    return self.share_renewed(share);
+                    return self.shard_renewed(shard);
                 }
                 tracing::info!(?role, term = term.0, revision, "took over");
             }
@@ -411,7 +411,7 @@
         }
         match role {
             Role::Leader => self.leader_changed(),
-            Role::Share(share) => self.share_changed(share),
+            Role::Shard(shard) => self.shard_changed(shard),
         }
     }
 }
--- a/src/coordination/scheduling_order.rs
+++ b/src/coordination/scheduling_order.rs
@@ -40,13 +40,13 @@
         job.fresh_from == 0 && self.clock.wall.since(job.ready) >= patience
     }
 
-    /// Jobs of our shares that wait for a place: by priority, then those that should have begun long
+    /// Jobs of our shards that wait for a place: by priority, then those that should have begun long
     /// ago, then those within their team's guarantee, then by turn.
     pub(super) fn waiting_in_order(&self) -> Vec<JobId> {
         let mut waiting: Vec<_> = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.recorded && !j.locked && j.waiting() > 0 && self.held(Role::Share(j.share)).is_some())
+            .filter(|(_, j)| j.recorded && !j.locked && j.waiting() > 0 && self.held(Role::Shard(j.shard)).is_some())
             .map(|(id, job)| {
                 let (overdue, within) = (self.is_overdue(job), self.within_guarantee(job));
                 (
--- a/src/coordination/share_view.rs
+++ b/src/coordination/shard_view.rs
@@ -1,4 +1,4 @@
-//! The machines of a share that take work, with what is kept free on them and what a job's conditions allow.
+//! The machines of a shard that take work, with what is kept free on them and what a job's conditions allow.
 
 use super::Controller;
 use super::jobs::Job;
@@ -7,7 +7,7 @@
 use burlhatch_zones::fetches::FetchQueues;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine of one share as this round sees it.
+/// A machine of one shard as this round sees it.
 pub(super) struct Spot {
     pub id: MachineId,
     pub machine_type: String,
@@ -49,8 +49,8 @@
     }
 }
 
-/// The machines of one share that take work, as one pass over the jobs sees them.
-pub(super) struct ShareView {
+/// The machines of one shard that take work, as one pass over the jobs sees them.
+pub(super) struct ShardView {
     pub spots: Vec<Spot>,
     /// Fetches in each zone, while they are limited.
     pub fetch_queues: Option<FetchQueues>,
@@ -58,7 +58,7 @@
     pub distrusted: BTreeSet<String>,
 }
 
-impl ShareView {
+impl ShardView {
     /// What placing a task changes, so that a gang that does not fit leaves nothing behind.
     pub fn save(&self) -> SavedView {
         let spots = self.spots.iter().map(|spot| (spot.free, spot.fetches)).collect();
@@ -73,7 +73,7 @@
     }
 }
 
-/// What placing a task changes of a [`ShareView`].
+/// What placing a task changes of a [`ShardView`].
 pub(super) struct SavedView {
     spots: Vec<(Room, u32)>,
     fetch_queues: Option<FetchQueues>,
@@ -101,11 +101,11 @@
     /// Keeps room on holders of their images for as many tasks of services as came lately in the time
     /// that room takes to fall free. A service that finds none waits for a fetch, and batch work
     /// takes whatever is free.
-    fn reserve(&self, share: u32, spots: &mut [Spot]) {
+    fn reserve(&self, shard: u32, spots: &mut [Spot]) {
         let window = Micros::from_millis(self.policy.reserve_window_ms);
         let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
         let mut wanted: BTreeMap<&str, (f64, Room)> = BTreeMap::new();
-        for job in self.jobs.values().filter(|j| j.share == share && j.spec.kind == Kind::Service) {
+        for job in self.jobs.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
             if self.clock.wall.since(job.accepted) < window {
                 let entry = wanted.entry(&job.spec.image).or_default();
                 *entry = (entry.0 + f64::from(job.spec.tasks) * part, job.room);
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Machines of a share that take work now.
-    pub(super) fn spots_of(&self, share: u32) -> Vec<Spot> {
+    /// Machines of a shard that take work now.
+    pub(super) fn spots_of(&self, shard: u32) -> Vec<Spot> {
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.report_s * 1.7);
         let pause = Micros::from_millis(self.policy.retry_max_ms);
@@ -136,7 +136,7 @@
             .replica
             .machines
             .iter()
-            .filter(|(_, r)| r.value.share == share && r.value.hold.is_none())
+            .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
             .filter(|(id, r)| !self.is_cleared(id) && self.zone_takes_work(&r.value.zone))
             .filter_map(|(id, record)| {
                 let machine = self.machines.get(id)?;
@@ -158,19 +158,19 @@
                 })
             })
             .collect();
-        self.reserve(share, &mut spots);
+        self.reserve(shard, &mut spots);
         spots
     }
 
-    pub(super) fn view_of(&mut self, share: u32) -> ShareView {
-        let mut spots = self.spots_of(share);
+    pub(super) fn view_of(&mut self, shard: u32) -> ShardView {
+        let mut spots = self.spots_of(shard);
         if !self.judges_zones() {
-            return ShareView { spots, fetch_queues: None, distrusted: BTreeSet::new() };
+            return ShardView { spots, fetch_queues: None, distrusted: BTreeSet::new() };
         }
-        self.reserve_displaced(share, &mut spots);
+        self.reserve_displaced(shard, &mut spots);
         let fetch_queues = self.is_restoring().then(|| self.count_fetches(&mut spots));
         let distrusted = self.distrusted_zones(&spots);
-        ShareView { spots, fetch_queues, distrusted }
+        ShardView { spots, fetch_queues, distrusted }
     }
 
     fn count_fetches(&self, spots: &mut [Spot]) -> FetchQueues {
@@ -206,7 +206,7 @@
     }
 
     /// Whether a zone that returns takes one more start, and a machine one more fetch while these are limited.
-    pub(super) fn is_admitted(&self, job: &Job, spot: &Spot, view: &ShareView) -> bool {
+    pub(super) fn is_admitted(&self, job: &Job, spot: &Spot, view: &ShardView) -> bool {
         if spot.is_returning && !self.zone_admits_start(&spot.zone) {
             return false;
         }
@@ -223,7 +223,7 @@
     }
 
     /// Whether a whole zone takes no more starts, or no more fetches, in this pass.
-    pub(super) fn is_zone_exhausted(&self, spot: &Spot, view: &ShareView) -> bool {
+    pub(super) fn is_zone_exhausted(&self, spot: &Spot, view: &ShardView) -> bool {
         let no_starts = spot.is_returning && !self.zone_admits_start(&spot.zone);
         let no_fetches = || view.fetch_queues.as_ref().is_some_and(|q| !q.zone_admits(&spot.zone, &self.policy.zones));
         no_starts || no_fetches()
--- a/src/coordination/stages.rs
+++ b/src/coordination/stages.rs
@@ -136,13 +136,13 @@
         }
     }
 
-    /// Writes down, in the shares held here, that swept jobs are over. Nobody waits for it.
+    /// Writes down, in the shards held here, that swept jobs are over. Nobody waits for it.
     pub(super) fn write_cascaded(&mut self) {
         if self.cascaded.is_empty() || self.txns.cascading() {
             return;
         }
         let most = self.platform.deployment.state.ops();
-        let ours = |id: &&JobId| self.jobs.get(*id).is_some_and(|j| self.held(Role::Share(j.share)).is_some());
+        let ours = |id: &&JobId| self.jobs.get(*id).is_some_and(|j| self.held(Role::Shard(j.shard)).is_some());
         let ids: Vec<JobId> = self.cascaded.iter().filter(ours).take(most).cloned().collect();
         if ids.is_empty() {
             return;
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -20,7 +20,7 @@
 pub(super) enum MachineChange {
     /// They have come up.
     Register,
-    /// They go to another share, or stay after all.
+    /// They go to another shard, or stay after all.
     Move,
     /// Nobody needs them any more.
     Return,
@@ -40,7 +40,7 @@
     Role,
     Machines(MachineChange, Vec<MachineId>),
     Jobs(Vec<JobId>),
-    /// What a share's holder has to say of a zone, by zone and share.
+    /// What a shard's holder has to say of a zone, by zone and shard.
     ZoneView((String, u32)),
     /// Clearing away what nothing needs any more.
     Tidy,
@@ -151,7 +151,7 @@
 enum Next {
     /// A transaction that waits, by its ticket.
     Queued(u64),
-    /// Machines that go to other shares.
+    /// Machines that go to other shards.
     Moves,
     /// Jobs whose records lack something.
     Record,
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones.rs
@@ -1,12 +1,12 @@
 //! Zones as a whole: takes the package `burlhatch_zones` into the controller.
 //!
-//! Each holder of a share judges zones by its own machines and stores its view under its lease on the share; from all
+//! Each holder of a shard judges zones by its own machines and stores its view under its lease on the shard; from all
 //! views every controller derives the same condition (see `docs/zones.md`). What follows from it is decided where such
 //! work is decided already: [`super::placement`] asks which zones take work and in which order jobs are looked at,
 //! [`super::capacity`] and [`super::rentals`] plan around lost zones, [`super::evacuation`] proves tasks gone.
 
 use super::Controller;
-use super::share_view::Spot;
+use super::shard_view::Spot;
 use super::txns::{Draft, Purpose};
 use super::usage::Start;
 use crate::protocol::user::{Kind, Priority};
@@ -60,7 +60,7 @@
             return;
         }
         match self.replica.machines.get(id) {
-            Some(held) => self.zone_control.zones.machine(id, &held.value.zone, held.value.share),
+            Some(held) => self.zone_control.zones.machine(id, &held.value.zone, held.value.shard),
             None => self.zone_control.zones.machine_gone(id),
         }
     }
@@ -68,8 +68,8 @@
     /// All views and holds, once the stored records are read.
     pub(super) fn zones_read(&mut self) {
         let views: Vec<(String, u32)> = self.replica.zones.keys().cloned().collect();
-        for (zone, share) in views {
-            self.zone_view_changed(&zone, share);
+        for (zone, shard) in views {
+            self.zone_view_changed(&zone, shard);
         }
         let holds: Vec<String> = self.replica.zone_holds.keys().cloned().collect();
         for zone in holds {
@@ -77,29 +77,29 @@
         }
     }
 
-    /// A share's view of a zone was stored or removed, or the share has another holder.
-    pub(super) fn zone_view_changed(&mut self, zone: &str, share: u32) {
+    /// A shard's view of a zone was stored or removed, or the shard has another holder.
+    pub(super) fn zone_view_changed(&mut self, zone: &str, shard: u32) {
         if !self.judges_zones() {
             return;
         }
         let now = self.moment();
-        let stored = self.replica.zones.get(&(zone.to_string(), share));
+        let stored = self.replica.zones.get(&(zone.to_string(), shard));
         if stored.is_some_and(|stored| stored.value.is_none()) {
-            tracing::warn!(zone, share, "a stored view of a zone can't be read; it is ignored and written anew");
+            tracing::warn!(zone, shard, "a stored view of a zone can't be read; it is ignored and written anew");
         }
-        let holder = self.replica.roles.get(&Role::Share(share)).map(|held| held.value.incarnation);
+        let holder = self.replica.roles.get(&Role::Shard(shard)).map(|held| held.value.incarnation);
         let view =
             stored.and_then(|stored| stored.value.as_ref()).map(|record| (record, holder == Some(record.incarnation)));
-        self.zone_control.zones.set_view(zone, share, view, now, &self.policy.zones);
+        self.zone_control.zones.set_view(zone, shard, view, now, &self.policy.zones);
     }
 
-    /// A share has another holder: which views count as votes follows from that.
+    /// A shard has another holder: which views count as votes follows from that.
     pub(super) fn zone_views_of_role_changed(&mut self, role: Role) {
-        let Role::Share(share) = role else { return };
+        let Role::Shard(shard) = role else { return };
         let zones: Vec<String> =
-            self.replica.zones.keys().filter(|(_, of)| *of == share).map(|(zone, _)| zone.clone()).collect();
+            self.replica.zones.keys().filter(|(_, of)| *of == shard).map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
-            self.zone_view_changed(&zone, share);
+            self.zone_view_changed(&zone, shard);
         }
     }
 
@@ -120,8 +120,8 @@
             return;
         }
         self.zone_control.next = now + ZONES_EVERY;
-        let held: BTreeSet<u32> = self.held_shares().collect();
-        self.zone_control.zones.set_held_shares(&held, now);
+        let held: BTreeSet<u32> = self.held_shards().collect();
+        self.zone_control.zones.set_held_shards(&held, now);
         self.note_silence(ours);
         for transition in self.zone_control.zones.round(now, &self.policy.zones) {
             self.zone_changed(&transition);
@@ -132,9 +132,9 @@
         self.move_replicas();
     }
 
-    pub(super) fn held_shares(&self) -> impl Iterator<Item = u32> {
+    pub(super) fn held_shards(&self) -> impl Iterator<Item = u32> {
         self.roles.held.keys().filter_map(|role| match role {
-            Role::Share(share) => Some(*share),
+            Role::Shard(shard) => Some(*shard),
             Role::Leader => None,
         })
     }
@@ -165,18 +165,18 @@
         self.urgent_pass |= *to == Condition::Lost;
     }
 
-    /// Stores what has changed in the views of our shares, each under the condition that we still hold the share.
+    /// Stores what has changed in the views of our shards, each under the condition that we still hold the shard.
     fn write_zone_views(&mut self) {
         let unreadable = self.unreadable_views();
         let due = self.zone_control.zones.records_due(self.incarnation, self.moment(), &self.policy.zones);
-        for RecordDue { zone, share, record } in due.into_iter().chain(unreadable) {
-            let name = (zone.clone(), share);
+        for RecordDue { zone, shard, record } in due.into_iter().chain(unreadable) {
+            let name = (zone.clone(), shard);
             if !is_zone_storable(&zone) || !self.zone_control.writing.insert(name.clone()) {
                 continue;
             }
-            let key = Key::Zone(zone, share);
+            let key = Key::Zone(zone, shard);
             let mut draft = Draft::default();
-            draft.unchanged(&self.replica, Key::Role(Role::Share(share)));
+            draft.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
             draft.unchanged(&self.replica, key.clone());
             match record {
                 Some(record) => draft.put(key, to_value(&record)),
@@ -186,11 +186,11 @@
         }
     }
 
-    /// Views of our shares that can't be read and that nothing else takes the place of.
+    /// Views of our shards that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<RecordDue> {
         let unreadable = self.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
-        let ours = unreadable.filter(|((_, share), _)| self.held(Role::Share(*share)).is_some());
-        ours.map(|((zone, share), _)| RecordDue { zone: zone.clone(), share: *share, record: None }).collect()
+        let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
+        ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
     /// A view has been stored, or not.
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -17,11 +17,11 @@
 /// Where notices of cancellations go.
 pub const CANCELLED_PATH: &str = "/cancelled";
 
-/// Jobs of one share that are surely cancelled, to whoever holds the share.
+/// Jobs of one shard that are surely cancelled, to whoever holds the shard.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Cancelled {
-    /// Share that the jobs belong to.
-    pub share: u32,
+    /// Shard that the jobs belong to.
+    pub shard: u32,
     /// The term under which the sender saw it held.
     pub term: u64,
     /// The jobs.
@@ -39,11 +39,11 @@
     pub revision: u64,
 }
 
-/// The answer to that: whether it holds the share under that term or a later one, and so sees to it that
+/// The answer to that: whether it holds the shard under that term or a later one, and so sees to it that
 /// all tasks of the jobs end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CancellationAck {
-    /// Whether it holds the share.
+    /// Whether it holds the shard.
     pub holds: bool,
 }
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -218,7 +218,7 @@
 }
 
 impl Team {
-    /// Whether it has a limit or a guarantee, which only one share can keep.
+    /// Whether it has a limit or a guarantee, which only one shard can keep.
     pub fn is_bounded(&self) -> bool {
         [self.cpus, self.cpus_max, self.gpus, self.gpus_max].iter().any(|x| *x > 0.0)
     }
@@ -232,8 +232,8 @@
 }
 
 impl Deployment {
-    /// Whether jobs of teams without limit and guarantee are parted over the shares one by one. Where the
-    /// teams make use of most shares they stay whole: the more parts, the more scraps of room.
+    /// Whether jobs of teams without limit and guarantee are parted over the shards one by one. Where the
+    /// teams make use of most shards they stay whole: the more parts, the more scraps of room.
     pub fn parts_by_job(&self) -> bool {
         self.teams.len() * 2 <= self.nodes as usize
     }
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -46,11 +46,11 @@
     record_version: u32 = 1, 0, 1;
     /// How long a controller's session in the state service outlives its last renewal.
     session_ms: u64 = 3000, 500, 60000;
-    /// A free share that belongs to another controller by order is left alone for this long, times its distance.
+    /// A free shard that belongs to another controller by order is left alone for this long, times its distance.
     takeover_step_ms: u64 = 400, 0, 60000;
     /// For so long after it has read the stored records a controller takes only what it stands first for.
     settle_ms: u64 = 1500, 0, 60000;
-    /// A controller holding more than its part hands a share to a sibling that has been back for this long.
+    /// A controller holding more than its part hands a shard to a sibling that has been back for this long.
     hand_back_after_ms: u64 = 8000, 0, 600000;
     /// Shortest pause between two reads of the state service on behalf of waiting users.
     read_gap_ms: u64 = 15, 0, 1000;
@@ -131,7 +131,7 @@
     replace_max_part: f64 = 0.25, 0.0, 1.0;
     /// When more than this part of a zone's machines is silent, and others are not, the zone is taken to be cut off.
     zone_max_part: f64 = 0.5, 0.0, 1.0;
-    /// A controller that has not heard from most of its machines for this long gives its shares to a sibling.
+    /// A controller that has not heard from most of its machines for this long gives its shards to a sibling.
     lose_contact_ms: u64 = 6000, 1000, 600000;
     /// Direct messages to a machine that must go unanswered in a row, though its reports arrive, before it is
     /// taken to be unreachable. Formerly `mute_probes`.
@@ -144,7 +144,7 @@
     unreported_ms: u64 = 8000, 1000, 600000;
     /// Without an answer of the state service for this long users are refused at once.
     state_patience_ms: u64 = 2500, 500, 60000;
-    /// Whoever asks about a cancelled job waits at most this long for its share's holder to say that it knows.
+    /// Whoever asks about a cancelled job waits at most this long for its shard's holder to say that it knows.
     confirm_patience_ms: u64 = 1000, 100, 4000;
     /// Machines on which something of a cancelled job may still run are deleted once this part of the time allowed
     /// for a cancellation is over, but not before a lease would have run out.
@@ -155,14 +155,14 @@
     clear_contact_ms: u64 = 3000, 0, 600000;
     /// Failed tasks of different jobs, without a success between, that make a machine suspect.
     faulty_after: u32 = 2, 1, 1000;
-    /// A share gets a new term when its machines name so many exited tasks each in the mean, which lets them
+    /// A shard gets a new term when its machines name so many exited tasks each in the mean, which lets them
     /// forget these.
     exited_mean: f64 = 6.0, 1.0, 1000.0;
-    /// After that none of its shares gets one for this long, for whatever reason.
+    /// After that none of its shards gets one for this long, for whatever reason.
     exited_every_ms: u64 = 2000, 0, 600000;
     /// Longest pause before a task that failed is tried again.
     retry_max_ms: u64 = 20000, 100, 600000;
-    /// Room kept free in each share for this many tasks of its largest services.
+    /// Room kept free in each shard for this many tasks of its largest services.
     spare_tasks: u32 = 2, 0, 1000;
     /// Batch work leaves room on holders of their images for as many tasks of services as come in this time.
     reserve_ms: u64 = 15000, 0, 600000;
@@ -172,12 +172,12 @@
     idle_return_ms: u64 = 40000, 0, 86400000;
     /// The same while changes of the state service are short, as returning a machine takes some.
     idle_return_short_ms: u64 = 160000, 0, 86400000;
-    /// A machine goes to another share's batch work only after it has been free for this long, so that its
-    /// own share's next job finds it; more urgent work gets it at once.
+    /// A machine goes to another shard's batch work only after it has been free for this long, so that its
+    /// own shard's next job finds it; more urgent work gets it at once.
     shift_after_ms: u64 = 5000, 0, 86400000;
-    /// Batch work that needs no further machines gets those that stand idle in other shares after it has waited so long.
+    /// Batch work that needs no further machines gets those that stand idle in other shards after it has waited so long.
     shift_waiting_ms: u64 = 30000, 0, 86400000;
-    /// So many machines may be on their way between shares, as a part of the changes allowed per second.
+    /// So many machines may be on their way between shards, as a part of the changes allowed per second.
     shift_part: f64 = 0.2, 0.0, 10.0;
     /// Backlog of batch work is to be worked off within this time; more machines are rented if it is not.
     drain_ms: u64 = 60000, 1000, 86400000;
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -35,7 +35,7 @@
     Run(JobId, u32),
     /// What became of a job.
     End(JobId),
-    /// What a share's holder says of a zone.
+    /// What a shard's holder says of a zone.
     Zone(String, u32),
     /// Whether operators hold a zone.
     ZoneHold(String),
@@ -82,7 +82,7 @@
     pub ends: HashMap<JobId, Versioned<EndRecord>>,
     /// Lists of awaited jobs that are not in a batch, by name and number.
     pub pieces: BTreeMap<String, BTreeMap<u32, Versioned<Vec<JobId>>>>,
-    /// What shares' holders say of zones. One that can't be read is kept as that, so that it can be written anew.
+    /// What shards' holders say of zones. One that can't be read is kept as that, so that it can be written anew.
     pub zones: BTreeMap<(String, u32), Versioned<Option<ZoneRecord>>>,
     /// Zones that operators hold. Whatever the key holds, it is there.
     pub zone_holds: BTreeMap<String, Versioned<Option<ZoneHoldRecord>>>,
@@ -130,7 +130,7 @@
             Key::Run(id, chunk) => self.runs.get(id).and_then(|r| r.get(chunk)).map(|v| v.version),
             Key::End(id) => self.ends.get(id).map(|v| v.version),
             Key::AwaitedPart(name, number) => self.pieces.get(name).and_then(|p| p.get(number)).map(|v| v.version),
-            Key::Zone(zone, share) => self.zones.get(&(zone.clone(), *share)).map(|v| v.version),
+            Key::Zone(zone, shard) => self.zones.get(&(zone.clone(), *shard)).map(|v| v.version),
             Key::ZoneHold(zone) => self.zone_holds.get(zone).map(|v| v.version),
         };
         v.unwrap_or(0)
@@ -182,9 +182,9 @@
                 }
                 Change::Nothing
             }
-            Key::Zone(zone, share) => {
-                store(&mut self.zones, (zone.clone(), share), value.map(from_value), version);
-                Change::Zone(zone, share)
+            Key::Zone(zone, shard) => {
+                store(&mut self.zones, (zone.clone(), shard), value.map(from_value), version);
+                Change::Zone(zone, shard)
             }
             Key::ZoneHold(zone) => {
                 store(&mut self.zone_holds, zone.clone(), value.map(from_value), version);
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -28,7 +28,7 @@
     /// Registers, rents, returns and plans.
     Leader,
     /// Places the jobs of some teams on some machines.
-    Share(u32),
+    Shard(u32),
 }
 
 /// A key in the state service.
@@ -53,7 +53,7 @@
     End(JobId),
     /// Jobs that one job awaits, as far as its entry in a batch has no room for them.
     AwaitedPart(String, u32),
-    /// What a share's holder has to say of a zone. Versions that do not judge zones ignore it.
+    /// What a shard's holder has to say of a zone. Versions that do not judge zones ignore it.
     Zone(String, u32),
     /// Operators hold a zone.
     ZoneHold(String),
@@ -64,7 +64,7 @@
         match self {
             Key::Term => write!(f, "{ROOT}term"),
             Key::Role(Role::Leader) => write!(f, "{ROOT}leader"),
-            Key::Role(Role::Share(k)) => write!(f, "{ROOT}share/{k}"),
+            Key::Role(Role::Shard(k)) => write!(f, "{ROOT}share/{k}"),
             Key::Node(label) => write!(f, "{ROOT}node/{label}"),
             Key::Fleet(name) => write!(f, "{ROOT}fleet/{name}"),
             Key::Machine(id) => write!(f, "{ROOT}machine/{id}"),
@@ -72,7 +72,7 @@
             Key::Run(id, chunk) => write!(f, "{ROOT}run/{id}/{chunk}"),
             Key::End(id) => write!(f, "{ROOT}end/{id}"),
             Key::AwaitedPart(name, number) => write!(f, "{ROOT}awaits/{name}/{number}"),
-            Key::Zone(zone, share) => write!(f, "{ROOT}zone/{zone}/{share}"),
+            Key::Zone(zone, shard) => write!(f, "{ROOT}zone/{zone}/{shard}"),
             Key::ZoneHold(zone) => write!(f, "{ROOT}zone-hold/{zone}"),
         }
     }
@@ -85,7 +85,7 @@
         match rest.split_once('/') {
             None if rest == "term" => Some(Key::Term),
             None if rest == "leader" => Some(Key::Role(Role::Leader)),
-            Some(("share", k)) => Some(Key::Role(Role::Share(k.parse().ok()?))),
+            Some(("share", k)) => Some(Key::Role(Role::Shard(k.parse().ok()?))),
             Some(("node", label)) => Some(Key::Node(label.to_string())),
             Some(("fleet", name)) => Some(Key::Fleet(name.to_string())),
             Some(("machine", id)) => Some(Key::Machine(MachineId::new(id))),
@@ -96,8 +96,8 @@
                 Some(Key::AwaitedPart(name.to_string(), number.parse().ok()?))
             }
             Some(("zone", rest)) => {
-                let (zone, share) = rest.rsplit_once('/')?;
-                Some(Key::Zone(zone.to_string(), share.parse().ok()?))
+                let (zone, shard) = rest.rsplit_once('/')?;
+                Some(Key::Zone(zone.to_string(), shard.parse().ok()?))
             }
             Some(("zone-hold", zone)) => Some(Key::ZoneHold(zone.to_string())),
             Some(("run", rest)) => {
@@ -146,7 +146,7 @@
     /// Distinguishes its process from earlier ones.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// It can't reach the machines and should not be given shares.
+    /// It can't reach the machines and should not be given shards.
     #[serde(rename = "u", default)]
     pub unfit: bool,
     /// Its own.
@@ -157,10 +157,10 @@
 /// A machine as it stands.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Share that it belongs to.
+    /// Shard that it belongs to.
     #[serde(rename = "s")]
-    pub share: u32,
-    /// Orders to this machine carry this or the share's term, whichever is higher.
+    pub shard: u32,
+    /// Orders to this machine carry this or the shard's term, whichever is higher.
     #[serde(rename = "t")]
     pub term: Term,
     /// Its type, as the cloud names it.
@@ -183,7 +183,7 @@
 /// Why nothing may be started on a machine any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Hold {
-    /// To be given to another share as soon as nothing is recorded on it.
+    /// To be given to another shard as soon as nothing is recorded on it.
     #[serde(rename = "m")]
     Move(u32),
     /// To be returned as soon as nothing is recorded on it.
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -79,7 +79,7 @@
                 .zones
                 .iter()
                 .filter(|((name, _), _)| name == zone)
-                .map(|((_, share), stored)| describe_view(*share, stored.value.as_ref()))
+                .map(|((_, shard), stored)| describe_view(*shard, stored.value.as_ref()))
                 .collect();
             let views = if views.is_empty() { "nothing against it".to_string() } else { views.join("; ") };
             // Writing to a text never fails.
@@ -152,9 +152,9 @@
     }
 }
 
-fn describe_view(share: u32, view: Option<&ZoneRecord>) -> String {
-    let Some(view) = view else { return format!("share {share}: unreadable") };
+fn describe_view(shard: u32, view: Option<&ZoneRecord>) -> String {
+    let Some(view) = view else { return format!("share {shard}: unreadable") };
     let silent = if view.silent { ", silent" } else { "" };
     let condition = format!("{:?}", view.condition).to_lowercase();
-    format!("share {share}: {condition}{silent}, penalty {}", view.penalty)
+    format!("share {shard}: {condition}{silent}, penalty {}", view.penalty)
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -321,7 +321,7 @@
     let keys = [
         Key::Term,
         Key::Role(Role::Leader),
-        Key::Role(Role::Share(2)),
+        Key::Role(Role::Shard(2)),
         Key::Node("node-a".into()),
         Key::Fleet("5f".into()),
         Key::Machine(MachineId::new("m-000001")),
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -70,7 +70,7 @@
 
 fn machine(hold: Option<Hold>) -> MachineRecord {
     MachineRecord {
-        share: 2,
+        shard: 2,
         term: Term(41),
         machine_type: "g8".into(),
         zone: "a".into(),
@@ -180,7 +180,7 @@
 #[test]
 fn messages_between_controllers_are_the_same_in_both_versions() {
     let jobs = vec![CancelledJob { id: "wk-000412".into(), at: AT.0, revision: 431 }];
-    let told = Cancelled { share: 2, term: 41, jobs };
+    let told = Cancelled { shard: 2, term: 41, jobs };
     assert_eq!(bitcode::decode::<Cancelled>(&bytes(TOLD)).expect("told"), told);
     assert_eq!(bitcode::encode(&told), bytes(TOLD));
     assert_eq!(bitcode::decode::<CancellationAck>(&bytes(KNOWS)).expect("knows"), CancellationAck { holds: true });
@@ -222,7 +222,7 @@
     let id = JobId::new("wk-000412");
     let keys = [
         (Key::Term, TERM),
-        (Key::Role(Role::Share(2)), SEAT),
+        (Key::Role(Role::Shard(2)), SEAT),
         (Key::Node("hatchling-0".into()), NODE),
         (Key::Fleet("f1".into()), FLEET),
         (Key::Machine(MachineId::new("m-000231")), MACHINE),
@@ -236,7 +236,7 @@
         replica.apply(&key.to_string(), Some(&value), n as u64 + 1);
     }
     assert_eq!(replica.term_now(), Term(41));
-    assert_eq!(replica.roles[&Role::Share(2)].value.owner, "hatchling-0");
+    assert_eq!(replica.roles[&Role::Shard(2)].value.owner, "hatchling-0");
     assert_eq!(replica.machines[&MachineId::new("m-000231")].value.hold, Some(Hold::Move(1)));
     assert_eq!(replica.machines[&MachineId::new("m-000232")].value.hold, Some(Hold::Doomed));
     assert_eq!(replica.jobs[&id].record.spec, spec());
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -35,7 +35,7 @@
     ids.iter().filter(|id| world.jobs[*id].cancelled.is_some()).count()
 }
 
-/// A small world in which long jobs of every team run, and the share whose holder gets into trouble.
+/// A small world in which long jobs of every team run, and the shard whose holder gets into trouble.
 fn running(seed: u64) -> (World, Vec<JobId>, usize) {
     let mut world = World::with_policy(seed, keeping_idle_machines());
     let ids = long_jobs(&mut world, 6, 3);
@@ -63,7 +63,7 @@
     HandsOver,
 }
 
-/// The state service refuses the owner of a share alone, users cancel through others, and then it is away for
+/// The state service refuses the owner of a shard alone, users cancel through others, and then it is away for
 /// all for longer than a cancellation may take. The owner learns of outcomes by its watch, which is cut off, and
 /// goes on answering its workers as in any outage: their leases last, and so would the cancelled tasks. A
 /// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new term,
@@ -185,7 +185,7 @@
     }
 }
 
-/// Nobody but one controller hears the workers, and it hears nobody else: not the state service, which gives its share
+/// Nobody but one controller hears the workers, and it hears nobody else: not the state service, which gives its shard
 /// to a sibling, nor the siblings.
 fn leave_workers_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
     let mine = move |place: &Place| *place == Place::Node(owner);
@@ -195,14 +195,14 @@
     });
     world.run_for(6 * S);
     let mut waited = 0;
-    while world.unowned_shares() > 0 && waited < 2 * S {
+    while world.unowned_shards() > 0 && waited < 2 * S {
         world.run_for(100 * MS);
         waited += 100 * MS;
     }
-    assert_eq!(world.unowned_shares(), 0, "{seed}: taken over");
+    assert_eq!(world.unowned_shards(), 0, "{seed}: taken over");
 }
 
-/// A share has a new holder that can't reach the machines, and the deposed one, which knows of nothing, goes on renewing
+/// A shard has a new holder that can't reach the machines, and the deposed one, which knows of nothing, goes on renewing
 /// their leases. Users cancel. Then the successors end in an outage of the state service, or the cloud is down: nobody
 /// is left who could delete the machines. A cancellation may only be told once the machines obey who knows of it.
 #[test]
@@ -230,7 +230,7 @@
     }
 }
 
-/// Direct commands come late, so machines are in doubt and their shares get one new term after another. A report without
+/// Direct commands come late, so machines are in doubt and their shards get one new term after another. A report without
 /// the present term proves nothing, but its answer renews the lease: it has to carry the stops as well. The cloud is
 /// down, so nothing else ends the tasks.
 #[test]
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// A controller that loses all machines at once must not take them for dead: it leaves its share to
+/// A controller that loses all machines at once must not take them for dead: it leaves its shard to
 /// a sibling, and the services run on.
 #[test]
 fn a_controller_cut_off_from_the_machines_deletes_none() {
@@ -112,7 +112,7 @@
         let started = world.started;
         world.cut(45 * S, true, move |a, b| *a == Place::Node(node) && *b == Place::State);
         world.run_for(6 * S);
-        assert_eq!(world.unowned_shares(), 0, "its shares are taken over");
+        assert_eq!(world.unowned_shards(), 0, "its shares are taken over");
         let answer = world.ask_at(node, &ids[0]);
         assert!(matches!(answer, Some(UserAnswer::Unavailable { retry_after_s: 1.. })), "{answer:?}");
         world.run_for(42 * S);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Back within a fraction of a second, also in the middle of an election: no share stays without an
+/// Back within a fraction of a second, also in the middle of an election: no shard stays without an
 /// owner for longer than an election takes.
 #[test]
 fn processes_and_machines_back_within_a_fraction_of_a_second() {
@@ -139,7 +139,7 @@
                 let back = (50 + world.pick(500)) * MS;
                 world.crash(node, back);
                 world.hang(nth, 300 * MS);
-                // Another falls while the first one's shares may be changing hands.
+                // Another falls while the first one's shards may be changing hands.
                 world.crash((node + 1) % 3, back / 2);
             }
             if step % 130 == 129 {
@@ -147,7 +147,7 @@
                 world.restart_worker(nth);
             }
             world.run_for(100 * MS);
-            unowned = if world.unowned_shares() > 0 { unowned + 100 } else { 0 };
+            unowned = if world.unowned_shards() > 0 { unowned + 100 } else { 0 };
             longest = longest.max(unowned);
         }
         assert!(longest <= 6000, "{seed}: a share was without an owner for {longest} ms");
@@ -156,7 +156,7 @@
 }
 
 /// A controller that stands still while its clocks run on wakes to a queue of old news, calls that
-/// all look late and machines that all look silent, perhaps after its shares have gone to others.
+/// all look late and machines that all look silent, perhaps after its shards have gone to others.
 #[test]
 fn a_controller_that_stands_still_wakes_to_old_news() {
     for (seed, span) in seeds(15, 4).zip([S, 5 * S, 30 * S, 60 * S].into_iter().cycle()) {
@@ -168,7 +168,7 @@
         let machines = world.stored_machines().len();
         world.freeze(leader, span);
         if seed % 2 == 1 {
-            // All on their own during an outage: no share changes hands, nobody answers its machines.
+            // All on their own during an outage: no shard changes hands, nobody answers its machines.
             world.state_outage(span + 3 * S);
         }
         world.run_for(span + 4 * S);
@@ -177,7 +177,7 @@
         world.run_for(span / 2);
         world.freeze((owner + 1) % 3, span);
         world.run_for(span + 6 * S);
-        assert_eq!(world.unowned_shares(), 0, "freeze {seed}");
+        assert_eq!(world.unowned_shards(), 0, "freeze {seed}");
         // What fell silent by its own standstill must not be deleted.
         assert!(world.stored_machines().len() * 2 > machines, "freeze {seed}: machines deleted");
         finish(&mut world, &format!("freeze {seed}"));
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -105,7 +105,7 @@
 
 /// When the state service takes few changes, what can wait least goes first: services start soon
 /// though arrays have enough to write down for a long time, and arrays are not starved either.
-/// How soon depends on how many machines the services' share has got by then, so it is looked at in
+/// How soon depends on how many machines the services' shard has got by then, so it is looked at in
 /// several worlds: in half of them within six seconds, and in no world after more than forty.
 #[test]
 fn urgent_work_gets_by_when_changes_are_short() {
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -197,7 +197,7 @@
     }
 }
 
-/// Ten changes of leader in two minutes, some inside an outage; shares go over and back, then all end and one
+/// Ten changes of leader in two minutes, some inside an outage; shards go over and back, then all end and one
 /// returns within a second.
 #[test]
 fn ten_leaders_in_two_minutes() {
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -8,7 +8,7 @@
 use burlhatch::settings::Policy;
 use burlhatch::types::{JobId, MachineId};
 
-/// How often it is looked at who holds a share.
+/// How often it is looked at who holds a shard.
 const LOOK_EVERY: u64 = 20 * MS;
 
 const TEAMS: [&str; 3] = ["red", "blue", "green"];
@@ -23,9 +23,9 @@
     machines.iter().filter(|id| !world.workers.contains_key(id)).count()
 }
 
-/// How often a share was given up or taken within a span.
-fn changes_of_holder(world: &mut World, share: u32, span: u64) -> usize {
-    let role = format!("share/{share}");
+/// How often a shard was given up or taken within a span.
+fn changes_of_holder(world: &mut World, shard: u32, span: u64) -> usize {
+    let role = format!("share/{shard}");
     let mut holder = world.holder(&role);
     let mut changes = 0;
     for _ in 0..span / LOOK_EVERY {
@@ -37,29 +37,29 @@
     changes
 }
 
-/// All machines of one share hang together for longer than a controller's patience. It is the machines that are lost,
-/// as those of other shares answer: a sibling would reach them no better, so the share must not go to and fro. Seen on
-/// a recorded day, where a share went to and fro seven times in forty seconds.
+/// All machines of one shard hang together for longer than a controller's patience. It is the machines that are lost,
+/// as those of other shards answer: a sibling would reach them no better, so the shard must not go to and fro. Seen on
+/// a recorded day, where a shard went to and fro seven times in forty seconds.
 #[test]
-fn a_share_whose_machines_all_hang_stays_where_it_is() {
+fn a_shard_whose_machines_all_hang_stays_where_it_is() {
     for seed in seeds(60, 4) {
         let size = Size { machines: 15, capacity: 18, ..SMALL };
         let mut world = World::sized(seed, keeping_idle_machines(), size);
         ordinary_jobs(&mut world, 20);
         world.run_for(20 * S);
-        let share = (seed % 3) as u32;
-        for id in world.machines_of_share(share) {
+        let shard = (seed % 3) as u32;
+        for id in world.machines_of_shard(shard) {
             world.hang_machine(&id, 40 * S);
         }
-        let changes = changes_of_holder(&mut world, share, 60 * S);
+        let changes = changes_of_holder(&mut world, shard, 60 * S);
         assert_eq!(changes, 0, "{seed}: the share was given up or taken {changes} times");
         cancel_services(&mut world);
         finish(&mut world, &format!("hanging share {seed}"));
     }
 }
 
-/// A controller that reaches no machine gives its shares away before their leases run out and deletes none, also when
-/// it happens again and again: each time the services run on, and its shares change hands only to and from it.
+/// A controller that reaches no machine gives its shards away before their leases run out and deletes none, also when
+/// it happens again and again: each time the services run on, and its shards change hands only to and from it.
 #[test]
 fn a_controller_cut_from_its_workers_again_and_again() {
     for seed in seeds(61, 3) {
@@ -258,7 +258,7 @@
     JobSpec { priority: Priority::Low, ..spec }
 }
 
-/// A guest's long work of the lowest priority holds all there is to rent, in its own share, which is a house team's as
+/// A guest's long work of the lowest priority holds all there is to rent, in its own shard, which is a house team's as
 /// well, and in the others, whose idle machines went to it. Ordinary work of the house teams gets room all the same; the
 /// guest loses no more than that takes, and its machines go back when it is over.
 #[test]
@@ -289,7 +289,7 @@
     }
 }
 
-/// The same within one share, which has all machines by then: ordinary work beyond its team's guarantee makes the
+/// The same within one shard, which has all machines by then: ordinary work beyond its team's guarantee makes the
 /// guest's leave after half a minute, and the guest's work goes on where there is room.
 #[test]
 fn ordinary_work_makes_the_lowest_leave_on_its_own_machines() {
@@ -365,9 +365,9 @@
     }
 }
 
-/// A controller, the leader and then the owner of a share, drops off the network in each way, for less and for more
-/// than a lease, with packets held and with resets. Its shares have an owner within seconds, no machine is deleted for
-/// it, what runs goes on, its users hear at once, and shares change hands only there and back.
+/// A controller, the leader and then the owner of a shard, drops off the network in each way, for less and for more
+/// than a lease, with packets held and with resets. Its shards have an owner within seconds, no machine is deleted for
+/// it, what runs goes on, its users hear at once, and shards change hands only there and back.
 #[test]
 fn a_controller_drops_off_the_network_in_every_way() {
     for (nth, loss) in LOSSES.into_iter().enumerate() {
@@ -382,7 +382,7 @@
                 let node = world.holder(role).expect("held");
                 lose(&mut world, node, loss, span, hold);
                 world.run_for(6 * S);
-                assert_eq!(world.unowned_shares(), 0, "{name}: a share has no owner");
+                assert_eq!(world.unowned_shards(), 0, "{name}: a share has no owner");
                 if matches!(loss, Loss::Everything | Loss::StateService | Loss::Refused) {
                     let answer = world.ask_at(node, &services[0]);
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
@@ -420,7 +420,7 @@
             world.run_for(span + 1500 * MS);
         }
         world.run_for(8 * S);
-        assert_eq!(world.unowned_shares(), 0, "{seed}: a share has no owner");
+        assert_eq!(world.unowned_shards(), 0, "{seed}: a share has no owner");
         let lost = count_gone(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
         finish(&mut world, &format!("standstill {seed}"));
@@ -446,7 +446,7 @@
         let each_second = (world.state_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
         assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
-        assert_eq!(world.unowned_shares(), 0, "{seed}: a session was lost");
+        assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
         world.question_burst = 0;
         finish(&mut world, &format!("burst {seed}"));
     }
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -15,7 +15,7 @@
 }
 
 /// A first stage, two or three that need it, one that needs these, and a last one that is urgent; each of another
-/// team, and so of another share.
+/// team, and so of another shard.
 fn pipeline(world: &mut World, number: u64) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
     let first = stage(world, number, teams[world.jobs.len() % 3], 2, &[]);
@@ -110,7 +110,7 @@
     }
 }
 
-/// The gap once more, with pipelines: the state service refuses the owner of a share alone while jobs before others
+/// The gap once more, with pipelines: the state service refuses the owner of a shard alone while jobs before others
 /// are cancelled through siblings, and then it is away for all for longer than a cancellation may take. Who can't
 /// write down what follows can tell it all the same.
 #[test]
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -1,12 +1,12 @@
-//! Controllers of two record versions side by side: the earlier leader moves machines between shares by itself, the
-//! later one leaves that to the holders of the shares.
+//! Controllers of two record versions side by side: the earlier leader moves machines between shards by itself, the
+//! later one leaves that to the holders of the shards.
 
 use super::world::{LARGE, MS, S, Size, World};
 use super::{finish, keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{Kind, Priority};
 use burlhatch::settings::Policy;
 
-/// Teams' work comes in turns, and nothing can be rented: machines go back and forth between shares.
+/// Teams' work comes in turns, and nothing can be rented: machines go back and forth between shards.
 fn world_of_many_moves(seed: u64) -> World {
     let policy = Policy { shift_after_ms: 300, shift_part: 1.0, drain_ms: 1000, ..keeping_idle_machines() };
     let mut world = World::sized(seed, policy, Size { machines: 7, capacity: 7, ..LARGE });
@@ -45,7 +45,7 @@
 
 /// The one race that a start under a later leader would lose to an earlier one: the record of the start is on its way
 /// for seconds, while the leader ends, comes back as the earlier version and moves the machine, on which it sees
-/// nothing. (It takes the share to use another machine, as it doesn't know which one holds the image.)
+/// nothing. (It takes the shard to use another machine, as it doesn't know which one holds the image.)
 #[test]
 fn a_start_recorded_late_meets_an_earlier_leader() {
     let mut moves = 0;
@@ -73,7 +73,7 @@
 
 /// Each controller in turn is of either version, also back and forth, while machines move: leaders end, transactions
 /// are carried out seconds late, the state service is away for a while. A start is never recorded on a machine that
-/// has left its share, and all work gets done.
+/// has left its shard, and all work gets done.
 #[test]
 fn the_leaders_version_changes_while_machines_move() {
     let mut moves = 0;
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -15,7 +15,7 @@
 const WAIT_MOST: u64 = 90 * S;
 
 impl World {
-    /// The controller that holds a role: `leader`, or `share/` and a number.
+    /// The controller that holds a role: `leader`, or `shard/` and a number.
     pub fn holder(&self, role: &str) -> Option<usize> {
         let (value, ..) = self.state.keys.get(&format!("{ROOT}{role}"))?;
         let text = format!("{value:?}");
@@ -89,20 +89,20 @@
         self.stored().machines.into_keys().collect()
     }
 
-    /// What the shares' holders have stored of a zone.
+    /// What the shards' holders have stored of a zone.
     pub fn stored_conditions(&self, zone: &str) -> Vec<Condition> {
         let views = self.stored().zones.into_iter().filter(|((name, _), _)| name == zone);
         views.filter_map(|(_, stored)| Some(stored.value?.condition)).collect()
     }
 
-    /// Machines of one share in the stored records.
-    pub fn machines_of_share(&self, share: u32) -> Vec<MachineId> {
-        let in_share = self.stored().machines.into_iter().filter(|(_, record)| record.value.share == share);
-        in_share.map(|(id, _)| id).collect()
+    /// Machines of one shard in the stored records.
+    pub fn machines_of_shard(&self, shard: u32) -> Vec<MachineId> {
+        let in_shard = self.stored().machines.into_iter().filter(|(_, record)| record.value.shard == shard);
+        in_shard.map(|(id, _)| id).collect()
     }
 
-    /// Shares that nobody holds at this moment.
-    pub fn unowned_shares(&self) -> usize {
+    /// Shards that nobody holds at this moment.
+    pub fn unowned_shards(&self) -> usize {
         self.size.nodes - self.state.keys.keys().filter(|k| k.starts_with(&format!("{ROOT}share/"))).count()
     }
 
--- a/tests/rules/world/records.rs
+++ b/tests/rules/world/records.rs
@@ -11,14 +11,14 @@
 
 pub struct Records {
     replica: Replica,
-    shares: u32,
-    /// Machines that went from one share to another.
+    shards: u32,
+    /// Machines that went from one shard to another.
     pub moves: u64,
 }
 
 impl Records {
     pub fn new(controllers: usize) -> Records {
-        Records { replica: Replica::default(), shares: controllers as u32, moves: 0 }
+        Records { replica: Replica::default(), shards: controllers as u32, moves: 0 }
     }
 
     /// Takes in a transaction; says what should not have been written.
@@ -44,25 +44,25 @@
 
     fn count_move(&mut self, id: &MachineId, value: &ciborium::Value) {
         let record: MachineRecord = from_value(value).expect("a machine's record");
-        let before = self.replica.machines.get(id).map(|held| held.value.share);
-        self.moves += u64::from(before.is_some_and(|share| share != record.share));
+        let before = self.replica.machines.get(id).map(|held| held.value.shard);
+        self.moves += u64::from(before.is_some_and(|shard| shard != record.shard));
     }
 
-    /// Starts recorded on machines of other shares than their job's: whoever commands these tells nothing of them to
-    /// the job's share. One on a machine that is not in the stored records any more is harmless, as it was deleted.
+    /// Starts recorded on machines of other shards than their job's: whoever commands these tells nothing of them to
+    /// the job's shard. One on a machine that is not in the stored records any more is harmless, as it was deleted.
     fn misplaced(&self, id: &JobId, chunk: u32, now: &RunChunk) -> Vec<String> {
         let before: Option<&Versioned<RunChunk>> = self.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
         let known = |start: &StartRecord| before.is_some_and(|b| b.value.starts.contains(start));
         let job = &self.replica.jobs[id].record.spec;
         let team = TEAMS.iter().position(|team| job.team.as_deref() == Some(team)).expect("a team of the world");
-        let share = team as u32 % self.shares;
+        let shard = team as u32 % self.shards;
         let placed: BTreeMap<&MachineId, u32> = now
             .starts
             .iter()
             .filter(|start| !known(start))
-            .filter_map(|start| Some((&start.machine, self.replica.machines.get(&start.machine)?.value.share)))
+            .filter_map(|start| Some((&start.machine, self.replica.machines.get(&start.machine)?.value.shard)))
             .collect();
-        let wrong = placed.into_iter().filter(|(_, of)| *of != share);
-        wrong.map(|(machine, of)| format!("a start of {id}, share {share}, is recorded on {machine} of {of}")).collect()
+        let wrong = placed.into_iter().filter(|(_, of)| *of != shard);
+        wrong.map(|(machine, of)| format!("a start of {id}, share {shard}, is recorded on {machine} of {of}")).collect()
     }
 }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -11,7 +11,7 @@
 
 const THREE_ZONES: Size =
     Size { nodes: 5, machines: 24, capacity: 48, write_rps: 60.0, zones: &["a", "b", "c"], times: TIMES };
-/// Each share has several machines in each zone, so that none is replaced as a single one that fell silent.
+/// Each shard has several machines in each zone, so that none is replaced as a single one that fell silent.
 const NINETY: Size = Size { machines: 90, capacity: 110, ..THREE_ZONES };
 /// The worker's lease in this world: without a deletion nothing of a zone that is cut off starts elsewhere before.
 const LEASE: u64 = 20 * S;
@@ -347,15 +347,15 @@
             spec.estimate_s = 300.0;
             world.submit(300 + n, spec);
         }
-        let shares = 5;
+        let shards = 5;
         let mut seen = Vec::new();
         for _ in 0..20 {
             world.run_for(S);
             seen.push(inside(&world, "a"));
         }
-        let first = (zones.ramp_initial * shares) as usize;
+        let first = (zones.ramp_initial * shards) as usize;
         let began = seen.iter().position(|count| *count > 0).expect("work came back");
-        // Each share's steps begin at a moment of its own: two of them may fall into one step's time.
+        // Each shard's steps begin at a moment of its own: two of them may fall into one step's time.
         let step = (zones.ramp_step_ms / 1000) as usize;
         let early = seen[(began + step - 1).min(seen.len() - 1)];
         assert!(early <= first * 3, "{seed}: {early} starts in the first step's time, {seen:?}");
@@ -483,15 +483,15 @@
     finish(&mut world, "hold");
 }
 
-/// What can't be read among the stored views is not trusted, and taken away by the share's holder.
+/// What can't be read among the stored views is not trusted, and taken away by the shard's holder.
 #[test]
 fn unreadable_views_are_ignored_and_written_anew() {
     let mut world = world_of(114_000, judging_zones());
     submit_services(&mut world, 6);
     world.run_for(20 * S);
     let (before, started) = (world.workers.len(), world.started);
-    for share in 0..5 {
-        world.write_key(&format!("bh/zone/a/{share}"), Some(Value::Text("lost".into())));
+    for shard in 0..5 {
+        world.write_key(&format!("bh/zone/a/{shard}"), Some(Value::Text("lost".into())));
     }
     world.run_for(10 * S);
     assert_eq!((world.workers.len(), world.started), (before, started), "an unreadable view was acted on");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Who moves machines out of a share, by what the roles in the replica announce.
+//! Who moves machines out of a shard, by what the roles in the replica announce.
 
 use burlhatch::coordination::versions::{Mover, leader_leaves_moves, mover};
 use burlhatch::storage::Replica;
@@ -10,7 +10,7 @@
 
 fn replica(leader: Option<RecordVersion>, holder: Option<RecordVersion>) -> Replica {
     let mut replica = Replica::default();
-    for (role, version) in [(Role::Leader, leader), (Role::Share(2), holder)] {
+    for (role, version) in [(Role::Leader, leader), (Role::Shard(2), holder)] {
         if let Some(version) = version {
             let record = RoleRecord { owner: "node-1".into(), incarnation: 1, term: Term(1), version };
             replica.apply(&Key::Role(role).to_string(), Some(&to_value(&record)), 1);
