--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in machine: its worker reports, keeps a lease, obeys the highest token and runs tasks that only wait.
+//! A stand-in machine: its worker reports, keeps a lease, obeys the highest fencing token and runs tasks that only wait.
 
 use crate::history::{Event, History};
 use crate::http::{Call, Reply, serve};
@@ -6,7 +6,7 @@
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Orders, Report, ReportedTask, TaskState};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::transport::client::Client;
-use burlhatch::types::{JobId, MachineId, TaskId, Term};
+use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
 use hyper::Method;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -131,23 +131,23 @@
 struct WorkerState {
     session: u64,
     seq: u64,
-    token: Term,
+    fencing_token: FencingToken,
     renewed: Instant,
     tasks: BTreeMap<String, Task>,
     exited: BTreeMap<(String, u64), ExitCause>,
     images: BTreeSet<String>,
     changed: bool,
-    /// When a higher token last counted as a change.
+    /// When a higher fencing token last counted as a change.
     token_change: Option<Instant>,
 }
 
 impl WorkerState {
-    /// Keeps the highest token. A higher one is reported at once, though only one time within half a lease.
-    fn take_token(&mut self, token: Term, lease: Duration) {
-        if token <= self.token {
+    /// Keeps the highest fencing token. A higher one is reported at once, though only one time within half a lease.
+    fn take_token(&mut self, fencing_token: FencingToken, lease: Duration) {
+        if fencing_token <= self.fencing_token {
             return;
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         if self.token_change.is_none_or(|at| at.elapsed() >= lease / 2) {
             self.token_change = Some(Instant::now());
             self.changed = true;
@@ -202,7 +202,7 @@
     let state = WorkerState {
         session: 1,
         seq: 0,
-        token: Term(0),
+        fencing_token: FencingToken(0),
         renewed: Instant::now(),
         tasks: BTreeMap::new(),
         exited: BTreeMap::new(),
@@ -308,7 +308,7 @@
             spot: self.machine.spot,
             session: state.session,
             seq: state.seq,
-            token: state.token,
+            fencing_token: state.fencing_token,
             notice_s: None,
             tasks,
         }
@@ -331,10 +331,10 @@
 
     fn take_answer(&self, orders: &Orders, sent: Instant, session: u64) {
         let mut state = self.locked();
-        if orders.token < state.token || session != state.session {
+        if orders.fencing_token < state.fencing_token || session != state.session {
             return;
         }
-        state.take_token(orders.token, self.around.lease);
+        state.take_token(orders.fencing_token, self.around.lease);
         state.renewed = state.renewed.max(sent);
         self.obey(&mut state, &orders.orders);
     }
@@ -348,9 +348,9 @@
             return Some((400, json!({"error": "malformed"})));
         };
         let mut state = self.locked();
-        let fits = orders.token >= state.token && orders.session == state.session;
+        let fits = orders.fencing_token >= state.fencing_token && orders.session == state.session;
         if fits {
-            state.take_token(orders.token, self.around.lease);
+            state.take_token(orders.fencing_token, self.around.lease);
             self.obey(&mut state, &orders.orders);
         }
         let report = self.report(&mut state, None);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Newtypes shared by all packages: times, ids, terms and amounts of room.
+//! Newtypes shared by all packages: times, ids, fencing tokens and amounts of room.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -53,9 +53,9 @@
     }
 }
 
-/// Drawn from the one counter in the state service; serves as worker token.
+/// Drawn from the one counter in the state service; serves as worker fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Term(pub u64);
+pub struct FencingToken(pub u64);
 
 /// The state service's count of changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -15,7 +15,7 @@
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
 use crate::storage::schema::{EndRecord, Key, Role, to_value};
-use crate::types::{JobId, Micros, Term};
+use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
@@ -49,8 +49,8 @@
     Stale,
     /// Nobody holds the shard now.
     Nobody,
-    /// That sibling holds it under that term.
-    Ask(u32, String, Term),
+    /// That sibling holds it under that fencing token.
+    Ask(u32, String, FencingToken),
 }
 
 /// What is known of jobs is dropped once the stored records no longer need it; looked at so often.
@@ -89,13 +89,13 @@
         }
         match self.replica.roles.get(&role) {
             Some(held) if held.value.owner != self.label => {
-                Acknowledgement::Ask(job.shard, held.value.owner.clone(), held.value.term)
+                Acknowledgement::Ask(job.shard, held.value.owner.clone(), held.value.fencing_token)
             }
             _ => Acknowledgement::Nobody,
         }
     }
 
-    /// Whether all machines with a recorded start of the job have shown a term of this holder's: from then on no earlier
+    /// Whether all machines with a recorded start of the job have shown a fencing token of this holder's: from then on no earlier
     /// holder can renew their leases, nor have a start carried out there.
     fn is_obeyed_on(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
@@ -119,7 +119,7 @@
         }
         let now = self.now();
         let patience = Micros::from_millis(self.policy.confirm_patience_ms);
-        let mut ask: BTreeMap<(u32, String, Term), Vec<JobId>> = BTreeMap::new();
+        let mut ask: BTreeMap<(u32, String, FencingToken), Vec<JobId>> = BTreeMap::new();
         for (id, waiters) in std::mem::take(&mut self.cancellations.waiting) {
             let answer = match self.acknowledgement(&id) {
                 Acknowledgement::Sure(by) => {
@@ -137,9 +137,9 @@
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
                 }
-                Acknowledgement::Ask(shard, holder, term) => {
+                Acknowledgement::Ask(shard, holder, fencing_token) => {
                     if !self.cancellations.notifying.values().flatten().any(|told| *told == id) {
-                        ask.entry((shard, holder, term)).or_default().push(id.clone());
+                        ask.entry((shard, holder, fencing_token)).or_default().push(id.clone());
                     }
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
@@ -149,12 +149,12 @@
                 self.answer(waiter, answer.clone());
             }
         }
-        for ((shard, holder, term), ids) in ask {
+        for ((shard, holder, fencing_token), ids) in ask {
             let (alone, together): (Vec<_>, Vec<_>) =
                 ids.into_iter().partition(|id| self.cancellations.ask_alone.remove(id));
             let messages = alone.into_iter().map(|id| vec![id]).chain([together]).filter(|ids| !ids.is_empty());
             for ids in messages.collect::<Vec<_>>() {
-                self.notify_holder(shard, holder.clone(), term, ids);
+                self.notify_holder(shard, holder.clone(), fencing_token, ids);
             }
         }
     }
@@ -170,7 +170,7 @@
         }
     }
 
-    fn notify_holder(&mut self, shard: u32, holder: String, term: Term, ids: Vec<JobId>) {
+    fn notify_holder(&mut self, shard: u32, holder: String, fencing_token: FencingToken, ids: Vec<JobId>) {
         let told = |id: &JobId| {
             let end = self.replica.ends.get(id)?;
             Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
@@ -179,7 +179,11 @@
         self.cancellations.next_call += 1;
         let call = self.cancellations.next_call;
         self.cancellations.notifying.insert(call, ids);
-        self.out.push(Effect::Peer { call, to: holder, message: Cancelled { shard, term: term.0, jobs } });
+        self.out.push(Effect::Peer {
+            call,
+            to: holder,
+            message: Cancelled { shard, fencing_token: fencing_token.0, jobs },
+        });
     }
 
     pub(super) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
@@ -223,7 +227,10 @@
         self.changed(changes);
         let obeyed =
             message.jobs.iter().filter(|job| valid_id(&job.id)).all(|job| self.is_obeyed_on(&JobId::new(&job.id)));
-        let holds = obeyed && self.held(Role::Shard(message.shard)).is_some_and(|term| term.0 >= message.term);
+        let holds = obeyed
+            && self
+                .held(Role::Shard(message.shard))
+                .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token);
         self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds }));
     }
 }
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -6,7 +6,7 @@
 use super::usage::Phase;
 use crate::protocol::worker::DirectOrders;
 use crate::storage::schema::{Hold, Role};
-use crate::types::{MachineId, Micros, Term};
+use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// With fewer silent machines in a zone nothing is concluded about the zone.
@@ -31,7 +31,7 @@
         let (mut failing, mut all) = (Vec::new(), Vec::new());
         for machine in machines {
             // Those of a shard just taken were not heard yet, though their silence counts from then.
-            let heard = if machine.term_confirmed { machine.heard } else { Micros::ZERO };
+            let heard = if machine.token_confirmed { machine.heard } else { Micros::ZERO };
             all.push(heard);
             if machine.probes_failed > 0 {
                 failing.push(heard);
@@ -72,14 +72,14 @@
 
 impl Controller {
     /// A worker whose lease has surely run out has killed its tasks. Only our answers can have
-    /// renewed it once it has shown our token.
+    /// renewed it once it has shown our fencing token.
     pub(super) fn expire_leases(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let lease_s = self.platform.deployment.workers.lease_s;
         let lease = Micros::from_secs_f64(lease_s * 1.002 + 1.0);
         for id in ours {
             let Some(machine) = self.machines.get(id) else { continue };
-            if !machine.term_confirmed || now.since(machine.answered) <= lease {
+            if !machine.token_confirmed || now.since(machine.answered) <= lease {
                 continue;
             }
             let session = machine.session;
@@ -113,12 +113,12 @@
             if routine {
                 self.probes_left -= 1.0;
             }
-            let Some(token) = self.token(id) else { continue };
+            let Some(fencing_token) = self.fencing_token(id) else { continue };
             let Some(machine) = self.machines.get_mut(id) else { continue };
             let Some(addr) = machine.addr else { continue };
             machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
             let session = machine.session.max(1);
-            self.send_direct(id, addr, DirectOrders { token, session, orders: Vec::new() });
+            self.send_direct(id, addr, DirectOrders { fencing_token, session, orders: Vec::new() });
         }
     }
 
@@ -168,7 +168,7 @@
         routine.take(WIDENED).for_each(|probe| probe.routine = false);
     }
 
-    /// Asks a machine that is not in the stored records for a sign of life. The token 0 moves nobody to
+    /// Asks a machine that is not in the stored records for a sign of life. The fencing token 0 moves nobody to
     /// anything.
     pub(super) fn ask_for_life(&mut self, id: &MachineId, addr: Option<&str>) {
         let Some(addr) = addr.and_then(|a| a.parse().ok()) else { return };
@@ -178,10 +178,10 @@
             return;
         }
         machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
-        self.send_direct(id, addr, DirectOrders { token: Term(0), session: 0, orders: Vec::new() });
+        self.send_direct(id, addr, DirectOrders { fencing_token: FencingToken(0), session: 0, orders: Vec::new() });
     }
 
-    /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The token 0 moves
+    /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The fencing token 0 moves
     /// nobody to anything.
     pub(super) fn look_for_machines(&mut self) {
         let machines = &self.replica.machines;
@@ -196,7 +196,11 @@
         for id in asked {
             let Some(machine) = self.machines.get(&id) else { continue };
             if let Some(addr) = machine.addr.filter(|_| !machine.direct) {
-                self.send_direct(&id, addr, DirectOrders { token: Term(0), session: 0, orders: Vec::new() });
+                self.send_direct(
+                    &id,
+                    addr,
+                    DirectOrders { fencing_token: FencingToken(0), session: 0, orders: Vec::new() },
+                );
             }
         }
     }
@@ -241,7 +245,7 @@
         let now = self.now();
         let lease = Micros::from_secs_f64(self.platform.deployment.workers.lease_s * 1.002 + 2.0);
         for id in silent {
-            let never = self.machines.get(id).is_some_and(|m| !m.term_confirmed && now.since(m.heard) >= lease);
+            let never = self.machines.get(id).is_some_and(|m| !m.token_confirmed && now.since(m.heard) >= lease);
             if never {
                 self.set_hold(id, Hold::Doomed);
             }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -5,29 +5,29 @@
 //! its way reaches a session that was kept alive. Hence two rules, which hold without the state service and the cloud:
 //!
 //! - Every answer that renews a lease stops what the machine has of cancelled jobs, whatever else is known of the machine
-//!   or its term: stopping a task whose job has its outcome is always right.
-//! - Where a command under the present term may still be carried out, and something of a cancelled job is not proven
+//!   or its fencing token: stopping a task whose job has its outcome is always right.
+//! - Where a command under the present fencing token may still be carried out, and something of a cancelled job is not proven
 //!   gone, the lease is not renewed beyond the time in which it would run out before the cancellation is due. Its end
-//!   makes the command void. Under a later term the answer does so by itself.
+//!   makes the command void. Under a later fencing token the answer does so by itself.
 
 use super::orders::ORDERS_MAX;
 use super::{Controller, WorkerAnswer};
 use crate::protocol::worker::{Order, Orders, Report, TaskState};
 use crate::storage::schema::Outcome;
-use crate::types::{MachineId, TaskId, Term};
+use crate::types::{FencingToken, MachineId, TaskId};
 
 impl Controller {
-    /// The answer to a report that was just taken in, under our token.
-    pub(super) fn renewing_answer(&mut self, report: &Report, token: Term) -> WorkerAnswer {
+    /// The answer to a report that was just taken in, under our fencing token.
+    pub(super) fn renewing_answer(&mut self, report: &Report, fencing_token: FencingToken) -> WorkerAnswer {
         let now = self.now();
         let id = &report.machine;
-        if self.is_renewal_withheld(id, token) {
+        if self.is_renewal_withheld(id, fencing_token) {
             return WorkerAnswer::Unavailable;
         }
         let Some(machine) = self.machines.get_mut(id) else { return WorkerAnswer::Unavailable };
         machine.answered = now;
-        // Before the worker has shown our token its report proves nothing; the answer's token makes it report again.
-        let reliable = machine.term_confirmed && machine.session == report.session;
+        // Before the worker has shown our fencing token its report proves nothing; the answer's fencing token makes it report again.
+        let reliable = machine.token_confirmed && machine.session == report.session;
         let mut orders = if reliable { self.orders_for(id, Some(report.seq)) } else { Vec::new() };
         let complete = reliable && orders.len() < ORDERS_MAX;
         for stop in self.stops_of_cancelled(report) {
@@ -39,12 +39,13 @@
         if complete && let Some(machine) = self.machines.get_mut(id) {
             machine.push = false;
         }
-        WorkerAnswer::Orders(Orders { token, orders })
+        WorkerAnswer::Orders(Orders { fencing_token, orders })
     }
 
     /// Whether a lapse of the lease is what makes a late start of a cancelled task void.
-    fn is_renewal_withheld(&mut self, id: &MachineId, token: Term) -> bool {
-        let in_doubt = self.machines.get(id).is_some_and(|m| m.unacknowledged.is_some_and(|doubt| doubt >= token));
+    fn is_renewal_withheld(&mut self, id: &MachineId, fencing_token: FencingToken) -> bool {
+        let in_doubt =
+            self.machines.get(id).is_some_and(|m| m.unacknowledged.is_some_and(|doubt| doubt >= fencing_token));
         let withheld = in_doubt && self.is_overdue_on(id);
         if let Some(machine) = self.machines.get_mut(id) {
             if withheld && !machine.renewal_withheld {
--- a/src/coordination/machine_terms.rs
+++ b/src/coordination/machine_tokens.rs
@@ -1,22 +1,22 @@
-//! New terms for machines, which prove older commands void.
+//! New fencing tokens for machines, which prove older commands void.
 
 use super::Controller;
 use super::txns::{Draft, MachineChange, Purpose};
 use crate::storage::schema::{Key, Role, to_value};
-use crate::types::{MachineId, Micros, Term};
+use crate::types::{FencingToken, MachineId, Micros};
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Machines in doubt that get a term each; more of one shard get a common one.
+/// Machines in doubt that get a fencing token each; more of one shard get a common one.
 const OWN_TERMS_MOST: usize = 3;
-/// Usual pause between new terms for machines in doubt.
+/// Usual pause between new fencing tokens for machines in doubt.
 const RENEW_EVERY: Micros = Micros::from_millis(1000);
 
 impl Controller {
-    /// Machines with a direct command in doubt get a new term once they are heard again: a report
+    /// Machines with a direct command in doubt get a new fencing token once they are heard again: a report
     /// that carries it proves the command void. For a few each gets one of its own; many in one
     /// shard get the shard's, which costs two changes however many they are.
-    pub(super) fn renew_terms(&mut self, ours: &[MachineId]) {
+    pub(super) fn renew_fencing_tokens(&mut self, ours: &[MachineId]) {
         let now = self.now();
         if now < self.next_renewal {
             return;
@@ -24,10 +24,10 @@
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.report_s * 2.0);
         let mut unacknowledged: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in ours {
-            let token = self.token(id).unwrap_or_default();
+            let fencing_token = self.fencing_token(id).unwrap_or_default();
             let Some(machine) = self.machines.get(id) else { continue };
             let Some(shard) = machine.shard else { continue };
-            let in_doubt = machine.unacknowledged.is_some_and(|d| d >= token);
+            let in_doubt = machine.unacknowledged.is_some_and(|d| d >= fencing_token);
             if in_doubt && !machine.writing && !machine.direct && now.since(machine.heard) < recent {
                 unacknowledged.entry(shard).or_default().push(id.clone());
             }
@@ -39,30 +39,30 @@
         let pause = self.rng.random_range(RENEW_EVERY.0 / 2..RENEW_EVERY.0 * 3 / 2);
         self.next_renewal = now + Micros(pause);
         let worst = ids.iter().filter_map(|id| self.machines.get(id)?.unacknowledged).max().unwrap_or_default();
-        let term = Term(self.replica.term_now().0.max(worst.0) + 1);
+        let fencing_token = FencingToken(self.replica.latest_fencing_token().0.max(worst.0) + 1);
         if ids.len() > OWN_TERMS_MOST {
-            self.renew_shard(shard, term);
+            self.renew_shard(shard, fencing_token);
             return;
         }
         let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::Term);
+        draft.unchanged(&self.replica, Key::FencingToken);
         draft.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
-        draft.put(Key::Term, to_value(&term));
+        draft.put(Key::FencingToken, to_value(&fencing_token));
         for id in &ids {
             let Some(held) = self.replica.machines.get(id) else { continue };
             let mut record = held.value.clone();
-            record.term = term;
+            record.fencing_token = fencing_token;
             draft.unchanged(&self.replica, Key::Machine(id.clone()));
             draft.put(Key::Machine(id.clone()), to_value(&record));
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.writing = true;
             }
         }
-        self.submit_txn(draft, Purpose::Machines(MachineChange::Term, ids));
+        self.submit_txn(draft, Purpose::Machines(MachineChange::FencingToken, ids));
     }
 
-    /// Workers name exited tasks in every message until they may forget them, which takes a new term. Where
-    /// that makes up most of the messages, reading them costs more than the term.
+    /// Workers name exited tasks in every message until they may forget them, which takes a new fencing token. Where
+    /// that makes up most of the messages, reading them costs more than the fencing token.
     fn clear_exited(&mut self, ours: &[MachineId]) {
         let mut kept: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
         for machine in ours.iter().filter_map(|id| self.machines.get(id)) {
@@ -78,10 +78,10 @@
                 shard,
                 exited = usage.0,
                 machines = usage.1,
-                "a new term, so that exited tasks are forgotten"
+                "new fencing token, so that exited tasks may be forgotten"
             );
             self.next_renewal = self.now() + Micros::from_millis(self.policy.exited_every_ms);
-            self.renew_shard(shard, Term(self.replica.term_now().0 + 1));
+            self.renew_shard(shard, FencingToken(self.replica.latest_fencing_token().0 + 1));
         }
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -4,7 +4,7 @@
 use super::txns::{Draft, MachineChange, Purpose};
 use super::{Controller, Effect, WorkerAnswer};
 use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
-use crate::types::{JobId, MachineId, Micros, Room, Term};
+use crate::types::{FencingToken, JobId, MachineId, Micros, Room};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     pub task: String,
     pub attempt: u64,
     pub exited: bool,
-    /// It was there when the worker first showed its present token: no command older than that
+    /// It was there when the worker first showed its present fencing token: no command older than that
     /// can start it again.
     pub void: bool,
 }
@@ -63,23 +63,23 @@
     /// Newest message's number in this session.
     pub seq: u64,
     /// Token on the newest message.
-    pub token_seen: Term,
+    pub highest_token_seen: FencingToken,
     pub addr: Option<SocketAddr>,
     /// Last sign of life.
     pub heard: Micros,
     /// Last report answered in a way that may have renewed the lease.
     pub answered: Micros,
-    /// Has shown our token since we took its shard: what it reports counts.
-    pub term_confirmed: bool,
-    /// Has shown some term of its shard's present holder: it obeys no earlier holder any more. Unlike
-    /// `term_confirmed` this stays when the same holder draws a new term.
+    /// Has shown our fencing token since we took its shard: what it reports counts.
+    pub token_confirmed: bool,
+    /// Has shown some fencing token of its shard's present holder: it obeys no earlier holder any more. Unlike
+    /// `token_confirmed` this stays when the same holder draws a new fencing token.
     pub obeys_holder: bool,
     /// Its lease is not renewed, on account of a cancelled task.
     pub renewal_withheld: bool,
     pub notice: bool,
     /// A direct message is on its way.
     pub direct: bool,
-    pub direct_token: Term,
+    pub direct_token: FencingToken,
     /// Newest message's session and number when it was sent.
     pub direct_after: (u64, u64),
     /// Its last report was not newer than the one before, or messages between the two are missing.
@@ -87,8 +87,8 @@
     pub push: bool,
     /// Not before then: a report may come first, whose answer says it without a message of its own.
     pub push_after: Micros,
-    /// A direct command under this token got no answer and may be carried out at any time.
-    pub unacknowledged: Option<Term>,
+    /// A direct command under this fencing token got no answer and may be carried out at any time.
+    pub unacknowledged: Option<FencingToken>,
     pub probes_failed: u32,
     /// Direct messages in a row without an answer, and since when. Unlike `probes_failed` a report
     /// alone does not undo them: it may come from a machine that can send but not hear.
@@ -118,7 +118,7 @@
     pub writing: bool,
     /// Its first record is on its way.
     pub registering: bool,
-    /// It obeys a later term than ours: a successor's.
+    /// It obeys a later fencing token than ours: a successor's.
     pub outranked: bool,
 }
 
@@ -178,7 +178,7 @@
     /// Its shard was taken, or it came into another: what was known of it is void. Until now the
     /// former owner may have been heard by it and renewed its lease.
     pub fn new_owner(&mut self, now: Micros) {
-        self.term_confirmed = false;
+        self.token_confirmed = false;
         self.obeys_holder = false;
         self.outranked = false;
         self.push = true;
@@ -216,11 +216,11 @@
         self.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
 
-    /// The token for orders to a machine of a shard we hold.
-    pub(super) fn token(&self, id: &MachineId) -> Option<Term> {
+    /// The fencing token for orders to a machine of a shard we hold.
+    pub(super) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
         let record = &self.replica.machines.get(id)?.value;
-        let term = self.held(Role::Shard(record.shard))?;
-        Some(term.max(record.term))
+        let fencing_token = self.held(Role::Shard(record.shard))?;
+        Some(fencing_token.max(record.fencing_token))
     }
 
     pub(super) fn machine_room(&self, id: &MachineId) -> Room {
@@ -269,13 +269,13 @@
                 if self.usage.is_empty(id) {
                     machine.free_since.get_or_insert(now);
                 }
-                // A new term or shard: only reports that carry it count.
-                let token_seen = machine.token_seen;
-                let term_confirmed = self.token(id).is_some_and(|t| token_seen >= t);
+                // A new fencing token or shard: only reports that carry it count.
+                let highest_token_seen = machine.highest_token_seen;
+                let token_confirmed = self.fencing_token(id).is_some_and(|t| highest_token_seen >= t);
                 if let Some(machine) = self.machines.get_mut(id) {
-                    machine.term_confirmed = term_confirmed;
-                    machine.obeys_holder |= term_confirmed;
-                    machine.push |= !term_confirmed;
+                    machine.token_confirmed = token_confirmed;
+                    machine.obeys_holder |= token_confirmed;
+                    machine.push |= !token_confirmed;
                     if machine.push {
                         machine.push_after = Micros::ZERO;
                         self.pushes.insert(id.clone());
@@ -305,16 +305,16 @@
         self.pass_wanted = true;
     }
 
-    /// The shard has a new term under the same owner: what is known stays, but from here on only
-    /// messages that carry the term prove anything.
+    /// The shard has a new fencing token under the same owner: what is known stays, but from here on only
+    /// messages that carry the fencing token prove anything.
     pub(super) fn shard_renewed(&mut self, shard: u32) {
         let ids: Vec<MachineId> =
             self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
         for id in ids {
-            let token = self.token(&id);
+            let fencing_token = self.fencing_token(&id);
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.term_confirmed = token.is_some_and(|t| machine.token_seen >= t);
-                machine.push |= !machine.term_confirmed;
+                machine.token_confirmed = fencing_token.is_some_and(|t| machine.highest_token_seen >= t);
+                machine.push |= !machine.token_confirmed;
                 machine.push_after = Micros::ZERO;
                 self.pushes.insert(id);
             }
@@ -363,7 +363,7 @@
         self.replace_silent(&ours);
         self.replace_unreachable(&ours);
         self.replace_unreported(&ours);
-        self.renew_terms(&ours);
+        self.renew_fencing_tokens(&ours);
         self.retire_faulty(&ours);
         self.drain_retired(&ours);
         self.leave_noticed(&ours);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -18,7 +18,7 @@
 mod jobs;
 mod leader;
 mod lease_renewal;
-mod machine_terms;
+mod machine_tokens;
 mod machines;
 mod messages;
 mod moves;
--- a/src/coordination/moves.rs
+++ b/src/coordination/moves.rs
@@ -1,7 +1,7 @@
 //! Machines moving from one shard to another.
 //!
 //! A machine moves in two writes. In the first the leader asks for it: the machine is put on hold, so that nothing more
-//! starts there. The second gives it to the other shard under a new term, above any that its last commands carried, and
+//! starts there. The second gives it to the other shard under a new fencing token, above any that its last commands carried, and
 //! is safe only if no start can be recorded there any more. Only the holder of a shard records starts on its machines,
 //! so the holder makes the second write, once it knows of no start there, not even one on its way to the state service.
 //! That write is conditional on its lease on the shard, as its starts are.
@@ -13,7 +13,7 @@
 use super::txns::{Draft, MachineChange, Purpose};
 use super::versions::{Mover, mover};
 use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
-use crate::types::{MachineId, Micros, Term};
+use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
 
 /// Machines that are to leave a shard.
@@ -46,7 +46,7 @@
         self.moves_due = wanted.then(|| self.moves_due.unwrap_or(latest));
     }
 
-    /// Moves machines, those of one shard. Put into words only when it is sent: all controllers draw terms from one
+    /// Moves machines, those of one shard. Put into words only when it is sent: all controllers draw fencing tokens from one
     /// counter, so what waited for the change budget would mostly be refused, and a refusal costs as much.
     pub(super) fn send_moves(&mut self) {
         self.moves_due = None;
@@ -98,17 +98,17 @@
     /// Gives machines to their new shards, as many as one transaction takes.
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
         moves.truncate(self.platform.deployment.state.ops() - 1);
-        let term = Term(self.replica.term_now().0 + 1);
+        let fencing_token = FencingToken(self.replica.latest_fencing_token().0 + 1);
         let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::Term);
+        draft.unchanged(&self.replica, Key::FencingToken);
         for role in roles {
             draft.unchanged(&self.replica, Key::Role(*role));
         }
-        draft.put(Key::Term, to_value(&term));
+        draft.put(Key::FencingToken, to_value(&fencing_token));
         let mut ids = Vec::new();
         for (id, to) in moves {
             let Some(held) = self.replica.machines.get(&id) else { continue };
-            let record = MachineRecord { shard: to, term, hold: None, ..held.value.clone() };
+            let record = MachineRecord { shard: to, fencing_token, hold: None, ..held.value.clone() };
             draft.unchanged(&self.replica, Key::Machine(id.clone()));
             draft.put(Key::Machine(id.clone()), to_value(&record));
             self.machines.entry(id.clone()).or_default().writing = true;
--- a/src/coordination/orders.rs
+++ b/src/coordination/orders.rs
@@ -130,7 +130,7 @@
                 self.pushes.insert(id);
                 continue;
             }
-            let Some(token) = self.token(&id) else {
+            let Some(fencing_token) = self.fencing_token(&id) else {
                 if let Some(machine) = self.machines.get_mut(&id) {
                     machine.push = false;
                 }
@@ -141,21 +141,21 @@
             let Some(addr) = machine.addr else { continue };
             // Nothing is said to a machine that did not answer last time: it would only be in doubt.
             let alive = now.since(machine.heard) < recent && machine.unanswered == 0;
-            let term_confirmed = machine.term_confirmed;
+            let token_confirmed = machine.token_confirmed;
             let session = machine.session.max(1);
-            // Without a report under our token an empty message makes the worker show it.
-            let orders = if term_confirmed && alive { self.orders_for(&id, None) } else { Vec::new() };
-            if term_confirmed && orders.is_empty() {
+            // Without a report under our fencing token an empty message makes the worker show it.
+            let orders = if token_confirmed && alive { self.orders_for(&id, None) } else { Vec::new() };
+            if token_confirmed && orders.is_empty() {
                 continue;
             }
-            self.send_direct(&id, addr, DirectOrders { token, session, orders });
+            self.send_direct(&id, addr, DirectOrders { fencing_token, session, orders });
         }
     }
 
     pub(super) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, orders: DirectOrders) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.direct = true;
-            machine.direct_token = orders.token;
+            machine.direct_token = orders.fencing_token;
             machine.direct_after = (machine.session, machine.seq);
             machine.ask = false;
         }
@@ -165,7 +165,7 @@
 
     pub(super) fn orders_outcome(&mut self, id: &MachineId, outcome: OrdersOutcome) {
         self.direct_open = self.direct_open.saturating_sub(1);
-        let token = self.token(id);
+        let fencing_token = self.fencing_token(id);
         let now = self.now();
         let recorded = self.replica.machines.contains_key(id);
         let Some(machine) = self.machines.get_mut(id) else { return };
@@ -186,7 +186,7 @@
         }
         match outcome {
             OrdersOutcome::Done(report) | OrdersOutcome::Rejected(report) => {
-                if report.machine != *id || token.is_none_or(|t| report.token > t) {
+                if report.machine != *id || fencing_token.is_none_or(|t| report.fencing_token > t) {
                     machine.outranked |= report.machine == *id;
                     self.reads.wanted = true;
                     return;
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -6,7 +6,7 @@
 use super::{Controller, Effect};
 use crate::protocol::worker::Report;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
-use crate::types::{MachineId, Micros, Term};
+use crate::types::{FencingToken, MachineId, Micros};
 
 /// So long a machine's answer counts as a sign that it exists.
 const ALIVE_SPAN: Micros = Micros::from_millis(5000);
@@ -78,7 +78,7 @@
     fn new_member(&mut self, report: &Report, members: &[FleetMember]) -> FleetMember {
         let record = MachineRecord {
             shard: self.neediest_shard(report, members),
-            term: Term(0),
+            fencing_token: FencingToken(0),
             machine_type: report.machine_type.clone(),
             zone: report.zone.clone(),
             spot: report.spot,
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -125,11 +125,11 @@
     }
 
     fn send_rentals(&mut self, orders: BTreeMap<Offer, u32>) {
-        let term = self.held(Role::Leader).unwrap_or_default();
+        let fencing_token = self.held(Role::Leader).unwrap_or_default();
         for (offer, count) in orders {
             self.leader.rental_requests += 1;
-            // The term is this process's alone, so the name never comes again.
-            let request = format!("r-{}-{}", term.0, self.leader.rental_requests);
+            // The fencing token is this process's alone, so the name never comes again.
+            let request = format!("r-{}-{}", fencing_token.0, self.leader.rental_requests);
             let (machine_type, zone, spot) = offer;
             let rental = Rental { request, machine_type, zone, spot, count: count.min(RENTAL_MOST) };
             self.cloud(Call::Rent(rental, 0));
--- a/src/coordination/reports.rs
+++ b/src/coordination/reports.rs
@@ -8,10 +8,10 @@
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Report, TaskState};
 use crate::storage::schema::Role;
-use crate::types::{JobId, MachineId, TaskId, Term};
+use crate::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// Exited tasks a worker is left with before its machine gets a new term so that it may forget them.
+/// Exited tasks a worker is left with before its machine gets a new fencing token so that it may forget them.
 const EXITED_KEPT: usize = 60;
 
 /// How a worker's account of itself came.
@@ -37,16 +37,16 @@
     fn report_answer(&mut self, waiter: Waiter, report: Report, relayed: bool) -> Option<WorkerAnswer> {
         let id = report.machine.clone();
         let Some(role) = self.role_of_machine(&id) else { return self.unregistered_report(waiter, report) };
-        let Some(token) = self.token(&id) else { return Some(self.redirect_to_holder(role)) };
-        if report.token > token {
-            self.later_term_shown(&id, report.token);
+        let Some(fencing_token) = self.fencing_token(&id) else { return Some(self.redirect_to_holder(role)) };
+        if report.fencing_token > fencing_token {
+            self.later_token_shown(&id, report.fencing_token);
             return Some(WorkerAnswer::Redirect(None));
         }
         if !self.note_report(&report, relayed) {
             return Some(WorkerAnswer::Unavailable);
         }
         self.take_report(&report, Source::Report);
-        Some(self.renewing_answer(&report, token))
+        Some(self.renewing_answer(&report, fencing_token))
     }
 
     /// A machine without a record: the leader may register it, others send its worker there.
@@ -65,15 +65,15 @@
         }
     }
 
-    /// Somebody has a later term than we know of, or this is news from the future of another shard: learn which, and
+    /// Somebody has a later fencing token than we know of, or this is news from the future of another shard: learn which, and
     /// draw a higher one if the machine is ours after all.
-    fn later_term_shown(&mut self, id: &MachineId, token: Term) {
+    fn later_token_shown(&mut self, id: &MachineId, fencing_token: FencingToken) {
         self.reads.wanted = true;
         let now = self.now();
         if let Some(machine) = self.machines.get_mut(id) {
-            machine.unacknowledged = Some(token);
+            machine.unacknowledged = Some(fencing_token);
             machine.outranked = true;
-            machine.term_confirmed = false;
+            machine.token_confirmed = false;
             machine.heard = now;
         }
     }
@@ -109,15 +109,15 @@
     pub(super) fn take_report(&mut self, report: &Report, source: Source) {
         let now = self.now();
         let id = &report.machine;
-        let Some(token) = self.token(id) else { return };
+        let Some(fencing_token) = self.fencing_token(id) else { return };
         let Some(machine) = self.machines.get_mut(id) else { return };
         if (report.session, report.seq) <= (machine.session, machine.seq) {
             return;
         }
-        let term_confirmed = report.token >= token;
-        machine.outranked = report.token > token;
-        // A report without our token may be a copy from before our time: no sign of life.
-        if term_confirmed || source == Source::DirectAnswer {
+        let token_confirmed = report.fencing_token >= fencing_token;
+        machine.outranked = report.fencing_token > fencing_token;
+        // A report without our fencing token may be a copy from before our time: no sign of life.
+        if token_confirmed || source == Source::DirectAnswer {
             machine.heard = now;
             machine.probes_failed = 0;
         }
@@ -129,29 +129,29 @@
         }
         machine.session = report.session;
         machine.seq = report.seq;
-        machine.token_seen = report.token;
+        machine.highest_token_seen = report.fencing_token;
         machine.notice = report.notice_s.is_some();
         if let Some(addr) = report.addr.as_ref().and_then(|a| a.parse().ok()) {
             machine.addr = Some(addr);
         }
-        let first = !machine.term_confirmed;
-        machine.term_confirmed = term_confirmed;
-        if !machine.term_confirmed {
+        let first = !machine.token_confirmed;
+        machine.token_confirmed = token_confirmed;
+        if !machine.token_confirmed {
             return;
         }
         machine.obeys_holder = true;
-        if machine.unacknowledged.is_some_and(|d| report.token > d) {
+        if machine.unacknowledged.is_some_and(|d| report.fencing_token > d) {
             machine.unacknowledged = None;
         }
         if first {
-            // Until it showed our token a former owner may have gone on renewing its lease.
+            // Until it showed our fencing token a former owner may have gone on renewing its lease.
             machine.answered = now;
         }
         self.pass_wanted |= first;
         self.take_tasks(report, source, first);
     }
 
-    /// `first`: this is the first message that shows the machine's present token.
+    /// `first`: this is the first message that shows the machine's present fencing token.
     fn take_tasks(&mut self, report: &Report, source: Source, first: bool) {
         let id = &report.machine;
         let mut unrecorded = Vec::new();
@@ -180,8 +180,8 @@
         machine.unrecorded = unrecorded;
         machine.kept = kept;
         if kept > EXITED_KEPT && machine.unacknowledged.is_none() {
-            // A new term makes them forgettable.
-            machine.unacknowledged = Some(report.token);
+            // A new fencing token makes them forgettable.
+            machine.unacknowledged = Some(report.fencing_token);
         }
         let quiet = !machine.direct && machine.unacknowledged.is_none();
         let mut starts = self.usage.starts_on(id);
--- a/src/coordination/roles.rs
+++ b/src/coordination/roles.rs
@@ -1,14 +1,14 @@
 //! The controller's session in the state service, and the roles (shards, leadership) it holds.
 //!
 //! A role's key is bound to its holder's session, so it vanishes with it. Taking one draws the
-//! next term from the one counter in the same transaction. A controller holds a role only once
+//! next fencing token from the one counter in the same transaction. A controller holds a role only once
 //! the watch has shown it the key: then its replica also has every start recorded before.
 
 use super::machines::Machine;
 use super::txns::{Draft, Purpose};
 use super::{Controller, Effect, LeaseOutcome, StateCall};
 use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
-use crate::types::{MachineId, Micros, Term};
+use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
@@ -26,8 +26,8 @@
 pub(super) struct Roles {
     /// Since when each role has been seen without a holder.
     free_since: BTreeMap<Role, Micros>,
-    /// Roles held, with the terms under which they were last seen.
-    pub held: BTreeMap<Role, Term>,
+    /// Roles held, with the fencing tokens under which they were last seen.
+    pub held: BTreeMap<Role, FencingToken>,
     /// Since when each sibling has been seen to be there and to reach its machines.
     siblings_since: BTreeMap<String, Micros>,
     taking: bool,
@@ -62,8 +62,8 @@
         self.platform.deployment.nodes
     }
 
-    /// The term of a role this process holds.
-    pub(super) fn held(&self, role: Role) -> Option<Term> {
+    /// The fencing token of a role this process holds.
+    pub(super) fn held(&self, role: Role) -> Option<FencingToken> {
         self.roles.held.get(&role).copied()
     }
 
@@ -219,36 +219,36 @@
                 self.roles.free_since.remove(&role);
             }
             if take {
-                self.take_role(role, lease, Term(self.replica.term_now().0 + 1));
+                self.take_role(role, lease, FencingToken(self.replica.latest_fencing_token().0 + 1));
                 return;
             }
         }
         self.hand_back();
     }
 
-    /// Writes us down as a role's holder under a new term.
-    fn take_role(&mut self, role: Role, lease: u64, term: Term) {
+    /// Writes us down as a role's holder under a new fencing token.
+    fn take_role(&mut self, role: Role, lease: u64, fencing_token: FencingToken) {
         let record = RoleRecord {
             owner: self.label.clone(),
             incarnation: self.incarnation,
-            term,
+            fencing_token,
             version: self.record_version(),
         };
         let mut txn = Draft::default();
         txn.unchanged(&self.replica, Key::Role(role));
-        txn.unchanged(&self.replica, Key::Term);
+        txn.unchanged(&self.replica, Key::FencingToken);
         txn.put_bound(Key::Role(role), to_value(&record), lease);
-        txn.put(Key::Term, to_value(&term));
+        txn.put(Key::FencingToken, to_value(&fencing_token));
         self.roles.taking = true;
         self.submit_txn(txn, Purpose::Role);
     }
 
-    /// Gives a shard we hold a new term.
-    pub(super) fn renew_shard(&mut self, shard: u32, term: Term) {
+    /// Gives a shard we hold a new fencing token.
+    pub(super) fn renew_shard(&mut self, shard: u32, fencing_token: FencingToken) {
         let role = Role::Shard(shard);
         let Some(lease) = self.session.lease else { return };
         if !self.roles.taking && self.held(role).is_some() {
-            self.take_role(role, lease, term);
+            self.take_role(role, lease, fencing_token);
         }
     }
 
@@ -389,20 +389,20 @@
             .roles
             .get(&role)
             .filter(|s| s.value.owner == self.label && s.value.incarnation == self.incarnation)
-            .map(|s| s.value.term);
+            .map(|s| s.value.fencing_token);
         let before = self.roles.held.get(&role).copied();
         if mine == before {
             return;
         }
         let revision = self.replica.applied.0;
         match mine {
-            Some(term) => {
-                self.roles.held.insert(role, term);
+            Some(fencing_token) => {
+                self.roles.held.insert(role, fencing_token);
                 if let (Role::Shard(shard), Some(_)) = (role, before) {
-                    tracing::debug!(?role, term = term.0, revision, "has a new term");
+                    tracing::debug!(?role, fencing_token = fencing_token.0, revision, "role has a new fencing token");
                     return self.shard_renewed(shard);
                 }
-                tracing::info!(?role, term = term.0, revision, "took over");
+                tracing::info!(?role, fencing_token = fencing_token.0, revision, "took over");
             }
             None => {
                 self.roles.held.remove(&role);
--- a/src/coordination/shard_view.rs
+++ b/src/coordination/shard_view.rs
@@ -141,7 +141,7 @@
             .filter_map(|(id, record)| {
                 let machine = self.machines.get(id)?;
                 let heard = now.since(machine.heard) <= recent && !machine.is_unreported(now, unreported);
-                if !machine.term_confirmed || machine.notice || !heard || !machine.trusted() {
+                if !machine.token_confirmed || machine.notice || !heard || !machine.trusted() {
                     return None;
                 }
                 Some(Spot {
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -26,8 +26,8 @@
     Return,
     /// They are lost.
     Replace,
-    /// Their orders carry a later term.
-    Term,
+    /// Their orders carry a later fencing token.
+    FencingToken,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
             Purpose::Machines(MachineChange::Move, _) => "machines moved",
             Purpose::Machines(MachineChange::Return, _) => "machines returned",
             Purpose::Machines(MachineChange::Replace, _) => "machines replaced",
-            Purpose::Machines(MachineChange::Term, _) => "machine terms",
+            Purpose::Machines(MachineChange::FencingToken, _) => "machine fencing tokens",
             Purpose::Jobs(_) => "jobs",
             Purpose::ZoneView(_) => "zones",
             Purpose::Tidy => "tidying",
@@ -350,7 +350,7 @@
                 Write::Delete { key } => (key, None),
             };
             match Key::parse(key) {
-                Some(Key::Role(_) | Key::Term) | None => {}
+                Some(Key::Role(_) | Key::FencingToken) | None => {}
                 Some(Key::Batch(_)) if !is_next => self.reads.wanted = true,
                 Some(_) => changes.push(self.replica.apply(key, value, revision)),
             }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -22,8 +22,8 @@
 pub struct Cancelled {
     /// Shard that the jobs belong to.
     pub shard: u32,
-    /// The term under which the sender saw it held.
-    pub term: u64,
+    /// The fencing token under which the sender saw it held.
+    pub fencing_token: u64,
     /// The jobs.
     pub jobs: Vec<CancelledJob>,
 }
@@ -39,7 +39,7 @@
     pub revision: u64,
 }
 
-/// The answer to that: whether it holds the shard under that term or a later one, and so sees to it that
+/// The answer to that: whether it holds the shard under that fencing token or a later one, and so sees to it that
 /// all tasks of the jobs end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CancellationAck {
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,7 +1,7 @@
 //! Messages of workers.
 
 use super::{list, maybe_number};
-use crate::types::{MachineId, Term};
+use crate::types::{FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
 /// How far a task on a machine has come.
@@ -97,9 +97,9 @@
     /// Number of the message in its session.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest token it has seen.
+    /// Highest fencing token it has seen.
     #[serde(rename = "helm", default)]
-    pub token: Term,
+    pub fencing_token: FencingToken,
     /// Time until the cloud takes the machine.
     #[serde(rename = "warning_s", default, deserialize_with = "maybe_number")]
     pub notice_s: Option<f64>,
@@ -152,7 +152,7 @@
 pub struct Orders {
     /// Right to give commands.
     #[serde(rename = "helm")]
-    pub token: Term,
+    pub fencing_token: FencingToken,
     /// In this order.
     pub orders: Vec<Order>,
 }
@@ -162,7 +162,7 @@
 pub struct DirectOrders {
     /// Right to give commands.
     #[serde(rename = "helm")]
-    pub token: Term,
+    pub fencing_token: FencingToken,
     /// Session that it is meant for.
     #[serde(rename = "watch")]
     pub session: u64,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -9,7 +9,7 @@
 const LABEL_MOST: usize = 64;
 /// Controllers at most.
 const CONTROLLERS_MOST: u32 = 64;
-/// Changes that a transaction must allow: a role and its term, and a start with its outcome.
+/// Changes that a transaction must allow: a role and its fencing token, and a start with its outcome.
 const OPS_LEAST: usize = 4;
 /// Size that a value must allow, in KiB.
 const VALUE_KB_LEAST: f64 = 2.0;
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -155,7 +155,7 @@
     clear_contact_ms: u64 = 3000, 0, 600000;
     /// Failed tasks of different jobs, without a success between, that make a machine suspect.
     faulty_after: u32 = 2, 1, 1000;
-    /// A shard gets a new term when its machines name so many exited tasks each in the mean, which lets them
+    /// A shard gets a new fencing token when its machines name so many exited tasks each in the mean, which lets them
     /// forget these.
     exited_mean: f64 = 6.0, 1.0, 1000.0;
     /// After that none of its shards gets one for this long, for whatever reason.
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -6,7 +6,7 @@
     ZoneHoldRecord, from_value,
 };
 use crate::protocol::state::Event;
-use crate::types::{JobId, MachineId, Revision, Term};
+use crate::types::{FencingToken, JobId, MachineId, Revision};
 use burlhatch_zones::ZoneRecord;
 use ciborium::Value;
 use std::collections::{BTreeMap, HashMap};
@@ -59,8 +59,8 @@
 pub struct Replica {
     /// All changes up to this revision are in.
     pub applied: Revision,
-    /// The counter of terms.
-    pub term: Option<Versioned<Term>>,
+    /// The counter of fencing tokens.
+    pub fencing_token: Option<Versioned<FencingToken>>,
     /// Roles that are held.
     pub roles: BTreeMap<Role, Versioned<RoleRecord>>,
     /// Controllers that are alive.
@@ -121,7 +121,7 @@
     /// The version that a transaction's condition on this key must name, 0 for none.
     pub fn version(&self, key: &Key) -> u64 {
         let v = match key {
-            Key::Term => self.term.as_ref().map(|v| v.version),
+            Key::FencingToken => self.fencing_token.as_ref().map(|v| v.version),
             Key::Role(role) => self.roles.get(role).map(|v| v.version),
             Key::Node(label) => self.nodes.get(label).map(|v| v.version),
             Key::Fleet(name) => self.fleets.get(name).map(|v| v.version),
@@ -147,8 +147,8 @@
             self.removed.insert(key.clone(), version);
         }
         match key {
-            Key::Term => {
-                self.term = value.and_then(from_value).map(|value| Versioned { value, version });
+            Key::FencingToken => {
+                self.fencing_token = value.and_then(from_value).map(|value| Versioned { value, version });
                 Change::Nothing
             }
             Key::Role(role) => {
@@ -323,8 +323,8 @@
         self.runs.get(id).is_some_and(|chunks| chunks.values().any(|c| !c.value.starts.is_empty()))
     }
 
-    /// The latest term drawn.
-    pub fn term_now(&self) -> Term {
-        self.term.as_ref().map(|t| t.value).unwrap_or_default()
+    /// The latest fencing token drawn.
+    pub fn latest_fencing_token(&self) -> FencingToken {
+        self.fencing_token.as_ref().map(|t| t.value).unwrap_or_default()
     }
 }
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::pipelines::Urgency;
 use crate::protocol::user::JobSpec;
-use crate::types::{JobId, MachineId, Micros, Term};
+use crate::types::{FencingToken, JobId, MachineId, Micros};
 use ciborium::Value;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -34,8 +34,8 @@
 /// A key in the state service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Key {
-    /// The counter of terms.
-    Term,
+    /// The counter of fencing tokens.
+    FencingToken,
     /// Who holds a role.
     Role(Role),
     /// That a controller is alive, by its label.
@@ -62,7 +62,7 @@
 impl fmt::Display for Key {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Key::Term => write!(f, "{ROOT}term"),
+            Key::FencingToken => write!(f, "{ROOT}term"),
             Key::Role(Role::Leader) => write!(f, "{ROOT}leader"),
             Key::Role(Role::Shard(k)) => write!(f, "{ROOT}share/{k}"),
             Key::Node(label) => write!(f, "{ROOT}node/{label}"),
@@ -83,7 +83,7 @@
     pub fn parse(text: &str) -> Option<Key> {
         let rest = text.strip_prefix(ROOT)?;
         match rest.split_once('/') {
-            None if rest == "term" => Some(Key::Term),
+            None if rest == "term" => Some(Key::FencingToken),
             None if rest == "leader" => Some(Key::Role(Role::Leader)),
             Some(("share", k)) => Some(Key::Role(Role::Shard(k.parse().ok()?))),
             Some(("node", label)) => Some(Key::Node(label.to_string())),
@@ -134,7 +134,7 @@
     pub incarnation: u64,
     /// Drawn when the role was taken or renewed.
     #[serde(rename = "t")]
-    pub term: Term,
+    pub fencing_token: FencingToken,
     /// The owner's.
     #[serde(rename = "v", default, skip_serializing_if = "RecordVersion::is_first")]
     pub version: RecordVersion,
@@ -160,9 +160,9 @@
     /// Shard that it belongs to.
     #[serde(rename = "s")]
     pub shard: u32,
-    /// Orders to this machine carry this or the shard's term, whichever is higher.
+    /// Orders to this machine carry this or the shard's fencing token, whichever is higher.
     #[serde(rename = "t")]
-    pub term: Term,
+    pub fencing_token: FencingToken,
     /// Its type, as the cloud names it.
     #[serde(rename = "h")]
     pub machine_type: String,
--- a/src/transport/limits.rs
+++ b/src/transport/limits.rs
@@ -27,7 +27,7 @@
     }
 }
 
-/// A bucket of tokens in pure arithmetic; time comes from the caller.
+/// A bucket of fencing tokens in pure arithmetic; time comes from the caller.
 #[derive(Clone, Debug)]
 pub struct Bucket {
     rate: f64,
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -9,7 +9,7 @@
 use crate::protocol::user::{self, JobState, JobStatus, Refusal};
 use crate::protocol::worker::{Orders, Redirect, Report};
 use crate::protocol::{BODY_LIMIT, decode, encode};
-use crate::types::{JobId, Term};
+use crate::types::{FencingToken, JobId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -312,9 +312,9 @@
         return Plain::unavailable(1);
     }
     match timeout(ANSWER_LIMIT, answer).await {
-        Ok(Ok(WorkerAnswer::Orders(Orders { token, orders }))) => {
-            debug_assert!(token > Term(0));
-            Plain::new(200, encode(&Orders { token, orders }))
+        Ok(Ok(WorkerAnswer::Orders(Orders { fencing_token, orders }))) => {
+            debug_assert!(fencing_token > FencingToken(0));
+            Plain::new(200, encode(&Orders { fencing_token, orders }))
         }
         Ok(Ok(WorkerAnswer::Redirect(report_to))) => {
             if relay
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -237,7 +237,7 @@
         }
         self.siblings += 1;
         let jobs = vec![told[nth % told.len()].clone()];
-        let message = Cancelled { shard: 0, term: 1, jobs };
+        let message = Cancelled { shard: 0, fencing_token: 1, jobs };
         self.controller.feed(Command::Peer(SIBLING + self.siblings, message));
     }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -123,7 +123,7 @@
 #[derive(Default)]
 struct Worker {
     exited: BTreeMap<String, u64>,
-    token: u64,
+    fencing_token: u64,
     seq: u64,
 }
 
@@ -136,7 +136,7 @@
             .map(|(piece, attempt)| json!({"piece": piece, "try": attempt, "status": "ended", "cause": "done"}))
             .collect();
         json!({"host": "m-000001", "addr": addr.to_string(), "hull": "s", "berth": "a", "driftwood": false,
-            "watch": 1, "tally": self.seq, "helm": self.token, "warning_s": null, "pieces": pieces})
+            "watch": 1, "tally": self.seq, "helm": self.fencing_token, "warning_s": null, "pieces": pieces})
     }
 
     fn obey(&mut self, orders: Vec<Order>) {
@@ -161,7 +161,7 @@
         if let Ok(Answer { status: 200, body, .. }) = answer {
             let orders: Orders = decode(&body).expect("orders");
             let mut state = state.lock().expect("no panic");
-            state.token = orders.token.0;
+            state.fencing_token = orders.fencing_token.0;
             state.obey(orders.orders);
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -178,9 +178,9 @@
                 let body = request.into_body().collect().await.expect("a body").to_bytes();
                 let orders: DirectOrders = decode(&body).expect("orders");
                 let mut state = state.lock().expect("no panic");
-                let fits = orders.token.0 >= state.token && orders.session == 1;
+                let fits = orders.fencing_token.0 >= state.fencing_token && orders.session == 1;
                 if fits {
-                    state.token = orders.token.0;
+                    state.fencing_token = orders.fencing_token.0;
                     state.obey(orders.orders);
                 }
                 let body = Full::new(Bytes::from(encode(&state.report(addr))));
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -319,7 +319,7 @@
 fn keys_read_back_as_they_were_written() {
     use burlhatch::storage::Role;
     let keys = [
-        Key::Term,
+        Key::FencingToken,
         Key::Role(Role::Leader),
         Key::Role(Role::Shard(2)),
         Key::Node("node-a".into()),
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -10,7 +10,7 @@
     BatchMember, EndRecord, FleetMember, Hold, JobRecord, Key, MachineRecord, NodeRecord, Outcome, RecordVersion, Role,
     RoleRecord, RunChunk, StartRecord, from_value, to_value,
 };
-use burlhatch::types::{JobId, MachineId, Micros, Term};
+use burlhatch::types::{FencingToken, JobId, MachineId, Micros};
 use ciborium::Value;
 use serde::Deserialize;
 use serde::Serialize;
@@ -71,7 +71,7 @@
 fn machine(hold: Option<Hold>) -> MachineRecord {
     MachineRecord {
         shard: 2,
-        term: Term(41),
+        fencing_token: FencingToken(41),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
@@ -111,8 +111,11 @@
 
 #[test]
 fn records_are_the_same_in_both_versions() {
-    both_ways(TERM, Term(41));
-    both_ways(SEAT, RoleRecord { owner: "hatchling-0".into(), incarnation: 77, term: Term(41), version: FIRST });
+    both_ways(TERM, FencingToken(41));
+    both_ways(
+        SEAT,
+        RoleRecord { owner: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version: FIRST },
+    );
     both_ways(NODE, NodeRecord { incarnation: 77, unfit: true, version: FIRST });
     both_ways(MACHINE, machine(Some(Hold::Move(1))));
     let fleet_member = |id, hold| FleetMember { id: MachineId::new(id), record: machine(hold) };
@@ -147,14 +150,17 @@
     struct EarlierRole {
         o: String,
         i: u64,
-        t: Term,
+        t: FencingToken,
     }
     let version = RecordVersion(1);
-    both_ways(ANNOUNCED_SEAT, RoleRecord { owner: "hatchling-0".into(), incarnation: 77, term: Term(41), version });
+    both_ways(
+        ANNOUNCED_SEAT,
+        RoleRecord { owner: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version },
+    );
     both_ways(ANNOUNCED_NODE, NodeRecord { incarnation: 77, unfit: false, version });
     let stored: Value = decode(&bytes(ANNOUNCED_SEAT)).expect("CBOR");
     let earlier: EarlierRole = from_value(&stored).expect("readable");
-    assert_eq!((earlier.o.as_str(), earlier.i, earlier.t), ("hatchling-0", 77, Term(41)));
+    assert_eq!((earlier.o.as_str(), earlier.i, earlier.t), ("hatchling-0", 77, FencingToken(41)));
     let role: RoleRecord = from_value(&decode(&bytes(SEAT)).expect("CBOR")).expect("readable");
     assert_eq!(role.version, FIRST);
 }
@@ -180,7 +186,7 @@
 #[test]
 fn messages_between_controllers_are_the_same_in_both_versions() {
     let jobs = vec![CancelledJob { id: "wk-000412".into(), at: AT.0, revision: 431 }];
-    let told = Cancelled { shard: 2, term: 41, jobs };
+    let told = Cancelled { shard: 2, fencing_token: 41, jobs };
     assert_eq!(bitcode::decode::<Cancelled>(&bytes(TOLD)).expect("told"), told);
     assert_eq!(bitcode::encode(&told), bytes(TOLD));
     assert_eq!(bitcode::decode::<CancellationAck>(&bytes(KNOWS)).expect("knows"), CancellationAck { holds: true });
@@ -221,7 +227,7 @@
     let mut replica = Replica::default();
     let id = JobId::new("wk-000412");
     let keys = [
-        (Key::Term, TERM),
+        (Key::FencingToken, TERM),
         (Key::Role(Role::Shard(2)), SEAT),
         (Key::Node("hatchling-0".into()), NODE),
         (Key::Fleet("f1".into()), FLEET),
@@ -235,7 +241,7 @@
         let value: Value = decode(&bytes(hex)).expect("CBOR");
         replica.apply(&key.to_string(), Some(&value), n as u64 + 1);
     }
-    assert_eq!(replica.term_now(), Term(41));
+    assert_eq!(replica.latest_fencing_token(), FencingToken(41));
     assert_eq!(replica.roles[&Role::Shard(2)].value.owner, "hatchling-0");
     assert_eq!(replica.machines[&MachineId::new("m-000231")].value.hold, Some(Hold::Move(1)));
     assert_eq!(replica.machines[&MachineId::new("m-000232")].value.hold, Some(Hold::Doomed));
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -6,7 +6,7 @@
 use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Orders, Report, TaskState};
 use burlhatch::protocol::{decode, encode};
-use burlhatch::types::{JobId, Term};
+use burlhatch::types::{FencingToken, JobId};
 use ciborium::Value;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -123,7 +123,7 @@
                   {"piece":"wk-000398/0","try":1,"status":"ended","cause":"done"},
                   {"piece":"wk-000398/1","try":1,"status":"ended","cause":"something new"}]})))
     .expect("valid");
-    assert_eq!((report.session, report.seq, report.token), (1, 88, Term(41)));
+    assert_eq!((report.session, report.seq, report.fencing_token), (1, 88, FencingToken(41)));
     assert_eq!(report.tasks[0].state, TaskState::Running);
     assert_eq!(report.tasks[1].why, Some(ExitCause::Done));
     assert_eq!(report.tasks[2].why, Some(ExitCause::Unknown));
@@ -140,7 +140,7 @@
         Order::Stop { task: "wk-000377/1".into(), attempt: 1, grace_s: 10.0 },
         Order::Forget { task: "wk-000398/0".into(), attempt: 1 },
     ];
-    let answer = Orders { token: Term(41), orders: orders.clone() };
+    let answer = Orders { fencing_token: FencingToken(41), orders: orders.clone() };
     assert_eq!(
         shown(&encode(&answer)),
         json!({"helm":41,"orders":[
@@ -148,7 +148,7 @@
             {"verb":"stop","piece":"wk-000377/1","try":1,"leeway_s":10.0},
             {"verb":"reap","piece":"wk-000398/0","try":1}]})
     );
-    let direct = DirectOrders { token: Term(41), session: 1, orders };
+    let direct = DirectOrders { fencing_token: FencingToken(41), session: 1, orders };
     assert_eq!(shown(&encode(&direct))["watch"], json!(1));
     assert_eq!(decode::<DirectOrders>(&encode(&direct)).expect("round trip"), direct);
 }
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -66,7 +66,7 @@
 /// The state service refuses the owner of a shard alone, users cancel through others, and then it is away for
 /// all for longer than a cancellation may take. The owner learns of outcomes by its watch, which is cut off, and
 /// goes on answering its workers as in any outage: their leases last, and so would the cancelled tasks. A
-/// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new term,
+/// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new fencing token,
 /// which an outage forbids as well.
 #[test]
 fn cancelled_through_others_while_the_owner_is_refused_and_then_all_are() {
@@ -230,11 +230,11 @@
     }
 }
 
-/// Direct commands come late, so machines are in doubt and their shards get one new term after another. A report without
-/// the present term proves nothing, but its answer renews the lease: it has to carry the stops as well. The cloud is
+/// Direct commands come late, so machines are in doubt and their shards get one new fencing token after another. A report without
+/// the present fencing token proves nothing, but its answer renews the lease: it has to carry the stops as well. The cloud is
 /// down, so nothing else ends the tasks.
 #[test]
-fn terms_in_quick_succession_do_not_keep_stops_back() {
+fn fencing_tokens_in_quick_succession_do_not_keep_stops_back() {
     for seed in seeds(25, 6) {
         let times = times_of(seed);
         let size = Size { machines: 60, capacity: 70, times, ..LARGE };
@@ -266,7 +266,7 @@
 }
 
 /// A start that was sent directly is held up for longer than a cancellation may take. The state service is away, so no new
-/// term makes it void, and the cloud is down, so its machine can't be deleted. Its holder must not keep the session
+/// fencing token makes it void, and the cloud is down, so its machine can't be deleted. Its holder must not keep the session
 /// alive in which the start is valid.
 #[test]
 fn a_start_held_up_for_long_is_void_with_its_session() {
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -1,4 +1,4 @@
-//! Workers: obey the highest token, keep a lease, run tasks. Here the rules about starts are
+//! Workers: obey the highest fencing token, keep a lease, run tasks. Here the rules about starts are
 //! checked, with the knowledge of all machines that no controller has.
 
 use super::cloud::cpus_of;
@@ -7,7 +7,7 @@
 use burlhatch::protocol::user::{JobSpec, Kind};
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Report, ReportedTask, TaskState};
 use burlhatch::storage::schema::Outcome;
-use burlhatch::types::{JobId, MachineId, TaskId, Term};
+use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
 const GANG_WAIT: u64 = 30 * S;
@@ -41,7 +41,7 @@
     pub spot: bool,
     session: u64,
     seq: u64,
-    token: Term,
+    fencing_token: FencingToken,
     /// When the last answered report was sent, or the session began.
     renewed: u64,
     pub tasks: BTreeMap<(JobId, u32), Task>,
@@ -55,7 +55,7 @@
     reported: Vec<ReportedTask>,
     wake: u64,
     changed: bool,
-    /// When a higher token last counted as a change.
+    /// When a higher fencing token last counted as a change.
     token_change: Option<u64>,
     pub hung_until: u64,
     pub sick: bool,
@@ -89,18 +89,18 @@
             spot: self.spot,
             session: self.session,
             seq: self.seq,
-            token: self.token,
+            fencing_token: self.fencing_token,
             notice_s: None,
             tasks,
         }
     }
 
-    /// Keeps the highest token, and reports a higher one at once, though only one time within half a lease.
-    fn take_token(&mut self, token: Term, now: u64, lease: u64) {
-        if token <= self.token {
+    /// Keeps the highest fencing token, and reports a higher one at once, though only one time within half a lease.
+    fn take_token(&mut self, fencing_token: FencingToken, now: u64, lease: u64) {
+        if fencing_token <= self.fencing_token {
             return;
         }
-        self.token = token;
+        self.fencing_token = fencing_token;
         if self.token_change.is_none_or(|at| now - at >= lease / 2) {
             self.token_change = Some(now);
             self.changed = true;
@@ -120,7 +120,7 @@
             spot,
             session: 1,
             seq: 0,
-            token: Term(0),
+            fencing_token: FencingToken(0),
             renewed: self.now,
             tasks: BTreeMap::new(),
             exited: BTreeMap::new(),
@@ -225,8 +225,8 @@
         worker.flight = None;
         let pause = match answer {
             Some(WorkerAnswer::Orders(orders)) => {
-                if orders.token >= worker.token && session == worker.session {
-                    worker.take_token(orders.token, now, times.lease);
+                if orders.fencing_token >= worker.fencing_token && session == worker.session {
+                    worker.take_token(orders.fencing_token, now, times.lease);
                     worker.renewed = worker.renewed.max(sent);
                     self.obey(&id, &orders.orders);
                 }
@@ -261,9 +261,9 @@
             let rest = worker.hung_until - now;
             return self.at(rest, Event::Orders { node, life, call, machine: id, orders });
         }
-        let done = orders.token >= worker.token && orders.session == worker.session;
+        let done = orders.fencing_token >= worker.fencing_token && orders.session == worker.session;
         if done {
-            worker.take_token(orders.token, now, times.lease);
+            worker.take_token(orders.fencing_token, now, times.lease);
             self.obey(&id, &orders.orders);
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,7 +3,7 @@
 use burlhatch::coordination::versions::{Mover, leader_leaves_moves, mover};
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, RecordVersion, Role, RoleRecord, to_value};
-use burlhatch::types::Term;
+use burlhatch::types::FencingToken;
 
 const FIRST: RecordVersion = RecordVersion::FIRST;
 const LATER: RecordVersion = RecordVersion(1);
@@ -12,7 +12,7 @@
     let mut replica = Replica::default();
     for (role, version) in [(Role::Leader, leader), (Role::Shard(2), holder)] {
         if let Some(version) = version {
-            let record = RoleRecord { owner: "node-1".into(), incarnation: 1, term: Term(1), version };
+            let record = RoleRecord { owner: "node-1".into(), incarnation: 1, fencing_token: FencingToken(1), version };
             replica.apply(&Key::Role(role).to_string(), Some(&to_value(&record)), 1);
         }
     }
