--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -37,12 +37,12 @@
     pub capacity: usize,
     /// The operators' settings.
     pub policy: String,
-    /// Without an answered report for so long a worker ends its tasks.
+    /// Without an answered heartbeat for so long a worker ends its tasks.
     pub lease: Duration,
     /// Time in which a cancelled task has to be gone.
     pub cancel: Duration,
-    /// Time between reports.
-    pub report_every: Duration,
+    /// Time between heartbeats.
+    pub heartbeat_interval: Duration,
 }
 
 /// The links of one controller, to be cut one by one.
@@ -131,7 +131,7 @@
             controllers: controllers_for_workers,
             jobs: Arc::default(),
             history: History::default(),
-            report_every: plan.report_every,
+            heartbeat_interval: plan.heartbeat_interval,
             lease: plan.lease,
         };
         let state = StateService::default();
@@ -316,8 +316,9 @@
     for team in ["auction", "invoices"] {
         text += &format!("[[deployment.teams]]\nname = \"{team}\"\n");
     }
-    let [report_s, lease_s, cancel_s] = [plan.report_every, plan.lease, plan.cancel].map(|span| span.as_secs_f64());
-    text += &format!("[deployment.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 20.0\n");
+    let [heartbeat_s, lease_s, cancel_s] =
+        [plan.heartbeat_interval, plan.lease, plan.cancel].map(|span| span.as_secs_f64());
+    text += &format!("[deployment.workers]\nreport_s = {heartbeat_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 20.0\n");
     text += &format!("gang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n");
     text += "[deployment.state]\nrps = 1000.0\nwrite_rps = 200.0\nvalue_kb = 8.0\ntxn_ops = 12\n";
     text += "[deployment.cloud]\nrps = 20.0\nlist_lag_s = 1.0\n[deployment.quota]\nfd_limit = 1000\n";
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -58,7 +58,7 @@
         policy: policy.to_string(),
         lease: Duration::from_secs(45),
         cancel: Duration::from_secs(65),
-        report_every: Duration::from_secs(1),
+        heartbeat_interval: Duration::from_secs(1),
     }
 }
 
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -17,23 +17,23 @@
 /// The workers' times of a run, in the relation of a deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
-    /// Time between reports.
-    pub report: Duration,
+    /// Time between heartbeats.
+    pub heartbeat: Duration,
     /// Lease of a worker.
     pub lease: Duration,
     /// Time for a cancellation.
     pub cancel: Duration,
 }
 
-/// Long leases with rare reports, and short ones with little time for a cancellation; shortened.
+/// Long leases with rare heartbeats, and short ones with little time for a cancellation; shortened.
 pub const SHAPES: [Times; 2] = [
     Times {
-        report: Duration::from_millis(2000),
+        heartbeat: Duration::from_millis(2000),
         lease: Duration::from_millis(9000),
         cancel: Duration::from_millis(15_000),
     },
     Times {
-        report: Duration::from_millis(600),
+        heartbeat: Duration::from_millis(600),
         lease: Duration::from_millis(5000),
         cancel: Duration::from_millis(14_000),
     },
@@ -155,7 +155,7 @@
         policy: r#"{"idle_return_ms": 86400000}"#.into(),
         lease: soak.times.lease,
         cancel: soak.times.cancel,
-        report_every: soak.times.report,
+        heartbeat_interval: soak.times.heartbeat,
     }
 }
 
--- a/crates/testbed/src/troubles.rs
+++ b/crates/testbed/src/troubles.rs
@@ -24,7 +24,7 @@
     StateHeld(usize),
     /// It loses state service and siblings, not its workers.
     StateAndSiblingsReset(usize),
-    /// The same, and workers reach nobody but it, by their reports: whoever takes over can't reach the machines.
+    /// The same, and workers reach nobody but it, by their heartbeats: whoever takes over can't reach the machines.
     WorkersReachOnly(usize),
     /// Its links to siblings are reset.
     SiblingsReset(usize),
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -3,7 +3,7 @@
 use crate::history::{Event, History};
 use crate::http::{Call, Reply, serve};
 use burlhatch::protocol::user::{JobSpec, Kind};
-use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Orders, Report, ReportedTask, TaskState};
+use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, Orders, TaskState, TaskStatus};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::transport::client::Client;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
@@ -19,7 +19,7 @@
 use tokio::task::JoinSet;
 
 const STEP: Duration = Duration::from_millis(50);
-const REPORT_LIMIT: Duration = Duration::from_secs(4);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
 const RETRY: Duration = Duration::from_millis(1000);
 const LEAST_PAUSE: Duration = Duration::from_millis(500);
 /// Time that fetching any image takes.
@@ -54,11 +54,11 @@
 pub enum WorkerTrouble {
     /// It stands still, and goes on with what has come meanwhile if its lease lasts.
     Hung,
-    /// Its reports arrive; answers and direct commands don't.
+    /// Its heartbeats arrive; answers and direct commands don't.
     Deaf,
-    /// Its reports reach nobody; direct commands do.
+    /// Its heartbeats reach nobody; direct commands do.
     Mute,
-    /// Direct commands don't reach it; answers to its reports do.
+    /// Direct commands don't reach it; answers to its heartbeats do.
     Unreachable,
     /// Direct commands are held up on their way, unanswered, and carried out when the trouble is over.
     LateCommands,
@@ -100,9 +100,9 @@
     pub jobs: Arc<Mutex<BTreeMap<JobId, JobSpec>>>,
     /// What happens.
     pub history: History,
-    /// Time between reports.
-    pub report_every: Duration,
-    /// Without an answered report for so long a worker ends its tasks.
+    /// Time between heartbeats.
+    pub heartbeat_interval: Duration,
+    /// Without an answered heartbeat for so long a worker ends its tasks.
     pub lease: Duration,
 }
 
@@ -227,7 +227,7 @@
     .await?;
     let mut tasks = JoinSet::new();
     tasks.spawn(step_on(worker.clone()));
-    tasks.spawn(report_on(worker.clone(), address));
+    tasks.spawn(send_heartbeats(worker.clone(), address));
     Ok(RunningMachine { worker, _tasks: tasks, _server: server })
 }
 
@@ -238,24 +238,25 @@
     }
 }
 
-async fn report_on(worker: Arc<Worker>, address: SocketAddr) {
+async fn send_heartbeats(worker: Arc<Worker>, address: SocketAddr) {
     let client = Client::default();
     let labels: Vec<String> = worker.around.controllers.keys().cloned().collect();
     let mut at = 0;
     loop {
         worker.troubles.outlast(WorkerTrouble::Hung).await;
         let sent = Instant::now();
-        let report = worker.locked_report(address);
-        let session = report.session;
+        let heartbeat = worker.locked_heartbeat(address);
+        let session = heartbeat.session;
         let controller = worker.around.controllers[&labels[at % labels.len()]];
         let answer = if worker.link.is_cut() || worker.troubles.has(WorkerTrouble::Mute) {
-            tokio::time::sleep(REPORT_LIMIT).await;
+            tokio::time::sleep(HEARTBEAT_TIMEOUT).await;
             None
         } else {
-            client.call(controller, Method::POST, "/checkin", encode(&report), REPORT_LIMIT).await.ok()
+            client.call(controller, Method::POST, "/checkin", encode(&heartbeat), HEARTBEAT_TIMEOUT).await.ok()
         };
         worker.troubles.outlast(WorkerTrouble::Hung).await;
-        let lost = worker.link.is_cut() || worker.troubles.has(WorkerTrouble::Deaf) || sent.elapsed() > REPORT_LIMIT;
+        let lost =
+            worker.link.is_cut() || worker.troubles.has(WorkerTrouble::Deaf) || sent.elapsed() > HEARTBEAT_TIMEOUT;
         let answer = answer.filter(|_| !lost);
         let pause = match answer {
             Some(answer) if answer.status == 200 => {
@@ -285,22 +286,22 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn locked_report(&self, address: SocketAddr) -> Report {
+    fn locked_heartbeat(&self, address: SocketAddr) -> Heartbeat {
         let mut state = self.locked();
         state.changed = false;
-        self.report(&mut state, Some(address))
+        self.heartbeat(&mut state, Some(address))
     }
 
-    fn report(&self, state: &mut WorkerState, address: Option<SocketAddr>) -> Report {
+    fn heartbeat(&self, state: &mut WorkerState, address: Option<SocketAddr>) -> Heartbeat {
         state.seq += 1;
         let running = state.tasks.iter().map(|(name, task)| (name.clone(), task.attempt, task.state, None));
         let exited =
             state.exited.iter().map(|((name, attempt), why)| (name.clone(), *attempt, TaskState::Exited, Some(*why)));
         let tasks = running
             .chain(exited)
-            .map(|(task, attempt, state, why)| ReportedTask { task, attempt, state, why, saved: None })
+            .map(|(task, attempt, state, why)| TaskStatus { task, attempt, state, why, saved: None })
             .collect();
-        Report {
+        Heartbeat {
             machine: self.machine.id.clone(),
             addr: address.map(|address| address.to_string()),
             machine_type: self.machine.machine_type.clone(),
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Until the next report is due, sooner if something changes.
+    /// Until the next heartbeat is due, sooner if something changes.
     async fn wait(&self, pause: Duration) {
         let began = Instant::now();
         while began.elapsed() < pause {
@@ -326,7 +327,7 @@
     }
 
     fn pause_until_next(&self) -> Duration {
-        self.around.report_every
+        self.around.heartbeat_interval
     }
 
     fn take_answer(&self, orders: &Orders, sent: Instant, session: u64) {
@@ -353,8 +354,8 @@
             state.take_token(orders.fencing_token, self.around.lease);
             self.obey(&mut state, &orders.orders);
         }
-        let report = self.report(&mut state, None);
-        let body = serde_json::to_value(&report).unwrap_or(Value::Null);
+        let heartbeat = self.heartbeat(&mut state, None);
+        let body = serde_json::to_value(&heartbeat).unwrap_or(Value::Null);
         Some((if fits { 200 } else { 409 }, body))
     }
 
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -62,8 +62,8 @@
 pub(super) enum AbsenceProof {
     /// The worker has begun a later session.
     LaterSession,
-    /// A report lacks it, and no command is on its way that could still start it.
-    Report,
+    /// A heartbeat lacks it, and no command is on its way that could still start it.
+    Heartbeat,
     /// The worker's lease has run out.
     LeaseExpired,
     /// It was recorded, and its command never sent.
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -19,7 +19,7 @@
 const WIDENED: usize = 3;
 
 /// When machines were last heard: those that failed to answer since, and all. Those that were not
-/// asked since and whose report isn't due tell nothing. Sorted once, as with hundreds silent a walk
+/// asked since and whose heartbeat isn't due tell nothing. Sorted once, as with hundreds silent a walk
 /// over all for each would stop everything else.
 struct Contacts {
     failing: Vec<Micros>,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Asks for a sign of life: machines that didn't answer or whose report is late, and between their
-    /// reports those with services, whose loss is felt at once. The latter only as far as the rate of
+    /// Asks for a sign of life: machines that didn't answer or whose heartbeat is late, and between their
+    /// heartbeats those with services, whose loss is felt at once. The latter only as far as the rate of
     /// probes allows, those heard longest ago first: a controller that holds all shards would do little
     /// else. What has no place now comes first in the next round.
     pub(super) fn probe(&mut self, ours: &[MachineId]) {
@@ -126,7 +126,7 @@
     fn due_probes<'a>(&self, ours: &'a [MachineId]) -> Vec<DueProbe<'a>> {
         let now = self.now();
         let early = Micros::from_millis(self.policy.probe_after_ms);
-        let late = Micros::from_secs_f64(self.platform.deployment.workers.report_s * self.policy.report_late_part);
+        let late = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * self.policy.report_late_part);
         let mut due: Vec<DueProbe> = Vec::new();
         let mut quiet: BTreeMap<&str, Vec<DueProbe>> = BTreeMap::new();
         let mut suspected: BTreeSet<&str> = BTreeSet::new();
@@ -321,7 +321,7 @@
         }
     }
 
-    /// A machine whose reports arrive though nothing reaches it: its lease runs out again and again,
+    /// A machine whose heartbeats arrive though nothing reaches it: its lease runs out again and again,
     /// and whatever it is given is lost. Replaced like a silent one, unless many are so at once:
     /// then the fault is our own network.
     pub(super) fn replace_unreachable(&mut self, ours: &[MachineId]) {
@@ -349,14 +349,14 @@
         }
     }
 
-    /// Without a report for so long a machine's reports are taken not to get through: the next is due, and a few
+    /// Without a heartbeat for so long a machine's heartbeats are taken not to get through: the next is due, and a few
     /// controllers may have to be tried in vain.
     pub(super) fn unreported_span(&self) -> Micros {
-        let report = Micros::from_secs_f64(self.platform.deployment.workers.report_s * 1.25);
-        report + Micros::from_millis(self.policy.unreported_ms)
+        let heartbeat = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 1.25);
+        heartbeat + Micros::from_millis(self.policy.unreported_ms)
     }
 
-    /// A machine whose reports reach no controller is replaced while its lease lasts, unless many are so: then
+    /// A machine whose heartbeats reach no controller is replaced while its lease lasts, unless many are so: then
     /// the fault is elsewhere.
     pub(super) fn replace_unreported(&mut self, ours: &[MachineId]) {
         let now = self.now();
@@ -366,7 +366,7 @@
             .filter(|id| self.machines.get(*id).is_some_and(|m| m.is_unreported(now, span)))
             .cloned()
             .collect();
-        // Their last reports came at different moments: those on their way there count as well.
+        // Their last heartbeats came at different moments: those on their way there count as well.
         let half = span - Micros(Micros::from_millis(self.policy.unreported_ms).0 / 2);
         let late = ours.iter().filter(|id| self.machines.get(*id).is_some_and(|m| m.is_unreported(now, half))).count();
         if late as f64 > (ours.len() as f64 * self.policy.replace_max_part).max(1.0) {
--- a/src/coordination/reports.rs
+++ b/src/coordination/heartbeats.rs
@@ -1,12 +1,12 @@
-//! Reports of workers: which are new, what they prove about tasks, and what is answered.
+//! Heartbeats of workers: which are new, what they prove about tasks, and what is answered.
 
 use super::audit::AbsenceProof;
-use super::machines::{Failures, Fetch, LastReport, UnrecordedTask};
+use super::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
 use super::usage::{Phase, Start};
 use super::zones::ZoneStart;
 use super::{Controller, Effect, Unregistered, Waiter, WorkerAnswer};
 use crate::protocol::user::Kind;
-use crate::protocol::worker::{ExitCause, Report, TaskState};
+use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
 use crate::storage::schema::Role;
 use crate::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeSet;
@@ -17,16 +17,16 @@
 /// How a worker's account of itself came.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// As a report, which the worker sends only after it is through with the answer to the one before.
-    Report,
+    /// As a heartbeat, which the worker sends only after it is through with the answer to the one before.
+    Heartbeat,
     /// As the answer to a direct message.
     DirectAnswer,
 }
 
 impl Controller {
-    pub(super) fn report(&mut self, waiter: Waiter, report: Report, relayed: bool) {
+    pub(super) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
         let answer = match self.sync.done {
-            true => self.report_answer(waiter, report, relayed),
+            true => self.heartbeat_answer(waiter, heartbeat, relayed),
             false => Some(WorkerAnswer::Unavailable),
         };
         if let Some(answer) = answer {
@@ -34,25 +34,25 @@
         }
     }
 
-    fn report_answer(&mut self, waiter: Waiter, report: Report, relayed: bool) -> Option<WorkerAnswer> {
-        let id = report.machine.clone();
-        let Some(role) = self.role_of_machine(&id) else { return self.unregistered_report(waiter, report) };
+    fn heartbeat_answer(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) -> Option<WorkerAnswer> {
+        let id = heartbeat.machine.clone();
+        let Some(role) = self.role_of_machine(&id) else { return self.unregistered_heartbeat(waiter, heartbeat) };
         let Some(fencing_token) = self.fencing_token(&id) else { return Some(self.redirect_to_holder(role)) };
-        if report.fencing_token > fencing_token {
-            self.later_token_shown(&id, report.fencing_token);
+        if heartbeat.fencing_token > fencing_token {
+            self.later_token_shown(&id, heartbeat.fencing_token);
             return Some(WorkerAnswer::Redirect(None));
         }
-        if !self.note_report(&report, relayed) {
+        if !self.note_heartbeat(&heartbeat, relayed) {
             return Some(WorkerAnswer::Unavailable);
         }
-        self.take_report(&report, Source::Report);
-        Some(self.renewing_answer(&report, fencing_token))
+        self.take_heartbeat(&heartbeat, Source::Heartbeat);
+        Some(self.renewing_answer(&heartbeat, fencing_token))
     }
 
     /// A machine without a record: the leader may register it, others send its worker there.
-    fn unregistered_report(&mut self, waiter: Waiter, report: Report) -> Option<WorkerAnswer> {
+    fn unregistered_heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat) -> Option<WorkerAnswer> {
         if self.is_leader() {
-            self.unregistered.push(Unregistered { since: self.now(), waiter, report });
+            self.unregistered.push(Unregistered { since: self.now(), waiter, heartbeat });
             return None;
         }
         Some(self.redirect_to_holder(Role::Leader))
@@ -78,60 +78,60 @@
         }
     }
 
-    /// Whether a report is newer than the one before, and what its number tells of what the worker has heard.
-    fn note_report(&mut self, report: &Report, relayed: bool) -> bool {
+    /// Whether a heartbeat is newer than the one before, and what its number tells of what the worker has heard.
+    fn note_heartbeat(&mut self, heartbeat: &Heartbeat, relayed: bool) -> bool {
         let now = self.now();
-        let machine = self.machines.entry(report.machine.clone()).or_default();
-        let last = machine.last_report;
-        if (report.session, report.seq) <= (last.session, last.number) {
-            // A copy of a report we have seen, for which nobody waits any more. Or a worker that began
+        let machine = self.machines.entry(heartbeat.machine.clone()).or_default();
+        let last = machine.last_heartbeat;
+        if (heartbeat.session, heartbeat.seq) <= (last.session, last.number) {
+            // A copy of a heartbeat we have seen, for which nobody waits any more. Or a worker that began
             // anew and counts from the start: an answer would renew a lease that we then take for run
             // out. Asked directly it can't show less than it did before, unless it has begun anew.
             machine.ask = true;
             return false;
         }
         // A worker that did not hear our last answer would have gone to another controller first.
-        if last.direct && !relayed && last.session == report.session && report.seq == last.number + 1 {
+        if last.direct && !relayed && last.session == heartbeat.session && heartbeat.seq == last.number + 1 {
             machine.hears(machine.answered);
         }
         // It said something since that did not reach us: perhaps it did not hear our last answer, and it may be that
-        // nothing reaches it. What waits for its next report would never tell.
-        machine.ask |= report.session == machine.session && report.seq > machine.seq + 1;
-        machine.last_report = LastReport { session: report.session, number: report.seq, direct: !relayed };
-        // What is older than its answers to direct messages may be a late copy, which shows no report to get through now.
-        if (report.session, report.seq) > (machine.session, machine.seq) {
-            machine.reported = now;
+        // nothing reaches it. What waits for its next heartbeat would never tell.
+        machine.ask |= heartbeat.session == machine.session && heartbeat.seq > machine.seq + 1;
+        machine.last_heartbeat = LastHeartbeat { session: heartbeat.session, number: heartbeat.seq, direct: !relayed };
+        // What is older than its answers to direct messages may be a late copy, which shows no heartbeat to get through now.
+        if (heartbeat.session, heartbeat.seq) > (machine.session, machine.seq) {
+            machine.last_heartbeat_at = now;
         }
         true
     }
 
     /// Takes in a worker's account of itself.
-    pub(super) fn take_report(&mut self, report: &Report, source: Source) {
+    pub(super) fn take_heartbeat(&mut self, heartbeat: &Heartbeat, source: Source) {
         let now = self.now();
-        let id = &report.machine;
+        let id = &heartbeat.machine;
         let Some(fencing_token) = self.fencing_token(id) else { return };
         let Some(machine) = self.machines.get_mut(id) else { return };
-        if (report.session, report.seq) <= (machine.session, machine.seq) {
+        if (heartbeat.session, heartbeat.seq) <= (machine.session, machine.seq) {
             return;
         }
-        let token_confirmed = report.fencing_token >= fencing_token;
-        machine.outranked = report.fencing_token > fencing_token;
-        // A report without our fencing token may be a copy from before our time: no sign of life.
+        let token_confirmed = heartbeat.fencing_token >= fencing_token;
+        machine.outranked = heartbeat.fencing_token > fencing_token;
+        // A heartbeat without our fencing token may be a copy from before our time: no sign of life.
         if token_confirmed || source == Source::DirectAnswer {
             machine.heard = now;
             machine.probes_failed = 0;
         }
-        if report.session > machine.session {
+        if heartbeat.session > machine.session {
             // A new session comes with a lease of its own.
             machine.answered = now;
             machine.unrecorded.clear();
             machine.fetches.clear();
         }
-        machine.session = report.session;
-        machine.seq = report.seq;
-        machine.highest_token_seen = report.fencing_token;
-        machine.notice = report.notice_s.is_some();
-        if let Some(addr) = report.addr.as_ref().and_then(|a| a.parse().ok()) {
+        machine.session = heartbeat.session;
+        machine.seq = heartbeat.seq;
+        machine.highest_token_seen = heartbeat.fencing_token;
+        machine.notice = heartbeat.notice_s.is_some();
+        if let Some(addr) = heartbeat.addr.as_ref().and_then(|a| a.parse().ok()) {
             machine.addr = Some(addr);
         }
         let first = !machine.token_confirmed;
@@ -140,7 +140,7 @@
             return;
         }
         machine.obeys_holder = true;
-        if machine.unacknowledged.is_some_and(|d| report.fencing_token > d) {
+        if machine.unacknowledged.is_some_and(|d| heartbeat.fencing_token > d) {
             machine.unacknowledged = None;
         }
         if first {
@@ -148,15 +148,15 @@
             machine.answered = now;
         }
         self.pass_wanted |= first;
-        self.take_tasks(report, source, first);
+        self.take_tasks(heartbeat, source, first);
     }
 
     /// `first`: this is the first message that shows the machine's present fencing token.
-    fn take_tasks(&mut self, report: &Report, source: Source, first: bool) {
-        let id = &report.machine;
+    fn take_tasks(&mut self, heartbeat: &Heartbeat, source: Source, first: bool) {
+        let id = &heartbeat.machine;
         let mut unrecorded = Vec::new();
         let mut seen: BTreeSet<(JobId, u32)> = BTreeSet::new();
-        for reported in &report.tasks {
+        for reported in &heartbeat.tasks {
             let exited = (reported.state == TaskState::Exited).then(|| reported.why.unwrap_or(ExitCause::Unknown));
             let known = TaskId::parse(&reported.task).filter(|t| {
                 self.jobs.get(&t.job).and_then(|j| j.live.get(t.index)).is_some_and(|l| {
@@ -172,7 +172,7 @@
             seen.insert((task.job.clone(), task.index));
             match exited {
                 Some(why) => self.exit_seen(id, &task, why),
-                None => self.task_seen(id, &task, reported.state, report.seq),
+                None => self.task_seen(id, &task, reported.state, heartbeat.seq),
             }
         }
         let Some(machine) = self.machines.get_mut(id) else { return };
@@ -181,7 +181,7 @@
         machine.kept = kept;
         if kept > EXITED_KEPT && machine.unacknowledged.is_none() {
             // A new fencing token makes them forgettable.
-            machine.unacknowledged = Some(report.fencing_token);
+            machine.unacknowledged = Some(heartbeat.fencing_token);
         }
         let quiet = !machine.direct && machine.unacknowledged.is_none();
         let mut starts = self.usage.starts_on(id);
@@ -191,14 +191,15 @@
             if live.phase() == Phase::Decided || !live.occupies() {
                 continue;
             }
-            let earlier_session = live.session < report.session;
+            let earlier_session = live.session < heartbeat.session;
             // Not there, and no command of ours is on its way that could still start it.
-            let absent = source == Source::Report && quiet && live.session == report.session && report.seq > live.seq;
+            let absent =
+                source == Source::Heartbeat && quiet && live.session == heartbeat.session && heartbeat.seq > live.seq;
             let unwanted = live.stop.is_some() || live.phase().on_machine();
             if earlier_session {
                 self.start_gone(&job, task, AbsenceProof::LaterSession);
             } else if absent && unwanted {
-                self.start_gone(&job, task, AbsenceProof::Report);
+                self.start_gone(&job, task, AbsenceProof::Heartbeat);
             }
         }
     }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -52,7 +52,7 @@
     pub boot_history: BootHistory,
     pub refused: HashMap<Offer, Micros>,
     pub deleting: BTreeSet<MachineId>,
-    /// Machines whose deletion was confirmed; late reports of theirs count for nothing.
+    /// Machines whose deletion was confirmed; late heartbeats of theirs count for nothing.
     pub deleted: BTreeMap<MachineId, Micros>,
     pub next_plan: Micros,
     pub next_tidy: Micros,
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -12,25 +12,25 @@
 
 use super::orders::ORDERS_MAX;
 use super::{Controller, WorkerAnswer};
-use crate::protocol::worker::{Order, Orders, Report, TaskState};
+use crate::protocol::worker::{Heartbeat, Order, Orders, TaskState};
 use crate::storage::schema::Outcome;
 use crate::types::{FencingToken, MachineId, TaskId};
 
 impl Controller {
-    /// The answer to a report that was just taken in, under our fencing token.
-    pub(super) fn renewing_answer(&mut self, report: &Report, fencing_token: FencingToken) -> WorkerAnswer {
+    /// The answer to a heartbeat that was just taken in, under our fencing token.
+    pub(super) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> WorkerAnswer {
         let now = self.now();
-        let id = &report.machine;
+        let id = &heartbeat.machine;
         if self.is_renewal_withheld(id, fencing_token) {
             return WorkerAnswer::Unavailable;
         }
         let Some(machine) = self.machines.get_mut(id) else { return WorkerAnswer::Unavailable };
         machine.answered = now;
-        // Before the worker has shown our fencing token its report proves nothing; the answer's fencing token makes it report again.
-        let reliable = machine.token_confirmed && machine.session == report.session;
-        let mut orders = if reliable { self.orders_for(id, Some(report.seq)) } else { Vec::new() };
+        // Before the worker has shown our fencing token its heartbeat proves nothing; the answer's fencing token makes it report again.
+        let reliable = machine.token_confirmed && machine.session == heartbeat.session;
+        let mut orders = if reliable { self.orders_for(id, Some(heartbeat.seq)) } else { Vec::new() };
         let complete = reliable && orders.len() < ORDERS_MAX;
-        for stop in self.stops_of_cancelled(report) {
+        for stop in self.stops_of_cancelled(heartbeat) {
             if !orders.contains(&stop) {
                 orders.push(stop);
                 self.audit.added_stops += 1;
@@ -57,9 +57,9 @@
     }
 
     /// Stops for all that the worker says it has of cancelled jobs.
-    fn stops_of_cancelled(&self, report: &Report) -> Vec<Order> {
+    fn stops_of_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Order> {
         let is_cancelled = |task: &TaskId| self.outcome(&task.job) == Some(Outcome::Cancelled);
-        let reported = report.tasks.iter().filter(|task| task.state != TaskState::Exited);
+        let reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited);
         let cancelled = reported.filter(|reported| TaskId::parse(&reported.task).is_some_and(|t| is_cancelled(&t)));
         let stop = |task: &str, attempt| Order::Stop { task: task.to_string(), attempt, grace_s: 0.0 };
         cancelled.map(|reported| stop(&reported.task, reported.attempt)).collect()
--- a/src/coordination/machine_tokens.rs
+++ b/src/coordination/machine_tokens.rs
@@ -13,7 +13,7 @@
 const RENEW_EVERY: Micros = Micros::from_millis(1000);
 
 impl Controller {
-    /// Machines with a direct command in doubt get a new fencing token once they are heard again: a report
+    /// Machines with a direct command in doubt get a new fencing token once they are heard again: a heartbeat
     /// that carries it proves the command void. For a few each gets one of its own; many in one
     /// shard get the shard's, which costs two changes however many they are.
     pub(super) fn renew_fencing_tokens(&mut self, ours: &[MachineId]) {
@@ -21,7 +21,7 @@
         if now < self.next_renewal {
             return;
         }
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.report_s * 2.0);
+        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
         let mut unacknowledged: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in ours {
             let fencing_token = self.fencing_token(id).unwrap_or_default();
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -46,9 +46,9 @@
     }
 }
 
-/// The newest report of a worker.
+/// The newest heartbeat of a worker.
 #[derive(Clone, Copy, Default)]
-pub(super) struct LastReport {
+pub(super) struct LastHeartbeat {
     pub session: u64,
     pub number: u64,
     /// It came from the worker itself, not through a sibling.
@@ -67,7 +67,7 @@
     pub addr: Option<SocketAddr>,
     /// Last sign of life.
     pub heard: Micros,
-    /// Last report answered in a way that may have renewed the lease.
+    /// Last heartbeat answered in a way that may have renewed the lease.
     pub answered: Micros,
     /// Has shown our fencing token since we took its shard: what it reports counts.
     pub token_confirmed: bool,
@@ -82,25 +82,25 @@
     pub direct_token: FencingToken,
     /// Newest message's session and number when it was sent.
     pub direct_after: (u64, u64),
-    /// Its last report was not newer than the one before, or messages between the two are missing.
+    /// Its last heartbeat was not newer than the one before, or messages between the two are missing.
     pub ask: bool,
     pub push: bool,
-    /// Not before then: a report may come first, whose answer says it without a message of its own.
+    /// Not before then: a heartbeat may come first, whose answer says it without a message of its own.
     pub push_after: Micros,
     /// A direct command under this fencing token got no answer and may be carried out at any time.
     pub unacknowledged: Option<FencingToken>,
     pub probes_failed: u32,
-    /// Direct messages in a row without an answer, and since when. Unlike `probes_failed` a report
+    /// Direct messages in a row without an answer, and since when. Unlike `probes_failed` a heartbeat
     /// alone does not undo them: it may come from a machine that can send but not hear.
     pub unanswered: u32,
     pub unanswered_since: Micros,
     /// When what was sent last that is known to have arrived.
     pub last_delivered: Micros,
-    /// When its newest report came.
-    pub reported: Micros,
+    /// When its newest heartbeat came.
+    pub last_heartbeat_at: Micros,
     /// Since when it is in this shard, under this holder.
     pub owned_since: Micros,
-    pub last_report: LastReport,
+    pub last_heartbeat: LastHeartbeat,
     pub next_probe: Micros,
     pub unrecorded: Vec<UnrecordedTask>,
     /// Of these exited ones that it may not forget yet.
@@ -136,17 +136,17 @@
         self.unacknowledged.is_none() && self.probes_failed == 0 && self.unanswered < 2
     }
 
-    /// Whether it seems to hear nothing that it is sent, though its reports arrive. One whose reports stay
+    /// Whether it seems to hear nothing that it is sent, though its heartbeats arrive. One whose heartbeats stay
     /// away as well is silent, which is judged otherwise.
     pub fn is_unreachable(&self, now: Micros, probes: u32, span: Micros) -> bool {
-        let reports = self.reported > self.unanswered_since;
-        reports && self.unanswered >= probes && now.since(self.unanswered_since) >= span
+        let heartbeats = self.last_heartbeat_at > self.unanswered_since;
+        heartbeats && self.unanswered >= probes && now.since(self.unanswered_since) >= span
     }
 
-    /// Whether its reports don't get through, though it answers what it is sent: its lease runs out, and then again
+    /// Whether its heartbeats don't get through, though it answers what it is sent: its lease runs out, and then again
     /// and again, with whatever it was given in between.
     pub fn is_unreported(&self, now: Micros, span: Micros) -> bool {
-        let silence = now.since(self.reported.max(self.owned_since));
+        let silence = now.since(self.last_heartbeat_at.max(self.owned_since));
         silence >= span && self.unanswered == 0 && now.since(self.heard) < silence
     }
 
@@ -155,7 +155,7 @@
         self.heard = (self.heard + pause).min(now);
         self.unanswered_since = (self.unanswered_since + pause).min(now);
         self.owned_since = (self.owned_since + pause).min(now);
-        self.reported = (self.reported + pause).min(now);
+        self.last_heartbeat_at = (self.last_heartbeat_at + pause).min(now);
         self.probes_failed = 0;
     }
 
@@ -269,7 +269,7 @@
                 if self.usage.is_empty(id) {
                     machine.free_since.get_or_insert(now);
                 }
-                // A new fencing token or shard: only reports that carry it count.
+                // A new fencing token or shard: only heartbeats that carry it count.
                 let highest_token_seen = machine.highest_token_seen;
                 let token_confirmed = self.fencing_token(id).is_some_and(|t| highest_token_seen >= t);
                 if let Some(machine) = self.machines.get_mut(id) {
@@ -282,8 +282,8 @@
                     }
                 }
                 for held in std::mem::take(&mut self.unregistered) {
-                    if held.report.machine == *id {
-                        self.report(held.waiter, held.report, true);
+                    if held.heartbeat.machine == *id {
+                        self.heartbeat(held.waiter, held.heartbeat, true);
                     } else {
                         self.unregistered.push(held);
                     }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -4,7 +4,7 @@
 use crate::protocol::peer::{CancellationAck, Cancelled};
 use crate::protocol::state::{Changes, Page, Txn};
 use crate::protocol::user::{JobStatus, Submission};
-use crate::protocol::worker::{DirectOrders, Orders, Report};
+use crate::protocol::worker::{DirectOrders, Heartbeat, Orders};
 use crate::types::{JobId, MachineId, Micros};
 use std::net::SocketAddr;
 
@@ -93,10 +93,10 @@
 /// How a direct message to a worker ended.
 #[derive(Clone, Debug)]
 pub enum OrdersOutcome {
-    /// Executed; the worker's report after it.
-    Done(Report),
+    /// Executed; the worker's heartbeat after it.
+    Done(Heartbeat),
     /// Nothing executed, but this is how the worker stands.
-    Rejected(Report),
+    Rejected(Heartbeat),
     /// Without an answer that tells.
     Failed(Failure),
 }
@@ -140,11 +140,11 @@
     /// A user's request.
     User(Waiter, UserRequest),
     /// `relayed`: it came through a sibling, as the worker could not reach us itself.
-    Report {
+    Heartbeat {
         /// Who waits for the answer.
         waiter: Waiter,
         /// What the worker says.
-        report: Report,
+        heartbeat: Heartbeat,
         /// Whether it came through a sibling.
         relayed: bool,
     },
@@ -236,10 +236,10 @@
     },
 }
 
-/// What a worker is told in answer to its report.
+/// What a worker is told in answer to its heartbeat.
 #[derive(Clone, Debug)]
 pub enum WorkerAnswer {
-    /// The report counts, and this is to be done.
+    /// The heartbeat counts, and this is to be done.
     Orders(Orders),
     /// To report to that controller, or to any other.
     Redirect(Option<String>),
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: commands and the time come in, effects go out. One [`Controller`] owns all state of a
 //! controller; the daemon feeds it a queue of commands in batches. Everything a decision rests on
-//! is either in the state service (see [`crate::storage`]) or was proven by a worker's report.
+//! is either in the state service (see [`crate::storage`]) or was proven by a worker's heartbeat.
 
 mod audit;
 mod boots;
@@ -15,6 +15,7 @@
 mod evidence;
 mod failure_detector;
 mod failures;
+mod heartbeats;
 mod jobs;
 mod leader;
 mod lease_renewal;
@@ -32,7 +33,6 @@
 mod records;
 mod registration;
 mod rentals;
-mod reports;
 mod roles;
 mod scheduling_order;
 mod shard_view;
@@ -51,7 +51,7 @@
 };
 
 use crate::protocol::cloud::MachineType;
-use crate::protocol::worker::Report;
+use crate::protocol::worker::Heartbeat;
 use crate::settings::{Platform, Policy};
 use crate::storage::schema::RecordVersion;
 use crate::storage::{Change, Replica, schema};
@@ -68,11 +68,11 @@
     room: Room,
 }
 
-/// A report of a machine that is not in the stored records yet.
+/// A heartbeat of a machine that is not in the stored records yet.
 struct Unregistered {
     since: Micros,
     waiter: Waiter,
-    report: Report,
+    heartbeat: Heartbeat,
 }
 
 /// The state of one controller, and all its decisions.
@@ -114,7 +114,7 @@
     /// Direct messages on their way, and how many there may be: each takes a socket.
     direct_open: usize,
     direct_most: usize,
-    /// Probes between reports that may go now, and as of when.
+    /// Probes between heartbeats that may go now, and as of when.
     probes_left: f64,
     probed_at: Micros,
     /// Last answer of the state service that was no refusal.
@@ -123,11 +123,11 @@
     next_renewal: Micros,
     /// When more machines than could well be lost together last failed to answer.
     many_unreachable: Option<Micros>,
-    /// The same for machines whose reports did not come.
+    /// The same for machines whose heartbeats did not come.
     many_unreported: Option<Micros>,
     /// When most of a zone's machines were last silent together.
     zones_cut: BTreeMap<String, Micros>,
-    /// Reports of machines that are just being taken into the stored records.
+    /// Heartbeats of machines that are just being taken into the stored records.
     unregistered: Vec<Unregistered>,
     types: BTreeMap<String, TypeInfo>,
     types_asked: Micros,
@@ -246,7 +246,7 @@
         }
         match command {
             Command::User(waiter, request) => self.user_request(waiter, request),
-            Command::Report { waiter, report, relayed } => self.report(waiter, report, relayed),
+            Command::Heartbeat { waiter, heartbeat, relayed } => self.heartbeat(waiter, heartbeat, relayed),
             Command::Txn { ticket, outcome } => self.txn_outcome(ticket, outcome),
             Command::Changes { ticket, outcome } => self.changes_outcome(ticket, outcome),
             Command::Page { ticket, outcome } => self.page_outcome(ticket, outcome),
--- a/src/coordination/orders.rs
+++ b/src/coordination/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to workers: what a machine is to be told, in the answer to its report or in a direct message, and what the
+//! Orders to workers: what a machine is to be told, in the answer to its heartbeat or in a direct message, and what the
 //! answer to such a message proves.
 
 use super::audit::AbsenceProof;
+use super::heartbeats::Source;
 use super::machines::{Machine, UnrecordedTask};
-use super::reports::Source;
 use super::usage::{Phase, Start};
 use super::{Controller, Effect, Failure, OrdersOutcome};
 use crate::protocol::worker::{DirectOrders, Order};
@@ -64,8 +64,8 @@
         }
     }
 
-    /// The machine is to be told something that can wait a moment for its next report: machines with
-    /// work report often, and each direct message costs as much as a report.
+    /// The machine is to be told something that can wait a moment for its next heartbeat: machines with
+    /// work heartbeat often, and each direct message costs as much as a heartbeat.
     pub(super) fn want_push_soon(&mut self, id: &MachineId) {
         let after = self.now() + Micros::from_millis(self.policy.batch_push_ms);
         if let Some(machine) = self.machines.get_mut(id)
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Everything the machine is to be told now. For an answer to a report, `seq` is the
-    /// report's number.
+    /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the
+    /// heartbeat's number.
     pub(super) fn orders_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<Order> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let doomed = self.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
@@ -116,10 +116,10 @@
         orders
     }
 
-    /// Sends what can't wait for the next report.
+    /// Sends what can't wait for the next heartbeat.
     pub(super) fn push_orders(&mut self) {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.report_s * 2.0);
+        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
         while self.pushes_later.first().is_some_and(|(at, _)| *at <= now) {
             self.pushes.extend(self.pushes_later.pop_first().map(|(_, id)| id));
         }
@@ -143,7 +143,7 @@
             let alive = now.since(machine.heard) < recent && machine.unanswered == 0;
             let token_confirmed = machine.token_confirmed;
             let session = machine.session.max(1);
-            // Without a report under our fencing token an empty message makes the worker show it.
+            // Without a heartbeat under our fencing token an empty message makes the worker show it.
             let orders = if token_confirmed && alive { self.orders_for(&id, None) } else { Vec::new() };
             if token_confirmed && orders.is_empty() {
                 continue;
@@ -170,8 +170,8 @@
         let recorded = self.replica.machines.contains_key(id);
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.direct = false;
-        if let OrdersOutcome::Done(report) | OrdersOutcome::Rejected(report) = &outcome
-            && report.machine == *id
+        if let OrdersOutcome::Done(heartbeat) | OrdersOutcome::Rejected(heartbeat) = &outcome
+            && heartbeat.machine == *id
         {
             machine.hears(now);
             if !recorded && self.is_leader() {
@@ -185,22 +185,22 @@
             self.roles.answered += 1;
         }
         match outcome {
-            OrdersOutcome::Done(report) | OrdersOutcome::Rejected(report) => {
-                if report.machine != *id || fencing_token.is_none_or(|t| report.fencing_token > t) {
-                    machine.outranked |= report.machine == *id;
+            OrdersOutcome::Done(heartbeat) | OrdersOutcome::Rejected(heartbeat) => {
+                if heartbeat.machine != *id || fencing_token.is_none_or(|t| heartbeat.fencing_token > t) {
+                    machine.outranked |= heartbeat.machine == *id;
                     self.reads.wanted = true;
                     return;
                 }
                 // It answered what was sent after its newest message, and yet shows a smaller number: its
                 // worker began anew and what was on it is gone. Sessions can't tell, a deletion can.
-                let regressed = (report.session, report.seq) <= machine.direct_after;
+                let regressed = (heartbeat.session, heartbeat.seq) <= machine.direct_after;
                 if regressed {
                     tracing::warn!(machine = %id, "the worker has forgotten its session");
                     self.set_hold(id, Hold::Doomed);
                     return;
                 }
-                let wrong_session = report.session != machine.session;
-                self.take_report(&report, Source::DirectAnswer);
+                let wrong_session = heartbeat.session != machine.session;
+                self.take_heartbeat(&heartbeat, Source::DirectAnswer);
                 if wrong_session {
                     self.want_push(id);
                 }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -315,7 +315,7 @@
             let left = fetch.megabytes - now.since(fetch.since).secs() * rate;
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
-        // Starts decided or told, whose fetch has not shown up in a report yet.
+        // Starts decided or told, whose fetch has not shown up in a heartbeat yet.
         for (id, task) in self.usage.placed(id).into_iter().flat_map(|p| &p.starts) {
             let Some(other) = self.jobs.get(id) else { continue };
             let waits = other.live.get(*task).is_some_and(|l| matches!(l.phase(), Phase::Decided | Phase::Recorded));
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -4,7 +4,7 @@
 use super::submissions::VALUE_FILL;
 use super::txns::{CONDITIONS_PER_WRITE, Draft, MachineChange, Purpose};
 use super::{Controller, Effect};
-use crate::protocol::worker::Report;
+use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 
@@ -15,9 +15,9 @@
 enum Registration {
     /// It has a record, or one is on its way.
     Known,
-    /// It reports after its deletion: an old report, or the deletion missed it.
+    /// It heartbeats after its deletion: an old heartbeat, or the deletion missed it.
     Deleted,
-    /// A report may be a late copy, and its machine long gone: it has to answer first.
+    /// A heartbeat may be a late copy, and its machine long gone: it has to answer first.
     Unproven,
     /// It answered when it was asked a moment ago.
     Alive,
@@ -28,23 +28,23 @@
     pub(super) fn register_machines(&mut self) {
         let limits = self.platform.deployment.state.clone();
         let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
-        let reports: Vec<_> = self.unregistered.iter().map(|held| held.report.clone()).collect();
+        let heartbeats: Vec<_> = self.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
         self.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
         let mut members: Vec<FleetMember> = Vec::new();
         let mut refused = Vec::new();
         let mut size = 0;
-        for report in reports {
-            let id = &report.machine;
+        for heartbeat in heartbeats {
+            let id = &heartbeat.machine;
             if members.iter().any(|m| m.id == *id) {
                 continue;
             }
             match self.registration(id) {
                 Registration::Known => continue,
                 Registration::Deleted => refused.push(id.clone()),
-                Registration::Unproven => self.ask_for_life(id, report.addr.as_deref()),
+                Registration::Unproven => self.ask_for_life(id, heartbeat.addr.as_deref()),
                 Registration::Alive => {
-                    let member = self.new_member(&report, &members);
+                    let member = self.new_member(&heartbeat, &members);
                     let more = serde_json::to_string(&member).map_or(room, |text| text.len() + 1);
                     // The role's condition and the fleet's own leave room for so many machines'.
                     if size + more > room || members.len() + 2 == limits.ops() * CONDITIONS_PER_WRITE {
@@ -58,7 +58,7 @@
         if !members.is_empty() {
             self.record_registrations(members);
         }
-        self.refuse_reports_of(&refused);
+        self.refuse_heartbeats_of(&refused);
     }
 
     fn registration(&self, id: &MachineId) -> Registration {
@@ -75,22 +75,22 @@
         if self.leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
-    fn new_member(&mut self, report: &Report, members: &[FleetMember]) -> FleetMember {
+    fn new_member(&mut self, heartbeat: &Heartbeat, members: &[FleetMember]) -> FleetMember {
         let record = MachineRecord {
-            shard: self.neediest_shard(report, members),
+            shard: self.neediest_shard(heartbeat, members),
             fencing_token: FencingToken(0),
-            machine_type: report.machine_type.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            addr: report.addr.clone().unwrap_or_default(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            addr: heartbeat.addr.clone().unwrap_or_default(),
             hold: None,
         };
-        FleetMember { id: report.machine.clone(), record }
+        FleetMember { id: heartbeat.machine.clone(), record }
     }
 
-    fn refuse_reports_of(&mut self, refused: &[MachineId]) {
+    fn refuse_heartbeats_of(&mut self, refused: &[MachineId]) {
         self.unregistered.retain(|held| {
-            let keep = !refused.contains(&held.report.machine);
+            let keep = !refused.contains(&held.heartbeat.machine);
             if !keep {
                 self.out.push(Effect::AnswerWorker(held.waiter, super::WorkerAnswer::Unavailable));
             }
@@ -128,15 +128,15 @@
     }
 
     /// The shard with the most unmet need, else the one with the least room for its teams.
-    fn neediest_shard(&mut self, report: &Report, registered: &[FleetMember]) -> u32 {
-        let cpus = self.types.get(&report.machine_type).map_or(1_000_000, |t| t.room.cpus);
+    fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
+        let cpus = self.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.room.cpus);
         // The most urgent tasks that it can really take decide, wherever else room is lacking.
         let mut slot = Slot {
             id: None,
-            machine_type: report.machine_type.clone(),
-            zone: report.zone.clone(),
-            spot: report.spot,
-            free: self.types.get(&report.machine_type).map(|t| t.room).unwrap_or_default(),
+            machine_type: heartbeat.machine_type.clone(),
+            zone: heartbeat.zone.clone(),
+            spot: heartbeat.spot,
+            free: self.types.get(&heartbeat.machine_type).map(|t| t.room).unwrap_or_default(),
             untouched: true,
         };
         let mut chosen = None;
--- a/src/coordination/usage.rs
+++ b/src/coordination/usage.rs
@@ -33,7 +33,7 @@
         !matches!(self, Phase::Ended(_) | Phase::Gone)
     }
 
-    /// Whether a report has shown it on its machine, not ended.
+    /// Whether a heartbeat has shown it on its machine, not ended.
     pub fn on_machine(self) -> bool {
         matches!(self, Phase::Fetching | Phase::Waiting | Phase::Running | Phase::Saving)
     }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -55,7 +55,7 @@
 
 /// A task as its worker reports it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportedTask {
+pub struct TaskStatus {
     /// Job and index.
     #[serde(rename = "piece")]
     pub task: String,
@@ -75,7 +75,7 @@
 
 /// A worker's account of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Its machine.
     #[serde(rename = "host")]
     pub machine: MachineId,
@@ -105,7 +105,7 @@
     pub notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces", default, deserialize_with = "list")]
-    pub tasks: Vec<ReportedTask>,
+    pub tasks: Vec<TaskStatus>,
 }
 
 /// A command to a worker.
@@ -135,7 +135,7 @@
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// Takes an ended task off the reports.
+    /// Takes an ended task off the heartbeats.
     #[serde(rename = "reap")]
     Forget {
         /// Job and index.
@@ -147,7 +147,7 @@
     },
 }
 
-/// The answer to a report.
+/// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
     /// Right to give commands.
@@ -175,5 +175,5 @@
 pub struct Redirect {
     /// Label of the controller to report to.
     #[serde(rename = "harbour", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub controller: Option<String>,
 }
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -120,9 +120,10 @@
 /// Times of the workers' protocol.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Workers {
-    /// Between two reports.
-    pub report_s: f64,
-    /// Without an answered report for so long a worker ends its tasks.
+    /// Between two heartbeats.
+    #[serde(rename = "report_s")]
+    pub heartbeat_s: f64,
+    /// Without an answered heartbeat for so long a worker ends its tasks.
     pub lease_s: f64,
     /// A gang's task waits so long for the others.
     pub gang_wait_s: f64,
@@ -294,7 +295,7 @@
             return Err(invalid("deployment.nodes", "must be 1 to 64"));
         }
         let positive = [
-            ("deployment.workers.report_s", self.workers.report_s),
+            ("deployment.workers.report_s", self.workers.heartbeat_s),
             ("deployment.workers.lease_s", self.workers.lease_s),
             ("deployment.workers.gang_wait_s", self.workers.gang_wait_s),
             ("deployment.workers.gang_peer_s", self.workers.gang_peer_s),
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -115,11 +115,11 @@
     round_budget_us: u64 = 4000, 100, 1000000;
     /// Batch work that waits is looked at no more often than this; urgent work at once.
     pass_gap_ms: u64 = 50, 0, 10000;
-    /// Silence of a machine with services after which it is probed between its reports.
+    /// Silence of a machine with services after which it is probed between its heartbeats.
     probe_after_ms: u64 = 1500, 100, 600000;
     /// Such probes a controller sends in a second at most.
     probes_per_s: f64 = 10.0, 0.0, 10000.0;
-    /// Any other machine is probed once it has been silent for this many times the time between reports.
+    /// Any other machine is probed once it has been silent for this many times the time between heartbeats.
     report_late_part: f64 = 1.6, 1.0, 100.0;
     /// Pause between probes of a silent machine, and how long one may take.
     probe_ms: u64 = 1000, 100, 60000;
@@ -133,14 +133,14 @@
     zone_max_part: f64 = 0.5, 0.0, 1.0;
     /// A controller that has not heard from most of its machines for this long gives its shards to a sibling.
     lose_contact_ms: u64 = 6000, 1000, 600000;
-    /// Direct messages to a machine that must go unanswered in a row, though its reports arrive, before it is
+    /// Direct messages to a machine that must go unanswered in a row, though its heartbeats arrive, before it is
     /// taken to be unreachable. Formerly `mute_probes`.
     #[serde(alias = "mute_probes")]
     unreachable_probes: u32 = 5, 2, 1000;
     /// For so long they must have gone unanswered before it is replaced. Formerly `mute_after_ms`.
     #[serde(alias = "mute_after_ms")]
     unreachable_after_ms: u64 = 8000, 1000, 600000;
-    /// A machine that answers but whose next report is late by this long is taken not to get its reports through.
+    /// A machine that answers but whose next heartbeat is late by this long is taken not to get its heartbeats through.
     unreported_ms: u64 = 8000, 1000, 600000;
     /// Without an answer of the state service for this long users are refused at once.
     state_patience_ms: u64 = 2500, 500, 60000;
@@ -193,7 +193,7 @@
     idle_part: f64 = 0.2, 0.01, 0.4;
     /// Part of the sockets for direct messages to machines that are on their way; others wait.
     direct_part: f64 = 0.1, 0.01, 0.4;
-    /// So long what a machine is to be told about batch work waits for its next report.
+    /// So long what a machine is to be told about batch work waits for its next heartbeat.
     batch_push_ms: u64 = 1000, 0, 60000;
     /// Grace for a task that can save.
     stop_grace_s: f64 = 30.0, 0.0, 600.0;
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -6,7 +6,7 @@
     CloudCall, CloudOutcome, Command, Failure, LeaseOutcome, OrdersOutcome, ReadKind, ReadOutcome, StateCall,
     TxnOutcome,
 };
-use crate::protocol::worker::{DirectOrders, Report};
+use crate::protocol::worker::{DirectOrders, Heartbeat};
 use crate::protocol::{cloud, decode, encode, state};
 use crate::settings::{Platform, Policy};
 use crate::types::MachineId;
@@ -149,9 +149,9 @@
         let limit = if empty { self.probe_limit } else { ORDERS_LIMIT };
         let answer = self.client.call(addr, Method::POST, "/orders", encode(&orders), limit).await;
         let outcome = match answer {
-            Ok(a) if a.status == 200 || a.status == 409 => match read::<Report>(&a) {
-                Some(report) if a.status == 200 => OrdersOutcome::Done(report),
-                Some(report) => OrdersOutcome::Rejected(report),
+            Ok(a) if a.status == 200 || a.status == 409 => match read::<Heartbeat>(&a) {
+                Some(heartbeat) if a.status == 200 => OrdersOutcome::Done(heartbeat),
+                Some(heartbeat) => OrdersOutcome::Rejected(heartbeat),
                 None => OrdersOutcome::Failed(Failure::Unknown),
             },
             Ok(_) => OrdersOutcome::Failed(Failure::Unknown),
--- a/src/transport/daemon.rs
+++ b/src/transport/daemon.rs
@@ -21,7 +21,7 @@
 const BATCH: usize = 64;
 /// Users' requests that may queue for the controller; more are refused at once.
 const USER_ASKS: usize = 512;
-/// Reports that may queue for the controller; more wait in their sockets.
+/// Heartbeats that may queue for the controller; more wait in their sockets.
 const WORKER_ASKS: usize = 256;
 /// Siblings' messages that may queue for the controller; more are refused at once.
 const PEER_ASKS: usize = 64;
@@ -157,10 +157,10 @@
     }
 
     fn worker(&mut self, controller: &mut Controller, clock: Clock, ask: WorkerAsk) {
-        let WorkerAsk { report, relayed, back } = ask;
+        let WorkerAsk { heartbeat, relayed, back } = ask;
         self.next += 1;
         self.workers.insert(self.next, back);
-        controller.handle(clock, Command::Report { waiter: self.next, report, relayed });
+        controller.handle(clock, Command::Heartbeat { waiter: self.next, heartbeat, relayed });
     }
 }
 
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -2,12 +2,12 @@
 
 use super::client::Client;
 use super::siblings::{
-    NodeStatus, RedirectedWorkers, STATUS_PATH, cancellation_noticed, pass_on, pass_report, relayed,
+    NodeStatus, RedirectedWorkers, STATUS_PATH, cancellation_noticed, forward_heartbeat, pass_on, relayed,
 };
 use crate::coordination::{UserAnswer, UserRequest, WorkerAnswer};
 use crate::protocol::peer::{CANCELLED_PATH, CancellationAck, Cancelled};
 use crate::protocol::user::{self, JobState, JobStatus, Refusal};
-use crate::protocol::worker::{Orders, Redirect, Report};
+use crate::protocol::worker::{Heartbeat, Orders, Redirect};
 use crate::protocol::{BODY_LIMIT, decode, encode};
 use crate::types::{FencingToken, JobId};
 use bytes::Bytes;
@@ -35,10 +35,10 @@
     pub back: oneshot::Sender<UserAnswer>,
 }
 
-/// A worker's report for the owner of all state, with the way back.
+/// A worker's heartbeat for the owner of all state, with the way back.
 pub struct WorkerAsk {
     /// What the worker says.
-    pub report: Report,
+    pub heartbeat: Heartbeat,
     /// Whether it came through a sibling.
     pub relayed: bool,
     /// Where the answer goes.
@@ -65,7 +65,7 @@
     pub redirected: RedirectedWorkers,
     /// Users' requests.
     pub users: mpsc::Sender<UserAsk>,
-    /// Workers' reports.
+    /// Workers' heartbeats.
     pub workers: mpsc::Sender<WorkerAsk>,
     /// Siblings' messages.
     pub peers: mpsc::Sender<PeerAsk>,
@@ -131,7 +131,7 @@
         (open <= self.most).then_some(place)
     }
 
-    /// Above half workers are asked to connect anew for their next report, which is seconds away.
+    /// Above half workers are asked to connect anew for their next heartbeat, which is seconds away.
     fn workers_make_way(&self) -> bool {
         self.open.load(Ordering::Relaxed) * 2 > self.most
     }
@@ -303,12 +303,12 @@
 }
 
 async fn checkin(gate: &Gate, body: &[u8], relay: bool) -> Plain {
-    let Ok(report) = decode::<Report>(body) else {
+    let Ok(heartbeat) = decode::<Heartbeat>(body) else {
         return Plain::error(400, "malformed");
     };
-    let machine = report.machine.clone();
+    let machine = heartbeat.machine.clone();
     let (back, answer) = oneshot::channel();
-    if gate.workers.send(WorkerAsk { report, relayed: !relay, back }).await.is_err() {
+    if gate.workers.send(WorkerAsk { heartbeat, relayed: !relay, back }).await.is_err() {
         return Plain::unavailable(1);
     }
     match timeout(ANSWER_LIMIT, answer).await {
@@ -316,15 +316,15 @@
             debug_assert!(fencing_token > FencingToken(0));
             Plain::new(200, encode(&Orders { fencing_token, orders }))
         }
-        Ok(Ok(WorkerAnswer::Redirect(report_to))) => {
+        Ok(Ok(WorkerAnswer::Redirect(controller))) => {
             if relay
-                && let Some(owner) = &report_to
+                && let Some(owner) = &controller
                 && gate.redirected.came_back(&machine)
-                && let Some(answer) = pass_report(gate, owner, body).await
+                && let Some(answer) = forward_heartbeat(gate, owner, body).await
             {
                 return answer;
             }
-            Plain::new(421, encode(&Redirect { report_to }))
+            Plain::new(421, encode(&Redirect { controller }))
         }
         _ => Plain::unavailable(1),
     }
--- a/src/transport/siblings.rs
+++ b/src/transport/siblings.rs
@@ -141,7 +141,7 @@
 
 /// The worker can't reach its owner but both reach us: without this its lease would run out. The
 /// owner's answer carries the owner's fencing token.
-pub(super) async fn pass_report(gate: &Gate, owner: &str, body: &[u8]) -> Option<Plain> {
+pub(super) async fn forward_heartbeat(gate: &Gate, owner: &str, body: &[u8]) -> Option<Plain> {
     let (_, addr) = gate.siblings.iter().find(|(label, _)| label == owner)?;
     let relay = Relay { path: "/checkin".to_string(), post: true, body: body.to_vec() };
     let answer = gate.client.call(*addr, Method::POST, "/relay", bitcode::encode(&relay), RELAY_LIMIT).await.ok()?;
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -128,7 +128,7 @@
 }
 
 impl Worker {
-    fn report(&mut self, addr: SocketAddr) -> Value {
+    fn heartbeat(&mut self, addr: SocketAddr) -> Value {
         self.seq += 1;
         let pieces: Vec<Value> = self
             .exited
@@ -156,8 +156,8 @@
     let addr = listener.local_addr().expect("its address");
     tokio::spawn(worker_orders(listener, state.clone(), addr));
     loop {
-        let report = state.lock().expect("no panic").report(addr);
-        let answer = call(&client, controller, Method::POST, "/checkin", &report).await;
+        let heartbeat = state.lock().expect("no panic").heartbeat(addr);
+        let answer = call(&client, controller, Method::POST, "/checkin", &heartbeat).await;
         if let Ok(Answer { status: 200, body, .. }) = answer {
             let orders: Orders = decode(&body).expect("orders");
             let mut state = state.lock().expect("no panic");
@@ -183,7 +183,7 @@
                     state.fencing_token = orders.fencing_token.0;
                     state.obey(orders.orders);
                 }
-                let body = Full::new(Bytes::from(encode(&state.report(addr))));
+                let body = Full::new(Bytes::from(encode(&state.heartbeat(addr))));
                 let status = if fits { 200 } else { 409 };
                 Ok::<_, Infallible>(Response::builder().status(status).body(body).expect("a response"))
             }
@@ -231,7 +231,7 @@
 }
 
 /// With nearly all its connections taken by others, a controller still answers the health check and
-/// reports, and refuses users at once; what is beyond the limit is closed and doesn't wait.
+/// heartbeats, and refuses users at once; what is beyond the limit is closed and doesn't wait.
 #[tokio::test]
 async fn when_crowded_the_health_check_gets_through_and_users_are_refused_at_once() {
     // Of 80 sockets 16 are for idle calls, 8 for direct messages, twice 10 for siblings: 36 are left.
@@ -248,9 +248,9 @@
     assert_eq!(health.status, 200);
     let user = call(&client, public, Method::GET, "/api/jobs/wk-000001", &Value::Null).await.expect("an answer");
     assert_eq!((user.status, user.retry_after_s), (503, Some(1)));
-    let report = json!({"host": "m-000009", "addr": "127.0.0.1:1", "hull": "s", "berth": "a", "driftwood": false,
+    let heartbeat = json!({"host": "m-000009", "addr": "127.0.0.1:1", "hull": "s", "berth": "a", "driftwood": false,
         "watch": 1, "tally": 1, "helm": 0, "warning_s": null, "pieces": []});
-    let worker = call(&client, public, Method::POST, "/checkin", &report).await.expect("an answer");
+    let worker = call(&client, public, Method::POST, "/checkin", &heartbeat).await.expect("an answer");
     assert!(matches!(worker.status, 200 | 421 | 503), "{}", worker.status);
     for _ in 0..10 {
         held.push(TcpStream::connect(public).await.expect("accepted or queued"));
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -4,7 +4,7 @@
 use burlhatch::protocol::peer::{Relay, Relayed};
 use burlhatch::protocol::state::{Changes, Condition, Event, Page, Txn, Write};
 use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
-use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Orders, Report, TaskState};
+use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, Orders, TaskState};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::types::{FencingToken, JobId};
 use ciborium::Value;
@@ -116,21 +116,22 @@
 }
 
 #[test]
-fn a_report_is_read_with_all_that_may_be_missing() {
-    let report: Report = decode(&cbor(json!({"host":"m-000231","addr":"10.1.0.232:9000","hull":"g8","berth":"a",
+fn a_heartbeat_is_read_with_all_that_may_be_missing() {
+    let heartbeat: Heartbeat =
+        decode(&cbor(json!({"host":"m-000231","addr":"10.1.0.232:9000","hull":"g8","berth":"a",
         "driftwood":true,"watch":1,"tally":88,"helm":41,"warning_s":null,
         "pieces":[{"piece":"wk-000412/3","try":2,"status":"running"},
                   {"piece":"wk-000398/0","try":1,"status":"ended","cause":"done"},
                   {"piece":"wk-000398/1","try":1,"status":"ended","cause":"something new"}]})))
-    .expect("valid");
-    assert_eq!((report.session, report.seq, report.fencing_token), (1, 88, FencingToken(41)));
-    assert_eq!(report.tasks[0].state, TaskState::Running);
-    assert_eq!(report.tasks[1].why, Some(ExitCause::Done));
-    assert_eq!(report.tasks[2].why, Some(ExitCause::Unknown));
-    let bare: Report =
+        .expect("valid");
+    assert_eq!((heartbeat.session, heartbeat.seq, heartbeat.fencing_token), (1, 88, FencingToken(41)));
+    assert_eq!(heartbeat.tasks[0].state, TaskState::Running);
+    assert_eq!(heartbeat.tasks[1].why, Some(ExitCause::Done));
+    assert_eq!(heartbeat.tasks[2].why, Some(ExitCause::Unknown));
+    let bare: Heartbeat =
         decode(&cbor(json!({"host":"m-1","hull":"g8","berth":"a","watch":1,"tally":1,"helm":0}))).expect("valid");
     assert!(bare.tasks.is_empty() && bare.notice_s.is_none() && !bare.spot);
-    assert_eq!(decode::<Report>(&encode(&report)).expect("round trip"), report);
+    assert_eq!(decode::<Heartbeat>(&encode(&heartbeat)).expect("round trip"), heartbeat);
 }
 
 #[test]
@@ -219,7 +220,7 @@
     fn any_bytes_are_taken_calmly(body in proptest::collection::vec(any::<u8>(), 0..300)) {
         let read = submission(&body);
         prop_assert!(read.spec.is_none() || !body.is_empty());
-        let _ = decode::<Report>(&body);
+        let _ = decode::<Heartbeat>(&body);
         let _ = bitcode::decode::<Relay>(&body);
     }
 }
--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -49,7 +49,7 @@
 fn close_looks_amid_troubles() {
     for seed in seeds(91, 6) {
         let mut world = looked_at(seed, SMALL);
-        world.report_copies = 10;
+        world.heartbeat_copies = 10;
         world.odd_requests = true;
         small_jobs(&mut world, 100, 60, 60 * S);
         ordinary_jobs(&mut world, 15);
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that meet other troubles: once a user was told, nothing of the job may be left in time.
 
-use super::world::{CANCEL_S, LARGE, MS, Place, S, SHORT_LEASES, SLOW_REPORTS, SMALL, Size, TIMES, Times, World};
+use super::world::{CANCEL_S, LARGE, MS, Place, S, SHORT_LEASES, SLOW_HEARTBEATS, SMALL, Size, TIMES, Times, World};
 use super::{assert_clean, finish, keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobState, Kind};
 use burlhatch::types::JobId;
@@ -19,7 +19,7 @@
 
 /// Workers' times of three deployments in turn.
 fn times_of(seed: u64) -> Times {
-    [TIMES, SLOW_REPORTS, SHORT_LEASES][seed as usize % 3]
+    [TIMES, SLOW_HEARTBEATS, SHORT_LEASES][seed as usize % 3]
 }
 
 fn cancel_at(world: &mut World, ids: &[JobId], delay: u64) {
@@ -230,7 +230,7 @@
     }
 }
 
-/// Direct commands come late, so machines are in doubt and their shards get one new fencing token after another. A report without
+/// Direct commands come late, so machines are in doubt and their shards get one new fencing token after another. A heartbeat without
 /// the present fencing token proves nothing, but its answer renews the lease: it has to carry the stops as well. The cloud is
 /// down, so nothing else ends the tasks.
 #[test]
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -161,7 +161,7 @@
 fn a_controller_that_stands_still_wakes_to_old_news() {
     for (seed, span) in seeds(15, 4).zip([S, 5 * S, 30 * S, 60 * S].into_iter().cycle()) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
-        world.report_copies = 10;
+        world.heartbeat_copies = 10;
         ordinary_jobs(&mut world, 30);
         world.run_for(20 * S);
         let leader = world.holder("leader").expect("somebody leads");
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -141,7 +141,7 @@
 fn a_large_world_with_everything() {
     for seed in seeds(9, 2) {
         let mut world = World::sized(seed, Policy::default(), LARGE);
-        world.report_copies = 10;
+        world.heartbeat_copies = 10;
         ordinary_jobs(&mut world, 120);
         world.run_for(15 * S);
         for nth in [3, 60, 110] {
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that hang, die, fail their tasks, hear nothing, or whose old reports come late.
+//! Machines that hang, die, fail their tasks, hear nothing, or whose old heartbeats come late.
 
 use super::world::{MS, S, SMALL, Size, World};
 use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
@@ -67,10 +67,10 @@
 /// Late copies prove nothing: no ghost of a deleted machine comes into the stored records, no lease is taken
 /// for renewed, no task for absent.
 #[test]
-fn late_copies_of_reports_prove_nothing() {
+fn late_copies_of_heartbeats_prove_nothing() {
     for seed in seeds(7, 6) {
         let mut world = World::new(seed);
-        world.report_copies = 2;
+        world.heartbeat_copies = 2;
         ordinary_jobs(&mut world, 30);
         for round in 0..6 {
             world.run_for(6 * S);
@@ -82,7 +82,7 @@
             }
         }
         finish(&mut world, &format!("copies {seed}"));
-        world.report_copies = 0;
+        world.heartbeat_copies = 0;
         world.run_for(100 * S);
         let ghosts: Vec<MachineId> =
             world.stored_machines().into_iter().filter(|id| !world.workers.contains_key(id)).collect();
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -20,12 +20,12 @@
 
 /// All controllers are away for longer than a lease: the workers have killed everything and begun new sessions,
 /// while the stored records still show starts. Then one is back at once and the others later, or all a moment after the
-/// first has ended again. Starts of earlier sessions must count as gone, late reports of them as nothing.
+/// first has ended again. Starts of earlier sessions must count as gone, late heartbeats of them as nothing.
 #[test]
 fn all_controllers_are_away_for_longer_than_a_lease() {
     for seed in seeds(30, 4) {
         let mut world = World::new(seed);
-        world.report_copies = 8;
+        world.heartbeat_copies = 8;
         ordinary_jobs(&mut world, 30);
         world.run_for(20 * S);
         for node in 0..3 {
@@ -127,13 +127,13 @@
     }
 }
 
-/// Reports of earlier times, sessions and attempts arrive at whoever leads by then; commands and their answers are
+/// Heartbeats of earlier times, sessions and attempts arrive at whoever leads by then; commands and their answers are
 /// held up for seconds while the machines go on.
 #[test]
-fn old_reports_and_held_commands_reach_a_new_leader() {
+fn old_heartbeats_and_held_commands_reach_a_new_leader() {
     for seed in seeds(34, 4) {
         let mut world = World::new(seed);
-        world.report_copies = 2;
+        world.heartbeat_copies = 2;
         ordinary_jobs(&mut world, 30);
         for round in 0..8 {
             world.run_for(6 * S);
@@ -236,7 +236,7 @@
 /// they look alive. They get nothing, and are replaced unless many are so.
 #[test]
 fn machines_that_reach_no_controller_are_replaced() {
-    // In world 38015 late copies of its reports made it look heard.
+    // In world 38015 late copies of its heartbeats made it look heard.
     for seed in seeds(38, 4).chain(seeds(38, 16).skip(15)) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         let services: Vec<JobId> =
@@ -262,7 +262,7 @@
     }
 }
 
-/// When none of many machines gets a report through, the fault is elsewhere and they are kept.
+/// When none of many machines gets a heartbeat through, the fault is elsewhere and they are kept.
 #[test]
 fn many_machines_that_reach_no_controller_are_kept() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
@@ -358,7 +358,7 @@
 fn all_new_troubles_together() {
     for seed in seeds(42, 6) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 10, capacity: 20, ..SMALL });
-        world.report_copies = 5;
+        world.heartbeat_copies = 5;
         world.cancel_at_end = 6;
         world.odd_requests = true;
         ordinary_jobs(&mut world, 45);
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -147,7 +147,7 @@
 fn stages_while_controllers_come_and_go() {
     for seed in seeds(74, 6) {
         let mut world = World::new(seed);
-        world.report_copies = 10;
+        world.heartbeat_copies = 10;
         world.odd_requests = true;
         ordinary_jobs(&mut world, 12);
         for n in 0..6 {
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -10,7 +10,7 @@
 fn world_of_many_moves(seed: u64) -> World {
     let policy = Policy { shift_after_ms: 300, shift_part: 1.0, drain_ms: 1000, ..keeping_idle_machines() };
     let mut world = World::sized(seed, policy, Size { machines: 7, capacity: 7, ..LARGE });
-    world.report_copies = 0;
+    world.heartbeat_copies = 0;
     world
 }
 
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -49,9 +49,9 @@
                     let fate = self.fate(&Place::Node(node), &Place::Worker(machine.clone()));
                     match fate {
                         Fate::Arrives(delay) | Fate::Held(delay) => {
-                            self.at(delay, Event::ReportAnswer { machine, serial, answer: Some(answer) });
+                            self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
                         }
-                        Fate::Refused => self.at(MS, Event::ReportAnswer { machine, serial, answer: None }),
+                        Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
                     }
                 }
             }
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -15,7 +15,7 @@
         // Workers and users on its connections see a reset.
         let lost: Vec<_> = std::mem::take(&mut self.nodes[node].workers).into_values().collect();
         for (machine, serial) in lost {
-            self.at(MS, Event::ReportAnswer { machine, serial, answer: None });
+            self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
         }
         self.nodes[node].users.clear();
         self.nodes[node].peers.clear();
@@ -64,7 +64,7 @@
         self.wake_watches();
     }
 
-    /// The machine's reports arrive, but neither answers nor commands reach it.
+    /// The machine's heartbeats arrive, but neither answers nor commands reach it.
     pub fn make_unreachable(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
         let id = self.nth_worker(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: deaf");
@@ -75,7 +75,7 @@
         Some(id)
     }
 
-    /// The machine's reports reach no controller, though direct commands reach it and are answered.
+    /// The machine's heartbeats reach no controller, though direct commands reach it and are answered.
     pub fn unreported(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
         let id = self.nth_worker(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: mute");
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -83,7 +83,7 @@
 fn worker_answer(answer: &WorkerAnswer) -> (String, Vec<u8>) {
     match answer {
         WorkerAnswer::Orders(orders) => ("200".into(), encode(orders)),
-        WorkerAnswer::Redirect(to) => ("409".into(), encode(&Redirect { report_to: to.clone() })),
+        WorkerAnswer::Redirect(to) => ("409".into(), encode(&Redirect { controller: to.clone() })),
         WorkerAnswer::Unavailable => ("503".into(), Vec::new()),
     }
 }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -15,7 +15,7 @@
 
 use burlhatch::coordination::{CloudCall, Command, Controller, StateCall, UserAnswer, WorkerAnswer};
 use burlhatch::protocol::peer::Cancelled;
-use burlhatch::protocol::worker::{DirectOrders, Report};
+use burlhatch::protocol::worker::{DirectOrders, Heartbeat};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::RecordVersion;
 use burlhatch::types::{JobId, MachineId};
@@ -44,16 +44,16 @@
 /// The workers' times.
 #[derive(Clone, Copy)]
 pub struct Times {
-    pub report: u64,
+    pub heartbeat: u64,
     pub lease: u64,
     pub cancel: u64,
 }
 
-pub const TIMES: Times = Times { report: 3 * S, lease: 20 * S, cancel: CANCEL_S * S };
-/// Reports that come rarely, in long leases.
-pub const SLOW_REPORTS: Times = Times { report: 10 * S, lease: 45 * S, cancel: 65 * S };
+pub const TIMES: Times = Times { heartbeat: 3 * S, lease: 20 * S, cancel: CANCEL_S * S };
+/// Heartbeats that come rarely, in long leases.
+pub const SLOW_HEARTBEATS: Times = Times { heartbeat: 10 * S, lease: 45 * S, cancel: 65 * S };
 /// Short leases, and little time for a cancellation.
-pub const SHORT_LEASES: Times = Times { report: 1500 * MS, lease: 14 * S, cancel: 39 * S };
+pub const SHORT_LEASES: Times = Times { heartbeat: 1500 * MS, lease: 14 * S, cancel: 39 * S };
 
 /// How large a world is.
 #[derive(Clone, Copy)]
@@ -76,7 +76,8 @@
 
 fn settings(node: usize, size: Size) -> String {
     let Size { nodes, write_rps, zones, times, .. } = size;
-    let [report_s, lease_s, cancel_s] = [times.report, times.lease, times.cancel].map(|span| span as f64 / S as f64);
+    let [heartbeat_s, lease_s, cancel_s] =
+        [times.heartbeat, times.lease, times.cancel].map(|span| span as f64 / S as f64);
     let mut text =
         format!("label = \"node-{node}\"\npublic_addr = \"10.0.0.{0}:8080\"\nback = \"10.0.0.{0}:8081\"\n", node + 1);
     for other in (0..nodes).filter(|n| *n != node) {
@@ -89,7 +90,7 @@
         text += &format!("[[deployment.teams]]\nname = \"{team}\"\ncpus = {cpus}\ncpus_max = {most}\n");
     }
     text += &format!(
-        "[deployment.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n\
+        "[deployment.workers]\nreport_s = {heartbeat_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n\
          [deployment.state]\nrps = 200.0\nwrite_rps = {write_rps}\nvalue_kb = 4.0\ntxn_ops = 12\n\
          [deployment.cloud]\nrps = 5.0\nlist_lag_s = 4.0\n[deployment.quota]\nfd_limit = 1000\n"
     );
@@ -137,17 +138,17 @@
     WatchEnds {
         call: u64,
     },
-    Report {
+    Heartbeat {
         node: usize,
-        report: Report,
+        heartbeat: Heartbeat,
         serial: u64,
     },
-    ReportAnswer {
+    HeartbeatAnswer {
         machine: MachineId,
         serial: u64,
         answer: Option<WorkerAnswer>,
     },
-    WorkerReports {
+    WorkerHeartbeat {
         machine: MachineId,
         wake: u64,
     },
@@ -204,8 +205,8 @@
     pub policy: Policy,
     /// Late copies of direct orders and transactions, one in so many.
     copies: u32,
-    /// Late copies of reports, one in so many; 0 for none.
-    pub report_copies: u32,
+    /// Late copies of heartbeats, one in so many; 0 for none.
+    pub heartbeat_copies: u32,
     /// Until then transactions, one in so many, get no answer and are carried out 2 to 12 s later.
     late_writes: (u64, u32),
     /// Only those of this controller.
@@ -281,7 +282,7 @@
             started: 0,
             policy,
             copies: 20,
-            report_copies: 30,
+            heartbeat_copies: 30,
             late_writes: (0, 1),
             late_writer: None,
             late_commands: None,
@@ -424,19 +425,19 @@
             Event::Orders { node, life, call, machine, orders } => {
                 self.worker_orders(node, life, call, machine, orders);
             }
-            Event::Report { node, report, serial } => {
-                let machine = report.machine.clone();
+            Event::Heartbeat { node, heartbeat, serial } => {
+                let machine = heartbeat.machine.clone();
                 if self.nodes[node].controller.is_none() {
-                    self.at(MS, Event::ReportAnswer { machine, serial, answer: None });
+                    self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
                     return;
                 }
                 self.nodes[node].next_waiter += 1;
                 let waiter = self.nodes[node].next_waiter;
                 self.nodes[node].workers.insert(waiter, (machine, serial));
-                self.feed(node, Command::Report { waiter, report, relayed: false });
+                self.feed(node, Command::Heartbeat { waiter, heartbeat, relayed: false });
             }
-            Event::ReportAnswer { machine, serial, answer } => self.report_answer(machine, serial, answer),
-            Event::WorkerReports { machine, wake } => self.worker_reports(machine, wake),
+            Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
+            Event::WorkerHeartbeat { machine, wake } => self.worker_heartbeat(machine, wake),
             Event::WorkerStep { machine } => self.worker_step(machine),
             Event::Users => self.users_step(),
             Event::Look { node, id, look } => self.look(node, id, look),
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -5,7 +5,7 @@
 use super::{Event, Fate, MS, Place, S, World};
 use burlhatch::coordination::{Command, OrdersOutcome, WorkerAnswer};
 use burlhatch::protocol::user::{JobSpec, Kind};
-use burlhatch::protocol::worker::{DirectOrders, ExitCause, Order, Report, ReportedTask, TaskState};
+use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
@@ -42,38 +42,38 @@
     session: u64,
     seq: u64,
     fencing_token: FencingToken,
-    /// When the last answered report was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the session began.
     renewed: u64,
     pub tasks: BTreeMap<(JobId, u32), Task>,
     exited: BTreeMap<(JobId, u32, u64), ExitCause>,
     cache: Vec<String>,
     done: Vec<(JobId, u32)>,
     node: usize,
-    /// The report in flight and when it was sent.
+    /// The heartbeat in flight and when it was sent.
     flight: Option<(u64, u64, u64)>,
     /// What it says is on the machine, not ended.
-    reported: Vec<ReportedTask>,
+    reported: Vec<TaskStatus>,
     wake: u64,
     changed: bool,
     /// When a higher fencing token last counted as a change.
     token_change: Option<u64>,
     pub hung_until: u64,
     pub sick: bool,
-    /// Until then its reports reach nobody.
+    /// Until then its heartbeats reach nobody.
     pub unreported_until: u64,
 }
 
 impl Worker {
-    fn report(&mut self, id: &MachineId) -> Report {
+    fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.seq += 1;
-        let running = self.tasks.iter().map(|((job, index), t)| ReportedTask {
+        let running = self.tasks.iter().map(|((job, index), t)| TaskStatus {
             task: format!("{job}/{index}"),
             attempt: t.attempt,
             state: t.state,
             why: None,
             saved: None,
         });
-        let exited = self.exited.iter().map(|((job, index, attempt), why)| ReportedTask {
+        let exited = self.exited.iter().map(|((job, index, attempt), why)| TaskStatus {
             task: format!("{job}/{index}"),
             attempt: *attempt,
             state: TaskState::Exited,
@@ -81,7 +81,7 @@
             saved: None,
         });
         let tasks = running.chain(exited).collect();
-        Report {
+        Heartbeat {
             machine: id.clone(),
             addr: Some("10.1.0.1:9000".into()),
             machine_type: self.machine_type.clone(),
@@ -138,18 +138,18 @@
         };
         self.workers.insert(id.clone(), worker);
         self.at(100 * MS, Event::WorkerStep { machine: id.clone() });
-        self.at(10 * MS, Event::WorkerReports { machine: id, wake: 0 });
+        self.at(10 * MS, Event::WorkerHeartbeat { machine: id, wake: 0 });
     }
 
     fn wake_in(&mut self, id: &MachineId, delay: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.wake += 1;
             let wake = worker.wake;
-            self.at(delay, Event::WorkerReports { machine: id.clone(), wake });
+            self.at(delay, Event::WorkerHeartbeat { machine: id.clone(), wake });
         }
     }
 
-    pub(super) fn worker_reports(&mut self, id: MachineId, wake: u64) {
+    pub(super) fn worker_heartbeat(&mut self, id: MachineId, wake: u64) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if worker.wake != wake || worker.flight.is_some() {
@@ -159,32 +159,32 @@
             let rest = worker.hung_until - now;
             return self.wake_in(&id, rest);
         }
-        let report = worker.report(&id);
+        let heartbeat = worker.heartbeat(&id);
         worker.changed = false;
         let node = worker.node;
         self.next_serial += 1;
         let serial = self.next_serial;
         if let Some(worker) = self.workers.get_mut(&id) {
             worker.flight = Some((serial, now, worker.session));
-            worker.reported = report.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
+            worker.reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
         }
-        if self.report_copies > 0 && self.chance(self.report_copies) {
+        if self.heartbeat_copies > 0 && self.chance(self.heartbeat_copies) {
             // A copy comes late, from seconds to well over a lease; nobody waits for its answer.
             let late = S + self.pick(3 * self.size.times.lease);
             // Whoever leads by then may get it.
             let node = if self.chance(2) { self.pick(self.size.nodes as u64) as usize } else { node };
-            self.at(late, Event::Report { node, report: report.clone(), serial: 0 });
+            self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
         let unreported = self.workers.get(&id).is_some_and(|w| w.unreported_until > now);
         match self.fate(&Place::Worker(id.clone()), &Place::Node(node)) {
             Fate::Arrives(_) | Fate::Held(_) if unreported => {}
-            Fate::Arrives(delay) | Fate::Held(delay) => self.at(delay, Event::Report { node, report, serial }),
-            Fate::Refused => self.at(MS, Event::ReportAnswer { machine: id.clone(), serial, answer: None }),
+            Fate::Arrives(delay) | Fate::Held(delay) => self.at(delay, Event::Heartbeat { node, heartbeat, serial }),
+            Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None }),
         }
-        self.at(4 * S, Event::ReportAnswer { machine: id, serial, answer: None });
+        self.at(4 * S, Event::HeartbeatAnswer { machine: id, serial, answer: None });
     }
 
-    /// An answer renews the lease: it must stop what the report names of jobs that the controller knows to be cancelled.
+    /// An answer renews the lease: it must stop what the heartbeat names of jobs that the controller knows to be cancelled.
     pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &WorkerAnswer) {
         let WorkerAnswer::Orders(given) = answer else { return };
         let Some(worker) = self.workers.get(id).filter(|w| w.flight.is_some_and(|(flight, ..)| flight == serial))
@@ -193,11 +193,11 @@
         };
         let Some(controller) = &self.nodes[node].controller else { return };
         let ends = &controller.replica().ends;
-        let cancelled = |task: &ReportedTask| {
+        let cancelled = |task: &TaskStatus| {
             let job = TaskId::parse(&task.task).map(|task| task.job);
             job.and_then(|job| ends.get(&job)).is_some_and(|end| end.value.outcome == Outcome::Cancelled)
         };
-        let stopped = |task: &ReportedTask| {
+        let stopped = |task: &TaskStatus| {
             given.orders.iter().any(
                 |order| matches!(order, Order::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
             )
@@ -208,7 +208,7 @@
         }
     }
 
-    pub(super) fn report_answer(&mut self, id: MachineId, serial: u64, answer: Option<WorkerAnswer>) {
+    pub(super) fn heartbeat_answer(&mut self, id: MachineId, serial: u64, answer: Option<WorkerAnswer>) {
         let now = self.now;
         let (nodes, times) = (self.size.nodes, self.size.times);
         let Some(worker) = self.workers.get_mut(&id) else { return };
@@ -220,7 +220,7 @@
             let rest = worker.hung_until - now;
             // It finds the answer when it goes on, if that is not too old by then.
             let answer = if rest + now - sent > 4 * S { None } else { answer };
-            return self.at(rest, Event::ReportAnswer { machine: id, serial, answer });
+            return self.at(rest, Event::HeartbeatAnswer { machine: id, serial, answer });
         }
         worker.flight = None;
         let pause = match answer {
@@ -231,7 +231,7 @@
                     self.obey(&id, &orders.orders);
                 }
                 let changed = self.workers.get(&id).is_some_and(|w| w.changed);
-                if changed { 500 * MS } else { times.report - times.report / 4 + self.pick(times.report / 2) }
+                if changed { 500 * MS } else { times.heartbeat - times.heartbeat / 4 + self.pick(times.heartbeat / 2) }
             }
             Some(WorkerAnswer::Redirect(Some(label))) => {
                 let named = label.strip_prefix("node-").and_then(|n| n.parse().ok()).filter(|n| *n < nodes);
@@ -267,9 +267,9 @@
             self.obey(&id, &orders.orders);
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let report = worker.report(&id);
+        let heartbeat = worker.heartbeat(&id);
         let changed = worker.changed && worker.flight.is_none();
-        let outcome = if done { OrdersOutcome::Done(report) } else { OrdersOutcome::Rejected(report) };
+        let outcome = if done { OrdersOutcome::Done(heartbeat) } else { OrdersOutcome::Rejected(heartbeat) };
         self.reply(Place::Worker(id.clone()), node, life, call, Command::Orders { machine: id.clone(), outcome });
         if changed {
             self.wake_in(&id, 500 * MS);
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -79,7 +79,7 @@
         }
         let [by_machine, by_zone] = restored;
         assert!(by_zone.is_some_and(|span| span <= 15 * S), "{seed}: {by_zone:?}");
-        // A lease counts from the last report.
+        // A lease counts from the last heartbeat.
         let leases_only = by_machine.is_none_or(|span| span > LEASE - 4 * S);
         assert!(leases_only, "{seed}: {by_machine:?} without judging zones");
     }
@@ -293,7 +293,7 @@
 fn jobs_bound_to_zones_go_through_losses_and_returns() {
     for seed in seeds(109, 6) {
         let mut world = world_of(seed, judging_zones());
-        world.report_copies = 3;
+        world.heartbeat_copies = 3;
         ordinary_jobs(&mut world, 30);
         for round in 0..3 {
             world.run_for(12 * S);
