--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -129,7 +129,7 @@
 }
 
 struct WorkerState {
-    session: u64,
+    incarnation: u64,
     seq: u64,
     fencing_token: FencingToken,
     renewed: Instant,
@@ -193,14 +193,14 @@
         let mut state = self.worker.locked();
         self.worker.end_all(&mut state);
         // What still runs of it may not begin anything any more.
-        state.session = u64::MAX;
+        state.incarnation = u64::MAX;
     }
 }
 
 /// Brings a machine up.
 pub async fn start(machine: Machine, link: ZoneLink, around: Surroundings) -> io::Result<RunningMachine> {
     let state = WorkerState {
-        session: 1,
+        incarnation: 1,
         seq: 0,
         fencing_token: FencingToken(0),
         renewed: Instant::now(),
@@ -246,7 +246,7 @@
         worker.troubles.outlast(WorkerTrouble::Hung).await;
         let sent = Instant::now();
         let heartbeat = worker.locked_heartbeat(address);
-        let session = heartbeat.session;
+        let incarnation = heartbeat.incarnation;
         let controller = worker.around.controllers[&labels[at % labels.len()]];
         let answer = if worker.link.is_cut() || worker.troubles.has(WorkerTrouble::Mute) {
             tokio::time::sleep(HEARTBEAT_TIMEOUT).await;
@@ -261,7 +261,7 @@
         let pause = match answer {
             Some(answer) if answer.status == 200 => {
                 if let Ok(orders) = decode::<Orders>(&answer.body) {
-                    worker.take_answer(&orders, sent, session);
+                    worker.take_answer(&orders, sent, incarnation);
                 }
                 worker.pause_until_next()
             }
@@ -307,7 +307,7 @@
             machine_type: self.machine.machine_type.clone(),
             zone: self.machine.zone.clone(),
             spot: self.machine.spot,
-            session: state.session,
+            incarnation: state.incarnation,
             seq: state.seq,
             fencing_token: state.fencing_token,
             notice_s: None,
@@ -330,9 +330,9 @@
         self.around.heartbeat_interval
     }
 
-    fn take_answer(&self, orders: &Orders, sent: Instant, session: u64) {
+    fn take_answer(&self, orders: &Orders, sent: Instant, incarnation: u64) {
         let mut state = self.locked();
-        if orders.fencing_token < state.fencing_token || session != state.session {
+        if orders.fencing_token < state.fencing_token || incarnation != state.incarnation {
             return;
         }
         state.take_token(orders.fencing_token, self.around.lease);
@@ -349,7 +349,7 @@
             return Some((400, json!({"error": "malformed"})));
         };
         let mut state = self.locked();
-        let fits = orders.fencing_token >= state.fencing_token && orders.session == state.session;
+        let fits = orders.fencing_token >= state.fencing_token && orders.incarnation == state.incarnation;
         if fits {
             state.take_token(orders.fencing_token, self.around.lease);
             self.obey(&mut state, &orders.orders);
@@ -403,12 +403,12 @@
     fn step(&self) {
         let now = Instant::now();
         let mut state = self.locked();
-        if state.session == u64::MAX {
+        if state.incarnation == u64::MAX {
             return;
         }
         if now.duration_since(state.renewed) > self.around.lease {
             self.end_all(&mut state);
-            state.session += 1;
+            state.incarnation += 1;
             state.renewed = now;
             state.changed = true;
         }
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -60,8 +60,8 @@
 /// What proves that a start is not on its machine any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AbsenceProof {
-    /// The worker has begun a later session.
-    LaterSession,
+    /// The worker has begun a later incarnation.
+    LaterIncarnation,
     /// A heartbeat lacks it, and no command is on its way that could still start it.
     Heartbeat,
     /// The worker's lease has run out.
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -82,13 +82,13 @@
             if !machine.token_confirmed || now.since(machine.answered) <= lease {
                 continue;
             }
-            let session = machine.session;
+            let incarnation = machine.incarnation;
             for (job, task) in self.usage.starts_on(id) {
                 let expired = self
                     .jobs
                     .get(&job)
                     .and_then(|j| j.live.get(task))
-                    .is_some_and(|l| l.session <= session && l.phase() != Phase::Decided);
+                    .is_some_and(|l| l.incarnation <= incarnation && l.phase() != Phase::Decided);
                 if expired {
                     self.start_gone(&job, task, AbsenceProof::LeaseExpired);
                 }
@@ -117,8 +117,8 @@
             let Some(machine) = self.machines.get_mut(id) else { continue };
             let Some(addr) = machine.addr else { continue };
             machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
-            let session = machine.session.max(1);
-            self.send_direct(id, addr, DirectOrders { fencing_token, session, orders: Vec::new() });
+            let incarnation = machine.incarnation.max(1);
+            self.send_direct(id, addr, DirectOrders { fencing_token, incarnation, orders: Vec::new() });
         }
     }
 
@@ -178,7 +178,7 @@
             return;
         }
         machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
-        self.send_direct(id, addr, DirectOrders { fencing_token: FencingToken(0), session: 0, orders: Vec::new() });
+        self.send_direct(id, addr, DirectOrders { fencing_token: FencingToken(0), incarnation: 0, orders: Vec::new() });
     }
 
     /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The fencing token 0 moves
@@ -199,7 +199,7 @@
                 self.send_direct(
                     &id,
                     addr,
-                    DirectOrders { fencing_token: FencingToken(0), session: 0, orders: Vec::new() },
+                    DirectOrders { fencing_token: FencingToken(0), incarnation: 0, orders: Vec::new() },
                 );
             }
         }
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -83,7 +83,7 @@
         let now = self.now();
         let machine = self.machines.entry(heartbeat.machine.clone()).or_default();
         let last = machine.last_heartbeat;
-        if (heartbeat.session, heartbeat.seq) <= (last.session, last.number) {
+        if (heartbeat.incarnation, heartbeat.seq) <= (last.incarnation, last.number) {
             // A copy of a heartbeat we have seen, for which nobody waits any more. Or a worker that began
             // anew and counts from the start: an answer would renew a lease that we then take for run
             // out. Asked directly it can't show less than it did before, unless it has begun anew.
@@ -91,15 +91,16 @@
             return false;
         }
         // A worker that did not hear our last answer would have gone to another controller first.
-        if last.direct && !relayed && last.session == heartbeat.session && heartbeat.seq == last.number + 1 {
+        if last.direct && !relayed && last.incarnation == heartbeat.incarnation && heartbeat.seq == last.number + 1 {
             machine.hears(machine.answered);
         }
         // It said something since that did not reach us: perhaps it did not hear our last answer, and it may be that
         // nothing reaches it. What waits for its next heartbeat would never tell.
-        machine.ask |= heartbeat.session == machine.session && heartbeat.seq > machine.seq + 1;
-        machine.last_heartbeat = LastHeartbeat { session: heartbeat.session, number: heartbeat.seq, direct: !relayed };
+        machine.ask |= heartbeat.incarnation == machine.incarnation && heartbeat.seq > machine.seq + 1;
+        machine.last_heartbeat =
+            LastHeartbeat { incarnation: heartbeat.incarnation, number: heartbeat.seq, direct: !relayed };
         // What is older than its answers to direct messages may be a late copy, which shows no heartbeat to get through now.
-        if (heartbeat.session, heartbeat.seq) > (machine.session, machine.seq) {
+        if (heartbeat.incarnation, heartbeat.seq) > (machine.incarnation, machine.seq) {
             machine.last_heartbeat_at = now;
         }
         true
@@ -111,7 +112,7 @@
         let id = &heartbeat.machine;
         let Some(fencing_token) = self.fencing_token(id) else { return };
         let Some(machine) = self.machines.get_mut(id) else { return };
-        if (heartbeat.session, heartbeat.seq) <= (machine.session, machine.seq) {
+        if (heartbeat.incarnation, heartbeat.seq) <= (machine.incarnation, machine.seq) {
             return;
         }
         let token_confirmed = heartbeat.fencing_token >= fencing_token;
@@ -121,13 +122,13 @@
             machine.heard = now;
             machine.probes_failed = 0;
         }
-        if heartbeat.session > machine.session {
-            // A new session comes with a lease of its own.
+        if heartbeat.incarnation > machine.incarnation {
+            // A new incarnation comes with a lease of its own.
             machine.answered = now;
             machine.unrecorded.clear();
             machine.fetches.clear();
         }
-        machine.session = heartbeat.session;
+        machine.incarnation = heartbeat.incarnation;
         machine.seq = heartbeat.seq;
         machine.highest_token_seen = heartbeat.fencing_token;
         machine.notice = heartbeat.notice_s.is_some();
@@ -191,13 +192,15 @@
             if live.phase() == Phase::Decided || !live.occupies() {
                 continue;
             }
-            let earlier_session = live.session < heartbeat.session;
+            let earlier_incarnation = live.incarnation < heartbeat.incarnation;
             // Not there, and no command of ours is on its way that could still start it.
-            let absent =
-                source == Source::Heartbeat && quiet && live.session == heartbeat.session && heartbeat.seq > live.seq;
+            let absent = source == Source::Heartbeat
+                && quiet
+                && live.incarnation == heartbeat.incarnation
+                && heartbeat.seq > live.seq;
             let unwanted = live.stop.is_some() || live.phase().on_machine();
-            if earlier_session {
-                self.start_gone(&job, task, AbsenceProof::LaterSession);
+            if earlier_incarnation {
+                self.start_gone(&job, task, AbsenceProof::LaterIncarnation);
             } else if absent && unwanted {
                 self.start_gone(&job, task, AbsenceProof::Heartbeat);
             }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -197,7 +197,7 @@
                 Some(Phase::Decided) => self.live.set_phase(start.task, Phase::Recorded, usage),
                 Some(_) => continue,
                 None => {
-                    let mut live = Start::new(start.attempt, start.machine.clone(), start.session, Phase::Recorded);
+                    let mut live = Start::new(start.attempt, start.machine.clone(), start.incarnation, Phase::Recorded);
                     live.stop = self.over.map(|_| 0.0);
                     // Whoever recorded it may have sent the command.
                     live.sent = true;
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -2,7 +2,7 @@
 //!
 //! A worker whose lease nobody renews kills its tasks in a time that is well below the one allowed for a cancellation.
 //! So a cancelled task can run on only if an answer renewed the lease and did not stop it, or if a start that is still on
-//! its way reaches a session that was kept alive. Hence two rules, which hold without the state service and the cloud:
+//! its way reaches a incarnation that was kept alive. Hence two rules, which hold without the state service and the cloud:
 //!
 //! - Every answer that renews a lease stops what the machine has of cancelled jobs, whatever else is known of the machine
 //!   or its fencing token: stopping a task whose job has its outcome is always right.
@@ -27,7 +27,7 @@
         let Some(machine) = self.machines.get_mut(id) else { return WorkerAnswer::Unavailable };
         machine.answered = now;
         // Before the worker has shown our fencing token its heartbeat proves nothing; the answer's fencing token makes it report again.
-        let reliable = machine.token_confirmed && machine.session == heartbeat.session;
+        let reliable = machine.token_confirmed && machine.incarnation == heartbeat.incarnation;
         let mut orders = if reliable { self.orders_for(id, Some(heartbeat.seq)) } else { Vec::new() };
         let complete = reliable && orders.len() < ORDERS_MAX;
         for stop in self.stops_of_cancelled(heartbeat) {
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -49,7 +49,7 @@
 /// The newest heartbeat of a worker.
 #[derive(Clone, Copy, Default)]
 pub(super) struct LastHeartbeat {
-    pub session: u64,
+    pub incarnation: u64,
     pub number: u64,
     /// It came from the worker itself, not through a sibling.
     pub direct: bool,
@@ -59,8 +59,8 @@
 pub(super) struct Machine {
     /// Shard it was last seen in.
     pub shard: Option<u32>,
-    pub session: u64,
-    /// Newest message's number in this session.
+    pub incarnation: u64,
+    /// Newest message's number in this incarnation.
     pub seq: u64,
     /// Token on the newest message.
     pub highest_token_seen: FencingToken,
@@ -80,7 +80,7 @@
     /// A direct message is on its way.
     pub direct: bool,
     pub direct_token: FencingToken,
-    /// Newest message's session and number when it was sent.
+    /// Newest message's incarnation and number when it was sent.
     pub direct_after: (u64, u64),
     /// Its last heartbeat was not newer than the one before, or messages between the two are missing.
     pub ask: bool,
--- a/src/coordination/orders.rs
+++ b/src/coordination/orders.rs
@@ -82,12 +82,12 @@
     pub(super) fn orders_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<Order> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let doomed = self.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
-        let session = machine.session;
+        let incarnation = machine.incarnation;
         let mut orders = orders_for_unrecorded(machine);
         let mut never_sent = Vec::new();
         for (job_id, index) in self.usage.starts_on(id) {
             let Some(start) = self.jobs.get_mut(&job_id).and_then(|job| job.live.get_mut(index)) else { continue };
-            if start.session != session {
+            if start.incarnation != incarnation {
                 continue;
             }
             let (task, attempt) = (format!("{job_id}/{index}"), start.attempt);
@@ -142,13 +142,13 @@
             // Nothing is said to a machine that did not answer last time: it would only be in doubt.
             let alive = now.since(machine.heard) < recent && machine.unanswered == 0;
             let token_confirmed = machine.token_confirmed;
-            let session = machine.session.max(1);
+            let incarnation = machine.incarnation.max(1);
             // Without a heartbeat under our fencing token an empty message makes the worker show it.
             let orders = if token_confirmed && alive { self.orders_for(&id, None) } else { Vec::new() };
             if token_confirmed && orders.is_empty() {
                 continue;
             }
-            self.send_direct(&id, addr, DirectOrders { fencing_token, session, orders });
+            self.send_direct(&id, addr, DirectOrders { fencing_token, incarnation, orders });
         }
     }
 
@@ -156,7 +156,7 @@
         if let Some(machine) = self.machines.get_mut(id) {
             machine.direct = true;
             machine.direct_token = orders.fencing_token;
-            machine.direct_after = (machine.session, machine.seq);
+            machine.direct_after = (machine.incarnation, machine.seq);
             machine.ask = false;
         }
         self.direct_open += 1;
@@ -193,15 +193,15 @@
                 }
                 // It answered what was sent after its newest message, and yet shows a smaller number: its
                 // worker began anew and what was on it is gone. Sessions can't tell, a deletion can.
-                let regressed = (heartbeat.session, heartbeat.seq) <= machine.direct_after;
+                let regressed = (heartbeat.incarnation, heartbeat.seq) <= machine.direct_after;
                 if regressed {
-                    tracing::warn!(machine = %id, "the worker has forgotten its session");
+                    tracing::warn!(machine = %id, "agent has forgotten its incarnation");
                     self.set_hold(id, Hold::Doomed);
                     return;
                 }
-                let wrong_session = heartbeat.session != machine.session;
+                let wrong_incarnation = heartbeat.incarnation != machine.incarnation;
                 self.take_heartbeat(&heartbeat, Source::DirectAnswer);
-                if wrong_session {
+                if wrong_incarnation {
                     self.want_push(id);
                 }
             }
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -338,7 +338,7 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.take_task(task);
         job.not_before.remove(&task);
-        let live = Start::new(0, spot.id.clone(), spot.session, Phase::Decided);
+        let live = Start::new(0, spot.id.clone(), spot.incarnation, Phase::Decided);
         job.live.insert(task, live, &mut self.usage);
         spot.free = spot.free.minus(&job.room);
         if let Some(machine) = self.machines.get_mut(&spot.id) {
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -105,7 +105,7 @@
         let attempt = gang_attempt.unwrap_or(chunk.attempts + 1);
         chunk.attempts = attempt;
         let machine = live.machine().clone();
-        chunk.starts.push(StartRecord { task, attempt, machine, session: live.session });
+        chunk.starts.push(StartRecord { task, attempt, machine, incarnation: live.incarnation });
         attempt
     }
 
--- a/src/coordination/shard_view.rs
+++ b/src/coordination/shard_view.rs
@@ -16,7 +16,7 @@
     pub free: Room,
     /// Part of it that batch work leaves to the services that may come next.
     reserved: Room,
-    pub session: u64,
+    pub incarnation: u64,
     pub failed_here: Vec<JobId>,
     /// Its zone came back a short while ago and gets work step by step.
     pub is_returning: bool,
@@ -151,7 +151,7 @@
                     spot: record.value.spot,
                     free: self.free_room(id),
                     reserved: Room::default(),
-                    session: machine.session,
+                    incarnation: machine.incarnation,
                     failed_here: machine.failed_jobs(now, pause).cloned().collect(),
                     is_returning: self.zone_is_returning(&record.value.zone),
                     fetches: 0,
--- a/src/coordination/stages.rs
+++ b/src/coordination/stages.rs
@@ -19,7 +19,7 @@
 const START_BYTES: usize = 8;
 const RANGE_BYTES: usize = 4;
 
-/// Bytes of a machine's name and session, as far as they aren't known yet.
+/// Bytes of a machine's name and incarnation, as far as they aren't known yet.
 const MACHINE_BYTES: usize = 12;
 
 fn digits(number: u64) -> usize {
@@ -164,7 +164,7 @@
         // One that is decided gets one of the next attempts.
         let attempts = stored.map_or(0, |c| c.value.attempts) + u64::from(self.chunk_tasks);
         for (task, live) in job.live.range(tasks) {
-            let numbers = digits(u64::from(task)) + digits(live.attempt.max(attempts)) + digits(live.session);
+            let numbers = digits(u64::from(task)) + digits(live.attempt.max(attempts)) + digits(live.incarnation);
             let size = START_BYTES + numbers + live.machine().as_str().len();
             starts += size;
             longest_start = longest_start.max(size);
--- a/src/coordination/usage.rs
+++ b/src/coordination/usage.rs
@@ -45,8 +45,8 @@
     /// Number of the attempt; 0 until it is recorded.
     pub attempt: u64,
     machine: MachineId,
-    /// The machine's session when it was decided.
-    pub session: u64,
+    /// The machine's incarnation when it was decided.
+    pub incarnation: u64,
     phase: Phase,
     /// Grace to stop with, once it is to stop.
     pub stop: Option<f64>,
@@ -60,8 +60,8 @@
 
 impl Start {
     /// A start that nothing was said about yet.
-    pub fn new(attempt: u64, machine: MachineId, session: u64, phase: Phase) -> Start {
-        Start { attempt, machine, session, phase, stop: None, sent: false, seq: 0, running_since: None }
+    pub fn new(attempt: u64, machine: MachineId, incarnation: u64, phase: Phase) -> Start {
+        Start { attempt, machine, incarnation, phase, stop: None, sent: false, seq: 0, running_since: None }
     }
 
     /// How far it has come.
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -93,8 +93,8 @@
     pub spot: bool,
     /// Begins anew each time its lease runs out.
     #[serde(rename = "watch")]
-    pub session: u64,
-    /// Number of the message in its session.
+    pub incarnation: u64,
+    /// Number of the message in its incarnation.
     #[serde(rename = "tally")]
     pub seq: u64,
     /// Highest fencing token it has seen.
@@ -165,7 +165,7 @@
     pub fencing_token: FencingToken,
     /// Session that it is meant for.
     #[serde(rename = "watch")]
-    pub session: u64,
+    pub incarnation: u64,
     /// In this order.
     pub orders: Vec<Order>,
 }
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -252,21 +252,21 @@
     /// Where it was started.
     pub machine: MachineId,
     /// Of the machine, when the start was decided.
-    pub session: u64,
+    pub incarnation: u64,
 }
 
 /// A start as it is stored: a list, which is short, in this order.
 type StoredStart = (u32, u64, MachineId, u64);
 
 impl From<StoredStart> for StartRecord {
-    fn from((task, attempt, machine, session): StoredStart) -> StartRecord {
-        StartRecord { task, attempt, machine, session }
+    fn from((task, attempt, machine, incarnation): StoredStart) -> StartRecord {
+        StartRecord { task, attempt, machine, incarnation }
     }
 }
 
 impl From<StartRecord> for StoredStart {
     fn from(start: StartRecord) -> StoredStart {
-        (start.task, start.attempt, start.machine, start.session)
+        (start.task, start.attempt, start.machine, start.incarnation)
     }
 }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -178,7 +178,7 @@
                 let body = request.into_body().collect().await.expect("a body").to_bytes();
                 let orders: DirectOrders = decode(&body).expect("orders");
                 let mut state = state.lock().expect("no panic");
-                let fits = orders.fencing_token.0 >= state.fencing_token && orders.session == 1;
+                let fits = orders.fencing_token.0 >= state.fencing_token && orders.incarnation == 1;
                 if fits {
                     state.fencing_token = orders.fencing_token.0;
                     state.obey(orders.orders);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -61,7 +61,7 @@
 }
 
 fn chunk(writer: u64) -> RunChunk {
-    let starts = vec![StartRecord { task: 1, attempt: 2, machine: MachineId::new("m-1"), session: 3 }];
+    let starts = vec![StartRecord { task: 1, attempt: 2, machine: MachineId::new("m-1"), incarnation: 3 }];
     RunChunk { attempts: 2, done: vec![(4, 5)], starts, writer }
 }
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -121,7 +121,7 @@
     let fleet_member = |id, hold| FleetMember { id: MachineId::new(id), record: machine(hold) };
     both_ways(FLEET, vec![fleet_member("m-000231", None), fleet_member("m-000232", Some(Hold::Doomed))]);
     both_ways(BATCH, vec![member(spec())]);
-    let starts = vec![StartRecord { task: 4, attempt: 9, machine: MachineId::new("m-000231"), session: 2 }];
+    let starts = vec![StartRecord { task: 4, attempt: 9, machine: MachineId::new("m-000231"), incarnation: 2 }];
     both_ways(RUN, RunChunk { attempts: 9, done: vec![(0, 3), (7, 7)], starts, writer: 5 });
     both_ways(DONE, EndRecord::done());
     both_ways(CANCELLED, EndRecord::cancelled(AT));
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -124,7 +124,7 @@
                   {"piece":"wk-000398/0","try":1,"status":"ended","cause":"done"},
                   {"piece":"wk-000398/1","try":1,"status":"ended","cause":"something new"}]})))
         .expect("valid");
-    assert_eq!((heartbeat.session, heartbeat.seq, heartbeat.fencing_token), (1, 88, FencingToken(41)));
+    assert_eq!((heartbeat.incarnation, heartbeat.seq, heartbeat.fencing_token), (1, 88, FencingToken(41)));
     assert_eq!(heartbeat.tasks[0].state, TaskState::Running);
     assert_eq!(heartbeat.tasks[1].why, Some(ExitCause::Done));
     assert_eq!(heartbeat.tasks[2].why, Some(ExitCause::Unknown));
@@ -149,7 +149,7 @@
             {"verb":"stop","piece":"wk-000377/1","try":1,"leeway_s":10.0},
             {"verb":"reap","piece":"wk-000398/0","try":1}]})
     );
-    let direct = DirectOrders { fencing_token: FencingToken(41), session: 1, orders };
+    let direct = DirectOrders { fencing_token: FencingToken(41), incarnation: 1, orders };
     assert_eq!(shown(&encode(&direct))["watch"], json!(1));
     assert_eq!(decode::<DirectOrders>(&encode(&direct)).expect("round trip"), direct);
 }
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -269,7 +269,7 @@
 /// fencing token makes it void, and the cloud is down, so its machine can't be deleted. Its holder must not keep the session
 /// alive in which the start is valid.
 #[test]
-fn a_start_held_up_for_long_is_void_with_its_session() {
+fn a_start_held_up_for_long_is_void_with_its_incarnation() {
     for seed in seeds(26, 24) {
         let times = times_of(seed);
         let mut world = World::sized(seed, keeping_idle_machines(), Size { times, ..SMALL });
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -18,9 +18,9 @@
     }
 }
 
-/// All controllers are away for longer than a lease: the workers have killed everything and begun new sessions,
+/// All controllers are away for longer than a lease: the workers have killed everything and begun new incarnations,
 /// while the stored records still show starts. Then one is back at once and the others later, or all a moment after the
-/// first has ended again. Starts of earlier sessions must count as gone, late heartbeats of them as nothing.
+/// first has ended again. Starts of earlier incarnations must count as gone, late heartbeats of them as nothing.
 #[test]
 fn all_controllers_are_away_for_longer_than_a_lease() {
     for seed in seeds(30, 4) {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Heartbeats of earlier times, sessions and attempts arrive at whoever leads by then; commands and their answers are
+/// Heartbeats of earlier times, incarnations and attempts arrive at whoever leads by then; commands and their answers are
 /// held up for seconds while the machines go on.
 #[test]
 fn old_heartbeats_and_held_commands_reach_a_new_leader() {
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -27,7 +27,7 @@
     pub(super) one_way: bool,
 }
 
-/// Direct commands that come late: their senders have given up, and the workers carry them out if fencing token and session
+/// Direct commands that come late: their senders have given up, and the workers carry them out if fencing token and incarnation
 /// still match.
 #[derive(Clone)]
 pub(super) struct LateCommands {
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -39,10 +39,10 @@
     machine_type: String,
     pub zone: String,
     pub spot: bool,
-    session: u64,
+    incarnation: u64,
     seq: u64,
     fencing_token: FencingToken,
-    /// When the last answered heartbeat was sent, or the session began.
+    /// When the last answered heartbeat was sent, or the incarnation began.
     renewed: u64,
     pub tasks: BTreeMap<(JobId, u32), Task>,
     exited: BTreeMap<(JobId, u32, u64), ExitCause>,
@@ -87,7 +87,7 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
+            incarnation: self.incarnation,
             seq: self.seq,
             fencing_token: self.fencing_token,
             notice_s: None,
@@ -118,7 +118,7 @@
             machine_type,
             zone,
             spot,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             fencing_token: FencingToken(0),
             renewed: self.now,
@@ -165,7 +165,7 @@
         self.next_serial += 1;
         let serial = self.next_serial;
         if let Some(worker) = self.workers.get_mut(&id) {
-            worker.flight = Some((serial, now, worker.session));
+            worker.flight = Some((serial, now, worker.incarnation));
             worker.reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
         }
         if self.heartbeat_copies > 0 && self.chance(self.heartbeat_copies) {
@@ -212,7 +212,7 @@
         let now = self.now;
         let (nodes, times) = (self.size.nodes, self.size.times);
         let Some(worker) = self.workers.get_mut(&id) else { return };
-        let Some((flight, sent, session)) = worker.flight else { return };
+        let Some((flight, sent, incarnation)) = worker.flight else { return };
         if flight != serial {
             return;
         }
@@ -225,7 +225,7 @@
         worker.flight = None;
         let pause = match answer {
             Some(WorkerAnswer::Orders(orders)) => {
-                if orders.fencing_token >= worker.fencing_token && session == worker.session {
+                if orders.fencing_token >= worker.fencing_token && incarnation == worker.incarnation {
                     worker.take_token(orders.fencing_token, now, times.lease);
                     worker.renewed = worker.renewed.max(sent);
                     self.obey(&id, &orders.orders);
@@ -261,7 +261,7 @@
             let rest = worker.hung_until - now;
             return self.at(rest, Event::Orders { node, life, call, machine: id, orders });
         }
-        let done = orders.fencing_token >= worker.fencing_token && orders.session == worker.session;
+        let done = orders.fencing_token >= worker.fencing_token && orders.incarnation == worker.incarnation;
         if done {
             worker.take_token(orders.fencing_token, now, times.lease);
             self.obey(&id, &orders.orders);
@@ -507,7 +507,7 @@
         if now > worker.renewed + lease {
             worker.tasks.clear();
             worker.exited.clear();
-            worker.session += 1;
+            worker.incarnation += 1;
             worker.renewed = now;
             worker.changed = true;
             return;
