--- a/crates/testbed/src/state_service.rs
+++ b/crates/testbed/src/state_service.rs
@@ -62,7 +62,7 @@
         }
         let version = |key: &str| self.keys.get(key).map_or(0, |stored| stored.revision);
         let failed: Vec<&str> =
-            txn.conditions.iter().filter(|c| version(&c.key) != c.version).map(|c| c.key.as_str()).collect();
+            txn.preconditions.iter().filter(|c| version(&c.key) != c.version).map(|c| c.key.as_str()).collect();
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "ledger": self.revision}));
         }
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -2,7 +2,7 @@
 
 use super::boots::BootHistory;
 use super::capacity::Unmet;
-use super::txns::{Draft, MachineChange, Purpose};
+use super::txns::{MachineChange, ProposedTxn, Purpose};
 use super::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
 use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
@@ -213,20 +213,20 @@
     fn strike_out_as(&mut self, change: MachineChange, ids: Vec<MachineId>) {
         let most = self.platform.deployment.state.ops();
         for ids in ids.chunks(most) {
-            let mut draft = Draft::default();
+            let mut proposal = ProposedTxn::default();
             for id in ids {
                 let key = Key::Machine(id.clone());
-                draft.unchanged(&self.replica, key.clone());
+                proposal.unchanged(&self.replica, key.clone());
                 // As long as a fleet names it, a note must say that it is gone.
                 match (self.replica.fleet_of(id), self.replica.machines.get(id)) {
                     (Some(_), Some(held)) => {
                         let record = MachineRecord { hold: Some(Hold::Gone), ..held.value.clone() };
-                        draft.put(key, to_value(&record));
+                        proposal.put(key, to_value(&record));
                     }
-                    _ => draft.delete(key),
+                    _ => proposal.delete(key),
                 }
             }
-            self.submit_txn(draft, Purpose::Machines(change, ids.to_vec()));
+            self.submit_txn(proposal, Purpose::Machines(change, ids.to_vec()));
         }
     }
 
--- a/src/coordination/machine_tokens.rs
+++ b/src/coordination/machine_tokens.rs
@@ -1,7 +1,7 @@
 //! New fencing tokens for machines, which prove older commands void.
 
 use super::Controller;
-use super::txns::{Draft, MachineChange, Purpose};
+use super::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use rand::Rng;
@@ -44,21 +44,21 @@
             self.renew_shard(shard, fencing_token);
             return;
         }
-        let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::FencingToken);
-        draft.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
-        draft.put(Key::FencingToken, to_value(&fencing_token));
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.replica, Key::FencingToken);
+        proposal.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
+        proposal.put(Key::FencingToken, to_value(&fencing_token));
         for id in &ids {
             let Some(held) = self.replica.machines.get(id) else { continue };
             let mut record = held.value.clone();
             record.fencing_token = fencing_token;
-            draft.unchanged(&self.replica, Key::Machine(id.clone()));
-            draft.put(Key::Machine(id.clone()), to_value(&record));
+            proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+            proposal.put(Key::Machine(id.clone()), to_value(&record));
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.writing = true;
             }
         }
-        self.submit_txn(draft, Purpose::Machines(MachineChange::FencingToken, ids));
+        self.submit_txn(proposal, Purpose::Machines(MachineChange::FencingToken, ids));
     }
 
     /// Workers name exited tasks in every message until they may forget them, which takes a new fencing token. Where
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: what their workers report, what they are told, and when they count as lost.
 
 use super::audit::AbsenceProof;
-use super::txns::{Draft, MachineChange, Purpose};
+use super::txns::{MachineChange, ProposedTxn, Purpose};
 use super::{Controller, Effect, WorkerAnswer};
 use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, MachineId, Micros, Room};
@@ -390,11 +390,11 @@
             return;
         }
         machine.writing = true;
-        let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::Role(role));
-        draft.unchanged(&self.replica, Key::Machine(id.clone()));
-        draft.put(Key::Machine(id.clone()), to_value(&record));
-        self.submit_txn(draft, Purpose::Machines(what, vec![id.clone()]));
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.replica, Key::Role(role));
+        proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+        proposal.put(Key::Machine(id.clone()), to_value(&record));
+        self.submit_txn(proposal, Purpose::Machines(what, vec![id.clone()]));
     }
 
     pub(super) fn set_hold(&mut self, id: &MachineId, hold: Hold) {
--- a/src/coordination/moves.rs
+++ b/src/coordination/moves.rs
@@ -10,7 +10,7 @@
 //! [`super::versions`].
 
 use super::Controller;
-use super::txns::{Draft, MachineChange, Purpose};
+use super::txns::{MachineChange, ProposedTxn, Purpose};
 use super::versions::{Mover, mover};
 use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -99,21 +99,21 @@
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
         moves.truncate(self.platform.deployment.state.ops() - 1);
         let fencing_token = FencingToken(self.replica.latest_fencing_token().0 + 1);
-        let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::FencingToken);
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.replica, Key::FencingToken);
         for role in roles {
-            draft.unchanged(&self.replica, Key::Role(*role));
+            proposal.unchanged(&self.replica, Key::Role(*role));
         }
-        draft.put(Key::FencingToken, to_value(&fencing_token));
+        proposal.put(Key::FencingToken, to_value(&fencing_token));
         let mut ids = Vec::new();
         for (id, to) in moves {
             let Some(held) = self.replica.machines.get(&id) else { continue };
             let record = MachineRecord { shard: to, fencing_token, hold: None, ..held.value.clone() };
-            draft.unchanged(&self.replica, Key::Machine(id.clone()));
-            draft.put(Key::Machine(id.clone()), to_value(&record));
+            proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+            proposal.put(Key::Machine(id.clone()), to_value(&record));
             self.machines.entry(id.clone()).or_default().writing = true;
             ids.push(id);
         }
-        self.send_txn(draft, Purpose::Machines(MachineChange::Move, ids));
+        self.send_txn(proposal, Purpose::Machines(MachineChange::Move, ids));
     }
 }
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -1,11 +1,11 @@
 //! Writing down what was decided and seen about jobs: starts before their commands leave, tasks done or lost, outcomes.
 //!
-//! A start is recorded under the conditions that this controller still holds the job's shard, that the job is not
+//! A start is recorded under the preconditions that this controller still holds the job's shard, that the job is not
 //! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
 
 use super::Controller;
 use super::jobs::Job;
-use super::txns::{CONDITIONS_PER_WRITE, Draft, Purpose};
+use super::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use super::usage::{Phase, Start};
 use super::versions::leader_leaves_moves;
 use crate::protocol::user::Kind;
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy)]
 struct TxnLimits {
     writes: usize,
-    conditions: usize,
+    preconditions: usize,
     value_bytes: usize,
 }
 
@@ -64,18 +64,18 @@
         ChunkChanges { stored, chunk_tasks, limits, guard, chunks, machines, left_over: false }
     }
 
-    /// Conditions besides those that the guard takes for each machine: the shard's role, the outcome, perhaps the
+    /// Preconditions besides those that the guard takes for each machine: the shard's role, the outcome, perhaps the
     /// leader's role, and each chunk.
-    fn conditions(&self) -> usize {
+    fn preconditions(&self) -> usize {
         let roles = if self.guard == MachineGuard::Leadership { 2 } else { 1 };
         roles + 1 + self.chunks.len()
     }
 
-    /// Whether so many machines' conditions fit, with one more chunk if `chunk` isn't among those changed.
+    /// Whether so many machines' preconditions fit, with one more chunk if `chunk` isn't among those changed.
     fn fits(&self, machines: usize, chunk: u32) -> bool {
         let more = usize::from(!self.chunks.contains_key(&chunk));
         let guarded = if self.guard == MachineGuard::Records { machines } else { 0 };
-        self.conditions() + more + guarded <= self.limits.conditions
+        self.preconditions() + more + guarded <= self.limits.preconditions
     }
 
     /// The chunk of a task, to be changed, if the transaction takes one more: beside its outcome, and with a start.
@@ -141,30 +141,30 @@
     }
 
     /// Takes all stored chunks out, as many as there is room for.
-    fn clear(&self, replica: &Replica, id: &JobId, draft: &mut Draft) {
-        let room = self.limits.writes - draft.txn.writes.len();
+    fn clear(&self, replica: &Replica, id: &JobId, proposal: &mut ProposedTxn) {
+        let room = self.limits.writes - proposal.txn.writes.len();
         for number in self.stored.keys().take(room) {
-            draft.unchanged(replica, Key::Run(id.clone(), *number));
-            draft.delete(Key::Run(id.clone(), *number));
+            proposal.unchanged(replica, Key::Run(id.clone(), *number));
+            proposal.delete(Key::Run(id.clone(), *number));
         }
     }
 
-    fn write(self, replica: &Replica, id: &JobId, writer: u64, draft: &mut Draft) {
+    fn write(self, replica: &Replica, id: &JobId, writer: u64, proposal: &mut ProposedTxn) {
         match self.guard {
             MachineGuard::Leadership if !self.machines.is_empty() => {
-                draft.unchanged(replica, Key::Role(Role::Leader));
+                proposal.unchanged(replica, Key::Role(Role::Leader));
             }
             MachineGuard::Leadership => {}
             MachineGuard::Records => {
                 for machine in self.machines {
-                    draft.unchanged(replica, Key::Machine(machine));
+                    proposal.unchanged(replica, Key::Machine(machine));
                 }
             }
         }
         for (number, mut chunk) in self.chunks {
             chunk.writer = writer;
-            draft.unchanged(replica, Key::Run(id.clone(), number));
-            draft.put(Key::Run(id.clone(), number), to_value(&chunk));
+            proposal.unchanged(replica, Key::Run(id.clone(), number));
+            proposal.put(Key::Run(id.clone(), number), to_value(&chunk));
         }
     }
 }
@@ -292,7 +292,7 @@
         let enough = ((rate * self.policy.txn_part) as usize).clamp(4, limits.writes);
         let Some(shard) = due.front().map(|first| first.shard) else { return };
         let role = Role::Shard(shard);
-        let mut draft = Draft::default();
+        let mut proposal = ProposedTxn::default();
         let mut ids: Vec<JobId> = Vec::new();
         while due.front().is_some_and(|next| next.shard == shard) {
             let Some(DueRecord { id, .. }) = due.pop_front() else { break };
@@ -303,42 +303,42 @@
                 self.job_txn_over(&id);
                 continue;
             }
-            let writes = draft.txn.writes.len() + part.txn.writes.len();
-            let conditions = draft.txn.conditions.len() + part.txn.conditions.len();
-            if !ids.is_empty() && (writes > limits.writes || conditions > limits.conditions) {
-                self.send_txn(std::mem::take(&mut draft), Purpose::Jobs(std::mem::take(&mut ids)));
+            let writes = proposal.txn.writes.len() + part.txn.writes.len();
+            let preconditions = proposal.txn.preconditions.len() + part.txn.preconditions.len();
+            if !ids.is_empty() && (writes > limits.writes || preconditions > limits.preconditions) {
+                self.send_txn(std::mem::take(&mut proposal), Purpose::Jobs(std::mem::take(&mut ids)));
             }
-            for condition in part.txn.conditions {
-                if !draft.txn.conditions.contains(&condition) {
-                    draft.txn.conditions.push(condition);
+            for precondition in part.txn.preconditions {
+                if !proposal.txn.preconditions.contains(&precondition) {
+                    proposal.txn.preconditions.push(precondition);
                 }
             }
-            draft.txn.writes.extend(part.txn.writes);
+            proposal.txn.writes.extend(part.txn.writes);
             ids.push(id);
-            if draft.txn.writes.len() >= enough {
+            if proposal.txn.writes.len() >= enough {
                 break;
             }
         }
         if !ids.is_empty() {
-            self.send_txn(draft, Purpose::Jobs(ids));
+            self.send_txn(proposal, Purpose::Jobs(ids));
         }
     }
 
     fn txn_limits(&self) -> TxnLimits {
         let limits = &self.platform.deployment.state;
         let writes = limits.ops();
-        TxnLimits { writes, conditions: writes * CONDITIONS_PER_WRITE, value_bytes: limits.value_bytes() }
+        TxnLimits { writes, preconditions: writes * PRECONDITIONS_PER_WRITE, value_bytes: limits.value_bytes() }
     }
 
     /// The part of a transaction that brings one job's records up to date. Locks the job.
-    fn job_part(&mut self, id: &JobId, role: Role, limits: TxnLimits) -> Draft {
+    fn job_part(&mut self, id: &JobId, role: Role, limits: TxnLimits) -> ProposedTxn {
         let writer = self.nonce();
         let now = self.now();
         let progress_patience = Micros::from_millis(self.policy.progress_patience_ms);
         let leaves_moves = leader_leaves_moves(&self.replica, self.record_version());
         let guard = if leaves_moves { MachineGuard::Leadership } else { MachineGuard::Records };
-        let mut draft = Draft::default();
-        let Some(job) = self.jobs.get_mut(id) else { return draft };
+        let mut proposal = ProposedTxn::default();
+        let Some(job) = self.jobs.get_mut(id) else { return proposal };
         job.locked = true;
         job.dirty_since = None;
         let none = BTreeMap::new();
@@ -352,20 +352,20 @@
         if changes.left_over {
             job.dirty_since = Some(Micros::ZERO);
         }
-        draft.unchanged(&self.replica, Key::Role(role));
+        proposal.unchanged(&self.replica, Key::Role(role));
         let end = Key::End(id.clone());
         if job.over.is_none() {
-            draft.unchanged(&self.replica, end.clone());
+            proposal.unchanged(&self.replica, end.clone());
         }
         let finishes = job.over.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
         if finishes {
-            draft.put(end, to_value(&EndRecord::done()));
+            proposal.put(end, to_value(&EndRecord::done()));
         }
         if (finishes || job.over.is_some()) && !changes.has_starts() && !changes.left_over {
             // Over and nothing left of it: clear away. The outcome stays, and so does the job's
             // entry in its batch until all of that are over.
-            changes.clear(&self.replica, id, &mut draft);
-            return draft;
+            changes.clear(&self.replica, id, &mut proposal);
+            return proposal;
         }
         if changes.drop_too_large() {
             tracing::debug!(job = %id, "a part of its records is larger than may be written now");
@@ -373,11 +373,11 @@
             job.dirty_since = Some(Micros::ZERO);
             if finishes {
                 // The outcome goes with the record of its last tasks or not at all.
-                return Draft::default();
+                return ProposedTxn::default();
             }
         }
-        changes.write(&self.replica, id, writer, &mut draft);
-        draft
+        changes.write(&self.replica, id, writer, &mut proposal);
+        proposal
     }
 }
 
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -2,7 +2,7 @@
 
 use super::capacity::{Slot, fit};
 use super::submissions::VALUE_FILL;
-use super::txns::{CONDITIONS_PER_WRITE, Draft, MachineChange, Purpose};
+use super::txns::{CONDITIONS_PER_WRITE, MachineChange, ProposedTxn, Purpose};
 use super::{Controller, Effect};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
@@ -100,23 +100,23 @@
 
     /// Writes down machines that are not in the stored records, all in one value unless it is a single one.
     fn record_registrations(&mut self, members: Vec<FleetMember>) {
-        let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::Role(Role::Leader));
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.replica, Key::Role(Role::Leader));
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
         for id in &ids {
             self.machines.entry(id.clone()).or_default().registering = true;
             self.boot_over(id);
-            draft.unchanged(&self.replica, Key::Machine(id.clone()));
+            proposal.unchanged(&self.replica, Key::Machine(id.clone()));
         }
         match &members[..] {
-            [single] => draft.put(Key::Machine(single.id.clone()), to_value(&single.record)),
+            [single] => proposal.put(Key::Machine(single.id.clone()), to_value(&single.record)),
             _ => {
                 let name = Key::Fleet(format!("{:x}", self.nonce()));
-                draft.unchanged(&self.replica, name.clone());
-                draft.put(name, to_value(&members));
+                proposal.unchanged(&self.replica, name.clone());
+                proposal.put(name, to_value(&members));
             }
         }
-        self.submit_txn(draft, Purpose::Machines(MachineChange::Register, ids));
+        self.submit_txn(proposal, Purpose::Machines(MachineChange::Register, ids));
     }
 
     /// A machine that was rented has come up.
--- a/src/coordination/roles.rs
+++ b/src/coordination/roles.rs
@@ -5,7 +5,7 @@
 //! the watch has shown it the key: then its replica also has every start recorded before.
 
 use super::machines::Machine;
-use super::txns::{Draft, Purpose};
+use super::txns::{ProposedTxn, Purpose};
 use super::{Controller, Effect, LeaseOutcome, StateCall};
 use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -182,7 +182,7 @@
             NodeRecord { incarnation: self.incarnation, unfit: self.roles.unfit, version: self.record_version() };
         if self.replica.nodes.get(&self.label).map(|n| &n.value) != Some(&record) && !self.roles.node_writing {
             self.roles.node_writing = true;
-            let mut txn = Draft::default();
+            let mut txn = ProposedTxn::default();
             txn.put_bound(Key::Node(self.label.clone()), to_value(&record), lease);
             self.submit_txn(txn, Purpose::Node);
         }
@@ -234,7 +234,7 @@
             fencing_token,
             version: self.record_version(),
         };
-        let mut txn = Draft::default();
+        let mut txn = ProposedTxn::default();
         txn.unchanged(&self.replica, Key::Role(role));
         txn.unchanged(&self.replica, Key::FencingToken);
         txn.put_bound(Key::Role(role), to_value(&record), lease);
@@ -365,7 +365,7 @@
     }
 
     fn release(&mut self, role: Role) {
-        let mut txn = Draft::default();
+        let mut txn = ProposedTxn::default();
         txn.unchanged(&self.replica, Key::Role(role));
         txn.delete(Key::Role(role));
         self.roles.taking = true;
--- a/src/coordination/stages.rs
+++ b/src/coordination/stages.rs
@@ -8,7 +8,7 @@
 use super::Controller;
 use super::jobs::Job;
 use super::pipelines::Urgency;
-use super::txns::{Draft, Purpose};
+use super::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{JobSpec, Priority};
 use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
 use crate::types::{JobId, Micros};
@@ -147,12 +147,12 @@
         if ids.is_empty() {
             return;
         }
-        let mut draft = Draft::default();
+        let mut proposal = ProposedTxn::default();
         for id in &ids {
-            draft.unchanged(&self.replica, Key::End(id.clone()));
-            draft.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
+            proposal.unchanged(&self.replica, Key::End(id.clone()));
+            proposal.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
         }
-        self.submit_txn(draft, Purpose::Cascade);
+        self.submit_txn(proposal, Purpose::Cascade);
     }
 
     /// Whether a chunk of a job's records can name one more start and stay within what may be written. A start that
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -8,7 +8,7 @@
 //! was not read yet. The earlier counts.
 
 use super::evidence::Fresh;
-use super::txns::{CONDITIONS_PER_WRITE, Draft, Purpose, TxnEnd};
+use super::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose, TxnEnd};
 use super::users::{Asked, BUSY, Question};
 use super::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobSpec, Kind, Submission};
@@ -178,12 +178,12 @@
         let parts = numbered.chunks(ops);
         self.users.submissions.partial.insert(name.clone(), Partial { left: parts.len(), member });
         for part in parts {
-            let mut draft = Draft::default();
+            let mut proposal = ProposedTxn::default();
             for (number, list) in part {
-                draft.unchanged(&self.replica, Key::AwaitedPart(name.clone(), *number));
-                draft.put(Key::AwaitedPart(name.clone(), *number), to_value(list));
+                proposal.unchanged(&self.replica, Key::AwaitedPart(name.clone(), *number));
+                proposal.put(Key::AwaitedPart(name.clone(), *number), to_value(list));
             }
-            self.submit_txn(draft, Purpose::AwaitedParts(name.clone()));
+            self.submit_txn(proposal, Purpose::AwaitedParts(name.clone()));
         }
     }
 
@@ -211,7 +211,7 @@
         self.users.submissions.batch_at = self.now();
         let members = self.next_batch();
         let name = Key::Batch(format!("{:x}", self.nonce()));
-        let mut txn = Draft::default();
+        let mut txn = ProposedTxn::default();
         txn.unchanged(&self.replica, name.clone());
         for member in &members {
             txn.unchanged(&self.replica, Key::End(member.id.clone()));
@@ -227,11 +227,11 @@
         self.send_txn(txn, Purpose::Submit(members.into_iter().map(submitted).collect()));
     }
 
-    /// As many queued submissions as one value and one transaction's conditions have room for.
+    /// As many queued submissions as one value and one transaction's preconditions have room for.
     fn next_batch(&mut self) -> Vec<BatchMember> {
         let limits = &self.platform.deployment.state;
         let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
-        let most = limits.ops() * CONDITIONS_PER_WRITE - 1;
+        let most = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
         let mut members: Vec<BatchMember> = Vec::new();
         let (mut size, mut named) = (0, 0);
@@ -240,12 +240,12 @@
             member.record.accepted = accepted;
             let more = serde_json::to_string(&member).map_or(room, |text| text.len() + 1);
             // Its outcome, and perhaps its first piece.
-            let conditions = 1 + usize::from(member.record.pieces.is_some());
-            if !members.is_empty() && (size + more > room || named + conditions > most) {
+            let preconditions = 1 + usize::from(member.record.pieces.is_some());
+            if !members.is_empty() && (size + more > room || named + preconditions > most) {
                 break;
             }
             size += more;
-            named += conditions;
+            named += preconditions;
             members.push(member);
             self.users.submissions.queue.pop_front();
         }
--- a/src/coordination/tidying.rs
+++ b/src/coordination/tidying.rs
@@ -1,7 +1,7 @@
 //! Clearing away records that nothing needs any more, a little at a time.
 
 use super::Controller;
-use super::txns::{Draft, Purpose};
+use super::txns::{ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role};
 use crate::types::{JobId, Micros};
 use std::collections::BTreeSet;
@@ -41,13 +41,13 @@
         if keys.is_empty() {
             return;
         }
-        let mut draft = Draft::default();
-        draft.unchanged(&self.replica, Key::Role(Role::Leader));
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.replica, Key::Role(Role::Leader));
         for key in keys {
-            draft.unchanged(&self.replica, key.clone());
-            draft.delete(key);
+            proposal.unchanged(&self.replica, key.clone());
+            proposal.delete(key);
         }
-        self.submit_txn(draft, Purpose::Tidy);
+        self.submit_txn(proposal, Purpose::Tidy);
     }
 
     /// Lists whose submission came to nothing, or whose job is over and gone.
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -7,7 +7,7 @@
 use super::evidence::{Evidence, LogicalTime};
 use super::submissions::Submitted;
 use super::{Controller, Effect, Failure, StateCall, TxnOutcome};
-use crate::protocol::state::{Condition, Txn, Write};
+use crate::protocol::state::{Precondition, Txn, Write};
 use crate::storage::Replica;
 use crate::storage::schema::Key;
 use crate::types::{JobId, MachineId, Micros, Revision};
@@ -157,19 +157,19 @@
     Record,
 }
 
-/// A transaction being put together; conditions name the versions the replica has.
+/// A transaction being put together; preconditions name the versions the replica has.
 #[derive(Default)]
-pub(super) struct Draft {
+pub(super) struct ProposedTxn {
     pub txn: Txn,
 }
 
-impl Draft {
+impl ProposedTxn {
     /// The key must still be as the replica has it.
     pub fn unchanged(&mut self, replica: &Replica, key: Key) {
         let version = replica.version(&key);
         let key = key.to_string();
-        if !self.txn.conditions.iter().any(|c| c.key == key) {
-            self.txn.conditions.push(Condition { key, version });
+        if !self.txn.preconditions.iter().any(|c| c.key == key) {
+            self.txn.preconditions.push(Precondition { key, version });
         }
     }
 
@@ -186,15 +186,15 @@
     }
 }
 
-/// Conditions a transaction may hold for each write the service allows.
-pub(super) const CONDITIONS_PER_WRITE: usize = 4;
+/// Preconditions a transaction may hold for each write the service allows.
+pub(super) const PRECONDITIONS_PER_WRITE: usize = 4;
 
 impl Controller {
     /// Puts a transaction in the queue for the change budget. Roles don't wait: everything else
     /// depends on them.
-    pub(super) fn submit_txn(&mut self, draft: Draft, purpose: Purpose) {
+    pub(super) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
         let patience = match purpose {
-            Purpose::Node | Purpose::Role => return self.send_txn(draft, purpose),
+            Purpose::Node | Purpose::Role => return self.send_txn(proposal, purpose),
             Purpose::Submit(_) | Purpose::AwaitedParts(_) | Purpose::Cancel(_) => self.policy.user_patience_ms,
             Purpose::Machines(..) | Purpose::ZoneView(_) => self.policy.machine_patience_ms,
             Purpose::Jobs(_) => self.policy.batch_patience_ms,
@@ -202,13 +202,13 @@
         };
         let latest = self.now() + Micros::from_millis(patience);
         let ticket = self.next_ticket();
-        let pending = Pending::new(draft.txn, purpose, Stage::Queued(latest));
+        let pending = Pending::new(proposal.txn, purpose, Stage::Queued(latest));
         self.txns.pending.insert(ticket, pending);
     }
 
-    pub(super) fn send_txn(&mut self, draft: Draft, purpose: Purpose) {
+    pub(super) fn send_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
         let ticket = self.next_ticket();
-        self.txns.pending.insert(ticket, Pending::new(draft.txn, purpose, Stage::Sent));
+        self.txns.pending.insert(ticket, Pending::new(proposal.txn, purpose, Stage::Sent));
         self.send_pending(ticket);
     }
 
@@ -282,7 +282,7 @@
                 self.budget.refused(self.clock.steady);
             }
             TxnOutcome::Failed(failure) => {
-                // Whoever submits or cancels asks again; the conditions make repeats harmless,
+                // Whoever submits or cancels asks again; the preconditions make repeats harmless,
                 // also if the unanswered one is applied later. Only a refusal is worth one
                 // quick try more.
                 let user = pending.purpose.urgent();
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -5,7 +5,7 @@
 
 use super::evidence::{Evidence, Fresh, LogicalTime, reached};
 use super::submissions::{Form, Submissions};
-use super::txns::{Draft, Purpose};
+use super::txns::{ProposedTxn, Purpose};
 use super::{Controller, Effect, UserAnswer, UserRequest, Waiter};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
 use crate::storage::schema::{EndRecord, Key, Outcome, to_value};
@@ -135,7 +135,7 @@
         if waiters.len() > 1 {
             return;
         }
-        let mut txn = Draft::default();
+        let mut txn = ProposedTxn::default();
         if let Some(known) = self.replica.jobs.get(&id) {
             txn.unchanged(&self.replica, Key::Batch(known.batch.clone()));
         }
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones.rs
@@ -7,7 +7,7 @@
 
 use super::Controller;
 use super::shard_view::Spot;
-use super::txns::{Draft, Purpose};
+use super::txns::{ProposedTxn, Purpose};
 use super::usage::Start;
 use crate::protocol::user::{Kind, Priority};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
@@ -175,14 +175,14 @@
                 continue;
             }
             let key = Key::Zone(zone, shard);
-            let mut draft = Draft::default();
-            draft.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
-            draft.unchanged(&self.replica, key.clone());
+            let mut proposal = ProposedTxn::default();
+            proposal.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
+            proposal.unchanged(&self.replica, key.clone());
             match record {
-                Some(record) => draft.put(key, to_value(&record)),
-                None => draft.delete(key),
+                Some(record) => proposal.put(key, to_value(&record)),
+                None => proposal.delete(key),
             }
-            self.submit_txn(draft, Purpose::ZoneView(name));
+            self.submit_txn(proposal, Purpose::ZoneView(name));
         }
     }
 
--- a/src/protocol/state.rs
+++ b/src/protocol/state.rs
@@ -6,7 +6,7 @@
 
 /// What must hold for a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct Precondition {
     /// Of this key.
     #[serde(rename = "k")]
     pub key: String,
@@ -44,7 +44,7 @@
 pub struct Txn {
     /// What must hold.
     #[serde(rename = "if")]
-    pub conditions: Vec<Condition>,
+    pub preconditions: Vec<Precondition>,
     /// What is changed.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -1,7 +1,7 @@
 //! The operators' view of zones and their holds, read from and written to the state service: `burlhatch zones`.
 
 use super::client::{Answer, Client};
-use crate::protocol::state::{Committed, Condition, Page, TXN_PATH, Txn, Write, page_path};
+use crate::protocol::state::{Committed, Page, Precondition, TXN_PATH, Txn, Write, page_path};
 use crate::protocol::{decode, encode};
 use crate::settings::Platform;
 use crate::storage::Replica;
@@ -93,7 +93,7 @@
         let key = Key::ZoneHold(zone.to_string()).to_string();
         let record = to_value(&ZoneHoldRecord { at: now });
         let write = Write::Put { key: key.clone(), value: record, lease: None };
-        let txn = Txn { conditions: vec![Condition { key, version: 0 }], writes: vec![write] };
+        let txn = Txn { preconditions: vec![Precondition { key, version: 0 }], writes: vec![write] };
         let done = if self.commit(&txn).await? { "is on hold" } else { "was on hold already" };
         Ok(format!("{zone} {done}\n"))
     }
@@ -101,7 +101,7 @@
     async fn release(&self, zone: &str) -> Result<String, ZoneAdminError> {
         self.check(zone)?;
         let key = Key::ZoneHold(zone.to_string()).to_string();
-        let txn = Txn { conditions: Vec::new(), writes: vec![Write::Delete { key }] };
+        let txn = Txn { preconditions: Vec::new(), writes: vec![Write::Delete { key }] };
         self.commit(&txn).await?;
         Ok(format!("{zone} is released\n"))
     }
@@ -155,6 +155,6 @@
 fn describe_view(shard: u32, view: Option<&ZoneRecord>) -> String {
     let Some(view) = view else { return format!("share {shard}: unreadable") };
     let silent = if view.silent { ", silent" } else { "" };
-    let condition = format!("{:?}", view.condition).to_lowercase();
-    format!("share {shard}: {condition}{silent}, penalty {}", view.penalty)
+    let precondition = format!("{:?}", view.precondition).to_lowercase();
+    format!("share {shard}: {precondition}{silent}, penalty {}", view.penalty)
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -32,7 +32,7 @@
 
 impl Store {
     fn txn(&mut self, txn: &Txn) -> (u16, Value) {
-        if txn.conditions.iter().any(|c| self.keys.get(&c.key).map_or(0, |(_, v)| *v) != c.version) {
+        if txn.preconditions.iter().any(|c| self.keys.get(&c.key).map_or(0, |(_, v)| *v) != c.version) {
             return (409, json!({"failed": [], "ledger": self.revision}));
         }
         self.revision += 1;
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 use burlhatch::protocol::cloud::{ListedState, MachineList, MachineTypes};
 use burlhatch::protocol::peer::{Relay, Relayed};
-use burlhatch::protocol::state::{Changes, Condition, Event, Page, Txn, Write};
+use burlhatch::protocol::state::{Changes, Event, Page, Precondition, Txn, Write};
 use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, Orders, TaskState};
 use burlhatch::protocol::{decode, encode};
@@ -165,7 +165,7 @@
 #[test]
 fn a_transaction_looks_as_the_page_shows() {
     let txn = Txn {
-        conditions: vec![Condition { key: "a/b".into(), version: 0 }],
+        preconditions: vec![Precondition { key: "a/b".into(), version: 0 }],
         writes: vec![
             Write::Put { key: "a/b".into(), value: Value::from(5), lease: Some(7) },
             Write::Delete { key: "c/d".into() },
--- a/tests/rules/world/state.rs
+++ b/tests/rules/world/state.rs
@@ -201,13 +201,13 @@
             Write::Put { value, .. } => serde_json::to_string(value).expect("plain data").len() <= value_max,
             Write::Delete { .. } => true,
         };
-        txn.writes.len() <= ops_max && txn.conditions.len() <= ops_max * 4 && txn.writes.iter().all(fits)
+        txn.writes.len() <= ops_max && txn.preconditions.len() <= ops_max * 4 && txn.writes.iter().all(fits)
     }
 
     fn txn(&mut self, txn: &Txn) -> TxnOutcome {
         let (ops_max, value_max) = self.largest();
         assert!(txn.writes.len() <= ops_max, "too many writes in one transaction");
-        assert!(txn.conditions.len() <= ops_max * 4, "too many conditions in one transaction");
+        assert!(txn.preconditions.len() <= ops_max * 4, "too many conditions in one transaction");
         let lost = txn
             .writes
             .iter()
@@ -215,7 +215,7 @@
         if lost {
             return TxnOutcome::NoLease;
         }
-        let holds = txn.conditions.iter().all(|c| self.keys.get(&c.key).map_or(0, |(_, v, _)| *v) == c.version);
+        let holds = txn.preconditions.iter().all(|c| self.keys.get(&c.key).map_or(0, |(_, v, _)| *v) == c.version);
         if !holds {
             return TxnOutcome::Conflict(self.revision);
         }
