--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -2,7 +2,7 @@
 
 use super::capacity::{Slot, fit};
 use super::submissions::VALUE_FILL;
-use super::txns::{CONDITIONS_PER_WRITE, MachineChange, ProposedTxn, Purpose};
+use super::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use super::{Controller, Effect};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
@@ -47,7 +47,7 @@
                     let member = self.new_member(&heartbeat, &members);
                     let more = serde_json::to_string(&member).map_or(room, |text| text.len() + 1);
                     // The role's condition and the fleet's own leave room for so many machines'.
-                    if size + more > room || members.len() + 2 == limits.ops() * CONDITIONS_PER_WRITE {
+                    if size + more > room || members.len() + 2 == limits.ops() * PRECONDITIONS_PER_WRITE {
                         break;
                     }
                     size += more;
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -155,6 +155,6 @@
 fn describe_view(shard: u32, view: Option<&ZoneRecord>) -> String {
     let Some(view) = view else { return format!("share {shard}: unreadable") };
     let silent = if view.silent { ", silent" } else { "" };
-    let precondition = format!("{:?}", view.precondition).to_lowercase();
-    format!("share {shard}: {precondition}{silent}, penalty {}", view.penalty)
+    let condition = format!("{:?}", view.condition).to_lowercase();
+    format!("share {shard}: {condition}{silent}, penalty {}", view.penalty)
 }
