--- a/crates/testbed/src/cluster.rs
+++ b/crates/testbed/src/cluster.rs
@@ -4,7 +4,7 @@
 use crate::history::History;
 use crate::http::free_address;
 use crate::link::{Gate, proxy};
-use crate::state_service::StateService;
+use crate::store::KeyValueStore;
 use crate::worker::Surroundings;
 use burlhatch::transport::client::Client;
 use hyper::Method;
@@ -48,9 +48,9 @@
 /// The links of one controller, to be cut one by one.
 #[derive(Clone, Default)]
 pub struct Links {
-    /// To the state service.
+    /// To the store.
     pub state: Gate,
-    /// While set, the state service refuses this controller alone.
+    /// While set, the store refuses this controller alone.
     pub refused: Arc<AtomicBool>,
     /// To the cloud.
     pub cloud: Gate,
@@ -73,8 +73,8 @@
 pub struct Cluster {
     plan: ClusterPlan,
     controllers: BTreeMap<String, Controller>,
-    /// The state service.
-    pub state: StateService,
+    /// The store.
+    pub state: KeyValueStore,
     /// The cloud with all machines.
     pub cloud: Cloud,
     /// What all machines share.
@@ -134,7 +134,7 @@
             heartbeat_interval: plan.heartbeat_interval,
             lease: plan.lease,
         };
-        let state = StateService::default();
+        let state = KeyValueStore::default();
         let cloud = Cloud::new(&plan.zones, plan.capacity, around.clone());
         let (cloud_address, cloud_server) = cloud.start().await?;
         servers.push(cloud_server);
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! Everything around the controllers, on loopback: a state service, a cloud and workers that stand in for the real ones,
+//! Everything around the controllers, on loopback: a store, a cloud and workers that stand in for the real ones,
 //! users that load the service, and a checker of what happened. The controllers are real processes of the built program.
 //!
 //! The stand-ins keep to the protocol's page as far as the scenarios need it. Each run has ports of its own, ends its own
@@ -12,7 +12,7 @@
 pub mod report;
 pub mod scenarios;
 pub mod soak;
-pub mod state_service;
+pub mod store;
 pub mod troubles;
 pub mod users;
 pub mod worker;
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -30,7 +30,7 @@
     pub in_zone: Vec<usize>,
     /// Rules that were broken.
     pub violations: Vec<String>,
-    /// Changes of the state service in the whole run.
+    /// Changes of the store in the whole run.
     pub changes: u64,
 }
 
--- a/crates/testbed/src/state_service.rs
+++ b/crates/testbed/src/store.rs
@@ -1,8 +1,8 @@
-//! A state service: a small store with conditional transactions, leases and watches.
+//! A store: a small store with conditional transactions, leases and watches.
 
 use crate::http::{Call, Reply, serve};
 use burlhatch::protocol::decode;
-use burlhatch::protocol::state::{Txn, Write};
+use burlhatch::protocol::store::{Txn, Write};
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -116,14 +116,14 @@
 
 /// The service, and a handle on it for scenarios.
 #[derive(Clone, Default)]
-pub struct StateService {
+pub struct KeyValueStore {
     late: Arc<Mutex<(u64, Duration)>>,
     transactions: Arc<AtomicU64>,
     store: Arc<Mutex<Store>>,
     changed: Arc<Notify>,
 }
 
-impl StateService {
+impl KeyValueStore {
     /// Begins to serve one controller; says where. While the flag is set, that one is refused.
     pub async fn start(&self, refused: Arc<AtomicBool>) -> io::Result<(SocketAddr, JoinSet<()>)> {
         let service = self.clone();
--- a/crates/testbed/src/troubles.rs
+++ b/crates/testbed/src/troubles.rs
@@ -18,11 +18,11 @@
     ControllerDown(usize),
     /// It stands still.
     ControllerPaused(usize),
-    /// The state service refuses it alone.
+    /// The store refuses it alone.
     StateRefusesOne(usize),
-    /// Its link to the state service holds everything back.
+    /// Its link to the store holds everything back.
     StateHeld(usize),
-    /// It loses state service and siblings, not its workers.
+    /// It loses store and siblings, not its workers.
     StateAndSiblingsReset(usize),
     /// The same, and workers reach nobody but it, by their heartbeats: whoever takes over can't reach the machines.
     WorkersReachOnly(usize),
@@ -30,7 +30,7 @@
     SiblingsReset(usize),
     /// No worker reaches it, and what was sent is held back.
     WorkersHeld(usize),
-    /// The state service refuses everybody.
+    /// The store refuses everybody.
     StateDown,
     /// One in four transactions gets no answer and is carried out late.
     LateWrites,
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -53,11 +53,11 @@
     }
 }
 
-/// Drawn from the one counter in the state service; serves as worker fencing token.
+/// Drawn from the one counter in the store; serves as worker fencing token.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
-/// The state service's count of changes.
+/// The store's count of changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub u64);
 
--- a/src/coordination/audit.rs
+++ b/src/coordination/audit.rs
@@ -1,6 +1,6 @@
 //! What the log tells of cancellations: from the acknowledgement to the proof that the last task is gone.
 //!
-//! Each line names the revision of the stored records that the decision rests on and how long ago the state service
+//! Each line names the revision of the stored records that the decision rests on and how long ago the store
 //! answered last. Lines are bounded in rate, so that a wave of cancellations does not cost more than the work itself; a
 //! summary every few seconds counts what is open, and what was left out.
 
@@ -88,8 +88,8 @@
 }
 
 impl Controller {
-    fn state_silence_ms(&self) -> u64 {
-        self.now().since(self.state_heard).millis()
+    fn store_silence_ms(&self) -> u64 {
+        self.now().since(self.store_last_answered_at).millis()
     }
 
     /// A user is about to be told that a job is cancelled.
@@ -102,7 +102,7 @@
         }
         let revision = self.replica.applied.0;
         let cancelled_at = self.replica.ends.get(job).map_or(0, |end| end.version);
-        tracing::info!(%job, ?by, revision, cancelled_at, left, state_silence_ms = self.state_silence_ms(), "cancelled, told");
+        tracing::info!(%job, ?by, revision, cancelled_at, left, store_silence_ms = self.store_silence_ms(), "cancelled, told");
     }
 
     /// A task of a cancelled job is proven gone.
@@ -144,7 +144,7 @@
             added_stops = self.audit.added_stops,
             left_out,
             revision = self.replica.applied.0,
-            state_silence_ms = self.state_silence_ms(),
+            store_silence_ms = self.store_silence_ms(),
             "cancelled tasks not proven gone"
         );
     }
--- a/src/coordination/budget.rs
+++ b/src/coordination/budget.rs
@@ -1,4 +1,4 @@
-//! The part of the state service's change limit that this controller lets itself use.
+//! The part of the store's change limit that this controller lets itself use.
 //!
 //! The limit holds for all controllers together, and none knows what the others need. So each
 //! begins with more than an equal part, grows while it is not refused, and slows down when it is.
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -131,7 +131,7 @@
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
                 }
-                Acknowledgement::Stale if !self.reaches_state() => BUSY,
+                Acknowledgement::Stale if !self.reaches_store() => BUSY,
                 Acknowledgement::Stale => {
                     self.reads.wanted = true;
                     self.keep_waiting(id, waiters, now, patience);
--- a/src/coordination/capacity.rs
+++ b/src/coordination/capacity.rs
@@ -279,7 +279,7 @@
     /// submissions need more.
     pub(super) fn moves_left(&self) -> usize {
         let moving = self.replica.machines.values().filter(|m| matches!(m.value.hold, Some(Hold::Move(_)))).count();
-        let most = ((self.platform.deployment.state.write_rps * self.policy.shift_part) as usize).max(1);
+        let most = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
         most.saturating_sub(moving)
     }
 
--- a/src/coordination/clearing.rs
+++ b/src/coordination/clearing.rs
@@ -1,7 +1,7 @@
 //! What is left of cancelled jobs, and the deletion of the machines that it is on.
 //!
 //! A cancelled task that nothing proves gone is deleted with its machine before the time allowed for a cancellation is
-//! over. That needs neither the state service nor the leader, and holds for a machine that hangs. It needs the cloud;
+//! over. That needs neither the store nor the leader, and holds for a machine that hangs. It needs the cloud;
 //! what holds without it is in [`super::lease_renewal`].
 
 use super::Controller;
@@ -145,10 +145,10 @@
     }
 
     /// Whether this controller has to see to it that a shard's cancelled tasks are gone: it holds the shard; or nobody
-    /// does, and as long as the state service is away nobody can take it.
+    /// does, and as long as the store is away nobody can take it.
     fn clears_shard(&self, shard: u32) -> bool {
         let role = Role::Shard(shard);
-        self.held(role).is_some() || (!self.replica.roles.contains_key(&role) && !self.reaches_state())
+        self.held(role).is_some() || (!self.replica.roles.contains_key(&role) && !self.reaches_store())
     }
 
     /// Whether it was deleted here, though the stored records don't say so yet.
--- a/src/coordination/evidence.rs
+++ b/src/coordination/evidence.rs
@@ -1,8 +1,8 @@
-//! Which answer of the state service allows which answer to a user: the one rule of linearizable reads.
+//! Which answer of the store allows which answer to a user: the one rule of linearizable reads.
 //!
 //! An outcome is written once, so it may be told at any time by whoever knows it. Every other answer (accepted, queued,
 //! running, never accepted, refused) says that something had not happened yet, and must not be older than what any
-//! controller told anybody before the question came. So it needs a call to the state service that left this controller
+//! controller told anybody before the question came. So it needs a call to the store that left this controller
 //! after the question had come, and a replica that has reached the revision which that call was answered with.
 //!
 //! [`Fresh`] stands for both. Nothing but [`Evidence`] makes one, and nothing but a call's answer makes evidence.
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -211,7 +211,7 @@
     }
 
     fn strike_out_as(&mut self, change: MachineChange, ids: Vec<MachineId>) {
-        let most = self.platform.deployment.state.ops();
+        let most = self.platform.deployment.store.ops();
         for ids in ids.chunks(most) {
             let mut proposal = ProposedTxn::default();
             for id in ids {
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -2,7 +2,7 @@
 //!
 //! A worker whose lease nobody renews kills its tasks in a time that is well below the one allowed for a cancellation.
 //! So a cancelled task can run on only if an answer renewed the lease and did not stop it, or if a start that is still on
-//! its way reaches a incarnation that was kept alive. Hence two rules, which hold without the state service and the cloud:
+//! its way reaches a incarnation that was kept alive. Hence two rules, which hold without the store and the cloud:
 //!
 //! - Every answer that renews a lease stops what the machine has of cancelled jobs, whatever else is known of the machine
 //!   or its fencing token: stopping a task whose job has its outcome is always right.
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::cloud::{MachineList, MachineNames, MachineTypes, Rental};
 use crate::protocol::peer::{CancellationAck, Cancelled};
-use crate::protocol::state::{Changes, Page, Txn};
+use crate::protocol::store::{Changes, Page, Txn};
 use crate::protocol::user::{JobStatus, Submission};
 use crate::protocol::worker::{DirectOrders, Heartbeat, Orders};
 use crate::types::{JobId, MachineId, Micros};
@@ -83,7 +83,7 @@
     /// A new one, by its number.
     New(u64),
     /// It has its full time again.
-    Touched,
+    KeptAlive,
     /// It has ended.
     Gone,
     /// Without an answer, or refused.
@@ -204,8 +204,8 @@
 }
 
 impl Command {
-    /// An answer of the state service that shows that it serves us.
-    pub(super) fn is_word_of_state(&self) -> bool {
+    /// An answer of the store that shows that it serves us.
+    pub(super) fn is_store_answer(&self) -> bool {
         match self {
             Command::Txn { outcome, .. } => !matches!(outcome, TxnOutcome::Failed(_)),
             Command::Changes { outcome, .. } => !matches!(outcome, ReadOutcome::Failed),
@@ -247,9 +247,9 @@
     Unavailable,
 }
 
-/// What the state service is asked for.
+/// What the store is asked for.
 #[derive(Clone, Debug)]
-pub enum StateCall {
+pub enum StoreCall {
     /// `urgent`: a user waits for it.
     Txn {
         /// Names the answer.
@@ -278,14 +278,14 @@
         after: Option<String>,
     },
     /// A new session.
-    NewLease {
+    GrantLease {
         /// Names the answer.
         ticket: u64,
         /// How long it lasts without renewal.
         ttl_ms: u64,
     },
     /// The session's full time again.
-    Touch {
+    KeepAlive {
         /// Names the answer.
         ticket: u64,
         /// Which one.
@@ -300,8 +300,8 @@
     AnswerUser(Waiter, UserAnswer),
     /// An answer to a worker.
     AnswerWorker(Waiter, WorkerAnswer),
-    /// A call to the state service.
-    State(StateCall),
+    /// A call to the store.
+    Store(StoreCall),
     /// A direct message to a worker.
     Orders {
         /// Which machine.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Pure: commands and the time come in, effects go out. One [`Controller`] owns all state of a
 //! controller; the daemon feeds it a queue of commands in batches. Everything a decision rests on
-//! is either in the state service (see [`crate::storage`]) or was proven by a worker's heartbeat.
+//! is either in the store (see [`crate::storage`]) or was proven by a worker's heartbeat.
 
 mod audit;
 mod boots;
@@ -47,7 +47,7 @@
 
 pub use messages::{
     Clock, CloudCall, CloudOutcome, Command, Effect, Failure, LeaseOutcome, OrdersOutcome, ReadKind, ReadOutcome,
-    StateCall, TxnOutcome, UserAnswer, UserRequest, Waiter, WorkerAnswer,
+    StoreCall, TxnOutcome, UserAnswer, UserRequest, Waiter, WorkerAnswer,
 };
 
 use crate::protocol::cloud::MachineType;
@@ -117,8 +117,8 @@
     /// Probes between heartbeats that may go now, and as of when.
     probes_left: f64,
     probed_at: Micros,
-    /// Last answer of the state service that was no refusal.
-    state_heard: Micros,
+    /// Last answer of the store that was no refusal.
+    store_last_answered_at: Micros,
     next_machines: Micros,
     next_renewal: Micros,
     /// When more machines than could well be lost together last failed to answer.
@@ -160,13 +160,13 @@
         Controller {
             label: platform.label.clone(),
             budget: budget::Budget::new(
-                platform.deployment.state.write_rps,
-                platform.deployment.state.least_write_rps(),
+                platform.deployment.store.write_rps,
+                platform.deployment.store.least_write_rps(),
                 platform.deployment.nodes,
                 policy.state_limits_together,
             ),
             usage: usage::Usage::default(),
-            chunk_tasks: schema::chunk_tasks(platform.deployment.state.value_kb),
+            chunk_tasks: schema::chunk_tasks(platform.deployment.store.value_kb),
             platform,
             policy,
             incarnation,
@@ -194,7 +194,7 @@
             direct_most,
             probes_left: 0.0,
             probed_at: Micros::ZERO,
-            state_heard: Micros::ZERO,
+            store_last_answered_at: Micros::ZERO,
             next_machines: Micros::ZERO,
             next_renewal: Micros::ZERO,
             many_unreachable: None,
@@ -227,11 +227,11 @@
         &self.replica
     }
 
-    /// Whether the state service has answered this controller a short while ago. If not, this may
+    /// Whether the store has answered this controller a short while ago. If not, this may
     /// be an outage for all or a cut that leaves this one alone.
-    pub fn reaches_state(&self) -> bool {
+    pub fn reaches_store(&self) -> bool {
         let patience = Micros::from_millis(self.policy.state_patience_ms);
-        self.now().since(self.state_heard) < patience
+        self.now().since(self.store_last_answered_at) < patience
     }
 
     /// Takes in one command. What it leads to comes with the next [`Controller::round`].
@@ -241,8 +241,8 @@
         if self.sync.done && pause >= STANDSTILL {
             self.stood_still(pause);
         }
-        if command.is_word_of_state() {
-            self.state_heard = clock.steady;
+        if command.is_store_answer() {
+            self.store_last_answered_at = clock.steady;
         }
         match command {
             Command::User(waiter, request) => self.user_request(waiter, request),
@@ -337,7 +337,7 @@
         }
     }
 
-    /// Names a call to the state service, so that its answer is not taken for another's.
+    /// Names a call to the store, so that its answer is not taken for another's.
     fn next_ticket(&mut self) -> u64 {
         self.last_ticket += 1;
         self.last_ticket
--- a/src/coordination/moves.rs
+++ b/src/coordination/moves.rs
@@ -3,7 +3,7 @@
 //! A machine moves in two writes. In the first the leader asks for it: the machine is put on hold, so that nothing more
 //! starts there. The second gives it to the other shard under a new fencing token, above any that its last commands carried, and
 //! is safe only if no start can be recorded there any more. Only the holder of a shard records starts on its machines,
-//! so the holder makes the second write, once it knows of no start there, not even one on its way to the state service.
+//! so the holder makes the second write, once it knows of no start there, not even one on its way to the store.
 //! That write is conditional on its lease on the shard, as its starts are.
 //!
 //! Next to controllers of the first record version the leader makes the second write, as that version expects; see
@@ -97,7 +97,7 @@
 
     /// Gives machines to their new shards, as many as one transaction takes.
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
-        moves.truncate(self.platform.deployment.state.ops() - 1);
+        moves.truncate(self.platform.deployment.store.ops() - 1);
         let fencing_token = FencingToken(self.replica.latest_fencing_token().0 + 1);
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.replica, Key::FencingToken);
--- a/src/coordination/reads.rs
+++ b/src/coordination/reads.rs
@@ -1,16 +1,16 @@
-//! Reading the state service: the first scan, the watch, and fresh reads.
+//! Reading the store: the first scan, the watch, and fresh reads.
 //!
 //! A fresh read is one `/changes` call that returns at once; whoever asked before it was sent may
 //! rely on the replica afterwards. One is in flight at a time, shared by all who wait. An answer counts only for the
 //! call that its ticket names.
 
 use super::evidence::{Evidence, LogicalTime};
-use super::{Controller, Effect, ReadKind, ReadOutcome, StateCall};
-use crate::protocol::state::{Changes, Page};
+use super::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
+use crate::protocol::store::{Changes, Page};
 use crate::types::{Micros, Revision};
 
 /// The first reading of all records: pages one after the other, then what changed since the first of them. Only then
-/// is the replica what the state service held at one moment, and anything decided or told by it.
+/// is the replica what the store held at one moment, and anything decided or told by it.
 #[derive(Default)]
 pub(super) struct Sync {
     pub done: bool,
@@ -41,7 +41,7 @@
     pub wanted: bool,
 }
 
-/// Parts of the state service's request limit that all controllers' watches and fresh reads together
+/// Parts of the store's request limit that all controllers' watches and fresh reads together
 /// may take: what is left is for renewals and transactions.
 const WATCH_PART: f64 = 0.35;
 const FRESH_PART: f64 = 0.08;
@@ -66,17 +66,17 @@
         self.sync.in_flight = Some(ticket);
         let call = if self.sync.catching_up {
             let after = self.replica.applied.0;
-            StateCall::Changes { ticket, kind: ReadKind::Fresh, after, wait_ms: 0 }
+            StoreCall::Changes { ticket, kind: ReadKind::Fresh, after, wait_ms: 0 }
         } else {
-            StateCall::Page { ticket, after: self.sync.after.clone() }
+            StoreCall::Page { ticket, after: self.sync.after.clone() }
         };
-        self.out.push(Effect::State(call));
+        self.out.push(Effect::Store(call));
     }
 
     fn begin_read(&mut self, kind: ReadKind, wait_ms: u64) -> InFlight {
         let (ticket, begun) = (self.next_ticket(), self.order.tick());
         let after = self.replica.applied.0;
-        self.out.push(Effect::State(StateCall::Changes { ticket, kind, after, wait_ms }));
+        self.out.push(Effect::Store(StoreCall::Changes { ticket, kind, after, wait_ms }));
         InFlight { ticket, begun }
     }
 
@@ -84,7 +84,7 @@
     /// the limit.
     fn read_gap(&self, part: f64) -> Micros {
         let limits = &self.platform.deployment;
-        let equal = f64::from(limits.nodes) / (limits.state.rps * part);
+        let equal = f64::from(limits.nodes) / (limits.store.rps * part);
         Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(equal))
     }
 
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -288,7 +288,7 @@
     pub(super) fn record(&mut self, due: &mut VecDeque<DueRecord>) {
         let limits = self.txn_limits();
         // Near the limit the service rather refuses large transactions than small ones.
-        let rate = self.platform.deployment.state.write_rps;
+        let rate = self.platform.deployment.store.write_rps;
         let enough = ((rate * self.policy.txn_part) as usize).clamp(4, limits.writes);
         let Some(shard) = due.front().map(|first| first.shard) else { return };
         let role = Role::Shard(shard);
@@ -325,7 +325,7 @@
     }
 
     fn txn_limits(&self) -> TxnLimits {
-        let limits = &self.platform.deployment.state;
+        let limits = &self.platform.deployment.store;
         let writes = limits.ops();
         TxnLimits { writes, preconditions: writes * PRECONDITIONS_PER_WRITE, value_bytes: limits.value_bytes() }
     }
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -26,7 +26,7 @@
 impl Controller {
     /// Machines that report and have no record get one, in the shard that needs them most.
     pub(super) fn register_machines(&mut self) {
-        let limits = self.platform.deployment.state.clone();
+        let limits = self.platform.deployment.store.clone();
         let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let heartbeats: Vec<_> = self.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
--- a/src/coordination/roles.rs
+++ b/src/coordination/roles.rs
@@ -1,4 +1,4 @@
-//! The controller's session in the state service, and the roles (shards, leadership) it holds.
+//! The controller's session in the store, and the roles (shards, leadership) it holds.
 //!
 //! A role's key is bound to its holder's session, so it vanishes with it. Taking one draws the
 //! next fencing token from the one counter in the same transaction. A controller holds a role only once
@@ -6,7 +6,7 @@
 
 use super::machines::Machine;
 use super::txns::{ProposedTxn, Purpose};
-use super::{Controller, Effect, LeaseOutcome, StateCall};
+use super::{Controller, Effect, LeaseOutcome, StoreCall};
 use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
     }
 
     /// Whether nobody else can lead: the session that the role is bound to surely lasts. A leader
-    /// cut off from the state service knows old records only, and rents and deletes nothing by them.
+    /// cut off from the store knows old records only, and rents and deletes nothing by them.
     pub(super) fn surely_leads(&self) -> bool {
         let lasts = Micros(Micros::from_millis(self.policy.session_ms).0 / 10 * 9);
         self.is_leader() && self.session.prolonged.is_some_and(|at| self.now().since(at) < lasts)
@@ -92,10 +92,10 @@
         self.session.in_flight = Some(ticket);
         self.session.sent = now;
         let call = match self.session.lease {
-            Some(lease) => StateCall::Touch { ticket, lease },
-            None => StateCall::NewLease { ticket, ttl_ms: self.policy.session_ms },
+            Some(lease) => StoreCall::KeepAlive { ticket, lease },
+            None => StoreCall::GrantLease { ticket, ttl_ms: self.policy.session_ms },
         };
-        self.out.push(Effect::State(call));
+        self.out.push(Effect::Store(call));
     }
 
     pub(super) fn renew_session_at_once(&mut self) {
@@ -116,7 +116,7 @@
                 self.session.next = self.now() + renew;
                 self.tick_roles();
             }
-            LeaseOutcome::Touched => {
+            LeaseOutcome::KeptAlive => {
                 self.session.prolonged = Some(self.session.sent);
                 self.session.next = self.now() + renew;
             }
--- a/src/coordination/stages.rs
+++ b/src/coordination/stages.rs
@@ -141,7 +141,7 @@
         if self.cascaded.is_empty() || self.txns.cascading() {
             return;
         }
-        let most = self.platform.deployment.state.ops();
+        let most = self.platform.deployment.store.ops();
         let ours = |id: &&JobId| self.jobs.get(*id).is_some_and(|j| self.held(Role::Shard(j.shard)).is_some());
         let ids: Vec<JobId> = self.cascaded.iter().filter(ours).take(most).cloned().collect();
         if ids.is_empty() {
@@ -173,6 +173,6 @@
         let next_start = longest_start.max(START_BYTES + index_digits + digits(attempts) + MACHINE_BYTES);
         let ranges = stored.map_or(0, |c| c.value.done.len());
         let size = CHUNK_BYTES + starts + next_start + ranges * (RANGE_BYTES + 2 * index_digits);
-        size <= self.platform.deployment.state.value_bytes()
+        size <= self.platform.deployment.store.value_bytes()
     }
 }
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -124,7 +124,7 @@
     pub(super) fn form(&self, id: JobId, spec: JobSpec) -> Form {
         let member = BatchMember { id, record: JobRecord { accepted: self.clock.wall, pieces: None, spec } };
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
-        if size <= self.platform.deployment.state.value_bytes() {
+        if size <= self.platform.deployment.store.value_bytes() {
             Form::Entry(member)
         } else if member.record.spec.awaits.is_empty() {
             Form::TooLarge
@@ -159,7 +159,7 @@
     /// A list too long for one value goes to keys of its own first, under a name that nobody else uses; the job's
     /// entry then says where it is.
     fn write_awaited_parts(&mut self, mut member: BatchMember) {
-        let limits = &self.platform.deployment.state;
+        let limits = &self.platform.deployment.store;
         let (ops, bytes) = (limits.ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
         let mut lists: Vec<Vec<JobId>> = Vec::new();
@@ -229,7 +229,7 @@
 
     /// As many queued submissions as one value and one transaction's preconditions have room for.
     fn next_batch(&mut self) -> Vec<BatchMember> {
-        let limits = &self.platform.deployment.state;
+        let limits = &self.platform.deployment.store;
         let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let most = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
--- a/src/coordination/tidying.rs
+++ b/src/coordination/tidying.rs
@@ -20,7 +20,7 @@
         }
         self.leader.next_tidy = now + TIDY_EVERY;
         self.note_unnamed();
-        let most = self.platform.deployment.state.ops();
+        let most = self.platform.deployment.store.ops();
         let replica = &self.replica;
         let over = |id: &JobId| replica.ends.contains_key(id) && !replica.runs.contains_key(id);
         let batches = replica.batches.iter().filter(|(_, b)| b.value.iter().all(over));
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -6,8 +6,8 @@
 
 use super::evidence::{Evidence, LogicalTime};
 use super::submissions::Submitted;
-use super::{Controller, Effect, Failure, StateCall, TxnOutcome};
-use crate::protocol::state::{Precondition, Txn, Write};
+use super::{Controller, Effect, Failure, StoreCall, TxnOutcome};
+use crate::protocol::store::{Precondition, Txn, Write};
 use crate::storage::Replica;
 use crate::storage::schema::Key;
 use crate::types::{JobId, MachineId, Micros, Revision};
@@ -221,7 +221,7 @@
         self.budget.spend(now, pending.txn.writes.len());
         self.budget.count(pending.purpose.name(), pending.txn.writes.len());
         let (txn, urgent) = (pending.txn.clone(), pending.purpose.urgent());
-        self.out.push(Effect::State(StateCall::Txn { ticket, txn, urgent }));
+        self.out.push(Effect::Store(StoreCall::Txn { ticket, txn, urgent }));
     }
 
     /// Spends the change budget on what can wait least: queued transactions and the stored records of jobs,
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -116,9 +116,9 @@
         if let Some(status) = known.and_then(|id| self.final_status(id)) {
             return self.tell(waiter, status);
         }
-        // Without the state service only final states can be told; whoever asks for more hears at
+        // Without the store only final states can be told; whoever asks for more hears at
         // once that it can't be now, instead of waiting for a call that will fail.
-        if !self.reaches_state() {
+        if !self.reaches_store() {
             return self.answer(waiter, BUSY);
         }
         match request {
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones.rs
@@ -33,7 +33,7 @@
 pub(super) struct ZoneControl {
     pub zones: Zones,
     next: Micros,
-    /// Views on their way to the state service.
+    /// Views on their way to the store.
     writing: BTreeSet<(String, u32)>,
     /// Tasks of services on machines of lost zones, and replicas that move, by job.
     pub displaced: BTreeMap<JobId, u32>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! * [`transport`]: sockets, HTTP, peer links and the limits a client keeps;
 //! * [`protocol`]: the messages as they look on the wire and what makes them valid;
 //! * [`coordination`]: who owns what, what runs where; pure, without I/O or clock;
-//! * [`storage`]: what is kept in the state service and the replica of it.
+//! * [`storage`]: what is kept in the store and the replica of it.
 //!
 //! Packages of their own under `crates/`: [`types`], the types that all share.
 
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod cloud;
 pub mod peer;
-pub mod state;
+pub mod store;
 pub mod user;
 pub mod worker;
 
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -35,7 +35,7 @@
     pub id: String,
     /// Time of day at which it was cancelled, in microseconds.
     pub at: u64,
-    /// Revision of the state service that made it so.
+    /// Revision of the store that made it so.
     pub revision: u64,
 }
 
--- a/src/protocol/state.rs
+++ b/src/protocol/store.rs
@@ -1,4 +1,4 @@
-//! Messages of the state service.
+//! Messages of the store.
 
 use super::list;
 use ciborium::Value;
@@ -119,7 +119,7 @@
 
 /// A request for a session.
 #[derive(Clone, Debug, Serialize)]
-pub struct NewLease {
+pub struct GrantLease {
     /// How long it lasts without renewal.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
@@ -139,7 +139,7 @@
 pub const LEASES_PATH: &str = "/leases";
 
 /// Where a session is renewed.
-pub fn touch_path(lease: u64) -> String {
+pub fn keep_alive_path(lease: u64) -> String {
     format!("/leases/{lease}/touch")
 }
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -5,7 +5,7 @@
 
 pub use burlhatch_zones::ZoneSettings;
 pub use platform::{
-    CloudLimits, Deployment, External, NextLimits, Objective, Platform, Quota, Sibling, StateLimits, Team, Workers,
+    CloudLimits, Deployment, External, NextLimits, Objective, Platform, Quota, Sibling, StoreLimits, Team, Workers,
 };
 pub use policy::Policy;
 
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -55,7 +55,8 @@
     /// Where machines are rented.
     pub cloud: SocketAddr,
     /// Where all that must outlive a process is kept.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// What the controllers serve together.
@@ -77,8 +78,9 @@
     pub objectives: Vec<Objective>,
     /// Times of the workers' protocol.
     pub workers: Workers,
-    /// Limits of the state service.
-    pub state: StateLimits,
+    /// Limits of the store.
+    #[serde(rename = "state")]
+    pub store: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// What a controller may use.
@@ -133,9 +135,9 @@
     pub cancel_s: f64,
 }
 
-/// Limits of the state service.
+/// Limits of the store.
 #[derive(Clone, Debug, Deserialize)]
-pub struct StateLimits {
+pub struct StoreLimits {
     /// Requests a second.
     pub rps: f64,
     /// Changes a second.
@@ -165,7 +167,7 @@
 /// Part of the allowed size that a value is filled to.
 const VALUE_PART: f64 = 0.97;
 
-impl StateLimits {
+impl StoreLimits {
     fn next<T: Copy>(&self, of: impl Fn(&NextLimits) -> Option<T>) -> Option<T> {
         self.next.as_ref().and_then(of)
     }
@@ -300,11 +302,11 @@
             ("deployment.workers.gang_wait_s", self.workers.gang_wait_s),
             ("deployment.workers.gang_peer_s", self.workers.gang_peer_s),
             ("deployment.workers.cancel_s", self.workers.cancel_s),
-            ("deployment.state.rps", self.state.rps),
-            ("deployment.state.write_rps", self.state.write_rps),
-            ("deployment.state.value_kb", self.state.value_kb),
-            ("deployment.state.next.rps", self.state.least_rps()),
-            ("deployment.state.next.write_rps", self.state.least_write_rps()),
+            ("deployment.state.rps", self.store.rps),
+            ("deployment.state.write_rps", self.store.write_rps),
+            ("deployment.state.value_kb", self.store.value_kb),
+            ("deployment.state.next.rps", self.store.least_rps()),
+            ("deployment.state.next.write_rps", self.store.least_write_rps()),
             ("deployment.cloud.rps", self.cloud.rps),
         ];
         for (field, value) in positive {
@@ -312,10 +314,10 @@
                 return Err(invalid(field, "must be a positive number"));
             }
         }
-        if self.state.ops() < OPS_LEAST {
+        if self.store.ops() < OPS_LEAST {
             return Err(invalid("deployment.state.txn_ops", "must be at least 4, also in `next`"));
         }
-        if self.state.least_value_kb() < VALUE_KB_LEAST {
+        if self.store.least_value_kb() < VALUE_KB_LEAST {
             return Err(invalid("deployment.state.value_kb", "must be at least 2, also in `next`"));
         }
         if self.quota.fd_limit < SOCKETS_LEAST {
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -44,7 +44,7 @@
     /// Version of the rules for stored records that this controller follows and announces. A lower one is for going
     /// back to an earlier release step by step.
     record_version: u32 = 1, 0, 1;
-    /// How long a controller's session in the state service outlives its last renewal.
+    /// How long a controller's session in the store outlives its last renewal.
     session_ms: u64 = 3000, 500, 60000;
     /// A free shard that belongs to another controller by order is left alone for this long, times its distance.
     takeover_step_ms: u64 = 400, 0, 60000;
@@ -52,11 +52,11 @@
     settle_ms: u64 = 1500, 0, 60000;
     /// A controller holding more than its part hands a shard to a sibling that has been back for this long.
     hand_back_after_ms: u64 = 8000, 0, 600000;
-    /// Shortest pause between two reads of the state service on behalf of waiting users.
+    /// Shortest pause between two reads of the store on behalf of waiting users.
     read_gap_ms: u64 = 15, 0, 1000;
     /// Longest wait of one open watch.
     watch_ms: u64 = 10000, 100, 60000;
-    /// Time until a call to the state service counts as unanswered.
+    /// Time until a call to the store counts as unanswered.
     state_timeout_ms: u64 = 1500, 100, 30000;
     /// All controllers together let themselves use this multiple of a service's limit until it refuses them.
     state_limits_together: f64 = 1.8, 0.5, 10.0;
@@ -142,7 +142,7 @@
     unreachable_after_ms: u64 = 8000, 1000, 600000;
     /// A machine that answers but whose next heartbeat is late by this long is taken not to get its heartbeats through.
     unreported_ms: u64 = 8000, 1000, 600000;
-    /// Without an answer of the state service for this long users are refused at once.
+    /// Without an answer of the store for this long users are refused at once.
     state_patience_ms: u64 = 2500, 500, 60000;
     /// Whoever asks about a cancelled job waits at most this long for its shard's holder to say that it knows.
     confirm_patience_ms: u64 = 1000, 100, 4000;
@@ -170,7 +170,7 @@
     reserve_window_ms: u64 = 60000, 1000, 3600000;
     /// A machine without tasks is returned after this long.
     idle_return_ms: u64 = 40000, 0, 86400000;
-    /// The same while changes of the state service are short, as returning a machine takes some.
+    /// The same while changes of the store are short, as returning a machine takes some.
     idle_return_short_ms: u64 = 160000, 0, 86400000;
     /// A machine goes to another shard's batch work only after it has been free for this long, so that its
     /// own shard's next job finds it; more urgent work gets it at once.
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in the state service, how its keys and values look, and the replica every
+//! What is kept in the store, how its keys and values look, and the replica every
 //! controller holds of it.
 
 pub mod replica;
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -1,11 +1,11 @@
-//! A controller's copy of the state service, exact as of `applied`, with the controller's own
+//! A controller's copy of the store, exact as of `applied`, with the controller's own
 //! commits possibly ahead of that. Per key, the higher version wins.
 
 use super::schema::{
     BatchMember, EndRecord, FleetMember, Hold, JobRecord, Key, MachineRecord, NodeRecord, Role, RoleRecord, RunChunk,
     ZoneHoldRecord, from_value,
 };
-use crate::protocol::state::Event;
+use crate::protocol::store::Event;
 use crate::types::{FencingToken, JobId, MachineId, Revision};
 use burlhatch_zones::ZoneRecord;
 use ciborium::Value;
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -31,7 +31,7 @@
     Shard(u32),
 }
 
-/// A key in the state service.
+/// A key in the store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Key {
     /// The counter of fencing tokens.
@@ -79,7 +79,7 @@
 }
 
 impl Key {
-    /// Reads a key as the state service has it; nothing if it is none of ours.
+    /// Reads a key as the store has it; nothing if it is none of ours.
     pub fn parse(text: &str) -> Option<Key> {
         let rest = text.strip_prefix(ROOT)?;
         match rest.split_once('/') {
@@ -333,7 +333,7 @@
     }
 }
 
-/// Bytes of a zone's name at most, so that its keys stay within the state service's limit.
+/// Bytes of a zone's name at most, so that its keys stay within the store's limit.
 const ZONE_NAME_MOST: usize = 128;
 
 /// Whether a zone's name can be part of a key.
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -3,11 +3,11 @@
 use super::client::{Answer, Client};
 use super::limits::{Class, Limiter};
 use crate::coordination::{
-    CloudCall, CloudOutcome, Command, Failure, LeaseOutcome, OrdersOutcome, ReadKind, ReadOutcome, StateCall,
+    CloudCall, CloudOutcome, Command, Failure, LeaseOutcome, OrdersOutcome, ReadKind, ReadOutcome, StoreCall,
     TxnOutcome,
 };
 use crate::protocol::worker::{DirectOrders, Heartbeat};
-use crate::protocol::{cloud, decode, encode, state};
+use crate::protocol::{cloud, decode, encode, store};
 use crate::settings::{Platform, Policy};
 use crate::types::MachineId;
 use hyper::Method;
@@ -22,11 +22,11 @@
 /// Where calls go, and how fast.
 pub struct Services {
     client: Client,
-    state: SocketAddr,
+    store: SocketAddr,
     cloud: SocketAddr,
-    state_requests: Limiter,
+    store_requests: Limiter,
     cloud_requests: Limiter,
-    state_limit: Duration,
+    store_timeout: Duration,
     probe_limit: Duration,
     prefix: &'static str,
 }
@@ -43,18 +43,18 @@
         let limiter_of = |rate: f64| Limiter::new(rate, rate);
         Services {
             client,
-            state: platform.external.state,
+            store: platform.external.store,
             cloud: platform.external.cloud,
-            state_requests: limiter_of(limits.state.least_rps() * part),
+            store_requests: limiter_of(limits.store.least_rps() * part),
             // The leader alone calls it, but for the list of types.
             cloud_requests: limiter_of(limits.cloud.rps * policy.cloud_limit_part),
-            state_limit: Duration::from_millis(policy.state_timeout_ms),
+            store_timeout: Duration::from_millis(policy.state_timeout_ms),
             probe_limit: Duration::from_millis(policy.probe_ms),
             prefix: crate::storage::schema::ROOT,
         }
     }
 
-    async fn state_call(
+    async fn store_call(
         &self,
         class: Class,
         method: Method,
@@ -62,54 +62,54 @@
         body: Vec<u8>,
         limit: Duration,
     ) -> Result<Answer, Failure> {
-        if !self.state_requests.acquire(1.0, class, self.state_limit).await {
+        if !self.store_requests.acquire(1.0, class, self.store_timeout).await {
             return Err(Failure::NotDone);
         }
-        self.client.call(self.state, method, path, body, limit).await
+        self.client.call(self.store, method, path, body, limit).await
     }
 
-    /// Calls the state service; what the controller hears of it.
-    pub async fn state(&self, call: StateCall) -> Command {
+    /// Calls the store; what the controller hears of it.
+    pub async fn store(&self, call: StoreCall) -> Command {
         match call {
-            StateCall::Txn { ticket, txn, urgent } => {
+            StoreCall::Txn { ticket, txn, urgent } => {
                 // Records can wait a moment for the next free write, users can't.
                 let class = if urgent { Class::Renewal } else { Class::Transaction };
                 Command::Txn { ticket, outcome: self.txn(&txn, class).await }
             }
-            StateCall::Changes { ticket, kind, after, wait_ms } => {
-                let path = state::changes_path(self.prefix, after, wait_ms);
+            StoreCall::Changes { ticket, kind, after, wait_ms } => {
+                let path = store::changes_path(self.prefix, after, wait_ms);
                 let limit = match kind {
-                    ReadKind::Watch => Duration::from_millis(wait_ms) + self.state_limit,
-                    ReadKind::Fresh => self.state_limit,
+                    ReadKind::Watch => Duration::from_millis(wait_ms) + self.store_timeout,
+                    ReadKind::Fresh => self.store_timeout,
                 };
-                let answer = self.state_call(Class::Read, Method::GET, &path, Vec::new(), limit).await;
+                let answer = self.store_call(Class::Read, Method::GET, &path, Vec::new(), limit).await;
                 Command::Changes { ticket, outcome: read_outcome(answer) }
             }
-            StateCall::Page { ticket, after } => {
-                let path = state::page_path(self.prefix, after.as_deref());
-                let limit = self.state_limit * 2;
-                let answer = self.state_call(Class::Read, Method::GET, &path, Vec::new(), limit).await;
+            StoreCall::Page { ticket, after } => {
+                let path = store::page_path(self.prefix, after.as_deref());
+                let limit = self.store_timeout * 2;
+                let answer = self.store_call(Class::Read, Method::GET, &path, Vec::new(), limit).await;
                 Command::Page { ticket, outcome: read_outcome(answer) }
             }
-            StateCall::NewLease { ticket, ttl_ms } => {
-                let body = encode(&state::NewLease { ttl_ms });
+            StoreCall::GrantLease { ticket, ttl_ms } => {
+                let body = encode(&store::GrantLease { ttl_ms });
                 let answer =
-                    self.state_call(Class::Renewal, Method::POST, state::LEASES_PATH, body, self.state_limit).await;
+                    self.store_call(Class::Renewal, Method::POST, store::LEASES_PATH, body, self.store_timeout).await;
                 let outcome = match answer {
                     Ok(a) if a.status == 200 => {
-                        read::<state::Lease>(&a).map_or(LeaseOutcome::Failed, |l| LeaseOutcome::New(l.lease))
+                        read::<store::Lease>(&a).map_or(LeaseOutcome::Failed, |l| LeaseOutcome::New(l.lease))
                     }
                     _ => LeaseOutcome::Failed,
                 };
                 Command::Lease { ticket, outcome }
             }
-            StateCall::Touch { ticket, lease } => {
-                let path = state::touch_path(lease);
+            StoreCall::KeepAlive { ticket, lease } => {
+                let path = store::keep_alive_path(lease);
                 // A renewal that hangs must leave time for another.
-                let limit = self.state_limit.min(Duration::from_millis(700));
-                let answer = self.state_call(Class::Renewal, Method::POST, &path, Vec::new(), limit).await;
+                let limit = self.store_timeout.min(Duration::from_millis(700));
+                let answer = self.store_call(Class::Renewal, Method::POST, &path, Vec::new(), limit).await;
                 let outcome = match answer {
-                    Ok(a) if a.status == 200 => LeaseOutcome::Touched,
+                    Ok(a) if a.status == 200 => LeaseOutcome::KeptAlive,
                     Ok(a) if a.status == 404 => LeaseOutcome::Gone,
                     _ => LeaseOutcome::Failed,
                 };
@@ -118,10 +118,10 @@
         }
     }
 
-    async fn txn(&self, txn: &state::Txn, class: Class) -> TxnOutcome {
-        let answer = self.state_call(class, Method::POST, state::TXN_PATH, encode(txn), self.state_limit).await;
+    async fn txn(&self, txn: &store::Txn, class: Class) -> TxnOutcome {
+        let answer = self.store_call(class, Method::POST, store::TXN_PATH, encode(txn), self.store_timeout).await;
         match answer {
-            Ok(a) if a.status == 200 || a.status == 409 => match read::<state::Committed>(&a) {
+            Ok(a) if a.status == 200 || a.status == 409 => match read::<store::Committed>(&a) {
                 Some(c) if a.status == 200 => TxnOutcome::Committed(c.revision),
                 Some(c) => {
                     tracing::debug!(failed = ?c.failed, "conflict");
--- a/src/transport/daemon.rs
+++ b/src/transport/daemon.rs
@@ -92,7 +92,7 @@
         let until = Instant::now() + budget;
         let effects = controller.round(clock(), &mut || Instant::now() < until);
         gate.status.ready.store(controller.is_ready(), Ordering::Relaxed);
-        gate.status.reaches_state.store(controller.reaches_state(), Ordering::Relaxed);
+        gate.status.reaches_store.store(controller.reaches_store(), Ordering::Relaxed);
         for effect in effects {
             carry_out(effect, &services, &deliver, &mut waiters, &gate);
         }
@@ -196,7 +196,7 @@
                 deliver.clone(),
             );
         }
-        Effect::State(call) => spawn(async move { services.state(call).await }, deliver.clone()),
+        Effect::Store(call) => spawn(async move { services.store(call).await }, deliver.clone()),
         Effect::Orders { machine, addr, orders } => {
             spawn(async move { services.orders(machine, addr, orders).await }, deliver.clone());
         }
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -207,7 +207,7 @@
         return if gate.status.healthy() { Plain::new(200, encode(&true)) } else { Plain::unavailable(1) };
     }
     if peers && path == STATUS_PATH {
-        let reaches = gate.status.reaches_state.load(Ordering::Relaxed);
+        let reaches = gate.status.reaches_store.load(Ordering::Relaxed);
         return Plain::new(200, bitcode::encode(&reaches));
     }
     let limit = if peers { BODY_LIMIT * 2 } else { BODY_LIMIT };
--- a/src/transport/siblings.rs
+++ b/src/transport/siblings.rs
@@ -1,4 +1,4 @@
-//! Between controllers: whether siblings are served by the state service, workers that can't reach their owner, what is
+//! Between controllers: whether siblings are served by the store, workers that can't reach their owner, what is
 //! passed on, and notices of cancellations.
 
 use super::client::Client;
@@ -61,11 +61,11 @@
 pub struct NodeStatus {
     /// It has read the stored records.
     pub ready: AtomicBool,
-    /// Whether the state service serves this controller.
-    pub reaches_state: AtomicBool,
-    /// Only this controller can't reach the state service, so users had better go elsewhere.
+    /// Whether the store serves this controller.
+    pub reaches_store: AtomicBool,
+    /// Only this controller can't reach the store, so users had better go elsewhere.
     alone: AtomicBool,
-    /// Siblings that reach the state service while this controller does not.
+    /// Siblings that reach the store while this controller does not.
     helpers: Mutex<Vec<SocketAddr>>,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// While the state service can't be reached, finds out from the siblings whether that is an
+/// While the store can't be reached, finds out from the siblings whether that is an
 /// outage, in which all are as well off as any, or whether this controller is the one cut off.
 pub async fn look_at_siblings(gate: Arc<Gate>) {
     loop {
@@ -87,11 +87,11 @@
         let status = &gate.status;
         let mut helpers = Vec::new();
         let mut alone = false;
-        if !status.reaches_state.load(Ordering::Relaxed) && !gate.siblings.is_empty() {
+        if !status.reaches_store.load(Ordering::Relaxed) && !gate.siblings.is_empty() {
             let answers: Vec<_> = gate
                 .siblings
                 .iter()
-                .map(|(_, addr)| (*addr, tokio::spawn(reaches_state(gate.client.clone(), *addr))))
+                .map(|(_, addr)| (*addr, tokio::spawn(reaches_store(gate.client.clone(), *addr))))
                 .collect();
             // Cut off from all of them too, it knows nothing of any outage.
             alone = true;
@@ -111,7 +111,7 @@
     }
 }
 
-async fn reaches_state(client: Client, sibling: SocketAddr) -> Option<bool> {
+async fn reaches_store(client: Client, sibling: SocketAddr) -> Option<bool> {
     let answer = client.call(sibling, Method::GET, STATUS_PATH, Vec::new(), LOOK_LIMIT).await.ok()?;
     bitcode::decode(&answer.body).ok()
 }
@@ -149,7 +149,7 @@
     (answer.status == 200 && relayed.status == 200).then(|| Plain::new(200, relayed.body))
 }
 
-/// This controller can't reach the state service; a sibling that is known to is asked instead. The
+/// This controller can't reach the store; a sibling that is known to is asked instead. The
 /// user hears the refusal at once if there is none.
 pub(super) async fn pass_on(gate: &Gate, method: &Method, path: &str, body: &[u8]) -> Option<Plain> {
     let relay = Relay { path: path.to_string(), post: method == Method::POST, body: body.to_vec() };
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -1,7 +1,7 @@
-//! The operators' view of zones and their holds, read from and written to the state service: `burlhatch zones`.
+//! The operators' view of zones and their holds, read from and written to the store: `burlhatch zones`.
 
 use super::client::{Answer, Client};
-use crate::protocol::state::{Committed, Page, Precondition, TXN_PATH, Txn, Write, page_path};
+use crate::protocol::store::{Committed, Page, Precondition, TXN_PATH, Txn, Write, page_path};
 use crate::protocol::{decode, encode};
 use crate::settings::Platform;
 use crate::storage::Replica;
@@ -12,7 +12,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// How long one call to the state service may take.
+/// How long one call to the store may take.
 const CALL_LIMIT: Duration = Duration::from_secs(5);
 
 /// What an operator asks for.
@@ -37,9 +37,9 @@
         /// All that there are.
         known: String,
     },
-    /// The state service did not answer, or refused.
+    /// The store did not answer, or refused.
     #[error("the state service at {address} {problem}")]
-    StateService {
+    Store {
         /// Where it was called.
         address: std::net::SocketAddr,
         /// What it did.
@@ -139,8 +139,8 @@
     }
 
     async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer, ZoneAdminError> {
-        let state = self.platform.external.state;
-        match self.client.call(state, method, path, body, CALL_LIMIT).await {
+        let store = self.platform.external.store;
+        match self.client.call(store, method, path, body, CALL_LIMIT).await {
             Ok(answer) if matches!(answer.status, 200 | 409) => Ok(answer),
             Ok(answer) => Err(self.problem(format!("answered {}", answer.status))),
             Err(_) => Err(self.problem("did not answer".to_string())),
@@ -148,7 +148,7 @@
     }
 
     fn problem(&self, problem: String) -> ZoneAdminError {
-        ZoneAdminError::StateService { address: self.platform.external.state, problem }
+        ZoneAdminError::Store { address: self.platform.external.store, problem }
     }
 }
 
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,11 +1,11 @@
-//! One controller's state machine, driven by hand: its calls to the state service wait until the test answers them.
+//! One controller's state machine, driven by hand: its calls to the store wait until the test answers them.
 
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, Command, Controller, Effect, LeaseOutcome, ReadOutcome, StateCall, TxnOutcome,
+    Clock, CloudCall, CloudOutcome, Command, Controller, Effect, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome,
     UserAnswer, UserRequest, Waiter,
 };
 use burlhatch::protocol::cloud::{MachineType, MachineTypes};
-use burlhatch::protocol::state::{Changes, Event, Item, Page, Txn, Write};
+use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority, Submission};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::{BatchMember, EndRecord, JobRecord, Key, to_value};
@@ -48,7 +48,7 @@
 pub struct ControllerHarness {
     pub controller: Controller,
     now: u64,
-    pub calls: Vec<StateCall>,
+    pub calls: Vec<StoreCall>,
     answers: Vec<(Waiter, UserAnswer)>,
     waiters: Waiter,
 }
@@ -75,7 +75,9 @@
 
     /// Lets it get its session and send its watch.
     pub fn settle(&mut self) {
-        if let Some(StateCall::NewLease { ticket, .. }) = self.take(|call| matches!(call, StateCall::NewLease { .. })) {
+        if let Some(StoreCall::GrantLease { ticket, .. }) =
+            self.take(|call| matches!(call, StoreCall::GrantLease { .. }))
+        {
             self.feed(Command::Lease { ticket, outcome: LeaseOutcome::New(1) });
         }
         self.pass(1000);
@@ -87,7 +89,7 @@
         self.controller.handle(clock, command);
         for effect in self.controller.round(clock, &mut || true) {
             match effect {
-                Effect::State(call) => self.calls.push(call),
+                Effect::Store(call) => self.calls.push(call),
                 Effect::AnswerUser(waiter, answer) => self.answers.push((waiter, answer)),
                 Effect::Cloud { call, request: CloudCall::Types } => {
                     let outcome = CloudOutcome::Types(MachineTypes { types: vec![machine_type()] });
@@ -129,7 +131,7 @@
         }
     }
 
-    pub fn take(&mut self, wanted: impl Fn(&StateCall) -> bool) -> Option<StateCall> {
+    pub fn take(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<StoreCall> {
         let at = self.calls.iter().position(wanted)?;
         Some(self.calls.remove(at))
     }
@@ -143,8 +145,8 @@
     pub fn take_txn(&mut self, part: &str) -> (u64, Txn) {
         let writes = |txn: &Txn| txn.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key.contains(part)));
         for _ in 0..20 {
-            let found = self.take(|call| matches!(call, StateCall::Txn { txn, .. } if writes(txn)));
-            if let Some(StateCall::Txn { ticket, txn, .. }) = found {
+            let found = self.take(|call| matches!(call, StoreCall::Txn { txn, .. } if writes(txn)));
+            if let Some(StoreCall::Txn { ticket, txn, .. }) = found {
                 return (ticket, txn);
             }
             self.pass(100);
@@ -157,7 +159,7 @@
     }
 
     pub fn answer_page(&mut self, items: Vec<Item>, more: bool) {
-        let Some(StateCall::Page { ticket, .. }) = self.take(|call| matches!(call, StateCall::Page { .. })) else {
+        let Some(StoreCall::Page { ticket, .. }) = self.take(|call| matches!(call, StoreCall::Page { .. })) else {
             panic!("no page was asked for");
         };
         self.feed(Command::Page { ticket, outcome: ReadOutcome::Got(Page { items, more, revision: FIRST }) });
@@ -171,8 +173,8 @@
 
     pub fn take_changes(&mut self, wanted: impl Fn(bool) -> bool) -> u64 {
         for _ in 0..30 {
-            let found = self.take(|call| matches!(call, StateCall::Changes { wait_ms, .. } if wanted(*wait_ms == 0)));
-            if let Some(StateCall::Changes { ticket, .. }) = found {
+            let found = self.take(|call| matches!(call, StoreCall::Changes { wait_ms, .. } if wanted(*wait_ms == 0)));
+            if let Some(StoreCall::Changes { ticket, .. }) = found {
                 return ticket;
             }
             self.pass(100);
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -6,9 +6,9 @@
 //! job, and answers what the model derives from the records at the revision that its read was answered with.
 
 use super::controller::{ControllerHarness, batch, id, spec};
-use burlhatch::coordination::{Command, ReadOutcome, StateCall, UserAnswer, UserRequest, Waiter};
+use burlhatch::coordination::{Command, ReadOutcome, StoreCall, UserAnswer, UserRequest, Waiter};
 use burlhatch::protocol::peer::{Cancelled, CancelledJob};
-use burlhatch::protocol::state::{Changes, Event, Item, Page};
+use burlhatch::protocol::store::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
 use burlhatch::storage::schema::{EndRecord, Key, Outcome, to_value};
 use burlhatch::types::{JobId, Micros};
@@ -65,7 +65,7 @@
     ]
 }
 
-/// The state service's records, and all that the model knows of the jobs.
+/// The store's records, and all that the model knows of the jobs.
 #[derive(Default)]
 struct History {
     revision: u64,
@@ -182,16 +182,16 @@
 }
 
 impl Day {
-    /// Answers all calls to the state service that are on their way, watches only if `watches`.
+    /// Answers all calls to the store that are on their way, watches only if `watches`.
     fn answer_calls(&mut self, watches: bool) {
         for call in std::mem::take(&mut self.controller.calls) {
             match call {
-                StateCall::Changes { ticket, after, wait_ms, .. } if wait_ms == 0 || watches => {
+                StoreCall::Changes { ticket, after, wait_ms, .. } if wait_ms == 0 || watches => {
                     let outcome = self.history.changes(after);
                     self.controller.feed(Command::Changes { ticket, outcome });
                 }
                 // Roles and machines are no matter here.
-                StateCall::Txn { .. } | StateCall::NewLease { .. } | StateCall::Touch { .. } => {}
+                StoreCall::Txn { .. } | StoreCall::GrantLease { .. } | StoreCall::KeepAlive { .. } => {}
                 other => self.controller.calls.push(other),
             }
         }
@@ -203,8 +203,8 @@
         self.controller.feed(Command::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
         loop {
             self.controller.pass(100);
-            let Some(StateCall::Page { ticket, after }) =
-                self.controller.take(|call| matches!(call, StateCall::Page { .. }))
+            let Some(StoreCall::Page { ticket, after }) =
+                self.controller.take(|call| matches!(call, StoreCall::Page { .. }))
             else {
                 break;
             };
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -1,4 +1,4 @@
-//! What one controller may answer, against the state service's records.
+//! What one controller may answer, against the store's records.
 //!
 //! [`controller`] drives one controller by hand; the sequences here are minimal, each in the order that once led to an answer
 //! older than what another controller had told. [`histories`] compares answers with a plain model on random histories.
@@ -7,7 +7,7 @@
 mod histories;
 
 use burlhatch::coordination::{Command, ReadOutcome, UserAnswer, UserRequest};
-use burlhatch::protocol::state::{Changes, Event};
+use burlhatch::protocol::store::{Changes, Event};
 use burlhatch::protocol::user::{JobSpec, JobState};
 use burlhatch::storage::schema::{BatchMember, JobRecord, Key, to_value};
 use burlhatch::types::{JobId, Micros};
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,7 +1,7 @@
 //! One controller over real sockets on loopback, with stand-ins for the services and a worker.
 
 use burlhatch::coordination::Failure;
-use burlhatch::protocol::state::{Txn, Write};
+use burlhatch::protocol::store::{Txn, Write};
 use burlhatch::protocol::worker::{DirectOrders, Order, Orders};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::settings::{Platform, Policy};
@@ -57,7 +57,7 @@
     }
 }
 
-/// The state service and the cloud, on one address.
+/// The store and the cloud, on one address.
 async fn stand_in(store: Arc<Mutex<Store>>, request: Request<Incoming>) -> (u16, Value) {
     let method = request.method().clone();
     let uri = request.uri().clone();
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -4,7 +4,7 @@
 use burlhatch::coordination::pipelines::{Pipelines, Urgency};
 use burlhatch::coordination::placement::{Candidate, choose};
 use burlhatch::coordination::usage::{JobStarts, Phase, Start, Usage};
-use burlhatch::protocol::state::Event;
+use burlhatch::protocol::store::Event;
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
 use burlhatch::protocol::worker::ExitCause;
 use burlhatch::storage::Replica;
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 use burlhatch::protocol::cloud::{ListedState, MachineList, MachineTypes};
 use burlhatch::protocol::peer::{Relay, Relayed};
-use burlhatch::protocol::state::{Changes, Event, Page, Precondition, Txn, Write};
+use burlhatch::protocol::store::{Changes, Event, Page, Precondition, Txn, Write};
 use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
 use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, Orders, TaskState};
 use burlhatch::protocol::{decode, encode};
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn the_state_services_answers_are_read() {
+fn the_stores_answers_are_read() {
     let page: Page =
         decode(&cbor(json!({"rows":[{"k":"c/9","v":{"x":1},"mark":412}],"more":true,"ledger":431}))).expect("valid");
     assert_eq!((page.items[0].version, page.more, page.revision), (412, true, 431));
--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -1,5 +1,5 @@
 //! What one controller told is never taken back by another: whoever asks after an acceptance or an outcome was told
-//! hears nothing older, at any controller, however late the state service answers.
+//! hears nothing older, at any controller, however late the store answers.
 
 use super::world::{LARGE, Limits, MS, S, SMALL, Size, World};
 use super::{assert_clean, finish, ordinary_jobs, seeds};
@@ -21,7 +21,7 @@
 }
 
 /// A world in which users look closely, a third of the jobs are called off as soon as they are accepted, and answers
-/// of the state service come late, watches at each controller by another lag.
+/// of the store come late, watches at each controller by another lag.
 fn looked_at(seed: u64, size: Size) -> World {
     let mut world = World::sized(seed, Policy::default(), size);
     world.close_looks = true;
@@ -34,7 +34,7 @@
 
 /// No other trouble: late answers and close looks alone.
 #[test]
-fn close_looks_while_the_state_service_answers_late() {
+fn close_looks_while_the_store_answers_late() {
     for seed in seeds(90, 4) {
         let mut world = looked_at(seed, SMALL);
         small_jobs(&mut world, 1, 60, 40 * S);
@@ -57,7 +57,7 @@
             world.run_for(6 * S);
             let (node, span) = (world.pick(3) as usize, (1 + world.pick(12)) * S);
             match world.pick(6) {
-                0 => world.state_outage(span.min(8 * S)),
+                0 => world.store_outage(span.min(8 * S)),
                 1 => world.refuse_node(node, span),
                 2 => world.crash(world.holder("leader").unwrap_or(node), 300 * MS),
                 3 => world.late_writes(span, 4),
@@ -102,7 +102,7 @@
 fn close_looks_while_controllers_read_everything_again() {
     for seed in seeds(93, 4) {
         let mut world = looked_at(seed, SMALL);
-        world.limit_state(Limits { history: 30, page_items: 5, page_bytes: 1500, rps: Some(150.0) });
+        world.limit_store(Limits { history: 30, page_items: 5, page_bytes: 1500, rps: Some(150.0) });
         small_jobs(&mut world, 1, 50, 40 * S);
         for _ in 0..5 {
             world.run_for(8 * S);
@@ -120,7 +120,7 @@
         small_jobs(&mut world, 1, 120, 40 * S);
         ordinary_jobs(&mut world, 30);
         world.run_for(20 * S);
-        world.state_outage(6 * S);
+        world.store_outage(6 * S);
         world.run_for(15 * S);
         assert_clean(&world, "large");
         finish(&mut world, &format!("large {seed}"));
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -63,7 +63,7 @@
     HandsOver,
 }
 
-/// The state service refuses the owner of a shard alone, users cancel through others, and then it is away for
+/// The store refuses the owner of a shard alone, users cancel through others, and then it is away for
 /// all for longer than a cancellation may take. The owner learns of outcomes by its watch, which is cut off, and
 /// goes on answering its workers as in any outage: their leases last, and so would the cancelled tasks. A
 /// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new fencing token,
@@ -109,7 +109,7 @@
         world.refuse_node(owner, 14 * S);
         let until_outage = if more == More::HandsOver { 5 * S } else { 2 * S };
         world.run_for(until_outage);
-        world.state_outage((CANCEL_S + 20) * S);
+        world.store_outage((CANCEL_S + 20) * S);
         before_outage[n] += told(&world, &ids);
         match more {
             More::Freezes => world.freeze(owner, 30 * S),
@@ -124,7 +124,7 @@
     assert!(before_outage.iter().all(|told| *told > 0), "told before the outage: {before_outage:?}");
 }
 
-/// While the owner's siblings can't reach it, though the state service can be reached by all, users are not kept
+/// While the owner's siblings can't reach it, though the store can be reached by all, users are not kept
 /// waiting for its word: what is left of a job in the stored records tells the same.
 #[test]
 fn without_words_between_controllers_the_books_tell() {
@@ -155,7 +155,7 @@
     world.run_for(2 * S);
     assert_eq!(world.jobs[&id].told, Some(JobState::Cancelled));
     let machines = world.workers.len();
-    world.state_outage((CANCEL_S + 20) * S);
+    world.store_outage((CANCEL_S + 20) * S);
     world.run_for((CANCEL_S + 25) * S);
     assert_clean(&world, "hundreds");
     assert!(world.workers.len() * 2 >= machines, "machines deleted: {} of {machines} left", world.workers.len());
@@ -163,7 +163,7 @@
 }
 
 /// A successor finds cancelled jobs in the stored records whose tasks run on machines that only the former owner can
-/// reach, which is cut off from all else and goes on answering them. Then the state service is away, too, and it
+/// reach, which is cut off from all else and goes on answering them. Then the store is away, too, and it
 /// can't be written down that the machines are to go. When they have to follows from the time in the stored records.
 #[test]
 fn a_successor_that_cannot_reach_the_machines_deletes_them_in_time() {
@@ -177,7 +177,7 @@
         world.run_for(3 * S);
         assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
         if seed % 2 == 1 {
-            world.state_outage((CANCEL_S + 20) * S);
+            world.store_outage((CANCEL_S + 20) * S);
         }
         world.run_for((CANCEL_S + 27) * S);
         assert_clean(&world, &format!("successor {seed}"));
@@ -185,7 +185,7 @@
     }
 }
 
-/// Nobody but one controller hears the workers, and it hears nobody else: not the state service, which gives its shard
+/// Nobody but one controller hears the workers, and it hears nobody else: not the store, which gives its shard
 /// to a sibling, nor the siblings.
 fn leave_workers_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
     let mine = move |place: &Place| *place == Place::Node(owner);
@@ -203,7 +203,7 @@
 }
 
 /// A shard has a new holder that can't reach the machines, and the deposed one, which knows of nothing, goes on renewing
-/// their leases. Users cancel. Then the successors end in an outage of the state service, or the cloud is down: nobody
+/// their leases. Users cancel. Then the successors end in an outage of the store, or the cloud is down: nobody
 /// is left who could delete the machines. A cancellation may only be told once the machines obey who knows of it.
 #[test]
 fn a_deposed_holder_renews_leases_and_nobody_can_delete_the_machines() {
@@ -217,7 +217,7 @@
         cancel_at(&mut world, &ids, 0);
         world.run_for(4 * S);
         if seed / 3 % 2 == 0 {
-            world.state_outage(times.cancel + 20 * S);
+            world.store_outage(times.cancel + 20 * S);
             for node in (0..3).filter(|node| *node != owner) {
                 world.crash(node, 4 * S);
             }
@@ -265,7 +265,7 @@
     }
 }
 
-/// A start that was sent directly is held up for longer than a cancellation may take. The state service is away, so no new
+/// A start that was sent directly is held up for longer than a cancellation may take. The store is away, so no new
 /// fencing token makes it void, and the cloud is down, so its machine can't be deleted. Its holder must not keep the session
 /// alive in which the start is valid.
 #[test]
@@ -286,7 +286,7 @@
         cancel_at(&mut world, &ids, 0);
         world.run_for(S);
         assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
-        world.state_outage(times.cancel + 20 * S);
+        world.store_outage(times.cancel + 20 * S);
         world.cloud_outage(times.cancel + 20 * S);
         world.run_for(times.cancel + 25 * S);
         assert_clean(&world, &format!("held start {seed}"));
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers that end, stand still or lose part of the network, and a state service that is away.
+//! Controllers that end, stand still or lose part of the network, and a store that is away.
 
 use super::world::{MS, Place, S, World};
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
@@ -28,18 +28,18 @@
 }
 
 #[test]
-fn state_outages_and_refusals() {
+fn store_outages_and_refusals() {
     for seed in seeds(2, 3) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 25);
         world.run_for(10 * S);
-        world.state_outage(15 * S);
+        world.store_outage(15 * S);
         world.run_for(8 * S);
         world.crash(0, 2 * S);
         world.run_for(20 * S);
         world.refuse_node(1, 12 * S);
         world.run_for(15 * S);
-        world.state_outage(5 * S);
+        world.store_outage(5 * S);
         for node in 0..3 {
             world.crash(node, S);
         }
@@ -58,7 +58,7 @@
             let hold = !world.chance(3);
             let span = (2 + world.pick(28)) * S;
             match world.pick(4) {
-                0 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && *b == Place::State),
+                0 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && *b == Place::Store),
                 1 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_))),
                 2 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && !matches!(b, Place::Node(_))),
                 _ => {
@@ -95,7 +95,7 @@
     }
 }
 
-/// A controller without state service and siblings keeps its workers company as in an outage until
+/// A controller without store and siblings keeps its workers company as in an outage until
 /// its successor has reached them; its users hear at once that it can't help, and nothing is lost.
 #[test]
 fn a_controller_alone_with_its_workers_does_no_harm() {
@@ -110,7 +110,7 @@
         world.run_for(20 * S);
         let machines: Vec<MachineId> = world.workers.keys().cloned().collect();
         let started = world.started;
-        world.cut(45 * S, true, move |a, b| *a == Place::Node(node) && *b == Place::State);
+        world.cut(45 * S, true, move |a, b| *a == Place::Node(node) && *b == Place::Store);
         world.run_for(6 * S);
         assert_eq!(world.unowned_shards(), 0, "its shares are taken over");
         let answer = world.ask_at(node, &ids[0]);
@@ -169,7 +169,7 @@
         world.freeze(leader, span);
         if seed % 2 == 1 {
             // All on their own during an outage: no shard changes hands, nobody answers its machines.
-            world.state_outage(span + 3 * S);
+            world.store_outage(span + 3 * S);
         }
         world.run_for(span + 4 * S);
         let owner = world.holder("share/1").expect("owned");
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -52,11 +52,11 @@
                 0 => world.crash(node, span.min(6 * S)),
                 // One after the other they may leave an owner blind for longer than cancellations
                 // may take; nobody could keep that rule.
-                1 => world.state_outage(span.min(8 * S)),
+                1 => world.store_outage(span.min(8 * S)),
                 2 => world.refuse_node(node, span),
                 3 => world.hang(nth, span),
                 4 => world.kill_machine(nth),
-                5 => world.cut(span, true, move |a, b| *a == Place::Node(node) && *b == Place::State),
+                5 => world.cut(span, true, move |a, b| *a == Place::Node(node) && *b == Place::Store),
                 _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_))),
             }
         }
@@ -103,7 +103,7 @@
     assert_clean(&world, "overload");
 }
 
-/// When the state service takes few changes, what can wait least goes first: services start soon
+/// When the store takes few changes, what can wait least goes first: services start soon
 /// though arrays have enough to write down for a long time, and arrays are not starved either.
 /// How soon depends on how many machines the services' shard has got by then, so it is looked at in
 /// several worlds: in half of them within six seconds, and in no world after more than forty.
@@ -148,13 +148,13 @@
             world.make_unreachable(nth, 100 * S);
         }
         let alone = world.pick(5) as usize;
-        world.cut(20 * S, true, move |a, b| *a == Place::Node(alone) && *b == Place::State);
+        world.cut(20 * S, true, move |a, b| *a == Place::Node(alone) && *b == Place::Store);
         world.run_for(6 * S);
         for nth in 0..30 {
             world.hang(nth * 6, 12 * S);
         }
         world.run_for(6 * S);
-        world.state_outage(8 * S);
+        world.store_outage(8 * S);
         for node in 0..5 {
             world.crash(node, 300 * MS + node as u64 * S);
         }
@@ -200,7 +200,7 @@
     world.run_for(13 * S);
     let left = inside.iter().filter(|id| world.workers.contains_key(id)).count();
     assert!(left * 10 >= inside.len() * 9, "{left} of {} left: a zone cut off was deleted", inside.len());
-    world.state_outage(5 * S);
+    world.store_outage(5 * S);
     for node in 0..5 {
         world.crash(node, 200 * MS + node as u64 * 300 * MS);
     }
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -19,7 +19,7 @@
         let span = (2 + world.pick(20)) * S;
         match (step + seed) % 8 {
             0 => world.crash(node, span.min(6 * S)),
-            1 => world.state_outage(span.min(8 * S)),
+            1 => world.store_outage(span.min(8 * S)),
             2 => world.refuse_node(node, span),
             3 => world.hang(nth, span),
             4 => world.kill_machine(nth),
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -153,7 +153,7 @@
     }
 }
 
-/// A leader without state service and siblings goes on with its workers while jobs are cancelled through the new
+/// A leader without store and siblings goes on with its workers while jobs are cancelled through the new
 /// one; it must neither keep what is cancelled alive nor say anything older to a user.
 #[test]
 fn cancelled_through_the_new_leader_while_the_old_one_has_its_workers() {
@@ -167,7 +167,7 @@
         world.run_for(20 * S);
         let old = world.holder("leader").expect("somebody leads");
         let hold = seed % 2 == 0;
-        world.cut(60 * S, hold, move |a, b| *a == Place::Node(old) && matches!(b, Place::State | Place::Node(_)));
+        world.cut(60 * S, hold, move |a, b| *a == Place::Node(old) && matches!(b, Place::Store | Place::Node(_)));
         world.run_for(500 * MS);
         call_off_some(&mut world, 3);
         world.run_for(5 * S);
@@ -217,7 +217,7 @@
                 world.crash(node, back);
             }
             if round == 4 || round == 7 {
-                world.state_outage(14 * S);
+                world.store_outage(14 * S);
             }
             if round % 3 == 1 {
                 call_off_some(&mut world, 12);
@@ -372,9 +372,9 @@
                 2 => drop(world.make_unreachable(nth, span)),
                 3 => call_off_some(&mut world, 10),
                 4 => world
-                    .cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::State | Place::Node(_))),
+                    .cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Store | Place::Node(_))),
                 5 => world.crash(node, 300 * MS),
-                6 => world.state_outage(span),
+                6 => world.store_outage(span),
                 7 => world.hang(nth, span),
                 _ => world.slow_links(span, 600 * MS),
             }
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -171,7 +171,7 @@
             world.crash(node, 2 * S + node as u64 * S);
         }
         world.run_for(15 * S);
-        world.state_outage(6 * S);
+        world.store_outage(6 * S);
         call_off_all(&mut world, &broken);
         finish(&mut world, &format!("broken and restart {seed}"));
     }
@@ -308,7 +308,7 @@
     }
 }
 
-/// Single-task jobs of a guest come faster than the state service takes changes for them, in the midst of an outage
+/// Single-task jobs of a guest come faster than the store takes changes for them, in the midst of an outage
 /// too. Services start in time, what a job costs at most is five changes (its batch and the removal of that, which jobs that
 /// come together share, its start, its outcome, the removal of its chunk), and all of it gets done.
 #[test]
@@ -327,7 +327,7 @@
                 services.push(world.submit(900 + n, World::spec(Kind::Service, TEAMS[n as usize / 60 % 3], 1, 1.0)));
             }
             if n == 200 && seed % 3 == 1 {
-                world.state_outage(6 * S);
+                world.store_outage(6 * S);
             }
             world.run_for(100 * MS);
         }
@@ -345,20 +345,20 @@
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     Everything,
-    StateService,
+    KeyValueStore,
     Workers,
     Siblings,
-    /// The state service alone refuses it.
+    /// The store alone refuses it.
     Refused,
 }
 
-const LOSSES: [Loss; 5] = [Loss::Everything, Loss::StateService, Loss::Workers, Loss::Siblings, Loss::Refused];
+const LOSSES: [Loss; 5] = [Loss::Everything, Loss::KeyValueStore, Loss::Workers, Loss::Siblings, Loss::Refused];
 
 fn lose(world: &mut World, node: usize, loss: Loss, span: u64, hold: bool) {
     let it = Place::Node(node);
     match loss {
         Loss::Everything => world.cut(span, hold, move |a, _| *a == it),
-        Loss::StateService => world.cut(span, hold, move |a, b| *a == it && *b == Place::State),
+        Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
         Loss::Workers => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Worker(_))),
         Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
         Loss::Refused => world.refuse_node(node, span),
@@ -383,7 +383,7 @@
                 lose(&mut world, node, loss, span, hold);
                 world.run_for(6 * S);
                 assert_eq!(world.unowned_shards(), 0, "{name}: a share has no owner");
-                if matches!(loss, Loss::Everything | Loss::StateService | Loss::Refused) {
+                if matches!(loss, Loss::Everything | Loss::KeyValueStore | Loss::Refused) {
                     let answer = world.ask_at(node, &services[0]);
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
                 }
@@ -428,7 +428,7 @@
 }
 
 /// Questions come a hundred times as often, at all controllers, also about jobs that are over or that nobody knows. They
-/// share reads, so the state service is asked no more often than its limit allows; leases last, and all are answered
+/// share reads, so the store is asked no more often than its limit allows; leases last, and all are answered
 /// within the time of one read, in the second half next to a controller that has lost its workers.
 #[test]
 fn bursts_of_questions_share_reads_and_cost_no_lease() {
@@ -438,12 +438,12 @@
         world.run_for(20 * S);
         world.longest_answer = 0;
         world.question_burst = 300;
-        let requests = world.state_requests();
+        let requests = world.store_requests();
         world.run_for(15 * S);
         let node = world.holder("share/0").expect("owned");
         lose(&mut world, node, Loss::Workers, 12 * S, true);
         world.run_for(15 * S);
-        let each_second = (world.state_requests() - requests) / 30;
+        let each_second = (world.store_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
         assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
         assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/pipelines.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// The gap once more, with pipelines: the state service refuses the owner of a shard alone while jobs before others
+/// The gap once more, with pipelines: the store refuses the owner of a shard alone while jobs before others
 /// are cancelled through siblings, and then it is away for all for longer than a cancellation may take. Who can't
 /// write down what follows can tell it all the same.
 #[test]
@@ -134,7 +134,7 @@
         }
         world.refuse_node(owner, 14 * S);
         world.run_for(2 * S);
-        world.state_outage((CANCEL_S + 20) * S);
+        world.store_outage((CANCEL_S + 20) * S);
         world.run_for((CANCEL_S + 25) * S);
         assert_clean(&world, &format!("gap {seed}"));
         finish(&mut world, &format!("gap {seed}"));
@@ -163,7 +163,7 @@
             match round {
                 1 => world.late_writes(15 * S, 4),
                 2 => (0..3).for_each(|node| world.crash(node, (300 + 900 * node as u64) * MS)),
-                4 => world.state_outage(8 * S),
+                4 => world.store_outage(8 * S),
                 5 => world.refuse_node(node, 9 * S),
                 _ => world.crash(node, 400 * MS),
             }
@@ -173,7 +173,7 @@
 }
 
 /// A long chain and a wide fan are withdrawn as a whole, within few changes and long before their time is up, though
-/// the state service takes few.
+/// the store takes few.
 #[test]
 fn a_long_chain_and_a_wide_fan_are_withdrawn_at_once() {
     let mut world = World::sized(75, Policy::default(), Size { write_rps: 8.0, ..SMALL });
@@ -199,7 +199,7 @@
 }
 
 /// An upgrade, one controller after the other, while both versions serve on each other's records: the old one writes
-/// larger values and transactions. One that is still old ends and comes back old, the state service is away for a
+/// larger values and transactions. One that is still old ends and comes back old, the store is away for a
 /// while, and jobs are cancelled whose owner is just being replaced. Once all are new pipelines come, and then the
 /// limits drop. (What else the old version was is in its bytes: `production.rs`.)
 #[test]
@@ -227,7 +227,7 @@
                 world.crash(4, if node % 2 == 0 { 300 * MS } else { 4 * S });
             }
             if node == 3 && trouble == "outage" {
-                world.state_outage(7 * S);
+                world.store_outage(7 * S);
             }
             world.run_for(6 * S);
         }
@@ -269,7 +269,7 @@
 /// The limits drop without notice while arrays with hundreds of tasks run whose records were written under the old
 /// ones: nothing larger is written any more, nothing is lost, and all get done.
 #[test]
-fn limits_of_the_state_service_drop_without_notice() {
+fn limits_of_the_store_drop_without_notice() {
     for seed in seeds(76, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 60, capacity: 80, ..LARGE });
         world.lower_limits_at(25 * S, 2048, 4, 18.0);
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -72,7 +72,7 @@
 }
 
 /// Each controller in turn is of either version, also back and forth, while machines move: leaders end, transactions
-/// are carried out seconds late, the state service is away for a while. A start is never recorded on a machine that
+/// are carried out seconds late, the store is away for a while. A start is never recorded on a machine that
 /// has left its shard, and all work gets done.
 #[test]
 fn the_leaders_version_changes_while_machines_move() {
@@ -98,7 +98,7 @@
                 world.upgrade(node);
             }
             if round == 9 {
-                world.state_outage(6 * S);
+                world.store_outage(6 * S);
             }
             world.run_for(3 * S);
         }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -17,7 +17,7 @@
 impl World {
     /// The controller that holds a role: `leader`, or `shard/` and a number.
     pub fn holder(&self, role: &str) -> Option<usize> {
-        let (value, ..) = self.state.keys.get(&format!("{ROOT}{role}"))?;
+        let (value, ..) = self.store.keys.get(&format!("{ROOT}{role}"))?;
         let text = format!("{value:?}");
         (0..self.size.nodes).find(|n| text.contains(&format!("node-{n}")))
     }
@@ -71,14 +71,14 @@
         self.violations.push(format!("{at:.3} s: {what}"));
     }
 
-    /// Everything the state service holds, for checks of the stored records.
+    /// Everything the store holds, for checks of the stored records.
     pub fn stored_keys(&self) -> Vec<String> {
-        self.state.keys.keys().filter(|k| k.starts_with(ROOT)).cloned().collect()
+        self.store.keys.keys().filter(|k| k.starts_with(ROOT)).cloned().collect()
     }
 
     fn stored(&self) -> Replica {
         let mut replica = Replica::default();
-        for (key, (value, version, _)) in &self.state.keys {
+        for (key, (value, version, _)) in &self.store.keys {
             replica.apply(key, Some(value), *version);
         }
         replica
@@ -103,7 +103,7 @@
 
     /// Shards that nobody holds at this moment.
     pub fn unowned_shards(&self) -> usize {
-        self.size.nodes - self.state.keys.keys().filter(|k| k.starts_with(&format!("{ROOT}share/"))).count()
+        self.size.nodes - self.store.keys.keys().filter(|k| k.starts_with(&format!("{ROOT}share/"))).count()
     }
 
     /// Tasks of a job that run now.
@@ -120,18 +120,18 @@
         queues.max().unwrap_or(0)
     }
 
-    /// Changes that the state service has carried out.
+    /// Changes that the store has carried out.
     pub fn changes(&self) -> u64 {
-        self.state.written
+        self.store.written
     }
 
-    /// Requests that the state service got.
-    pub fn state_requests(&self) -> u64 {
-        self.state.asked
+    /// Requests that the store got.
+    pub fn store_requests(&self) -> u64 {
+        self.store.asked
     }
 
     pub fn limited(&self) -> u64 {
-        self.state.limited
+        self.store.limited
     }
 
     pub fn all_over(&self) -> bool {
@@ -147,7 +147,7 @@
                 .flat_map(|(m, w)| w.tasks.iter().filter(|(k, _)| k.0 == *id).map(move |(k, t)| (m, k.1, t)))
                 .collect();
             let records: Vec<_> =
-                self.state.keys.iter().filter(|(k, _)| k.contains(id.as_str())).map(|(k, v)| (k, &v.0)).collect();
+                self.store.keys.iter().filter(|(k, _)| k.contains(id.as_str())).map(|(k, v)| (k, &v.0)).collect();
             format!(
                 "{id} {:?} done {:?} cancelled {:?} at {places:?} records {records:?}",
                 j.spec, j.done_tasks, j.cancel_at
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -1,9 +1,9 @@
 //! Controllers: commands in, effects carried out.
 
 use super::network::Fate;
-use super::{Event, MS, Place, S, STATE_LIMIT, World, state};
+use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
-    Clock, CloudOutcome, Command, Effect, Failure, OrdersOutcome, StateCall, UserAnswer, UserRequest,
+    Clock, CloudOutcome, Command, Effect, Failure, OrdersOutcome, StoreCall, UserAnswer, UserRequest,
 };
 use burlhatch::types::{JobId, Micros};
 
@@ -71,29 +71,29 @@
                     |_| Command::PeerAnswer { call: number, answer: None },
                 );
             }
-            Effect::State(request) => {
+            Effect::Store(request) => {
                 let limit = match &request {
-                    StateCall::Changes { wait_ms, .. } => wait_ms * MS + STATE_LIMIT,
-                    _ => STATE_LIMIT,
+                    StoreCall::Changes { wait_ms, .. } => wait_ms * MS + STORE_TIMEOUT,
+                    _ => STORE_TIMEOUT,
                 };
                 let shape = request.clone();
-                let is_txn = matches!(request, StateCall::Txn { .. });
+                let is_txn = matches!(request, StoreCall::Txn { .. });
                 let may_be_late = self.now < self.late_writes.0 && self.late_writer.is_none_or(|late| late == node);
                 if is_txn && may_be_late && self.chance(self.late_writes.1) {
                     self.next_call += 1;
                     let call = self.next_call;
                     let late = 2 * S + self.pick(10 * S);
                     self.open_calls.insert(call, ());
-                    self.at(late, Event::State { node, life, call, request });
-                    let command = state::failed(&shape, Failure::Unknown);
+                    self.at(late, Event::Store { node, life, call, request });
+                    let command = store::failed(&shape, Failure::Unknown);
                     return self.at(limit, Event::Outcome { node, life, call, command });
                 }
                 self.call(
                     node,
-                    Place::State,
+                    Place::Store,
                     limit,
-                    |call| Event::State { node, life, call, request: request.clone() },
-                    |failure| state::failed(&shape, failure),
+                    |call| Event::Store { node, life, call, request: request.clone() },
+                    |failure| store::failed(&shape, failure),
                 );
             }
             Effect::Cloud { call: number, request } => self.call(
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -58,9 +58,9 @@
         self.cloud.dead_zones.insert(zone.into());
     }
 
-    /// Writes a key of the state service past all controllers.
+    /// Writes a key of the store past all controllers.
     pub fn write_key(&mut self, key: &str, value: Option<Value>) {
-        self.state.write(key, value);
+        self.store.write(key, value);
         self.wake_watches();
     }
 
@@ -108,7 +108,7 @@
         self.cut(duration, false, |_, to| *to == Place::Cloud);
     }
 
-    /// Answers of the state service, one in so many, come up to the time limit late.
+    /// Answers of the store, one in so many, come up to the time limit late.
     pub fn late_answers(&mut self, duration: u64, one_in: u32) {
         tracing::info!(at_ms = self.now / MS, duration, "trouble: late answers");
         self.late_answers = (self.now + duration, one_in);
@@ -121,9 +121,9 @@
         }
     }
 
-    /// What the state service can hold and answer.
-    pub fn limit_state(&mut self, limits: Limits) {
-        self.state.limits = limits;
+    /// What the store can hold and answer.
+    pub fn limit_store(&mut self, limits: Limits) {
+        self.store.limits = limits;
     }
 
     pub fn slow_links(&mut self, duration: u64, most: u64) {
@@ -144,23 +144,23 @@
 
     /// From here on every job has to be answered for.
     pub fn troubles_end(&mut self) {
-        let until = self.cuts.iter().map(|c| c.until).chain([self.state.down_until]);
+        let until = self.cuts.iter().map(|c| c.until).chain([self.store.down_until]);
         let machines = self.workers.values().flat_map(|w| [w.hung_until, w.unreported_until]);
         let until =
-            until.chain(self.state.refused.values().copied()).chain(machines).chain([self.late_writes.0, self.slow.0]);
+            until.chain(self.store.refused.values().copied()).chain(machines).chain([self.late_writes.0, self.slow.0]);
         let until = until.max().unwrap_or(0).max(self.now);
         self.calm_since = Some(until + 5 * S);
     }
 
-    pub fn state_outage(&mut self, duration: u64) {
+    pub fn store_outage(&mut self, duration: u64) {
         tracing::info!(at_ms = self.now / MS, duration, "trouble: outage");
-        self.state.down_until = self.now + duration;
-        self.state.prolong_leases(self.now + duration);
+        self.store.down_until = self.now + duration;
+        self.store.prolong_leases(self.now + duration);
     }
 
     pub fn refuse_node(&mut self, node: usize, duration: u64) {
         tracing::info!(at_ms = self.now / MS, node, duration, "trouble: refused");
-        self.state.refused.insert(node, self.now + duration);
+        self.store.refused.insert(node, self.now + duration);
     }
 
     pub fn hang(&mut self, nth: usize, duration: u64) {
@@ -214,9 +214,9 @@
         self.crash(node, back_after);
     }
 
-    /// From then on the state service takes no larger values and transactions, and fewer changes.
+    /// From then on the store takes no larger values and transactions, and fewer changes.
     pub fn lower_limits_at(&mut self, at: u64, value: usize, ops: usize, write_rps: f64) {
-        self.state.lower = Some((at, value, ops, write_rps));
+        self.store.lower = Some((at, value, ops, write_rps));
         self.next_limits = format!(
             "[deployment.state.next]\nwrite_rps = {write_rps:?}\nvalue_kb = {}.0\ntxn_ops = {ops}\n",
             value / 1024
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -5,9 +5,9 @@
 //! of the sources that behave alike leave the same lines, in any order.
 
 use super::World;
-use burlhatch::coordination::{CloudCall, Effect, ReadKind, StateCall, UserAnswer, WorkerAnswer};
+use burlhatch::coordination::{CloudCall, Effect, ReadKind, StoreCall, UserAnswer, WorkerAnswer};
 use burlhatch::protocol::worker::Redirect;
-use burlhatch::protocol::{cloud, encode, state};
+use burlhatch::protocol::{cloud, encode, store};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
 
@@ -60,7 +60,7 @@
         }
         Effect::AnswerPeer(waiter, answer) => ("peer answer", *waiter, String::new(), bitcode::encode(answer)),
         Effect::Peer { call, to, message } => ("peer", *call, to.clone(), bitcode::encode(message)),
-        Effect::State(call) => store_call(call),
+        Effect::Store(call) => store_call(call),
         Effect::Orders { machine, addr, orders } => ("direct", 0, format!("{machine} {addr}"), encode(orders)),
         Effect::Cloud { call, request } => {
             let (path, body) = cloud_call(request);
@@ -88,19 +88,19 @@
     }
 }
 
-fn store_call(call: &StateCall) -> Encoded {
+fn store_call(call: &StoreCall) -> Encoded {
     match call {
-        StateCall::Txn { ticket, txn, urgent } => ("txn", *ticket, urgent.to_string(), encode(txn)),
-        StateCall::Changes { ticket, kind, after, wait_ms } => {
+        StoreCall::Txn { ticket, txn, urgent } => ("txn", *ticket, urgent.to_string(), encode(txn)),
+        StoreCall::Changes { ticket, kind, after, wait_ms } => {
             let kind = match kind {
                 ReadKind::Watch => "watch",
                 ReadKind::Fresh => "fresh",
             };
-            (kind, *ticket, state::changes_path("", *after, *wait_ms), Vec::new())
+            (kind, *ticket, store::changes_path("", *after, *wait_ms), Vec::new())
         }
-        StateCall::Page { ticket, after } => ("page", *ticket, state::page_path("", after.as_deref()), Vec::new()),
-        StateCall::NewLease { ticket, ttl_ms } => ("new lease", *ticket, ttl_ms.to_string(), Vec::new()),
-        StateCall::Touch { ticket, lease } => ("keep alive", *ticket, state::touch_path(*lease), Vec::new()),
+        StoreCall::Page { ticket, after } => ("page", *ticket, store::page_path("", after.as_deref()), Vec::new()),
+        StoreCall::GrantLease { ticket, ttl_ms } => ("new lease", *ticket, ttl_ms.to_string(), Vec::new()),
+        StoreCall::KeepAlive { ticket, lease } => ("keep alive", *ticket, store::keep_alive_path(*lease), Vec::new()),
     }
 }
 
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated world, written from the protocol page: state service, cloud, workers, users and
+//! A simulated world, written from the protocol page: store, cloud, workers, users and
 //! the network between them. It drives the pure state machines of several controllers on simulated time
 //! and fixed seeds, breaks things, and checks the protocol's rules after every step.
 
@@ -9,11 +9,11 @@
 mod fingerprint;
 mod network;
 mod records;
-mod state;
+mod store;
 mod users;
 mod worker;
 
-use burlhatch::coordination::{CloudCall, Command, Controller, StateCall, UserAnswer, WorkerAnswer};
+use burlhatch::coordination::{CloudCall, Command, Controller, StoreCall, UserAnswer, WorkerAnswer};
 use burlhatch::protocol::peer::Cancelled;
 use burlhatch::protocol::worker::{DirectOrders, Heartbeat};
 use burlhatch::settings::{Platform, Policy};
@@ -26,11 +26,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use records::Records;
-pub use state::Limits;
-use state::State;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::sync::Arc;
+pub use store::Limits;
+use store::Store;
 pub use users::UserJob;
 use users::{Asked, Look};
 use worker::Worker;
@@ -38,8 +38,8 @@
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 pub const CANCEL_S: u64 = 40;
-/// How long a controller waits for an answer of the state service.
-const STATE_LIMIT: u64 = 1500 * MS;
+/// How long a controller waits for an answer of the store.
+const STORE_TIMEOUT: u64 = 1500 * MS;
 
 /// The workers' times.
 #[derive(Clone, Copy)]
@@ -62,7 +62,7 @@
     /// Machines up at the start, and most machines at a time.
     pub machines: usize,
     pub capacity: usize,
-    /// Changes the state service takes in a second.
+    /// Changes the store takes in a second.
     pub write_rps: f64,
     pub zones: &'static [&'static str],
     pub times: Times,
@@ -100,11 +100,11 @@
 enum Event {
     Tick(usize, u64),
     /// A request reaches a service; `call` names it for the answer.
-    State {
+    Store {
         node: usize,
         life: u64,
         call: u64,
-        request: StateCall,
+        request: StoreCall,
     },
     Cloud {
         node: usize,
@@ -192,7 +192,7 @@
     events: BTreeMap<u64, Event>,
     next_event: u64,
     nodes: Vec<Node>,
-    state: State,
+    store: Store,
     pub cloud: Cloud,
     pub workers: BTreeMap<MachineId, Worker>,
     cuts: Vec<Cut>,
@@ -215,7 +215,7 @@
     late_commands: Option<LateCommands>,
     /// Until then every packet takes so much longer at most.
     slow: (u64, u64),
-    /// Until then an answer of the state service, one in so many, takes up to the time limit, though the request was
+    /// Until then an answer of the store, one in so many, takes up to the time limit, though the request was
     /// carried out at once.
     late_answers: (u64, u32),
     /// How much later each controller's watch is answered.
@@ -270,7 +270,7 @@
             events: BTreeMap::new(),
             next_event: 0,
             nodes: Vec::new(),
-            state: State::new(size.write_rps),
+            store: Store::new(size.write_rps),
             cloud: Cloud::new(size.capacity),
             workers: BTreeMap::new(),
             cuts: Vec::new(),
@@ -401,7 +401,7 @@
                     self.feed(node, command);
                 }
             }
-            Event::State { node, life, call, request } => self.state_request(node, life, call, request),
+            Event::Store { node, life, call, request } => self.store_request(node, life, call, request),
             Event::Peer { node, life, call, to, number, message } => {
                 if self.nodes[to].controller.is_none() {
                     return;
@@ -412,7 +412,7 @@
                 self.feed(to, Command::Peer(waiter, message));
             }
             Event::WatchEnds { call } => {
-                if let Some(watch) = self.state.watches.remove(&call) {
+                if let Some(watch) = self.store.watches.remove(&call) {
                     self.answer_watch(call, &watch);
                 }
             }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,6 +1,6 @@
 //! The network: delays, cuts, packets held back, and copies that come late.
 
-use super::{Event, MS, S, STATE_LIMIT, World};
+use super::{Event, MS, S, STORE_TIMEOUT, World};
 use burlhatch::coordination::{Command, Failure};
 use burlhatch::types::MachineId;
 use rand::Rng;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
     Node(usize),
-    State,
+    Store,
     Cloud,
     Worker(MachineId),
 }
@@ -79,7 +79,7 @@
                 self.at(delay, event(call));
                 self.at(limit, Event::Outcome { node, life, call, command: fail(Failure::Unknown) });
                 if self.copies > 0
-                    && matches!(to, Place::State | Place::Worker(_) | Place::Node(_))
+                    && matches!(to, Place::Store | Place::Worker(_) | Place::Node(_))
                     && self.chance(self.copies)
                 {
                     let late = self.rng.random_range(0..60 * S);
@@ -108,8 +108,8 @@
 
     pub(super) fn reply_after(&mut self, lag: u64, from: Place, node: usize, life: u64, call: u64, command: Command) {
         if let Fate::Arrives(delay) = self.fate(&from, &Place::Node(node)) {
-            let held = from == Place::State && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
-            let late = if held { self.pick(STATE_LIMIT) } else { 0 };
+            let held = from == Place::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
+            let late = if held { self.pick(STORE_TIMEOUT) } else { 0 };
             self.at(delay + lag + late, Event::Outcome { node, life, call, command });
         }
     }
--- a/tests/rules/world/records.rs
+++ b/tests/rules/world/records.rs
@@ -1,6 +1,6 @@
-//! What controllers write to the state service, checked record by record.
+//! What controllers write to the store, checked record by record.
 
-use burlhatch::protocol::state::{Txn, Write};
+use burlhatch::protocol::store::{Txn, Write};
 use burlhatch::storage::schema::{Key, MachineRecord, RunChunk, StartRecord, from_value};
 use burlhatch::storage::{Replica, Versioned};
 use burlhatch::types::{JobId, MachineId};
--- a/tests/rules/world/state.rs
+++ b/tests/rules/world/store.rs
@@ -1,8 +1,8 @@
-//! The state service.
+//! The store.
 
 use super::{Event as WorldEvent, MS, Place, World};
-use burlhatch::coordination::{Command, Failure, LeaseOutcome, ReadOutcome, StateCall, TxnOutcome};
-use burlhatch::protocol::state::{Changes, Event, Item, Page, Txn, Write};
+use burlhatch::coordination::{Command, Failure, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome};
+use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use ciborium::Value;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -53,7 +53,7 @@
 }
 
 #[derive(Default)]
-pub struct State {
+pub struct Store {
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     revision: u64,
     log: VecDeque<(u64, String, Option<Value>)>,
@@ -78,20 +78,20 @@
 }
 
 /// What a caller hears that gets no answer.
-pub fn failed(request: &StateCall, failure: Failure) -> Command {
+pub fn failed(request: &StoreCall, failure: Failure) -> Command {
     match request {
-        StateCall::Txn { ticket, .. } => Command::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
-        StateCall::Changes { ticket, .. } => Command::Changes { ticket: *ticket, outcome: ReadOutcome::Failed },
-        StateCall::Page { ticket, .. } => Command::Page { ticket: *ticket, outcome: ReadOutcome::Failed },
-        StateCall::NewLease { ticket, .. } | StateCall::Touch { ticket, .. } => {
+        StoreCall::Txn { ticket, .. } => Command::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
+        StoreCall::Changes { ticket, .. } => Command::Changes { ticket: *ticket, outcome: ReadOutcome::Failed },
+        StoreCall::Page { ticket, .. } => Command::Page { ticket: *ticket, outcome: ReadOutcome::Failed },
+        StoreCall::GrantLease { ticket, .. } | StoreCall::KeepAlive { ticket, .. } => {
             Command::Lease { ticket: *ticket, outcome: LeaseOutcome::Failed }
         }
     }
 }
 
-impl State {
-    pub fn new(write_rps: f64) -> State {
-        State { write_rps, changes: Allowance { left: write_rps, at: 0 }, ..State::default() }
+impl Store {
+    pub fn new(write_rps: f64) -> Store {
+        Store { write_rps, changes: Allowance { left: write_rps, at: 0 }, ..Store::default() }
     }
 
     /// Whether one more request is within the limit.
@@ -241,28 +241,28 @@
         TxnOutcome::Committed(self.revision)
     }
 
-    pub fn answer(&mut self, now: u64, request: &StateCall) -> Command {
+    pub fn answer(&mut self, now: u64, request: &StoreCall) -> Command {
         match request {
-            StateCall::Txn { ticket, txn, .. } => {
+            StoreCall::Txn { ticket, txn, .. } => {
                 let outcome = if self.admits(now, txn.writes.len()) { self.txn(txn) } else { TxnOutcome::Limited };
                 Command::Txn { ticket: *ticket, outcome }
             }
-            StateCall::Changes { ticket, after, .. } => {
+            StoreCall::Changes { ticket, after, .. } => {
                 Command::Changes { ticket: *ticket, outcome: self.changes(*after) }
             }
-            StateCall::Page { ticket, after } => {
+            StoreCall::Page { ticket, after } => {
                 Command::Page { ticket: *ticket, outcome: ReadOutcome::Got(self.page(after.as_ref())) }
             }
-            StateCall::NewLease { ticket, ttl_ms } => {
+            StoreCall::GrantLease { ticket, ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + ttl_ms * 1000, ttl_ms * 1000));
                 Command::Lease { ticket: *ticket, outcome: LeaseOutcome::New(self.next_lease) }
             }
-            StateCall::Touch { ticket, lease } => {
+            StoreCall::KeepAlive { ticket, lease } => {
                 let outcome = match self.leases.get_mut(lease) {
                     Some((expires, life)) => {
                         *expires = now + *life;
-                        LeaseOutcome::Touched
+                        LeaseOutcome::KeptAlive
                     }
                     None => LeaseOutcome::Gone,
                 };
@@ -273,57 +273,57 @@
 }
 
 impl World {
-    pub(super) fn state_request(&mut self, node: usize, life: u64, call: u64, request: StateCall) {
+    pub(super) fn store_request(&mut self, node: usize, life: u64, call: u64, request: StoreCall) {
         let now = self.now;
-        let refused = now < self.state.down_until || self.state.refused.get(&node).is_some_and(|t| *t > now);
+        let refused = now < self.store.down_until || self.store.refused.get(&node).is_some_and(|t| *t > now);
         if refused {
             let command = match &request {
-                StateCall::Txn { ticket, .. } => {
+                StoreCall::Txn { ticket, .. } => {
                     Command::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(Failure::NotDone) }
                 }
                 other => failed(other, Failure::NotDone),
             };
-            return self.reply(Place::State, node, life, call, command);
+            return self.reply(Place::Store, node, life, call, command);
         }
-        if !self.state.admits_request(now) {
+        if !self.store.admits_request(now) {
             let command = match &request {
-                StateCall::Txn { ticket, .. } => Command::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
+                StoreCall::Txn { ticket, .. } => Command::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
                 other => failed(other, Failure::NotDone),
             };
-            return self.reply(Place::State, node, life, call, command);
+            return self.reply(Place::Store, node, life, call, command);
         }
-        self.state.expire(now);
-        if let StateCall::Changes { ticket, after, wait_ms, .. } = &request
+        self.store.expire(now);
+        if let StoreCall::Changes { ticket, after, wait_ms, .. } = &request
             && *wait_ms > 0
-            && !self.state.has_changed(*after)
+            && !self.store.has_changed(*after)
         {
-            self.state.watches.insert(call, Watch { node, life, ticket: *ticket, after: *after });
+            self.store.watches.insert(call, Watch { node, life, ticket: *ticket, after: *after });
             return self.at(wait_ms * MS, WorldEvent::WatchEnds { call });
         }
-        if let StateCall::Txn { txn, .. } = &request
+        if let StoreCall::Txn { txn, .. } = &request
             && !self.open_calls.contains_key(&call)
-            && !self.state.allows(txn)
+            && !self.store.allows(txn)
         {
             // A copy that arrives after the limits were lowered, and that nobody waits for: it gets 400.
             return;
         }
-        let command = self.state.answer(now, &request);
-        if let (StateCall::Txn { txn, .. }, Command::Txn { outcome: TxnOutcome::Committed(revision), .. }) =
+        let command = self.store.answer(now, &request);
+        if let (StoreCall::Txn { txn, .. }, Command::Txn { outcome: TxnOutcome::Committed(revision), .. }) =
             (&request, &command)
         {
             for what in self.records.committed(txn, *revision) {
                 self.broken(what);
             }
         }
-        self.reply(Place::State, node, life, call, command);
+        self.reply(Place::Store, node, life, call, command);
         self.wake_watches();
     }
 
     pub(super) fn wake_watches(&mut self) {
         let due: Vec<u64> =
-            self.state.watches.iter().filter(|(_, w)| self.state.has_changed(w.after)).map(|(call, _)| *call).collect();
+            self.store.watches.iter().filter(|(_, w)| self.store.has_changed(w.after)).map(|(call, _)| *call).collect();
         for call in due {
-            if let Some(watch) = self.state.watches.remove(&call) {
+            if let Some(watch) = self.store.watches.remove(&call) {
                 self.answer_watch(call, &watch);
             }
         }
@@ -331,8 +331,8 @@
 
     /// Answers of watches take longer to some controllers than to others.
     pub(super) fn answer_watch(&mut self, call: u64, watch: &Watch) {
-        let command = Command::Changes { ticket: watch.ticket, outcome: self.state.changes(watch.after) };
+        let command = Command::Changes { ticket: watch.ticket, outcome: self.store.changes(watch.after) };
         let lag = self.watch_lag[watch.node];
-        self.reply_after(lag, Place::State, watch.node, watch.life, call, command);
+        self.reply_after(lag, Place::Store, watch.node, watch.life, call, command);
     }
 }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -231,7 +231,7 @@
     workers.flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
 
-/// The state service is away, or refuses the leader alone, at the loss, in the middle, and at the return; a new leader
+/// The store is away, or refuses the leader alone, at the loss, in the middle, and at the return; a new leader
 /// takes over in between. Nothing is decided on stale records.
 #[test]
 fn restoration_survives_outages_and_changes_of_the_leader() {
@@ -243,7 +243,7 @@
         let trouble = |world: &mut World, when: u64| {
             let leader = world.holder("leader").unwrap_or(0);
             match (seed + when) % 3 {
-                0 => world.state_outage(8 * S),
+                0 => world.store_outage(8 * S),
                 1 => world.refuse_node(leader, 10 * S),
                 _ => world.crash(leader, 3 * S),
             }
@@ -515,7 +515,7 @@
             let span = (1 + world.pick(25)) * S;
             match world.pick(8) {
                 0 => world.crash(node, span.min(6 * S)),
-                1 => world.state_outage(span.min(8 * S)),
+                1 => world.store_outage(span.min(8 * S)),
                 2 => world.refuse_node(node, span),
                 3 => world.hang(nth, span),
                 4 => world.freeze(node, span.min(8 * S)),
