--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -388,7 +388,7 @@
         let refusal = match self.spec_of(name) {
             None => Some(ExitCause::Unknown),
             Some(_) if state.tasks.contains_key(name) => Some(ExitCause::Busy),
-            Some(spec) if used + spec.cpus > self.machine.cpus + 1e-9 => Some(ExitCause::NoRoom),
+            Some(spec) if used + spec.cpus > self.machine.cpus + 1e-9 => Some(ExitCause::InsufficientResources),
             Some(_) => None,
         };
         if let Some(why) = refusal {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Newtypes shared by all packages: times, ids, fencing tokens and amounts of room.
+//! Newtypes shared by all packages: times, ids, fencing tokens and amounts of resources.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -133,7 +133,7 @@
 
 /// What a task takes or a machine has, in millionths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Room {
+pub struct Resources {
     /// Millionths of a processor.
     pub cpus: u64,
     /// Millionths of a GPU.
@@ -142,26 +142,26 @@
     pub memory: u64,
 }
 
-impl Room {
+impl Resources {
     /// From amounts as messages have them.
-    pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Room {
+    pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         let units = |x: f64| if x.is_finite() && x > 0.0 { (x * 1e6).round().min(1e15) as u64 } else { 0 };
-        Room { cpus: units(cpus), gpus: units(gpus), memory: units(memory_gb) }
+        Resources { cpus: units(cpus), gpus: units(gpus), memory: units(memory_gb) }
     }
 
     /// Whether another has as much of everything.
-    pub fn fits_in(&self, other: &Room) -> bool {
+    pub fn fits_in(&self, other: &Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus && self.memory <= other.memory
     }
 
     /// Both together.
-    pub fn plus(&self, o: &Room) -> Room {
-        Room { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
+    pub fn plus(&self, o: &Resources) -> Resources {
+        Resources { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
     }
 
     /// What is left of it; nothing at the least.
-    pub fn minus(&self, o: &Room) -> Room {
-        Room {
+    pub fn minus(&self, o: &Resources) -> Resources {
+        Resources {
             cpus: self.cpus.saturating_sub(o.cpus),
             gpus: self.gpus.saturating_sub(o.gpus),
             memory: self.memory.saturating_sub(o.memory),
@@ -169,7 +169,7 @@
     }
 
     /// So many times as much.
-    pub fn times(&self, n: u64) -> Room {
-        Room { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+    pub fn times(&self, n: u64) -> Resources {
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
     }
 }
--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -74,7 +74,7 @@
     pub penalty_most: f64,
     /// A replica that finds room only in zones that are not trusted takes it after it has waited so long.
     pub distrust_wait_ms: u64,
-    /// Whether replicas move without need: when all of a service are in one zone though another has room.
+    /// Whether replicas move without need: when all of a service are in one zone though another has resources.
     pub rebalance: bool,
     /// Replicas that may be moved without need in a minute, by each controller.
     pub moves_per_minute: f64,
--- a/src/coordination/capacity.rs
+++ b/src/coordination/capacity.rs
@@ -1,11 +1,11 @@
-//! Planning capacity: which shard lacks room for what waits, which machines go to another shard, and which are
+//! Planning capacity: which shard lacks resources for what waits, which machines go to another shard, and which are
 //! returned.
 
 use super::Controller;
 use super::jobs::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::storage::schema::Hold;
-use crate::types::{MachineId, Micros, Room};
+use crate::types::{MachineId, Micros, Resources};
 use std::collections::{BTreeMap, HashMap};
 
 /// A machine's room in the plan.
@@ -15,7 +15,7 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub free: Room,
+    pub free: Resources,
     pub untouched: bool,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Tasks that found no room in the plan.
+/// Tasks that found no resources in the plan.
 #[derive(Clone)]
 pub(super) struct Unmet {
     pub shard: u32,
@@ -48,7 +48,7 @@
 #[derive(Default)]
 struct Backlog {
     cpu_seconds: f64,
-    /// What finds no room now, and since when it could have run.
+    /// What finds no resources now, and since when it could have run.
     unmet: Vec<(Unmet, Micros)>,
 }
 
@@ -89,14 +89,14 @@
             .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
             .filter(|(_, r)| self.zone_takes_work(&r.value.zone))
             .map(|(id, r)| {
-                let free = self.free_room(id);
+                let free = self.free_resources(id);
                 Slot {
                     id: Some(id.clone()),
                     machine_type: r.value.machine_type.clone(),
                     zone: r.value.zone.clone(),
                     spot: r.value.spot,
                     free,
-                    untouched: free == self.machine_room(id),
+                    untouched: free == self.machine_resources(id),
                 }
             })
             .collect()
@@ -110,10 +110,10 @@
         let mut jobs: Vec<&Job> = self.jobs.values().filter(open).collect();
         jobs.sort_by_key(|j| (std::cmp::Reverse(j.urgency.priority), j.ready));
         let mut batch = Backlog::default();
-        let mut used: HashMap<&str, Room> = HashMap::new();
+        let mut used: HashMap<&str, Resources> = HashMap::new();
         for job in &jobs {
             if let Some(team) = &job.spec.team {
-                used.entry(team).or_insert_with(|| self.usage.used_by(team).minus(&self.displaced_room(team)));
+                used.entry(team).or_insert_with(|| self.usage.used_by(team).minus(&self.displaced_resources(team)));
             }
         }
         for job in &jobs {
@@ -122,8 +122,8 @@
             let mut count = waiting;
             if let Some(team) = job.spec.team.as_deref() {
                 let sum = used.entry(team).or_default();
-                count = count.min(self.within_limit_count(team, sum, &job.room));
-                *sum = sum.plus(&job.room.times(count));
+                count = count.min(self.within_limit_count(team, sum, &job.resources));
+                *sum = sum.plus(&job.resources.times(count));
             }
             // What its team's limit keeps back queues as well, and would be worked off sooner with more machines.
             if job.spec.kind == Kind::Array {
@@ -155,10 +155,10 @@
         if !job.is_failing() {
             return u64::from(job.waiting());
         }
-        let need = job.spec.room();
+        let need = job.spec.resources();
         let could_hold = |slot: &Slot| {
-            let room = slot.id.as_ref().map_or(slot.free, |id| self.machine_room(id));
-            slot.is_allowed_for(&job.spec) && need.fits_in(&room)
+            let resources = slot.id.as_ref().map_or(slot.free, |id| self.machine_resources(id));
+            slot.is_allowed_for(&job.spec) && need.fits_in(&resources)
         };
         u64::from(job.waiting() > 0 && !slots.iter().any(could_hold))
     }
@@ -205,9 +205,9 @@
         unmet
     }
 
-    fn within_limit_count(&self, team: &str, used: &Room, each: &Room) -> u64 {
+    fn within_limit_count(&self, team: &str, used: &Resources, each: &Resources) -> u64 {
         let Some(team) = self.platform.deployment.team(team) else { return u64::MAX };
-        let limit = Room::new(team.cpus_max, team.gpus_max, 0.0);
+        let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
         let by = |limit: u64, used: u64, each: u64| {
             if limit == 0 || each == 0 { u64::MAX } else { limit.saturating_sub(used) / each }
         };
@@ -217,14 +217,14 @@
     /// Room for a few more of the largest services, so that the next one starts at once.
     fn add_spare(&self, jobs: &[&Job], shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
         let services = jobs.iter().filter(|j| j.spec.kind == Kind::Service);
-        let Some(largest) = services.max_by_key(|j| j.room.cpus) else { return };
+        let Some(largest) = services.max_by_key(|j| j.resources.cpus) else { return };
         // Lower work running there can make way as well.
         let preemptible = jobs
             .iter()
             .filter(|j| j.spec.kind == Kind::Array && j.spec.priority < Priority::High)
-            .map(|j| j.room.cpus * u64::from(j.live.occupying()))
+            .map(|j| j.resources.cpus * u64::from(j.live.occupying()))
             .sum::<u64>()
-            / largest.room.cpus.max(1);
+            / largest.resources.cpus.max(1);
         let count = u64::from(self.policy.spare_tasks).saturating_sub(preemptible / 2);
         let mut spec = (*largest.spec).clone();
         spec.spread = false;
@@ -310,15 +310,15 @@
     }
 }
 
-pub(super) fn count_in(each: &Room, room: &Room) -> u64 {
-    let by = |each: u64, room: u64| room.checked_div(each).unwrap_or(u64::MAX);
-    by(each.cpus, room.cpus).min(by(each.gpus, room.gpus)).min(by(each.memory, room.memory))
+pub(super) fn count_in(each: &Resources, resources: &Resources) -> u64 {
+    let by = |each: u64, resources: u64| resources.checked_div(each).unwrap_or(u64::MAX);
+    by(each.cpus, resources.cpus).min(by(each.gpus, resources.gpus)).min(by(each.memory, resources.memory))
 }
 
 /// Puts up to `count` tasks into the slots, first fit, and says how many found room. `zones`
 /// counts the job's tasks by zone.
 pub(super) fn fit(spec: &JobSpec, count: u64, slots: &mut [Slot], zones: &mut BTreeMap<String, u64>) -> u64 {
-    let each = spec.room();
+    let each = spec.resources();
     let most = u64::from(spec.tasks.div_ceil(2));
     let mut placed = 0;
     for slot in slots.iter_mut() {
--- a/src/coordination/evacuation.rs
+++ b/src/coordination/evacuation.rs
@@ -10,7 +10,7 @@
 use super::shard_view::Spot;
 use crate::protocol::user::Kind;
 use crate::storage::schema::{Hold, Role};
-use crate::types::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
         self.zone_control.displaced = displaced;
     }
 
-    /// The services with tasks on a machine that occupy room and are to go on, each as often as it has tasks there.
+    /// The services with tasks on a machine that occupy resources and are to go on, each as often as it has tasks there.
     fn services_on(&self, machine: &MachineId) -> Vec<JobId> {
         if !self.usage.serves(machine) {
             return Vec::new();
@@ -57,12 +57,12 @@
     }
 
     /// Room that a team's displaced replicas still take by the stored records.
-    pub(super) fn displaced_room(&self, team: &str) -> Room {
+    pub(super) fn displaced_resources(&self, team: &str) -> Resources {
         let of_team = self.zone_control.displaced.iter().filter_map(|(id, count)| {
             let job = self.jobs.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
-            Some(job.room.times(u64::from(*count)))
+            Some(job.resources.times(u64::from(*count)))
         });
-        of_team.fold(Room::default(), |sum, room| sum.plus(&room))
+        of_team.fold(Resources::default(), |sum, resources| sum.plus(&resources))
     }
 
     /// Keeps room for displaced replicas of a shard on machines that take work, holders of their images first. Says for
@@ -86,8 +86,8 @@
                     if holds != holders || !allowance.allows(spot) {
                         continue;
                     }
-                    let taken = count_in(&job.room, &spot.unreserved()).min(left);
-                    spot.reserve(&job.room.times(taken));
+                    let taken = count_in(&job.resources, &spot.unreserved()).min(left);
+                    spot.reserve(&job.resources.times(taken));
                     left -= taken;
                 }
             }
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -9,7 +9,7 @@
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::protocol::worker::ExitCause;
 use crate::storage::schema::{JobRecord, Outcome, RunChunk};
-use crate::types::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 pub(super) struct Job {
     pub spec: Arc<JobSpec>,
     pub accepted: Micros,
-    pub room: Room,
+    pub resources: Resources,
     pub shard: u32,
     pub live: JobStarts,
     /// Seen done, not yet in the stored records.
@@ -58,7 +58,7 @@
         Job {
             spec: Arc::new(record.spec.clone()),
             accepted: record.accepted,
-            room: record.spec.room(),
+            resources: record.spec.resources(),
             shard,
             live: JobStarts::new(id.clone(), &record.spec),
             done_unrecorded: BTreeSet::new(),
@@ -109,8 +109,8 @@
         self.done_unrecorded.contains(&task) || chunk.is_some_and(|chunk| chunk.is_done(task))
     }
 
-    /// Next task that may start now, those that failed after all others. `room` says whether a chunk of the stored records can name one more start.
-    pub fn next_task(&self, now: Micros, chunk_tasks: u32, room: impl Fn(u32) -> bool) -> Option<u32> {
+    /// Next task that may start now, those that failed after all others. `has_capacity` says whether a chunk of the stored records can name one more start.
+    pub fn next_task(&self, now: Micros, chunk_tasks: u32, has_capacity: impl Fn(u32) -> bool) -> Option<u32> {
         if self.held {
             return None;
         }
@@ -120,7 +120,7 @@
             if full == Some(chunk) {
                 return false;
             }
-            let fits = room(chunk);
+            let fits = has_capacity(chunk);
             full = if fits { full } else { Some(chunk) };
             fits
         };
@@ -132,7 +132,7 @@
         // Where a chunk is full the next one's tasks go first; those left out come in their turn.
         let fresh = || {
             let rest = self.fresh_from / chunk_tasks..self.spec.tasks.div_ceil(chunk_tasks);
-            let chunk = rest.into_iter().find(|chunk| room(*chunk))?;
+            let chunk = rest.into_iter().find(|chunk| has_capacity(*chunk))?;
             Some(self.fresh_from.max(chunk * chunk_tasks))
         };
         let untried = again(false).or_else(|| if self.fresh_from < self.spec.tasks { fresh() } else { None });
@@ -366,7 +366,7 @@
                 None
             }
             ExitCause::Error => Some(job.failures.failed(&Failure { task, machine: &machine, ran }, now, retry_max)),
-            ExitCause::NoRoom | ExitCause::Busy | ExitCause::Unknown => Some(now + REFUSED_PAUSE),
+            ExitCause::InsufficientResources | ExitCause::Busy | ExitCause::Unknown => Some(now + REFUSED_PAUSE),
             ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => None,
         };
         if let Some(at) = not_before {
--- a/src/coordination/leader.rs
+++ b/src/coordination/leader.rs
@@ -6,7 +6,7 @@
 use super::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
 use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
-use crate::types::{MachineId, Micros, Room};
+use crate::types::{MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A machine rented or listed that has no record yet.
@@ -141,11 +141,11 @@
     }
 
     fn types_listed(&mut self, types: MachineTypes) {
-        let with_room = types.types.into_iter().map(|wire| {
-            let room = Room::new(wire.cpus, wire.gpus, wire.memory_gb);
-            (wire.name.clone(), TypeInfo { wire, room })
+        let with_resources = types.types.into_iter().map(|wire| {
+            let resources = Resources::new(wire.cpus, wire.gpus, wire.memory_gb);
+            (wire.name.clone(), TypeInfo { wire, resources })
         });
-        self.types = with_room.collect();
+        self.types = with_resources.collect();
         self.pass_wanted = true;
     }
 
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -4,7 +4,7 @@
 use super::txns::{MachineChange, ProposedTxn, Purpose};
 use super::{Controller, Effect, WorkerAnswer};
 use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
-use crate::types::{FencingToken, JobId, MachineId, Micros, Room};
+use crate::types::{FencingToken, JobId, MachineId, Micros, Resources};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -223,14 +223,14 @@
         Some(fencing_token.max(record.fencing_token))
     }
 
-    pub(super) fn machine_room(&self, id: &MachineId) -> Room {
-        let Some(record) = self.replica.machines.get(id) else { return Room::default() };
-        self.types.get(&record.value.machine_type).map(|t| t.room).unwrap_or_default()
+    pub(super) fn machine_resources(&self, id: &MachineId) -> Resources {
+        let Some(record) = self.replica.machines.get(id) else { return Resources::default() };
+        self.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
     }
 
     /// What is left on a machine after all starts not proven gone.
-    pub(super) fn free_room(&self, id: &MachineId) -> Room {
-        self.machine_room(id).minus(&self.usage.used_on(id))
+    pub(super) fn free_resources(&self, id: &MachineId) -> Resources {
+        self.machine_resources(id).minus(&self.usage.used_on(id))
     }
 
     /// Notes since when nothing runs on it.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -55,7 +55,7 @@
 use crate::settings::{Platform, Policy};
 use crate::storage::schema::RecordVersion;
 use crate::storage::{Change, Replica, schema};
-use crate::types::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Resources};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug)]
 struct TypeInfo {
     wire: MachineType,
-    room: Room,
+    resources: Resources,
 }
 
 /// A heartbeat of a machine that is not in the stored records yet.
--- a/src/coordination/placement.rs
+++ b/src/coordination/placement.rs
@@ -9,7 +9,7 @@
 use super::zones::ZoneStart;
 use crate::protocol::user::Kind;
 use crate::storage::schema::Role;
-use crate::types::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Resources};
 use std::collections::{BTreeSet, HashMap};
 
 /// A machine that could take the task, seen through the prediction.
@@ -223,8 +223,8 @@
         let Some(team) = job.spec.team.as_ref().and_then(|name| self.platform.deployment.team(name)) else {
             return true;
         };
-        let limit = Room::new(team.cpus_max, team.gpus_max, 0.0);
-        let next = self.usage.used_by(&team.name).plus(&job.room);
+        let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        let next = self.usage.used_by(&team.name).plus(&job.resources);
         (limit.cpus == 0 || next.cpus <= limit.cpus) && (limit.gpus == 0 || next.gpus <= limit.gpus)
     }
 
@@ -340,7 +340,7 @@
         job.not_before.remove(&task);
         let live = Start::new(0, spot.id.clone(), spot.incarnation, Phase::Decided);
         job.live.insert(task, live, &mut self.usage);
-        spot.free = spot.free.minus(&job.room);
+        spot.free = spot.free.minus(&job.resources);
         if let Some(machine) = self.machines.get_mut(&spot.id) {
             machine.free_since = None;
         }
--- a/src/coordination/preemption.rs
+++ b/src/coordination/preemption.rs
@@ -6,7 +6,7 @@
 use super::shard_view::Spot;
 use super::usage::Start;
 use crate::protocol::user::{Kind, Priority};
-use crate::types::{JobId, Micros, Room};
+use crate::types::{JobId, Micros, Resources};
 
 /// A job that made others leave does so again only after this.
 const PREEMPTION_PAUSE: Micros = Micros::from_millis(1000);
@@ -90,17 +90,17 @@
         job.done == 0 && job.live.occupying() == 1 && ran < JUST_BEGUN
     }
 
-    /// How many machines will have room for one task of the job once those have left that were told to.
+    /// How many machines will have resources for one task of the job once those have left that were told to.
     fn room_on_its_way(&self, job: &Job, spots: &[Spot]) -> u32 {
         let leaving = |spot: &Spot| {
             let starts = self.usage.placed(&spot.id).into_iter().flat_map(|placed| &placed.starts);
             let stopped = starts.filter_map(|(id, task)| {
                 let other = self.jobs.get(id)?;
-                other.live.get(*task).filter(|live| live.occupies() && live.stop.is_some()).map(|_| other.room)
+                other.live.get(*task).filter(|live| live.occupies() && live.stop.is_some()).map(|_| other.resources)
             });
-            stopped.fold(spot.free, |free, room| free.plus(&room))
+            stopped.fold(spot.free, |free, resources| free.plus(&resources))
         };
-        let on_its_way = |spot: &&Spot| !job.room.fits_in(&spot.free) && job.room.fits_in(&leaving(spot));
+        let on_its_way = |spot: &&Spot| !job.resources.fits_in(&spot.free) && job.resources.fits_in(&leaving(spot));
         spots.iter().filter(on_its_way).count() as u32
     }
 
@@ -109,7 +109,7 @@
     fn victims(&self, job: &Job, spot: &Spot) -> Option<(Loss, Victims)> {
         let now = self.now();
         let machine = self.machines.get(&spot.id)?;
-        let mut lower: Vec<(Micros, JobId, u32, Room)> = self
+        let mut lower: Vec<(Micros, JobId, u32, Resources)> = self
             .usage
             .placed(&spot.id)?
             .starts
@@ -124,21 +124,22 @@
                 let saves = victim.spec.checkpoint_s > 0.0 && victim.spec.save_s <= self.policy.stop_grace_s;
                 let loss = if saves { ran.min(Micros::from_secs_f64(victim.spec.save_s)) } else { ran };
                 (below && stoppable && !self.has_just_begun(victim, live))
-                    .then(|| (loss, other.clone(), *task, victim.room))
+                    .then(|| (loss, other.clone(), *task, victim.resources))
             })
             .collect();
         lower.sort();
         let mut free = spot.free;
         let mut chosen = Vec::new();
         let mut lost = 0;
-        for (loss, other, task, room) in lower {
-            if job.room.fits_in(&free) {
+        for (loss, other, task, resources) in lower {
+            if job.resources.fits_in(&free) {
                 break;
             }
-            free = free.plus(&room);
+            free = free.plus(&resources);
             lost += loss.0 + 1;
             chosen.push((other, task));
         }
-        (job.room.fits_in(&free) && !chosen.is_empty()).then_some(((!machine.holds(&job.spec.image), lost), chosen))
+        (job.resources.fits_in(&free) && !chosen.is_empty())
+            .then_some(((!machine.holds(&job.spec.image), lost), chosen))
     }
 }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/rebalancing.rs
@@ -1,7 +1,7 @@
 //! Replicas of services that move to another zone although nothing forces them to: out of a zone that operators hold,
 //! or out of the one zone in which all replicas of a service ended up.
 //!
-//! One of a service at a time, and only when a machine elsewhere has room and its image, so that the service misses it
+//! One of a service at a time, and only when a machine elsewhere has resources and its image, so that the service misses it
 //! only for a moment. The stop and the new start are ordinary ones: the start is recorded after the old attempt is
 //! proven gone.
 
@@ -105,7 +105,7 @@
         let up = self.zone_control.zones.condition(&spot.zone) == Condition::Up;
         (holds || self.is_held_for_long(from))
             && up
-            && job.room.fits_in(&spot.free)
+            && job.resources.fits_in(&spot.free)
             && self.allowance(job, None).allows(spot)
     }
 
--- a/src/coordination/reclaim.rs
+++ b/src/coordination/reclaim.rs
@@ -16,7 +16,7 @@
 const ASK_AGAIN: Micros = Micros::from_millis(30_000);
 
 impl Controller {
-    /// For tasks that find no room, nor any machine to rent: asks for machines of other shards that only do work of the
+    /// For tasks that find no resources, nor any machine to rent: asks for machines of other shards that only do work of the
     /// lowest priority.
     pub(super) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
         let now = self.now();
@@ -35,7 +35,7 @@
                 if !free || !self.does_lowest_only(id) {
                     continue;
                 }
-                let emptied = Slot { free: self.machine_room(id), ..slot.clone() };
+                let emptied = Slot { free: self.machine_resources(id), ..slot.clone() };
                 let taken = fit(&u.spec, count, &mut [emptied], &mut zones);
                 if taken > 0 {
                     (count, left) = (count - taken, left - 1);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether nothing but arrays of the lowest priority takes room on a machine, and something does.
+    /// Whether nothing but arrays of the lowest priority takes resources on a machine, and something does.
     fn does_lowest_only(&self, id: &MachineId) -> bool {
         self.usage.placed(id).is_some_and(|placed| placed.lowest > 0 && placed.lowest == placed.occupying)
     }
--- a/src/coordination/records.rs
+++ b/src/coordination/records.rs
@@ -142,8 +142,8 @@
 
     /// Takes all stored chunks out, as many as there is room for.
     fn clear(&self, replica: &Replica, id: &JobId, proposal: &mut ProposedTxn) {
-        let room = self.limits.writes - proposal.txn.writes.len();
-        for number in self.stored.keys().take(room) {
+        let writes_left = self.limits.writes - proposal.txn.writes.len();
+        for number in self.stored.keys().take(writes_left) {
             proposal.unchanged(replica, Key::Run(id.clone(), *number));
             proposal.delete(Key::Run(id.clone(), *number));
         }
@@ -173,7 +173,7 @@
     /// Tasks whose records lack something. Chunks that lack nothing but tasks done are left for a while when others
     /// of the job press.
     fn tasks_to_record(&mut self, now: Micros, chunk_tasks: u32, progress_patience: Micros) -> Vec<u32> {
-        let all = matches!(Need::of(self), None | Some(Need::Outcome | Need::Room | Need::Progress))
+        let all = matches!(Need::of(self), None | Some(Need::Outcome | Need::ChunkSpace | Need::Progress))
             || self.progress_since.is_some_and(|since| now.since(since) >= progress_patience);
         if all {
             self.progress_since = None;
@@ -260,7 +260,7 @@
             // What an urgent job waits for is over no sooner than its outcome is in the stored records.
             let need_soon = match need {
                 Need::Outcome if job.is_urgent() => Need::Urgent,
-                Need::Room if job.is_urgent() => Need::Outcome,
+                Need::ChunkSpace if job.is_urgent() => Need::Outcome,
                 need => need,
             };
             let latest = since + Micros::from_millis(need_soon.patience_ms(&self.policy));
@@ -268,7 +268,7 @@
             // full batch tasks start one by one as others end; each alone would cost a change.
             let waits = match need {
                 Need::Progress => now.since(since) < delay || (!idle && now < latest),
-                Need::Batch | Need::Room => !idle && now.since(since) < batch_delay,
+                Need::Batch | Need::ChunkSpace => !idle && now.since(since) < batch_delay,
                 Need::Urgent | Need::Outcome => false,
             };
             if waits {
@@ -401,7 +401,7 @@
     /// Its outcome, which its user waits for.
     Outcome,
     /// Room in its chunks, which ended starts take that are still recorded, for tasks that wait.
-    Room,
+    ChunkSpace,
     /// A start, or a lost place, of batch work.
     Batch,
     /// Tasks done while others go on; nobody waits for it.
@@ -421,7 +421,7 @@
             return Some(if urgent { Need::Urgent } else { Need::Batch });
         }
         if job.blocked && job.live.settled() > 0 && job.waiting() > 0 {
-            return Some(Need::Room);
+            return Some(Need::ChunkSpace);
         }
         (job.live.settled() > 0 || job.dirty_since == Some(Micros::ZERO)).then_some(Need::Progress)
     }
@@ -430,7 +430,7 @@
         match self {
             Need::Urgent => "urgent starts",
             Need::Outcome => "outcomes",
-            Need::Room => "room for starts",
+            Need::ChunkSpace => "room for starts",
             Need::Batch => "batch starts",
             Need::Progress => "progress",
         }
@@ -440,7 +440,7 @@
         match self {
             Need::Urgent => policy.urgent_patience_ms,
             Need::Outcome => policy.outcome_patience_ms,
-            Need::Room | Need::Batch => policy.batch_patience_ms,
+            Need::ChunkSpace | Need::Batch => policy.batch_patience_ms,
             Need::Progress => policy.progress_patience_ms,
         }
     }
--- a/src/coordination/registration.rs
+++ b/src/coordination/registration.rs
@@ -27,7 +27,7 @@
     /// Machines that report and have no record get one, in the shard that needs them most.
     pub(super) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
-        let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
+        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let heartbeats: Vec<_> = self.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
         self.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
@@ -45,9 +45,9 @@
                 Registration::Unproven => self.ask_for_life(id, heartbeat.addr.as_deref()),
                 Registration::Alive => {
                     let member = self.new_member(&heartbeat, &members);
-                    let more = serde_json::to_string(&member).map_or(room, |text| text.len() + 1);
+                    let more = serde_json::to_string(&member).map_or(value_bytes, |text| text.len() + 1);
                     // The role's condition and the fleet's own leave room for so many machines'.
-                    if size + more > room || members.len() + 2 == limits.ops() * PRECONDITIONS_PER_WRITE {
+                    if size + more > value_bytes || members.len() + 2 == limits.ops() * PRECONDITIONS_PER_WRITE {
                         break;
                     }
                     size += more;
@@ -129,14 +129,14 @@
 
     /// The shard with the most unmet need, else the one with the least room for its teams.
     fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
-        let cpus = self.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.room.cpus);
+        let cpus = self.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
         // The most urgent tasks that it can really take decide, wherever else room is lacking.
         let mut slot = Slot {
             id: None,
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
-            free: self.types.get(&heartbeat.machine_type).map(|t| t.room).unwrap_or_default(),
+            free: self.types.get(&heartbeat.machine_type).map(|t| t.resources).unwrap_or_default(),
             untouched: true,
         };
         let mut chosen = None;
@@ -169,7 +169,7 @@
         let recorded = self.replica.machines.values().map(|held| &held.value);
         for record in recorded.chain(registered.iter().map(|m| &m.record)) {
             if let Some(sum) = have.get_mut(record.shard as usize) {
-                *sum += self.types.get(&record.machine_type).map_or(1_000_000, |t| t.room.cpus);
+                *sum += self.types.get(&record.machine_type).map_or(1_000_000, |t| t.resources.cpus);
             }
         }
         (0..shards)
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -1,4 +1,4 @@
-//! What is rented: which kind of machine, and how many, for tasks that find no room.
+//! What is rented: which kind of machine, and how many, for tasks that find no resources.
 
 use super::Controller;
 use super::boots::{Reliability, overdue};
@@ -7,7 +7,7 @@
 use crate::protocol::cloud::Rental;
 use crate::protocol::user::JobSpec;
 use crate::storage::schema::Role;
-use crate::types::{Micros, Room};
+use crate::types::{Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that one request may ask for.
@@ -46,7 +46,7 @@
                 machine_type: b.machine_type.clone(),
                 zone: b.zone.clone(),
                 spot: b.spot,
-                free: self.types.get(&b.machine_type).map(|t| t.room).unwrap_or_default(),
+                free: self.types.get(&b.machine_type).map(|t| t.resources).unwrap_or_default(),
                 untouched: true,
             })
             .collect()
@@ -77,7 +77,7 @@
         self.send_rentals(orders);
     }
 
-    /// What to rent for tasks that find no room, and how many of each, up to so many machines.
+    /// What to rent for tasks that find no resources, and how many of each, up to so many machines.
     fn offers_for(&self, unmet: &[Unmet], mut room_left: u64) -> BTreeMap<Offer, u32> {
         let mut orders: BTreeMap<Offer, u32> = BTreeMap::new();
         // Counted once: a walk over all machines for each one to be rented took most of a second.
@@ -97,13 +97,13 @@
             let mut count = u.count - fit(&u.spec, u.count, &mut fresh, &mut zones);
             while count > 0 && room_left > 0 {
                 let market = Market { by_zone: &by_zone, closed: &closed, reliability: &reliability };
-                let Some((offer, room)) = self.cheapest(&u.spec, &zones, &market) else { break };
+                let Some((offer, resources)) = self.cheapest(&u.spec, &zones, &market) else { break };
                 let mut slot = Slot {
                     id: None,
                     machine_type: offer.0.clone(),
                     zone: offer.1.clone(),
                     spot: offer.2,
-                    free: room,
+                    free: resources,
                     untouched: true,
                 };
                 let taken = fit(&u.spec, count, std::slice::from_mut(&mut slot), &mut zones);
@@ -138,8 +138,8 @@
 
     /// The offer with the lowest price for each task it can hold. One that fails costs its boot and the time of those
     /// who wait for it.
-    fn cheapest(&self, spec: &JobSpec, zones: &BTreeMap<String, u64>, market: &Market) -> Option<(Offer, Room)> {
-        let need = spec.room();
+    fn cheapest(&self, spec: &JobSpec, zones: &BTreeMap<String, u64>, market: &Market) -> Option<(Offer, Resources)> {
+        let need = spec.resources();
         let most = u64::from(spec.tasks.div_ceil(2));
         let zone_allowed = |zone: &String| {
             !market.closed.contains(zone)
@@ -147,12 +147,12 @@
                 && (!spec.one_zone || zones.keys().all(|z| z == zone))
                 && (!spec.spread || zones.get(zone).copied().unwrap_or(0) < most)
         };
-        let mut best: Option<((u64, u64), Offer, Room)> = None;
+        let mut best: Option<((u64, u64), Offer, Resources)> = None;
         for info in self.types.values() {
-            if spec.types.as_ref().is_some_and(|t| !t.contains(&info.wire.name)) || !need.fits_in(&info.room) {
+            if spec.types.as_ref().is_some_and(|t| !t.contains(&info.wire.name)) || !need.fits_in(&info.resources) {
                 continue;
             }
-            let tasks = count_in(&need, &info.room).max(1);
+            let tasks = count_in(&need, &info.resources).max(1);
             for zone in info.wire.zones.iter().filter(|z| zone_allowed(z)) {
                 for spot in [false, true] {
                     let offer = (info.wire.name.clone(), zone.clone(), spot);
@@ -165,11 +165,11 @@
                     // Among equals the zone with the fewest machines.
                     let here = market.by_zone.get(zone).copied().unwrap_or(0);
                     if best.as_ref().is_none_or(|(b, ..)| (cost, here) < *b) {
-                        best = Some(((cost, here), offer, info.room));
+                        best = Some(((cost, here), offer, info.resources));
                     }
                 }
             }
         }
-        best.map(|(_, offer, room)| (offer, room))
+        best.map(|(_, offer, resources)| (offer, resources))
     }
 }
--- a/src/coordination/scheduling_order.rs
+++ b/src/coordination/scheduling_order.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::jobs::Job;
 use crate::storage::schema::Role;
-use crate::types::{JobId, Micros, Room};
+use crate::types::{JobId, Micros, Resources};
 
 impl Controller {
     /// When it is a job's turn among those of its priority: its deadline if it has one, else its
@@ -64,8 +64,8 @@
         let Some(team) = job.spec.team.as_ref().and_then(|name| self.platform.deployment.team(name)) else {
             return false;
         };
-        let guaranteed = Room::new(team.cpus, team.gpus, 0.0);
-        let used = self.usage.used_by(&team.name).plus(&job.room);
+        let guaranteed = Resources::new(team.cpus, team.gpus, 0.0);
+        let used = self.usage.used_by(&team.name).plus(&job.resources);
         used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
     }
 }
--- a/src/coordination/shard_view.rs
+++ b/src/coordination/shard_view.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::jobs::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
-use crate::types::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::fetches::FetchQueues;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,9 +13,9 @@
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub free: Room,
+    pub free: Resources,
     /// Part of it that batch work leaves to the services that may come next.
-    reserved: Room,
+    reserved: Resources,
     pub incarnation: u64,
     pub failed_here: Vec<JobId>,
     /// Its zone came back a short while ago and gets work step by step.
@@ -26,26 +26,26 @@
 
 impl Spot {
     /// Room that nothing is kept free of.
-    pub fn unreserved(&self) -> Room {
+    pub fn unreserved(&self) -> Resources {
         self.free.minus(&self.reserved)
     }
 
     /// Keeps room free of batch work.
-    pub fn reserve(&mut self, room: &Room) {
-        self.reserved = self.reserved.plus(room);
+    pub fn reserve(&mut self, resources: &Resources) {
+        self.reserved = self.reserved.plus(resources);
     }
 
     /// Forgets all that was to be kept free.
     pub fn clear_reserved(&mut self) {
-        self.reserved = Room::default();
+        self.reserved = Resources::default();
     }
 
-    /// Whether a task of a job has room there.
+    /// Whether a task of a job has resources there.
     pub fn takes(&self, job: &Job) -> bool {
         if job.spec.priority > Priority::Normal {
-            return job.room.fits_in(&self.free);
+            return job.resources.fits_in(&self.free);
         }
-        job.room.fits_in(&self.unreserved())
+        job.resources.fits_in(&self.unreserved())
     }
 }
 
@@ -75,7 +75,7 @@
 
 /// What placing a task changes of a [`ShardView`].
 pub(super) struct SavedView {
-    spots: Vec<(Room, u32)>,
+    spots: Vec<(Resources, u32)>,
     fetch_queues: Option<FetchQueues>,
 }
 
@@ -104,20 +104,20 @@
     fn reserve(&self, shard: u32, spots: &mut [Spot]) {
         let window = Micros::from_millis(self.policy.reserve_window_ms);
         let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
-        let mut wanted: BTreeMap<&str, (f64, Room)> = BTreeMap::new();
+        let mut wanted: BTreeMap<&str, (f64, Resources)> = BTreeMap::new();
         for job in self.jobs.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
             if self.clock.wall.since(job.accepted) < window {
                 let entry = wanted.entry(&job.spec.image).or_default();
-                *entry = (entry.0 + f64::from(job.spec.tasks) * part, job.room);
+                *entry = (entry.0 + f64::from(job.spec.tasks) * part, job.resources);
             }
         }
-        for (image, (tasks, room)) in wanted {
+        for (image, (tasks, resources)) in wanted {
             let mut left = tasks.round() as u32;
             for spot in spots.iter_mut() {
                 if left == 0 {
                     break;
                 }
-                let with_it = spot.reserved.plus(&room);
+                let with_it = spot.reserved.plus(&resources);
                 if with_it.fits_in(&spot.free) && self.machines.get(&spot.id).is_some_and(|m| m.holds(image)) {
                     spot.reserved = with_it;
                     left -= 1;
@@ -149,8 +149,8 @@
                     machine_type: record.value.machine_type.clone(),
                     zone: record.value.zone.clone(),
                     spot: record.value.spot,
-                    free: self.free_room(id),
-                    reserved: Room::default(),
+                    free: self.free_resources(id),
+                    reserved: Resources::default(),
                     incarnation: machine.incarnation,
                     failed_here: machine.failed_jobs(now, pause).cloned().collect(),
                     is_returning: self.zone_is_returning(&record.value.zone),
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -13,7 +13,7 @@
 use super::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobSpec, Kind, Submission};
 use crate::storage::schema::{BatchMember, JobRecord, Key, to_value};
-use crate::types::{JobId, Micros, Revision, Room};
+use crate::types::{JobId, Micros, Resources, Revision};
 use std::collections::{HashMap, VecDeque};
 
 /// Part of the allowed size that a value of several entries is filled to.
@@ -227,10 +227,10 @@
         self.send_txn(txn, Purpose::Submit(members.into_iter().map(submitted).collect()));
     }
 
-    /// As many queued submissions as one value and one transaction's preconditions have room for.
+    /// As many queued submissions as one value and one transaction's preconditions have resources for.
     fn next_batch(&mut self) -> Vec<BatchMember> {
         let limits = &self.platform.deployment.store;
-        let room = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
+        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let most = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
         let mut members: Vec<BatchMember> = Vec::new();
@@ -238,10 +238,10 @@
         while let Some(Queued { member, .. }) = self.users.submissions.queue.front() {
             let mut member = member.clone();
             member.record.accepted = accepted;
-            let more = serde_json::to_string(&member).map_or(room, |text| text.len() + 1);
+            let more = serde_json::to_string(&member).map_or(value_bytes, |text| text.len() + 1);
             // Its outcome, and perhaps its first piece.
             let preconditions = 1 + usize::from(member.record.pieces.is_some());
-            if !members.is_empty() && (size + more > room || named + preconditions > most) {
+            if !members.is_empty() && (size + more > value_bytes || named + preconditions > most) {
                 break;
             }
             size += more;
@@ -298,17 +298,17 @@
     /// Why a job that is not known can't be taken now, or ever.
     pub(super) fn refusal(&self, spec: &JobSpec) -> Option<UserAnswer> {
         let never = |why| Some(UserAnswer::CanNeverRun(why));
-        let room = spec.room();
+        let resources = spec.resources();
         let all = match spec.kind {
-            Kind::Array => room,
-            Kind::Gang | Kind::Service => room.times(u64::from(spec.tasks)),
+            Kind::Array => resources,
+            Kind::Gang | Kind::Service => resources.times(u64::from(spec.tasks)),
         };
         if let Some(name) = &spec.team {
             let Some(team) = self.platform.deployment.team(name) else {
                 return never("unknown team");
             };
             // A limit of 0 means none.
-            let limit = Room::new(team.cpus_max, team.gpus_max, 0.0);
+            let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
             if (limit.cpus > 0 && all.cpus > limit.cpus) || (limit.gpus > 0 && all.gpus > limit.gpus) {
                 return never("needs more than the team's limit");
             }
@@ -319,7 +319,7 @@
         let fits = self.types.values().any(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.wire.name))
                 && spec.zone.as_ref().is_none_or(|z| t.wire.zones.is_empty() || t.wire.zones.contains(z))
-                && room.fits_in(&t.room)
+                && resources.fits_in(&t.resources)
         });
         if fits { None } else { never("a task fits no allowed machine type") }
     }
--- a/src/coordination/usage.rs
+++ b/src/coordination/usage.rs
@@ -3,7 +3,7 @@
 
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::protocol::worker::ExitCause;
-use crate::types::{JobId, MachineId, Micros, Room};
+use crate::types::{JobId, MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// How far a start has come.
@@ -28,7 +28,7 @@
 }
 
 impl Phase {
-    /// Whether it takes room on its machine and of its team's limit.
+    /// Whether it takes resources on its machine and of its team's limit.
     pub fn occupies(self) -> bool {
         !matches!(self, Phase::Ended(_) | Phase::Gone)
     }
@@ -74,7 +74,7 @@
         &self.machine
     }
 
-    /// Whether it takes room on its machine and of its team's limit.
+    /// Whether it takes resources on its machine and of its team's limit.
     pub fn occupies(&self) -> bool {
         self.phase.occupies()
     }
@@ -85,9 +85,9 @@
 pub struct Placed {
     /// All of them, by job and task.
     pub starts: BTreeSet<(JobId, u32)>,
-    /// Taken by those that occupy room.
-    pub room: Room,
-    /// How many of them occupy room.
+    /// Taken by those that occupy resources.
+    pub resources: Resources,
+    /// How many of them occupy resources.
     pub occupying: u32,
     /// Of these those of services.
     pub services: u32,
@@ -99,8 +99,8 @@
 #[derive(Debug, Default)]
 pub struct Usage {
     machines: HashMap<MachineId, Placed>,
-    teams: HashMap<String, Room>,
-    /// Starts of arrays of the lowest priority that take room anywhere.
+    teams: HashMap<String, Resources>,
+    /// Starts of arrays of the lowest priority that take resources anywhere.
     lowest: u32,
     /// Jobs whose starts changed since the recorder last looked at them.
     pub touched: BTreeSet<JobId>,
@@ -124,7 +124,7 @@
         self.machines.get(machine).is_none_or(|p| p.starts.is_empty())
     }
 
-    /// Whether any start takes room there.
+    /// Whether any start takes resources there.
     pub fn is_busy(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(|p| p.occupying > 0)
     }
@@ -135,30 +135,30 @@
     }
 
     /// Room taken on a machine.
-    pub fn used_on(&self, machine: &MachineId) -> Room {
-        self.machines.get(machine).map(|p| p.room).unwrap_or_default()
+    pub fn used_on(&self, machine: &MachineId) -> Resources {
+        self.machines.get(machine).map(|p| p.resources).unwrap_or_default()
     }
 
-    /// How many starts of arrays of the lowest priority take room anywhere.
+    /// How many starts of arrays of the lowest priority take resources anywhere.
     pub fn lowest(&self) -> u32 {
         self.lowest
     }
 
     /// Room that a team takes.
-    pub fn used_by(&self, team: &str) -> Room {
+    pub fn used_by(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
     fn occupy(&mut self, starts: &JobStarts, machine: &MachineId, more: bool) {
         let placed = self.machines.entry(machine.clone()).or_default();
         if more {
-            placed.room = placed.room.plus(&starts.room);
+            placed.resources = placed.resources.plus(&starts.resources);
             placed.occupying += 1;
             placed.services += u32::from(starts.service);
             placed.lowest += u32::from(starts.lowest);
             self.lowest += u32::from(starts.lowest);
         } else {
-            placed.room = placed.room.minus(&starts.room);
+            placed.resources = placed.resources.minus(&starts.resources);
             placed.occupying -= 1;
             placed.services -= u32::from(starts.service);
             placed.lowest -= u32::from(starts.lowest);
@@ -170,7 +170,7 @@
                 Some(used) => used,
                 None => self.teams.entry(team.clone()).or_default(),
             };
-            *used = if more { used.plus(&starts.room) } else { used.minus(&starts.room) };
+            *used = if more { used.plus(&starts.resources) } else { used.minus(&starts.resources) };
         }
     }
 }
@@ -179,7 +179,7 @@
 #[derive(Debug)]
 pub struct JobStarts {
     job: JobId,
-    room: Room,
+    resources: Resources,
     team: Option<String>,
     service: bool,
     /// Of an array of the lowest priority.
@@ -195,7 +195,16 @@
         let team = spec.team.clone();
         let service = spec.kind == Kind::Service;
         let lowest = spec.kind == Kind::Array && spec.priority == Priority::Low;
-        JobStarts { job, room: spec.room(), team, service, lowest, map: BTreeMap::new(), occupying: 0, decided: 0 }
+        JobStarts {
+            job,
+            resources: spec.resources(),
+            team,
+            service,
+            lowest,
+            map: BTreeMap::new(),
+            occupying: 0,
+            decided: 0,
+        }
     }
 
     /// The job.
@@ -238,7 +247,7 @@
         self.map.is_empty()
     }
 
-    /// Starts that take room.
+    /// Starts that take resources.
     pub fn occupying(&self) -> u32 {
         self.occupying
     }
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -1,7 +1,7 @@
 //! Messages of users.
 
 use super::{WireError, decode, maybe_number, number};
-use crate::types::{JobId, Micros, Room};
+use crate::types::{JobId, Micros, Resources};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
 
@@ -115,8 +115,8 @@
 
 impl JobSpec {
     /// What each task takes of its machine.
-    pub fn room(&self) -> Room {
-        Room::new(self.cpus, self.gpus, self.memory_gb)
+    pub fn resources(&self) -> Resources {
+        Resources::new(self.cpus, self.gpus, self.memory_gb)
     }
 
     /// Whether a machine of that type, zone and kind is allowed, wherever the job's other tasks are.
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -44,7 +44,7 @@
     Error,
     /// Refused: not enough room.
     #[serde(rename = "no_room")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: the task is there with another attempt.
     #[serde(rename = "busy")]
     Busy,
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -236,7 +236,7 @@
 
 impl Deployment {
     /// Whether jobs of teams without limit and guarantee are parted over the shards one by one. Where the
-    /// teams make use of most shards they stay whole: the more parts, the more scraps of room.
+    /// teams make use of most shards they stay whole: the more parts, the more scraps of resources.
     pub fn parts_by_job(&self) -> bool {
         self.teams.len() * 2 <= self.nodes as usize
     }
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -164,7 +164,7 @@
     retry_max_ms: u64 = 20000, 100, 600000;
     /// Room kept free in each shard for this many tasks of its largest services.
     spare_tasks: u32 = 2, 0, 1000;
-    /// Batch work leaves room on holders of their images for as many tasks of services as come in this time.
+    /// Batch work leaves resources free on holders of their images for as many tasks of services as come in this time.
     reserve_ms: u64 = 15000, 0, 600000;
     /// How many come is judged by those of so long ago.
     reserve_window_ms: u64 = 60000, 1000, 3600000;
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -51,7 +51,7 @@
     Run(JobId, u32),
     /// What became of a job.
     End(JobId),
-    /// Jobs that one job awaits, as far as its entry in a batch has no room for them.
+    /// Jobs that one job awaits, as far as its entry in a batch has no resources for them.
     AwaitedPart(String, u32),
     /// What a shard's holder has to say of a zone. Versions that do not judge zones ignore it.
     Zone(String, u32),
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -10,7 +10,7 @@
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, Outcome, RunChunk, StartRecord, to_value};
 use burlhatch::transport::limits::{Bucket, Class};
-use burlhatch::types::{JobId, MachineId, Micros, Revision, Room};
+use burlhatch::types::{JobId, MachineId, Micros, Resources, Revision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -250,10 +250,10 @@
             }
             for (m, machine) in machines.iter().enumerate() {
                 let there = || plain.iter().filter(|(_, at)| at.0 == m);
-                let room = there().filter(|(_, at)| at.1.occupies()).fold(Room::default(), |sum, ((j, _), _)| {
-                    sum.plus(&specs[*j].room())
+                let resources = there().filter(|(_, at)| at.1.occupies()).fold(Resources::default(), |sum, ((j, _), _)| {
+                    sum.plus(&specs[*j].resources())
                 });
-                prop_assert_eq!(usage.used_on(machine), room);
+                prop_assert_eq!(usage.used_on(machine), resources);
                 prop_assert_eq!(usage.is_empty(machine), there().count() == 0);
                 prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies()));
                 let serves = there().any(|((j, _), at)| at.1.occupies() && specs[*j].kind == Kind::Service);
@@ -263,8 +263,8 @@
             }
             for team in 0..2 {
                 let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies());
-                let room = of_team.fold(Room::default(), |sum, ((j, _), _)| sum.plus(&specs[*j].room()));
-                prop_assert_eq!(usage.used_by(&format!("team-{team}")), room);
+                let resources = of_team.fold(Resources::default(), |sum, ((j, _), _)| sum.plus(&specs[*j].resources()));
+                prop_assert_eq!(usage.used_by(&format!("team-{team}")), resources);
             }
         }
     }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -315,7 +315,7 @@
         if worker.tasks.contains_key(&key) {
             worker.exited.insert((key.0, key.1, attempt), ExitCause::Busy);
         } else if cpus + spec.cpus > cpus_of(&worker.machine_type) + 1e-9 {
-            worker.exited.insert((key.0, key.1, attempt), ExitCause::NoRoom);
+            worker.exited.insert((key.0, key.1, attempt), ExitCause::InsufficientResources);
         } else {
             let cached = worker.cache.contains(&spec.image);
             let due = now + if cached { 0 } else { S };
