--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -83,7 +83,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
 
--- a/src/coordination/pipelines.rs
+++ b/src/coordination/dependency_graph.rs
@@ -41,17 +41,17 @@
 
 /// Jobs that are not over and wait for others, or are waited for.
 #[derive(Debug, Default)]
-pub struct Pipelines {
+pub struct DependencyGraph {
     nodes: HashMap<JobId, Node>,
 }
 
-impl Pipelines {
+impl DependencyGraph {
     /// Whether it has to wait for a job that is not over.
     pub fn waits(&self, id: &JobId) -> bool {
         self.nodes.get(id).is_some_and(|n| !n.before.is_empty())
     }
 
-    /// Its urgency, if it is part of a pipeline.
+    /// Its urgency, if it is part of a dependency chain.
     pub fn urgency(&self, id: &JobId) -> Option<Urgency> {
         self.nodes.get(id).map(|n| n.urgency)
     }
--- a/src/coordination/stages.rs
+++ b/src/coordination/dependency_records.rs
@@ -6,8 +6,8 @@
 //! time for it, so that its batch can be cleared away.
 
 use super::Controller;
+use super::dependency_graph::Urgency;
 use super::jobs::Job;
-use super::pipelines::Urgency;
 use super::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{JobSpec, Priority};
 use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
@@ -33,9 +33,9 @@
         written.or_else(|| self.cascaded.contains(id).then_some(Outcome::Cancelled))
     }
 
-    /// Whether all jobs it awaits are known to have been accepted.
-    pub(super) fn awaited_exist(&self, spec: &JobSpec) -> bool {
-        spec.awaits.iter().all(|id| self.replica.jobs.contains_key(id) || self.replica.ends.contains_key(id))
+    /// Whether all jobs it depends on are known to have been accepted.
+    pub(super) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
+        spec.depends_on.iter().all(|id| self.replica.jobs.contains_key(id) || self.replica.ends.contains_key(id))
     }
 
     /// How long a job takes once it is ready, for those that have to be done before it. Estimates are often wrong by
@@ -46,39 +46,39 @@
     }
 
     /// Ties a job that has just become known to those it waits for.
-    pub(super) fn enter_pipeline(&mut self, id: &JobId) {
+    pub(super) fn add_to_dependency_graph(&mut self, id: &JobId) {
         let Some(known) = self.replica.jobs.get(id) else { return };
-        let awaits = known.record.spec.awaits.clone();
-        if awaits.is_empty() && self.pipelines.urgency(id).is_none() {
+        let depends_on = known.record.spec.depends_on.clone();
+        if depends_on.is_empty() && self.dependency_graph.urgency(id).is_none() {
             return;
         }
         let (own, span) = (known.record.urgency(), self.span(&known.record));
-        self.pipelines.note(id, own, span);
+        self.dependency_graph.note(id, own, span);
         let mut raised = vec![id.clone()];
         let mut cancelled = false;
-        for before in &awaits {
+        for before in &depends_on {
             match self.outcome(before) {
                 Some(Outcome::Done) => {}
                 Some(Outcome::Cancelled) => cancelled = true,
                 None => {
                     if let Some(earlier) = self.replica.jobs.get(before) {
                         let (own, span) = (earlier.record.urgency(), self.span(&earlier.record));
-                        self.pipelines.note(before, own, span);
+                        self.dependency_graph.note(before, own, span);
                     } else {
                         // Accepted, as it was named, though not read yet.
                         let own = Urgency { priority: Priority::Low, due: None };
-                        self.pipelines.note(before, own, Micros::ZERO);
+                        self.dependency_graph.note(before, own, Micros::ZERO);
                     }
-                    raised.extend(self.pipelines.link(id, before));
+                    raised.extend(self.dependency_graph.link(id, before));
                 }
             }
         }
         // It may have been noted before as one that others wait for.
-        raised.extend(self.pipelines.raise_before(id));
+        raised.extend(self.dependency_graph.raise_before(id));
         for id in raised {
             self.take_urgency(&id);
         }
-        let held = self.pipelines.waits(id);
+        let held = self.dependency_graph.waits(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.held = held || cancelled;
         }
@@ -89,7 +89,7 @@
     }
 
     fn take_urgency(&mut self, id: &JobId) {
-        if let (Some(job), Some(urgency)) = (self.jobs.get_mut(id), self.pipelines.urgency(id)) {
+        if let (Some(job), Some(urgency)) = (self.jobs.get_mut(id), self.dependency_graph.urgency(id)) {
             job.urgency = urgency;
         }
     }
@@ -114,7 +114,7 @@
             }
             let Some(outcome) = self.outcome(&id) else { continue };
             let done = outcome == Outcome::Done;
-            for follower in self.pipelines.ended(&id, done) {
+            for follower in self.dependency_graph.ended(&id, done) {
                 if done {
                     self.ready(&follower);
                 } else {
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs.rs
@@ -2,8 +2,8 @@
 
 use super::Controller;
 use super::audit::AbsenceProof;
+use super::dependency_graph::Urgency;
 use super::failures::{Failure, FailureHistory};
-use super::pipelines::Urgency;
 use super::usage::{JobStarts, Phase, Start, Usage};
 use super::zones::ZoneStart;
 use crate::protocol::user::{JobSpec, Kind, Priority};
@@ -269,7 +269,7 @@
             self.urgent_pass |= known.record.spec.priority > Priority::Normal;
             self.jobs.insert(id.clone(), job);
             if over.is_none() {
-                self.enter_pipeline(id);
+                self.add_to_dependency_graph(id);
             }
         }
         let recorded = self.replica.jobs.contains_key(id);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -10,6 +10,8 @@
 mod cancellations;
 mod capacity;
 mod clearing;
+pub mod dependency_graph;
+mod dependency_records;
 mod draining;
 mod evacuation;
 mod evidence;
@@ -24,7 +26,6 @@
 mod messages;
 mod moves;
 mod orders;
-pub mod pipelines;
 pub mod placement;
 mod preemption;
 mod reads;
@@ -36,7 +37,6 @@
 mod roles;
 mod scheduling_order;
 mod shard_view;
-mod stages;
 mod submissions;
 mod tidying;
 mod txns;
@@ -97,7 +97,7 @@
     users: users::Users,
     cancellations: cancellations::Cancellations,
     audit: audit::Audit,
-    pipelines: pipelines::Pipelines,
+    dependency_graph: dependency_graph::DependencyGraph,
     /// Jobs over because one that they need was cancelled, which their own keys don't say yet.
     cascaded: BTreeSet<JobId>,
     /// The change budget.
@@ -184,7 +184,7 @@
             users: users::Users::default(),
             cancellations: cancellations::Cancellations::default(),
             audit: audit::Audit::default(),
-            pipelines: pipelines::Pipelines::default(),
+            dependency_graph: dependency_graph::DependencyGraph::default(),
             cascaded: BTreeSet::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
--- a/src/coordination/reads.rs
+++ b/src/coordination/reads.rs
@@ -125,7 +125,7 @@
         match outcome {
             ReadOutcome::Got(changes) => {
                 self.replica.advance(&changes.events, Revision(changes.revision));
-                self.replica.complete_awaited_lists();
+                self.replica.complete_dependency_lists();
                 self.all_records_read();
             }
             ReadOutcome::TooOld => self.start_over(),
--- a/src/coordination/submissions.rs
+++ b/src/coordination/submissions.rs
@@ -19,14 +19,14 @@
 /// Part of the allowed size that a value of several entries is filled to.
 pub(super) const VALUE_FILL: f64 = 0.9;
 
-/// What an awaited job's name takes in a list besides itself: quotes and a comma.
+/// What an depended on job's name takes in a list besides itself: quotes and a comma.
 const LIST_ENTRY_BYTES: usize = 3;
 
 /// How a submission can be written down.
 pub(super) enum Form {
     /// As an entry of a batch.
     Entry(BatchMember),
-    /// Its list of awaited jobs under keys of its own, the rest as an entry.
+    /// Its list of dependencies under keys of its own, the rest as an entry.
     Parts(BatchMember),
     /// No value takes its names.
     TooLarge,
@@ -37,7 +37,7 @@
 pub(super) struct Submitted {
     pub id: JobId,
     /// Whether its outcome may follow from other jobs'.
-    pub awaits_others: bool,
+    pub has_dependencies: bool,
 }
 
 /// A submission whose lists are being written down.
@@ -96,7 +96,7 @@
 /// one's records, of which the commit tells nothing.
 fn taken_in_proof(submitted: &Submitted, asked: Asked, end: &TxnEnd) -> Option<Fresh> {
     match end {
-        TxnEnd::Committed(evidence) if !submitted.awaits_others => evidence.of_taken_in(asked.at),
+        TxnEnd::Committed(evidence) if !submitted.has_dependencies => evidence.of_taken_in(asked.at),
         _ => None,
     }
 }
@@ -109,7 +109,7 @@
         let Some(spec) = submission.spec else {
             return self.users.ask(asked, Question::Submit(id, None), None);
         };
-        let acceptable = self.refusal(&spec).is_none() && self.awaited_exist(&spec);
+        let acceptable = self.refusal(&spec).is_none() && self.dependencies_exist(&spec);
         let known = self.replica.jobs.contains_key(&id) || self.users.submissions.is_committed(&id);
         if known || !acceptable {
             // Known, or to be refused unless it is known after all.
@@ -126,7 +126,7 @@
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
         if size <= self.platform.deployment.store.value_bytes() {
             Form::Entry(member)
-        } else if member.record.spec.awaits.is_empty() {
+        } else if member.record.spec.depends_on.is_empty() {
             Form::TooLarge
         } else {
             Form::Parts(member)
@@ -146,7 +146,7 @@
         }
         match form {
             Form::Entry(member) => self.queue_submission(member),
-            Form::Parts(member) => self.write_awaited_parts(member),
+            Form::Parts(member) => self.write_dependency_list_parts(member),
             Form::TooLarge => {}
         }
     }
@@ -158,13 +158,13 @@
 
     /// A list too long for one value goes to keys of its own first, under a name that nobody else uses; the job's
     /// entry then says where it is.
-    fn write_awaited_parts(&mut self, mut member: BatchMember) {
+    fn write_dependency_list_parts(&mut self, mut member: BatchMember) {
         let limits = &self.platform.deployment.store;
         let (ops, bytes) = (limits.ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
         let mut lists: Vec<Vec<JobId>> = Vec::new();
         let mut size = bytes;
-        for id in std::mem::take(&mut member.record.spec.awaits) {
+        for id in std::mem::take(&mut member.record.spec.depends_on) {
             let more = id.as_str().len() + LIST_ENTRY_BYTES;
             if size + more > bytes {
                 lists.push(Vec::new());
@@ -180,14 +180,14 @@
         for part in parts {
             let mut proposal = ProposedTxn::default();
             for (number, list) in part {
-                proposal.unchanged(&self.replica, Key::AwaitedPart(name.clone(), *number));
-                proposal.put(Key::AwaitedPart(name.clone(), *number), to_value(list));
+                proposal.unchanged(&self.replica, Key::DependencyListPart(name.clone(), *number));
+                proposal.put(Key::DependencyListPart(name.clone(), *number), to_value(list));
             }
-            self.submit_txn(proposal, Purpose::AwaitedParts(name.clone()));
+            self.submit_txn(proposal, Purpose::DependencyListParts(name.clone()));
         }
     }
 
-    pub(super) fn awaited_parts_over(&mut self, name: &str, committed: bool) {
+    pub(super) fn dependency_list_parts_over(&mut self, name: &str, committed: bool) {
         let Some(partial) = self.users.submissions.partial.get_mut(name) else { return };
         partial.left -= 1;
         if committed && partial.left > 0 {
@@ -216,13 +216,13 @@
         for member in &members {
             txn.unchanged(&self.replica, Key::End(member.id.clone()));
             if let Some((name, _)) = &member.record.pieces {
-                txn.unchanged(&self.replica, Key::AwaitedPart(name.clone(), 0));
+                txn.unchanged(&self.replica, Key::DependencyListPart(name.clone(), 0));
             }
         }
         txn.put(name, to_value(&members));
         let submitted = |member: BatchMember| {
-            let awaits_others = member.record.pieces.is_some() || !member.record.spec.awaits.is_empty();
-            Submitted { id: member.id, awaits_others }
+            let has_dependencies = member.record.pieces.is_some() || !member.record.spec.depends_on.is_empty();
+            Submitted { id: member.id, has_dependencies }
         };
         self.send_txn(txn, Purpose::Submit(members.into_iter().map(submitted).collect()));
     }
--- a/src/coordination/tidying.rs
+++ b/src/coordination/tidying.rs
@@ -28,7 +28,7 @@
         let unnamed = self.leader.unnamed.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
         let pieces = unnamed.flat_map(|(name, _)| {
             let numbers = replica.pieces.get(name).into_iter().flat_map(|p| p.keys());
-            numbers.map(move |number| Key::AwaitedPart(name.clone(), *number))
+            numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
         });
         // A note about a machine may go only once no fleet brings the machine back.
         let keys: Vec<Key> = batches
--- a/src/coordination/txns.rs
+++ b/src/coordination/txns.rs
@@ -34,7 +34,7 @@
 pub(super) enum Purpose {
     Submit(Vec<Submitted>),
     /// Lists of a large submission, under that name.
-    AwaitedParts(String),
+    DependencyListParts(String),
     Cancel(JobId),
     Node,
     Role,
@@ -51,7 +51,7 @@
 impl Purpose {
     fn name(&self) -> &'static str {
         match self {
-            Purpose::Submit(_) | Purpose::AwaitedParts(_) => "submissions",
+            Purpose::Submit(_) | Purpose::DependencyListParts(_) => "submissions",
             Purpose::Cancel(_) => "cancellations",
             Purpose::Node | Purpose::Role => "roles",
             Purpose::Machines(MachineChange::Register, _) => "machines adopted",
@@ -68,7 +68,7 @@
 
     /// A user waits for it.
     fn urgent(&self) -> bool {
-        matches!(self, Purpose::Submit(_) | Purpose::AwaitedParts(_) | Purpose::Cancel(_))
+        matches!(self, Purpose::Submit(_) | Purpose::DependencyListParts(_) | Purpose::Cancel(_))
     }
 }
 
@@ -195,7 +195,7 @@
     pub(super) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
         let patience = match purpose {
             Purpose::Node | Purpose::Role => return self.send_txn(proposal, purpose),
-            Purpose::Submit(_) | Purpose::AwaitedParts(_) | Purpose::Cancel(_) => self.policy.user_patience_ms,
+            Purpose::Submit(_) | Purpose::DependencyListParts(_) | Purpose::Cancel(_) => self.policy.user_patience_ms,
             Purpose::Machines(..) | Purpose::ZoneView(_) => self.policy.machine_patience_ms,
             Purpose::Jobs(_) => self.policy.batch_patience_ms,
             Purpose::Tidy | Purpose::Cascade => self.policy.tidy_patience_ms,
@@ -307,7 +307,7 @@
             let Some(pending) = self.txns.pending.get_mut(&ticket) else { continue };
             match pending.purpose {
                 Purpose::Node | Purpose::Role => self.send_pending(ticket),
-                Purpose::Submit(_) | Purpose::AwaitedParts(_) | Purpose::Cancel(_) => self.send_pending(ticket),
+                Purpose::Submit(_) | Purpose::DependencyListParts(_) | Purpose::Cancel(_) => self.send_pending(ticket),
                 _ => pending.stage = Stage::Queued(now),
             }
         }
@@ -361,7 +361,7 @@
     fn txn_over(&mut self, purpose: &Purpose, end: &TxnEnd) {
         match purpose {
             Purpose::Submit(jobs) => jobs.iter().for_each(|job| self.submit_over(job, end)),
-            Purpose::AwaitedParts(name) => self.awaited_parts_over(name, end.is_committed()),
+            Purpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
             Purpose::Cancel(id) => self.cancel_over(id),
             Purpose::Node | Purpose::Role => self.role_txn_over(purpose, !end.is_committed()),
             Purpose::Machines(_, ids) => self.machines_txn_over(ids),
--- a/src/coordination/users.rs
+++ b/src/coordination/users.rs
@@ -208,7 +208,7 @@
             return self.answer(asked.waiter, answer);
         }
         // Whoever accepted it would have it in the stored records.
-        if !self.awaited_exist(&spec) {
+        if !self.dependencies_exist(&spec) {
             return self.answer(asked.waiter, UserAnswer::CanNeverRun("awaits a job that was never accepted"));
         }
         match self.form(id, spec) {
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -98,8 +98,8 @@
     #[serde(rename = "due_s", default, deserialize_with = "maybe_number", skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any of its tasks starts, each once.
-    #[serde(default, deserialize_with = "job_ids", skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<JobId>,
+    #[serde(rename = "awaits", default, deserialize_with = "job_ids", skip_serializing_if = "Vec::is_empty")]
+    pub depends_on: Vec<JobId>,
 }
 
 fn job_ids<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<JobId>, D::Error> {
@@ -186,7 +186,7 @@
         id: String,
     }
     let id = decode::<OnlyId>(body).ok().filter(|o| valid_id(&o.id)).map(|o| JobId::from(o.id));
-    let itself = |s: &JobSpec| id.as_ref().is_some_and(|id| s.awaits.contains(id));
+    let itself = |s: &JobSpec| id.as_ref().is_some_and(|id| s.depends_on.contains(id));
     let spec = decode::<JobSpec>(body).ok().filter(|s| s.check().is_ok() && !itself(s));
     Submission { id, spec }
 }
--- a/src/storage/replica.rs
+++ b/src/storage/replica.rs
@@ -80,7 +80,7 @@
     pub runs: HashMap<JobId, BTreeMap<u32, Versioned<RunChunk>>>,
     /// Outcomes, for ever.
     pub ends: HashMap<JobId, Versioned<EndRecord>>,
-    /// Lists of awaited jobs that are not in a batch, by name and number.
+    /// Lists of dependencies that are not in a batch, by name and number.
     pub pieces: BTreeMap<String, BTreeMap<u32, Versioned<Vec<JobId>>>>,
     /// What shards' holders say of zones. One that can't be read is kept as that, so that it can be written anew.
     pub zones: BTreeMap<(String, u32), Versioned<Option<ZoneRecord>>>,
@@ -129,7 +129,9 @@
             Key::Batch(name) => self.batches.get(name).map(|v| v.version),
             Key::Run(id, chunk) => self.runs.get(id).and_then(|r| r.get(chunk)).map(|v| v.version),
             Key::End(id) => self.ends.get(id).map(|v| v.version),
-            Key::AwaitedPart(name, number) => self.pieces.get(name).and_then(|p| p.get(number)).map(|v| v.version),
+            Key::DependencyListPart(name, number) => {
+                self.pieces.get(name).and_then(|p| p.get(number)).map(|v| v.version)
+            }
             Key::Zone(zone, shard) => self.zones.get(&(zone.clone(), *shard)).map(|v| v.version),
             Key::ZoneHold(zone) => self.zone_holds.get(zone).map(|v| v.version),
         };
@@ -174,7 +176,7 @@
                 }
                 Change::Run(id, chunk)
             }
-            Key::AwaitedPart(name, number) => {
+            Key::DependencyListPart(name, number) => {
                 let pieces = self.pieces.entry(name.clone()).or_default();
                 store(pieces, number, value.and_then(from_value), version);
                 if pieces.is_empty() {
@@ -241,24 +243,27 @@
         Change::Jobs(ids)
     }
 
-    /// A job's record with all that it awaits. The pieces were in the stored records before it.
+    /// A job's record with all that it depends on. The pieces were in the stored records before it.
     fn whole(&self, record: &JobRecord) -> JobRecord {
         let mut record = record.clone();
         let pieces = record.pieces.as_ref().and_then(|(name, _)| self.pieces.get(name));
-        record.spec.awaits.extend(pieces.into_iter().flat_map(|p| p.values()).flat_map(|v| v.value.iter().cloned()));
+        record
+            .spec
+            .depends_on
+            .extend(pieces.into_iter().flat_map(|p| p.values()).flat_map(|v| v.value.iter().cloned()));
         record
     }
 
     /// Gives jobs those parts of their lists that were read after their batches: pages are read at different times.
-    pub fn complete_awaited_lists(&mut self) {
+    pub fn complete_dependency_lists(&mut self) {
         let in_parts = |known: &KnownJob| known.record.pieces.clone().map(|(name, _)| name);
         let jobs: Vec<(JobId, String)> =
             self.jobs.iter().filter_map(|(id, known)| Some((id.clone(), in_parts(known)?))).collect();
         for (id, name) in jobs {
             let parts = self.pieces.get(&name).into_iter().flat_map(|parts| parts.values());
-            let awaits = parts.flat_map(|part| part.value.iter().cloned()).collect();
+            let depends_on = parts.flat_map(|part| part.value.iter().cloned()).collect();
             if let Some(known) = self.jobs.get_mut(&id) {
-                known.record.spec.awaits = awaits;
+                known.record.spec.depends_on = depends_on;
             }
         }
     }
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -1,6 +1,6 @@
 //! Keys and values. Value field names are short: values are bounded and so are writes.
 
-use crate::coordination::pipelines::Urgency;
+use crate::coordination::dependency_graph::Urgency;
 use crate::protocol::user::JobSpec;
 use crate::types::{FencingToken, JobId, MachineId, Micros};
 use ciborium::Value;
@@ -51,8 +51,8 @@
     Run(JobId, u32),
     /// What became of a job.
     End(JobId),
-    /// Jobs that one job awaits, as far as its entry in a batch has no resources for them.
-    AwaitedPart(String, u32),
+    /// Jobs that one job depends on, as far as its entry in a batch has no resources for them.
+    DependencyListPart(String, u32),
     /// What a shard's holder has to say of a zone. Versions that do not judge zones ignore it.
     Zone(String, u32),
     /// Operators hold a zone.
@@ -71,7 +71,7 @@
             Key::Batch(name) => write!(f, "{ROOT}batch/{name}"),
             Key::Run(id, chunk) => write!(f, "{ROOT}run/{id}/{chunk}"),
             Key::End(id) => write!(f, "{ROOT}end/{id}"),
-            Key::AwaitedPart(name, number) => write!(f, "{ROOT}awaits/{name}/{number}"),
+            Key::DependencyListPart(name, number) => write!(f, "{ROOT}awaits/{name}/{number}"),
             Key::Zone(zone, shard) => write!(f, "{ROOT}zone/{zone}/{shard}"),
             Key::ZoneHold(zone) => write!(f, "{ROOT}zone-hold/{zone}"),
         }
@@ -93,7 +93,7 @@
             Some(("end", id)) => Some(Key::End(JobId::new(id))),
             Some(("awaits", rest)) => {
                 let (name, number) = rest.rsplit_once('/')?;
-                Some(Key::AwaitedPart(name.to_string(), number.parse().ok()?))
+                Some(Key::DependencyListPart(name.to_string(), number.parse().ok()?))
             }
             Some(("zone", rest)) => {
                 let (zone, shard) = rest.rsplit_once('/')?;
@@ -225,7 +225,7 @@
     /// Time of day at which the job was accepted.
     #[serde(rename = "at")]
     pub accepted: Micros,
-    /// Where the rest of what it awaits is: a name, and how many keys.
+    /// Where the rest of what it depends on is: a name, and how many keys.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub pieces: Option<(String, u32)>,
     /// What its user submitted.
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -193,7 +193,7 @@
     JobId::new(&format!("wk-{number:06}"))
 }
 
-pub fn spec(awaits: &[JobId]) -> JobSpec {
+pub fn spec(depends_on: &[JobId]) -> JobSpec {
     JobSpec {
         class: "any".into(),
         team: None,
@@ -214,7 +214,7 @@
         checkpoint_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        awaits: awaits.to_vec(),
+        depends_on: depends_on.to_vec(),
     }
 }
 
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -47,9 +47,9 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let awaits = || proptest::collection::vec(0..JOBS, 0..3);
+    let depends_on = || proptest::collection::vec(0..JOBS, 0..3);
     prop_oneof![
-        4 => proptest::collection::vec((0..JOBS, awaits()), 1..4).prop_map(Step::Accept),
+        4 => proptest::collection::vec((0..JOBS, depends_on()), 1..4).prop_map(Step::Accept),
         2 => (0..JOBS).prop_map(Step::Done),
         2 => (0..JOBS).prop_map(Step::Cancel),
         2 => (0usize..8).prop_map(Step::Clear),
@@ -72,7 +72,7 @@
     log: Vec<Event>,
     keys: BTreeMap<String, (Value, u64)>,
     batches: Vec<(String, BTreeSet<u64>)>,
-    awaits: BTreeMap<u64, Vec<u64>>,
+    depends_on: BTreeMap<u64, Vec<u64>>,
     ends: BTreeMap<u64, Outcome>,
 }
 
@@ -88,14 +88,15 @@
         };
     }
 
-    /// What has become of a job, by plain walks over what it awaits.
+    /// What has become of a job, by plain walks over what it depends on.
     fn outcome(&self, job: u64) -> Option<Outcome> {
-        let fell = || self.awaits.get(&job)?.iter().find(|before| self.outcome(**before) == Some(Outcome::Cancelled));
+        let fell =
+            || self.depends_on.get(&job)?.iter().find(|before| self.outcome(**before) == Some(Outcome::Cancelled));
         self.ends.get(&job).copied().or_else(|| fell().map(|_| Outcome::Cancelled))
     }
 
     fn state(&self, job: u64) -> Option<JobState> {
-        self.awaits.get(&job)?;
+        self.depends_on.get(&job)?;
         Some(match self.outcome(job) {
             Some(Outcome::Done) => JobState::Done,
             Some(Outcome::Cancelled) => JobState::Cancelled,
@@ -107,17 +108,16 @@
         match step {
             Step::Accept(jobs) => self.accept(jobs),
             Step::Done(job) => {
-                let ready = self
-                    .awaits
-                    .get(job)
-                    .is_some_and(|awaits| awaits.iter().all(|before| self.outcome(*before) == Some(Outcome::Done)));
+                let ready = self.depends_on.get(job).is_some_and(|depends_on| {
+                    depends_on.iter().all(|before| self.outcome(*before) == Some(Outcome::Done))
+                });
                 if ready && self.outcome(*job).is_none() {
                     self.end(*job, Outcome::Done);
                 }
             }
             // Also the owner of one that fell with another writes that down some time.
             Step::Cancel(job) => {
-                if self.awaits.contains_key(job) && !self.ends.contains_key(job) {
+                if self.depends_on.contains_key(job) && !self.ends.contains_key(job) {
                     self.end(*job, Outcome::Cancelled);
                 }
             }
@@ -131,25 +131,25 @@
         }
     }
 
-    /// Takes in those that are not over. A job that is known keeps what it awaits, whatever the repeat says: of two
+    /// Takes in those that are not over. A job that is known keeps what it depends on, whatever the repeat says: of two
     /// batches the older counts.
     fn accept(&mut self, jobs: &[(u64, Vec<u64>)]) {
         let mut members: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        for (job, awaits) in jobs.iter().filter(|(job, _)| !self.ends.contains_key(job)) {
+        for (job, depends_on) in jobs.iter().filter(|(job, _)| !self.ends.contains_key(job)) {
             // What it names was accepted before it, so there are no circles.
-            let before = awaits.iter().copied().filter(|other| other != job && self.awaits.contains_key(other));
+            let before = depends_on.iter().copied().filter(|other| other != job && self.depends_on.contains_key(other));
             members.entry(*job).or_insert_with(|| before.collect());
         }
         if members.is_empty() {
             return;
         }
         let name = format!("{}", self.revision + 1);
-        let of = |awaits: &[u64]| spec(&awaits.iter().map(|job| id(*job)).collect::<Vec<_>>());
-        let specs: Vec<_> = members.iter().map(|(job, awaits)| (id(*job), of(awaits))).collect();
+        let of = |depends_on: &[u64]| spec(&depends_on.iter().map(|job| id(*job)).collect::<Vec<_>>());
+        let specs: Vec<_> = members.iter().map(|(job, depends_on)| (id(*job), of(depends_on))).collect();
         self.write(Key::Batch(name.clone()), Some(batch(&specs)));
         self.batches.push((name, members.keys().copied().collect()));
-        for (job, awaits) in members {
-            self.awaits.entry(job).or_insert(awaits);
+        for (job, depends_on) in members {
+            self.depends_on.entry(job).or_insert(depends_on);
         }
     }
 
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -118,18 +118,18 @@
     assert_eq!(controller.state_told(question), Some(JobState::Cancelled));
 }
 
-/// Pages are read at different times. A job's list of awaited jobs is written before the job and its page is read
+/// Pages are read at different times. A job's list of dependencies is written before the job and its page is read
 /// before as well: the job then stands in the records without its list until what changed meanwhile is read.
 #[test]
 fn nothing_is_known_before_the_changes_since_the_first_page_are_read() {
     let mut controller = ControllerHarness::new();
     let mut record = JobRecord { accepted: Micros(1), pieces: Some(("7".into(), 1)), spec: spec(&[]) };
-    record.spec.awaits.clear();
+    record.spec.depends_on.clear();
     let member = BatchMember { id: id(2), record };
     controller.answer_page(vec![item(Key::Batch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
     controller.answer_page(vec![item(Key::Batch("2".into()), to_value(&vec![member]), 12)], false);
     assert!(!controller.controller.is_ready(), "ready with pages of different times");
-    let list = put(Key::AwaitedPart("7".into(), 0), to_value(&vec![id(1)]), 11);
+    let list = put(Key::DependencyListPart("7".into(), 0), to_value(&vec![id(1)]), 11);
     controller.answer_changes(|_| true, 13, vec![list, cancelled(&id(1), 13)]);
     assert!(controller.controller.is_ready());
     controller.settle();
@@ -139,7 +139,7 @@
 }
 
 /// The answer to a controller's own commit comes after the watch has shown that what it wrote is gone again: the
-/// record must not come back. Here it is the list of a submission that awaits more jobs than one value can name.
+/// record must not come back. Here it is the list of a submission that depends on more jobs than one value can name.
 #[test]
 fn a_late_commit_brings_no_deleted_record_back() {
     let many: Vec<JobId> = (1..=400).map(id).collect();
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,7 +1,7 @@
 //! The real code against slow, plain models.
 
 use burlhatch::coordination::budget::Budget;
-use burlhatch::coordination::pipelines::{Pipelines, Urgency};
+use burlhatch::coordination::dependency_graph::{DependencyGraph, Urgency};
 use burlhatch::coordination::placement::{Candidate, choose};
 use burlhatch::coordination::usage::{JobStarts, Phase, Start, Usage};
 use burlhatch::protocol::store::Event;
@@ -338,40 +338,40 @@
     assert_eq!(Key::parse("bh/run/wk-1"), None);
 }
 
-/// What happens to jobs of pipelines: one is accepted that awaits some of those before it, or one is over.
+/// What happens to jobs of dependencies: one is accepted that depends on some of those before it, or one is over.
 #[derive(Clone, Debug)]
 enum Stage {
-    Accept { awaits: Vec<u8>, priority: u8, due: Option<u16>, span: u8 },
+    Accept { depends_on: Vec<u8>, priority: u8, due: Option<u16>, span: u8 },
     End { which: u8, done: bool },
 }
 
 fn stage() -> impl Strategy<Value = Stage> {
     let accept = (proptest::collection::vec(any::<u8>(), 0..4), 0u8..4, proptest::option::of(500u16..2000), 0u8..50);
     prop_oneof![
-        accept.prop_map(|(awaits, priority, due, span)| Stage::Accept { awaits, priority, due, span }),
+        accept.prop_map(|(depends_on, priority, due, span)| Stage::Accept { depends_on, priority, due, span }),
         (any::<u8>(), any::<bool>()).prop_map(|(which, done)| Stage::End { which, done }),
     ]
 }
 
 /// A job as the plain model has it: everything is worked out by walking over all jobs.
 struct PlainJob {
-    awaits: Vec<usize>,
+    depends_on: Vec<usize>,
     own: Urgency,
     span: Micros,
     over: Option<bool>,
 }
 
 fn plain_over(jobs: &[PlainJob], n: usize) -> Option<bool> {
-    let lost = jobs[n].awaits.iter().any(|b| plain_over(jobs, *b) == Some(false));
+    let lost = jobs[n].depends_on.iter().any(|b| plain_over(jobs, *b) == Some(false));
     jobs[n].over.or(lost.then_some(false))
 }
 
 fn plain_waits(jobs: &[PlainJob], n: usize) -> bool {
-    jobs[n].awaits.iter().any(|b| plain_over(jobs, *b) != Some(true))
+    jobs[n].depends_on.iter().any(|b| plain_over(jobs, *b) != Some(true))
 }
 
 fn plain_urgency(jobs: &[PlainJob], n: usize) -> Urgency {
-    let later = (n + 1..jobs.len()).filter(|l| jobs[*l].awaits.contains(&n));
+    let later = (n + 1..jobs.len()).filter(|l| jobs[*l].depends_on.contains(&n));
     later.fold(jobs[n].own, |sum, l| {
         let urgency = plain_urgency(jobs, l);
         sum.most(Urgency { priority: urgency.priority, due: urgency.due.map(|due| due - jobs[l].span) })
@@ -384,30 +384,30 @@
     /// The kept graph against walks over everything: who waits, who falls with whom, and, as long as nothing is
     /// over, how urgent each is.
     #[test]
-    fn pipelines_are_the_plain_walks(stages in proptest::collection::vec(stage(), 1..40)) {
+    fn the_dependency_graph_is_the_plain_walks(stages in proptest::collection::vec(stage(), 1..40)) {
         let id = |n: usize| JobId::new(&format!("wk-{n}"));
         let number = |id: &JobId| id.as_str()[3..].parse::<usize>().expect("a number");
         let mut plain: Vec<PlainJob> = Vec::new();
-        let mut kept = Pipelines::default();
+        let mut kept = DependencyGraph::default();
         let mut nothing_over = true;
         for stage in stages {
             match stage {
-                Stage::Accept { awaits, priority, due, span } => {
+                Stage::Accept { depends_on, priority, due, span } => {
                     let count = plain.len();
-                    let mut awaits: Vec<usize> =
-                        if count == 0 { Vec::new() } else { awaits.iter().map(|a| usize::from(*a) % count).collect() };
-                    awaits.sort_unstable();
-                    awaits.dedup();
+                    let mut depends_on: Vec<usize> =
+                        if count == 0 { Vec::new() } else { depends_on.iter().map(|a| usize::from(*a) % count).collect() };
+                    depends_on.sort_unstable();
+                    depends_on.dedup();
                     let priorities = [Priority::Low, Priority::Normal, Priority::High, Priority::Production];
                     let due = due.map(|due| Micros(u64::from(due)));
                     let own = Urgency { priority: priorities[usize::from(priority)], due };
                     let span = Micros(u64::from(span));
-                    plain.push(PlainJob { awaits: awaits.clone(), own, span, over: None });
+                    plain.push(PlainJob { depends_on: depends_on.clone(), own, span, over: None });
                     if plain_over(&plain, count).is_some() {
                         continue;
                     }
                     kept.note(&id(count), own, span);
-                    for before in awaits.iter().filter(|b| plain_over(&plain, **b).is_none()) {
+                    for before in depends_on.iter().filter(|b| plain_over(&plain, **b).is_none()) {
                         kept.note(&id(*before), plain[*before].own, plain[*before].span);
                         kept.link(&id(count), &id(*before));
                     }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -38,9 +38,9 @@
 const RELAYED: &str = "f7010104020109";
 
 const FIRST: RecordVersion = RecordVersion::FIRST;
-/// What the first version with pipelines stores beyond that (commit 90f4811, printed in the same way): jobs that await
+/// What the first version with dependencies stores beyond that (commit 90f4811, printed in the same way): jobs that await
 /// others, also those whose list is in keys of its own.
-const AWAITING_BATCH: &str = "81b5616a69776b2d3030303431326261741b00060a24181e4000636c6f7465747261696e646372657766766973696f6e\
+const DEPENDENT_BATCH: &str = "81b5616a69776b2d3030303431326261741b00060a24181e4000636c6f7465747261696e646372657766766973696f6e\
     6573686170656561727261796472616e6b687374616e64617264667069656365731065636f726573f948006467707573f90000696d656d\
     6f72795f6762f954086662756e646c6566696d672d30376770756c6c5f6762fb4018cccccccccccd6568756c6c7381626738686f6e655f\
     7a6f6e65f466737072656164f5696472696674776f6f64f5686578706563745f73f95b806c73746f775f65766572795f73f94f80667374\
@@ -50,7 +50,7 @@
     696d656d6f72795f6762f954086662756e646c6566696d672d30376770756c6c5f6762fb4018cccccccccccd6568756c6c738162673868\
     6f6e655f7a6f6e65f466737072656164f5696472696674776f6f64f5686578706563745f73f95b806c73746f775f65766572795f73f94f\
     806673746f775f73f94400656475655f73f96308";
-const AWAITED_LIST: &str = "8269776b2d30303033393869776b2d303030343035";
+const DEPENDENCY_LIST: &str = "8269776b2d30303033393869776b2d303030343035";
 /// What every controller's role and entry hold since versions are announced.
 const ANNOUNCED_SEAT: &str = "a4616f6b68617463686c696e672d306169184d61741829617601";
 const ANNOUNCED_NODE: &str = "a36169184d6175f4617601";
@@ -101,7 +101,7 @@
         checkpoint_s: 30.0,
         save_s: 4.0,
         deadline_s: Some(900.0),
-        awaits: Vec::new(),
+        depends_on: Vec::new(),
     }
 }
 
@@ -127,7 +127,7 @@
     both_ways(CANCELLED, EndRecord::cancelled(AT));
 }
 
-fn awaited() -> Vec<JobId> {
+fn dependencies() -> Vec<JobId> {
     vec![JobId::new("wk-000398"), JobId::new("wk-000405")]
 }
 
@@ -137,10 +137,10 @@
 }
 
 #[test]
-fn records_are_those_of_the_first_version_with_pipelines() {
-    both_ways(AWAITING_BATCH, vec![member(JobSpec { awaits: awaited(), ..spec() })]);
+fn records_are_those_of_the_first_version_with_dependencies() {
+    both_ways(DEPENDENT_BATCH, vec![member(JobSpec { depends_on: dependencies(), ..spec() })]);
     both_ways(SPLIT_BATCH, vec![split_member()]);
-    both_ways(AWAITED_LIST, awaited());
+    both_ways(DEPENDENCY_LIST, dependencies());
 }
 
 /// Versions before read roles and entries that announce one, and ignore it; a record without one is of the first.
@@ -165,22 +165,22 @@
     assert_eq!(role.version, FIRST);
 }
 
-/// A job whose list of awaited jobs is in keys of its own is whole once these were read.
+/// A job whose list of dependencies is in keys of its own is whole once these were read.
 #[test]
-fn a_split_list_of_awaited_jobs_is_read_back() {
+fn a_split_list_of_dependencies_is_read_back() {
     let mut replica = Replica::default();
     let keys = [
-        (Key::AwaitedPart("4d2".into(), 0), AWAITED_LIST),
-        (Key::AwaitedPart("4d2".into(), 1), "8169776b2d303030343036"),
+        (Key::DependencyListPart("4d2".into(), 0), DEPENDENCY_LIST),
+        (Key::DependencyListPart("4d2".into(), 1), "8169776b2d303030343036"),
         (Key::Batch("b1".into()), SPLIT_BATCH),
     ];
     for (n, (key, hex)) in keys.into_iter().enumerate() {
         let value: Value = decode(&bytes(hex)).expect("CBOR");
         replica.apply(&key.to_string(), Some(&value), n as u64 + 1);
     }
-    let mut expected = awaited();
+    let mut expected = dependencies();
     expected.push(JobId::new("wk-000406"));
-    assert_eq!(replica.jobs[&JobId::new("wk-000412")].record.spec.awaits, expected);
+    assert_eq!(replica.jobs[&JobId::new("wk-000412")].record.spec.depends_on, expected);
 }
 
 #[test]
@@ -212,13 +212,13 @@
 
 #[test]
 fn production_reads_a_batch_with_what_it_does_not_know() {
-    let awaits = vec![JobId::new("wk-000398"), JobId::new("wk-000405")];
-    let value = to_value(&vec![member(JobSpec { awaits: awaits.clone(), ..spec() })]);
+    let depends_on = vec![JobId::new("wk-000398"), JobId::new("wk-000405")];
+    let value = to_value(&vec![member(JobSpec { depends_on: depends_on.clone(), ..spec() })]);
     let read: Vec<ProductionMember> = value.deserialized().expect("readable");
     let known = (read[0].j.clone(), read[0].at, read[0].lot.as_str(), read[0].pieces, read[0].due_s);
     assert_eq!(known, (JobId::new("wk-000412"), AT, "train", 16, Some(900.0)));
     let read: Vec<BatchMember> = from_value(&value).expect("readable");
-    assert_eq!(read[0].record.spec.awaits, awaits);
+    assert_eq!(read[0].record.spec.depends_on, depends_on);
 }
 
 /// The stored records of production as a whole, read here.
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn awaited_jobs_are_read_once_each_and_have_to_be_ids() {
-    let with = |awaits: serde_json::Value| {
+fn dependencies_are_read_once_each_and_have_to_be_ids() {
+    let with = |depends_on: serde_json::Value| {
         let mut message = example();
-        message["awaits"] = awaits;
+        message["awaits"] = depends_on;
         submission(&cbor(message))
     };
     let spec = with(json!(["wk-000398", "wk-000405", "wk-000398"])).spec.expect("valid");
-    assert_eq!(spec.awaits, [JobId::new("wk-000398"), JobId::new("wk-000405")]);
+    assert_eq!(spec.depends_on, [JobId::new("wk-000398"), JobId::new("wk-000405")]);
     assert_eq!(with(json!(null)).spec, submission(&cbor(example())).spec, "null and missing are one");
     for bad in [json!("wk-000398"), json!([7]), json!(["wk"]), json!([null]), json!({"a": 1}), json!(["wk-000412"])] {
         let read = with(bad.clone());
--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -69,18 +69,18 @@
     }
 }
 
-/// Pipelines: that a job fell with one that it needs follows from another job's record, which a controller whose
+/// Dependencies: that a job fell with one that it needs follows from another job's record, which a controller whose
 /// watch lags has not seen while its own transaction is carried out.
 #[test]
-fn close_looks_at_pipelines() {
+fn close_looks_at_dependent_jobs() {
     for seed in seeds(92, 6) {
         let mut world = looked_at(seed, SMALL);
         let firsts = small_jobs(&mut world, 1, 40, 40 * S);
         for (n, first) in (0..).zip(&firsts) {
             let mut spec = World::spec(Kind::Array, "green", 1, 1.0);
-            spec.awaits = vec![first.clone()];
+            spec.depends_on = vec![first.clone()];
             let second = world.submit(200 + n, spec.clone());
-            spec.awaits = vec![second];
+            spec.depends_on = vec![second];
             world.submit(400 + n, spec);
         }
         for _ in 0..4 {
--- a/tests/rules/pipelines.rs
+++ b/tests/rules/dependencies.rs
@@ -7,16 +7,16 @@
 use burlhatch::settings::Policy;
 use burlhatch::types::JobId;
 
-fn stage(world: &mut World, number: u64, team: &str, tasks: u32, awaits: &[JobId]) -> JobId {
+fn stage(world: &mut World, number: u64, team: &str, tasks: u32, depends_on: &[JobId]) -> JobId {
     let mut spec = World::spec(Kind::Array, team, tasks, 1.0);
-    spec.awaits = awaits.to_vec();
+    spec.depends_on = depends_on.to_vec();
     spec.estimate_s = 4.0;
     world.submit(number, spec)
 }
 
 /// A first stage, two or three that need it, one that needs these, and a last one that is urgent; each of another
 /// team, and so of another shard.
-fn pipeline(world: &mut World, number: u64) -> Vec<JobId> {
+fn dependency_chain(world: &mut World, number: u64) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
     let first = stage(world, number, teams[world.jobs.len() % 3], 2, &[]);
     let wide: Vec<JobId> = (0..2 + number / 10 % 2)
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn stages_run_one_after_the_other() {
+fn dependent_jobs_run_one_after_the_other() {
     let mut world = World::new(70);
-    let all: Vec<Vec<JobId>> = (0..4).map(|n| pipeline(&mut world, 100 + n * 10)).collect();
+    let all: Vec<Vec<JobId>> = (0..4).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
     world.run_for(3 * S);
     for ids in &all {
         let Some(UserAnswer::Status(status)) = world.ask_fresh(0, &ids[1]) else { panic!("no answer") };
@@ -69,7 +69,7 @@
     for stage_of in 0..4 {
         let mut world = World::new(71_000 + stage_of as u64);
         stage(&mut world, 1, "green", 2, &[]);
-        let ids = pipeline(&mut world, 110);
+        let ids = dependency_chain(&mut world, 110);
         world.run_for(2 * S);
         world.call_off(&ids[stage_of]);
         world.run_for(2 * S);
@@ -99,25 +99,25 @@
         let mut world = World::new(seed);
         world.cancel_at_end = 2;
         for n in 0..8 {
-            pipeline(&mut world, 100 + n * 10);
+            dependency_chain(&mut world, 100 + n * 10);
         }
         finish(&mut world, &format!("at the end {seed}"));
         for (id, job) in &world.jobs {
-            let before = job.spec.awaits.iter().map(|b| world.jobs[b].told);
+            let before = job.spec.depends_on.iter().map(|b| world.jobs[b].told);
             let orphan = before.clone().any(|told| told == Some(JobState::Cancelled));
             assert!(!orphan || job.told == Some(JobState::Cancelled), "{seed}: {id} outlived what it needs");
         }
     }
 }
 
-/// The gap once more, with pipelines: the store refuses the owner of a shard alone while jobs before others
+/// The gap once more, with dependencies: the store refuses the owner of a shard alone while jobs before others
 /// are cancelled through siblings, and then it is away for all for longer than a cancellation may take. Who can't
 /// write down what follows can tell it all the same.
 #[test]
 fn cancelled_while_the_owner_is_refused_and_then_all_are() {
     for seed in seeds(73, 6) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
-        let all: Vec<Vec<JobId>> = (0..3).map(|n| pipeline(&mut world, 100 + n * 10)).collect();
+        let all: Vec<Vec<JobId>> = (0..3).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
         for ids in &all {
             for id in &ids[..3] {
                 world.jobs.get_mut(id).expect("submitted").spec.estimate_s = 150.0;
@@ -144,14 +144,14 @@
 /// Controllers end, one after the other and all, and transactions are late, while stages follow each other and some
 /// are cancelled: what is known to be done is so after a takeover and a restart.
 #[test]
-fn stages_while_controllers_come_and_go() {
+fn dependent_jobs_while_controllers_come_and_go() {
     for seed in seeds(74, 6) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 10;
         world.odd_requests = true;
         ordinary_jobs(&mut world, 12);
         for n in 0..6 {
-            let ids = pipeline(&mut world, 100 + n * 10);
+            let ids = dependency_chain(&mut world, 100 + n * 10);
             if n % 3 == 2 {
                 let victim = ids[world.pick(4) as usize].clone();
                 world.jobs.get_mut(&victim).expect("submitted").cancel_at = Some(12 * S);
@@ -200,7 +200,7 @@
 
 /// An upgrade, one controller after the other, while both versions serve on each other's records: the old one writes
 /// larger values and transactions. One that is still old ends and comes back old, the store is away for a
-/// while, and jobs are cancelled whose owner is just being replaced. Once all are new pipelines come, and then the
+/// while, and jobs are cancelled whose owner is just being replaced. Once all are new dependencies come, and then the
 /// limits drop. (What else the old version was is in its bytes: `production.rs`.)
 #[test]
 fn a_rolling_upgrade_meets_a_crash_an_outage_and_cancellations() {
@@ -233,7 +233,7 @@
         }
         world.run_for(4 * S);
         for n in 0..4 {
-            pipeline(&mut world, 700 + n * 10);
+            dependency_chain(&mut world, 700 + n * 10);
         }
         finish(&mut world, &format!("upgrade, {trouble} {seed}"));
     }
@@ -242,7 +242,7 @@
 /// A job may await more others than one value can name. Its list is written down before it, in pieces, and cleared
 /// away after it.
 #[test]
-fn a_job_awaits_hundreds_of_others() {
+fn a_job_depends_on_hundreds_of_others() {
     let mut world = World::new(77);
     let root = stage(&mut world, 1, "green", 2, &[]);
     world.jobs.get_mut(&root).expect("submitted").spec.estimate_s = 200.0;
@@ -278,7 +278,7 @@
             let mut spec = World::spec(Kind::Array, "green", 300, 0.5);
             spec.estimate_s = 12.0;
             world.submit(500 + n, spec);
-            pipeline(&mut world, 600 + n * 10);
+            dependency_chain(&mut world, 600 + n * 10);
         }
         world.run_for(30 * S);
         world.crash(seed as usize % 5, 3 * S);
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -99,7 +99,7 @@
             checkpoint_s: 0.0,
             save_s: 0.0,
             deadline_s: None,
-            awaits: Vec::new(),
+            depends_on: Vec::new(),
         }
     }
 
@@ -142,8 +142,8 @@
             if job.submitted > now || now < job.last_asked + S {
                 continue;
             }
-            let awaits = job.spec.awaits.clone();
-            if !awaits.iter().all(|before| self.jobs.get(before).is_none_or(|b| b.accepted)) {
+            let depends_on = job.spec.depends_on.clone();
+            if !depends_on.iter().all(|before| self.jobs.get(before).is_none_or(|b| b.accepted)) {
                 continue;
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
@@ -236,7 +236,7 @@
     /// When a job was called off, by its own user or with one that it needs, as `when` tells it of each.
     pub(super) fn called_off(&self, id: &JobId, when: impl Fn(&UserJob) -> Option<u64> + Copy) -> Option<u64> {
         let job = self.jobs.get(id)?;
-        let before = job.spec.awaits.iter().filter_map(|before| self.called_off(before, when));
+        let before = job.spec.depends_on.iter().filter_map(|before| self.called_off(before, when));
         before.chain(when(job)).min()
     }
 
@@ -256,7 +256,7 @@
                 "a task fits no machine"
             }
             2 => {
-                spec.awaits = vec![JobId::new("wk-nobody")];
+                spec.depends_on = vec![JobId::new("wk-nobody")];
                 "what it awaits was never accepted"
             }
             3 => {
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -392,7 +392,7 @@
             found.push(format!("ran_twice: {}/{} runs on {other} and is started on {id}", key.0, key.1));
         }
         let undone = |before: &&JobId| self.jobs.get(*before).is_none_or(|b| b.done_tasks.iter().any(|d| !d));
-        if let Some(before) = spec.awaits.iter().find(undone) {
+        if let Some(before) = spec.depends_on.iter().find(undone) {
             found.push(format!("too_early: {}/{} starts before {before} is done", key.0, key.1));
         }
         if cancelled.is_some_and(|at| now > at + self.size.times.cancel) {
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -434,7 +434,7 @@
             spec.priority = Priority::Production;
             spec.image = "batch".into();
             spec.deadline_s = Some(0.0);
-            spec.awaits = vec![first.clone()];
+            spec.depends_on = vec![first.clone()];
             world.submit(100 + n, spec);
         }
         let services: Vec<JobId> =
