--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -3,7 +3,9 @@
 use crate::history::{Event, History};
 use crate::http::{Call, Reply, serve};
 use burlhatch::protocol::user::{JobSpec, Kind};
-use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, Orders, TaskState, TaskStatus};
+use burlhatch::protocol::worker::{
+    AgentCommand, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::transport::client::Client;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
@@ -211,9 +213,9 @@
         token_change: None,
     };
     let worker = Arc::new(Worker { machine, link, troubles: Troubles::default(), around, state: Mutex::new(state) });
-    let orders = worker.clone();
+    let commands = worker.clone();
     let (address, server) = serve(move |call| {
-        let worker = orders.clone();
+        let worker = commands.clone();
         async move {
             if worker.troubles.has(WorkerTrouble::Deaf) || worker.troubles.has(WorkerTrouble::Unreachable) {
                 return None;
@@ -260,8 +262,8 @@
         let answer = answer.filter(|_| !lost);
         let pause = match answer {
             Some(answer) if answer.status == 200 => {
-                if let Ok(orders) = decode::<Orders>(&answer.body) {
-                    worker.take_answer(&orders, sent, incarnation);
+                if let Ok(commands) = decode::<HeartbeatResponse>(&answer.body) {
+                    worker.take_answer(&commands, sent, incarnation);
                 }
                 worker.pause_until_next()
             }
@@ -330,14 +332,14 @@
         self.around.heartbeat_interval
     }
 
-    fn take_answer(&self, orders: &Orders, sent: Instant, incarnation: u64) {
+    fn take_answer(&self, commands: &HeartbeatResponse, sent: Instant, incarnation: u64) {
         let mut state = self.locked();
-        if orders.fencing_token < state.fencing_token || incarnation != state.incarnation {
+        if commands.fencing_token < state.fencing_token || incarnation != state.incarnation {
             return;
         }
-        state.take_token(orders.fencing_token, self.around.lease);
+        state.take_token(commands.fencing_token, self.around.lease);
         state.renewed = state.renewed.max(sent);
-        self.obey(&mut state, &orders.orders);
+        self.obey(&mut state, &commands.commands);
     }
 
     /// A direct message.
@@ -345,30 +347,30 @@
         if self.link.is_cut() {
             return None;
         }
-        let Ok(orders) = decode::<DirectOrders>(&call.body) else {
+        let Ok(commands) = decode::<DirectCommands>(&call.body) else {
             return Some((400, json!({"error": "malformed"})));
         };
         let mut state = self.locked();
-        let fits = orders.fencing_token >= state.fencing_token && orders.incarnation == state.incarnation;
+        let fits = commands.fencing_token >= state.fencing_token && commands.incarnation == state.incarnation;
         if fits {
-            state.take_token(orders.fencing_token, self.around.lease);
-            self.obey(&mut state, &orders.orders);
+            state.take_token(commands.fencing_token, self.around.lease);
+            self.obey(&mut state, &commands.commands);
         }
         let heartbeat = self.heartbeat(&mut state, None);
         let body = serde_json::to_value(&heartbeat).unwrap_or(Value::Null);
         Some((if fits { 200 } else { 409 }, body))
     }
 
-    fn obey(&self, state: &mut WorkerState, orders: &[Order]) {
-        for order in orders {
+    fn obey(&self, state: &mut WorkerState, commands: &[AgentCommand]) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => self.start_task(state, task, *attempt),
-                Order::Stop { task, attempt, .. } => {
+                AgentCommand::Start { task, attempt } => self.start_task(state, task, *attempt),
+                AgentCommand::Stop { task, attempt, .. } => {
                     if state.tasks.get(task).is_some_and(|here| here.attempt == *attempt) {
                         self.exit(state, task, ExitCause::Stopped);
                     }
                 }
-                Order::Forget { task, attempt } => drop(state.exited.remove(&(task.clone(), *attempt))),
+                AgentCommand::Forget { task, attempt } => drop(state.exited.remove(&(task.clone(), *attempt))),
             }
         }
     }
--- a/src/coordination/orders.rs
+++ b/src/coordination/agent_commands.rs
@@ -1,18 +1,18 @@
-//! Orders to workers: what a machine is to be told, in the answer to its heartbeat or in a direct message, and what the
+//! Commands to workers: what a machine is to be told, in the answer to its heartbeat or in a direct message, and what the
 //! answer to such a message proves.
 
 use super::audit::AbsenceProof;
 use super::heartbeats::Source;
 use super::machines::{Machine, UnrecordedTask};
 use super::usage::{Phase, Start};
-use super::{Controller, Effect, Failure, OrdersOutcome};
-use crate::protocol::worker::{DirectOrders, Order};
+use super::{Controller, DirectCommandsOutcome, Effect, Failure};
+use crate::protocol::worker::{AgentCommand, DirectCommands};
 use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros};
 use std::net::SocketAddr;
 
 /// Commands in one message at most, so that it stays below the size limit.
-pub(super) const ORDERS_MAX: usize = 300;
+pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 /// What a recorded start's machine is to be told of it.
 enum NextStep {
@@ -43,13 +43,13 @@
 }
 
 /// Tasks in no record are stopped, and forgotten once no copy of their start can be on its way: it would start them again.
-fn orders_for_unrecorded(machine: &Machine) -> Vec<Order> {
+fn commands_for_unrecorded(machine: &Machine) -> Vec<AgentCommand> {
     let may_forget = machine.unacknowledged.is_none() && !machine.direct;
     let order = |unrecorded: &UnrecordedTask| {
         let (task, attempt) = (unrecorded.task.clone(), unrecorded.attempt);
         match unrecorded.exited {
-            false => Some(Order::Stop { task, attempt, grace_s: 0.0 }),
-            true => (may_forget && unrecorded.forgettable()).then_some(Order::Forget { task, attempt }),
+            false => Some(AgentCommand::Stop { task, attempt, grace_s: 0.0 }),
+            true => (may_forget && unrecorded.forgettable()).then_some(AgentCommand::Forget { task, attempt }),
         }
     };
     machine.unrecorded.iter().filter_map(order).collect()
@@ -79,11 +79,11 @@
 
     /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the
     /// heartbeat's number.
-    pub(super) fn orders_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<Order> {
+    pub(super) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let doomed = self.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
         let incarnation = machine.incarnation;
-        let mut orders = orders_for_unrecorded(machine);
+        let mut commands = commands_for_unrecorded(machine);
         let mut never_sent = Vec::new();
         for (job_id, index) in self.usage.starts_on(id) {
             let Some(start) = self.jobs.get_mut(&job_id).and_then(|job| job.live.get_mut(index)) else { continue };
@@ -99,25 +99,25 @@
                 }
                 NextStep::Start => {
                     start.sent = true;
-                    orders.push(Order::Start { task, attempt });
+                    commands.push(AgentCommand::Start { task, attempt });
                 }
-                NextStep::Stop { grace_s } => orders.push(Order::Stop { task, attempt, grace_s }),
+                NextStep::Stop { grace_s } => commands.push(AgentCommand::Stop { task, attempt, grace_s }),
             }
             if let Some(seq) = seq {
                 start.seq = start.seq.max(seq);
             }
-            if orders.len() >= ORDERS_MAX {
+            if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
                 break;
             }
         }
         for (job, task) in never_sent {
             self.start_gone(&job, task, AbsenceProof::NeverSent);
         }
-        orders
+        commands
     }
 
     /// Sends what can't wait for the next heartbeat.
-    pub(super) fn push_orders(&mut self) {
+    pub(super) fn send_pending_direct_commands(&mut self) {
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
         while self.pushes_later.first().is_some_and(|(at, _)| *at <= now) {
@@ -144,33 +144,33 @@
             let token_confirmed = machine.token_confirmed;
             let incarnation = machine.incarnation.max(1);
             // Without a heartbeat under our fencing token an empty message makes the worker show it.
-            let orders = if token_confirmed && alive { self.orders_for(&id, None) } else { Vec::new() };
-            if token_confirmed && orders.is_empty() {
+            let commands = if token_confirmed && alive { self.commands_for(&id, None) } else { Vec::new() };
+            if token_confirmed && commands.is_empty() {
                 continue;
             }
-            self.send_direct(&id, addr, DirectOrders { fencing_token, incarnation, orders });
+            self.send_direct(&id, addr, DirectCommands { fencing_token, incarnation, commands });
         }
     }
 
-    pub(super) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, orders: DirectOrders) {
+    pub(super) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, commands: DirectCommands) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.direct = true;
-            machine.direct_token = orders.fencing_token;
+            machine.direct_token = commands.fencing_token;
             machine.direct_after = (machine.incarnation, machine.seq);
             machine.ask = false;
         }
         self.direct_open += 1;
-        self.out.push(Effect::Orders { machine: id.clone(), addr, orders });
+        self.out.push(Effect::DirectCommands { machine: id.clone(), addr, commands });
     }
 
-    pub(super) fn orders_outcome(&mut self, id: &MachineId, outcome: OrdersOutcome) {
+    pub(super) fn direct_commands_outcome(&mut self, id: &MachineId, outcome: DirectCommandsOutcome) {
         self.direct_open = self.direct_open.saturating_sub(1);
         let fencing_token = self.fencing_token(id);
         let now = self.now();
         let recorded = self.replica.machines.contains_key(id);
         let Some(machine) = self.machines.get_mut(id) else { return };
         machine.direct = false;
-        if let OrdersOutcome::Done(heartbeat) | OrdersOutcome::Rejected(heartbeat) = &outcome
+        if let DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) = &outcome
             && heartbeat.machine == *id
         {
             machine.hears(now);
@@ -181,11 +181,11 @@
         }
         let Some(machine) = self.machines.get_mut(id) else { return };
         let looking = self.roles.unfit || self.roles.looking_since.is_some();
-        if looking && matches!(outcome, OrdersOutcome::Done(_) | OrdersOutcome::Rejected(_)) {
+        if looking && matches!(outcome, DirectCommandsOutcome::Done(_) | DirectCommandsOutcome::Rejected(_)) {
             self.roles.answered += 1;
         }
         match outcome {
-            OrdersOutcome::Done(heartbeat) | OrdersOutcome::Rejected(heartbeat) => {
+            DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
                 if heartbeat.machine != *id || fencing_token.is_none_or(|t| heartbeat.fencing_token > t) {
                     machine.outranked |= heartbeat.machine == *id;
                     self.reads.wanted = true;
@@ -205,8 +205,8 @@
                     self.want_push(id);
                 }
             }
-            OrdersOutcome::Failed(Failure::NotDone) => machine.message_failed(now),
-            OrdersOutcome::Failed(Failure::Unknown) => {
+            DirectCommandsOutcome::Failed(Failure::NotDone) => machine.message_failed(now),
+            DirectCommandsOutcome::Failed(Failure::Unknown) => {
                 machine.message_failed(now);
                 machine.unacknowledged = machine.unacknowledged.max(Some(machine.direct_token));
             }
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/failure_detector.rs
@@ -4,7 +4,7 @@
 use super::audit::AbsenceProof;
 use super::machines::Machine;
 use super::usage::Phase;
-use crate::protocol::worker::DirectOrders;
+use crate::protocol::worker::DirectCommands;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -118,7 +118,7 @@
             let Some(addr) = machine.addr else { continue };
             machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
             let incarnation = machine.incarnation.max(1);
-            self.send_direct(id, addr, DirectOrders { fencing_token, incarnation, orders: Vec::new() });
+            self.send_direct(id, addr, DirectCommands { fencing_token, incarnation, commands: Vec::new() });
         }
     }
 
@@ -178,7 +178,11 @@
             return;
         }
         machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
-        self.send_direct(id, addr, DirectOrders { fencing_token: FencingToken(0), incarnation: 0, orders: Vec::new() });
+        self.send_direct(
+            id,
+            addr,
+            DirectCommands { fencing_token: FencingToken(0), incarnation: 0, commands: Vec::new() },
+        );
     }
 
     /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The fencing token 0 moves
@@ -199,7 +203,7 @@
                 self.send_direct(
                     &id,
                     addr,
-                    DirectOrders { fencing_token: FencingToken(0), incarnation: 0, orders: Vec::new() },
+                    DirectCommands { fencing_token: FencingToken(0), incarnation: 0, commands: Vec::new() },
                 );
             }
         }
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/lease_renewal.rs
@@ -10,9 +10,9 @@
 //!   gone, the lease is not renewed beyond the time in which it would run out before the cancellation is due. Its end
 //!   makes the command void. Under a later fencing token the answer does so by itself.
 
-use super::orders::ORDERS_MAX;
+use super::agent_commands::MAX_COMMANDS_PER_MESSAGE;
 use super::{Controller, WorkerAnswer};
-use crate::protocol::worker::{Heartbeat, Order, Orders, TaskState};
+use crate::protocol::worker::{AgentCommand, Heartbeat, HeartbeatResponse, TaskState};
 use crate::storage::schema::Outcome;
 use crate::types::{FencingToken, MachineId, TaskId};
 
@@ -28,18 +28,18 @@
         machine.answered = now;
         // Before the worker has shown our fencing token its heartbeat proves nothing; the answer's fencing token makes it report again.
         let reliable = machine.token_confirmed && machine.incarnation == heartbeat.incarnation;
-        let mut orders = if reliable { self.orders_for(id, Some(heartbeat.seq)) } else { Vec::new() };
-        let complete = reliable && orders.len() < ORDERS_MAX;
+        let mut commands = if reliable { self.commands_for(id, Some(heartbeat.seq)) } else { Vec::new() };
+        let complete = reliable && commands.len() < MAX_COMMANDS_PER_MESSAGE;
         for stop in self.stops_of_cancelled(heartbeat) {
-            if !orders.contains(&stop) {
-                orders.push(stop);
+            if !commands.contains(&stop) {
+                commands.push(stop);
                 self.audit.added_stops += 1;
             }
         }
         if complete && let Some(machine) = self.machines.get_mut(id) {
             machine.push = false;
         }
-        WorkerAnswer::Orders(Orders { fencing_token, orders })
+        WorkerAnswer::Response(HeartbeatResponse { fencing_token, commands })
     }
 
     /// Whether a lapse of the lease is what makes a late start of a cancelled task void.
@@ -57,11 +57,11 @@
     }
 
     /// Stops for all that the worker says it has of cancelled jobs.
-    fn stops_of_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Order> {
+    fn stops_of_cancelled(&self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
         let is_cancelled = |task: &TaskId| self.outcome(&task.job) == Some(Outcome::Cancelled);
         let reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited);
         let cancelled = reported.filter(|reported| TaskId::parse(&reported.task).is_some_and(|t| is_cancelled(&t)));
-        let stop = |task: &str, attempt| Order::Stop { task: task.to_string(), attempt, grace_s: 0.0 };
+        let stop = |task: &str, attempt| AgentCommand::Stop { task: task.to_string(), attempt, grace_s: 0.0 };
         cancelled.map(|reported| stop(&reported.task, reported.attempt)).collect()
     }
 }
--- a/src/coordination/machines.rs
+++ b/src/coordination/machines.rs
@@ -216,7 +216,7 @@
         self.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
 
-    /// The fencing token for orders to a machine of a shard we hold.
+    /// The fencing token for commands to a machine of a shard we hold.
     pub(super) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
         let record = &self.replica.machines.get(id)?.value;
         let fencing_token = self.held(Role::Shard(record.shard))?;
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,10 +1,10 @@
-//! What reaches a controller's state machine and what it has carried out: commands in, effects out.
+//! What reaches a controller's state machine and what it has carried out: inputs in, effects out.
 
 use crate::protocol::cloud::{MachineList, MachineNames, MachineTypes, Rental};
 use crate::protocol::peer::{CancellationAck, Cancelled};
 use crate::protocol::store::{Changes, Page, Txn};
 use crate::protocol::user::{JobStatus, Submission};
-use crate::protocol::worker::{DirectOrders, Heartbeat, Orders};
+use crate::protocol::worker::{DirectCommands, Heartbeat, HeartbeatResponse};
 use crate::types::{JobId, MachineId, Micros};
 use std::net::SocketAddr;
 
@@ -92,7 +92,7 @@
 
 /// How a direct message to a worker ended.
 #[derive(Clone, Debug)]
-pub enum OrdersOutcome {
+pub enum DirectCommandsOutcome {
     /// Executed; the worker's heartbeat after it.
     Done(Heartbeat),
     /// Nothing executed, but this is how the worker stands.
@@ -136,7 +136,7 @@
 
 /// What reaches the controller.
 #[derive(Debug)]
-pub enum Command {
+pub enum Input {
     /// A user's request.
     User(Waiter, UserRequest),
     /// `relayed`: it came through a sibling, as the worker could not reach us itself.
@@ -177,11 +177,11 @@
         outcome: LeaseOutcome,
     },
     /// A direct message has ended.
-    Orders {
+    DirectCommands {
         /// To which machine it went.
         machine: MachineId,
         /// How it ended.
-        outcome: OrdersOutcome,
+        outcome: DirectCommandsOutcome,
     },
     /// A call to the cloud has ended.
     Cloud {
@@ -203,14 +203,14 @@
     Tick,
 }
 
-impl Command {
+impl Input {
     /// An answer of the store that shows that it serves us.
     pub(super) fn is_store_answer(&self) -> bool {
         match self {
-            Command::Txn { outcome, .. } => !matches!(outcome, TxnOutcome::Failed(_)),
-            Command::Changes { outcome, .. } => !matches!(outcome, ReadOutcome::Failed),
-            Command::Page { outcome, .. } => !matches!(outcome, ReadOutcome::Failed),
-            Command::Lease { outcome, .. } => !matches!(outcome, LeaseOutcome::Failed),
+            Input::Txn { outcome, .. } => !matches!(outcome, TxnOutcome::Failed(_)),
+            Input::Changes { outcome, .. } => !matches!(outcome, ReadOutcome::Failed),
+            Input::Page { outcome, .. } => !matches!(outcome, ReadOutcome::Failed),
+            Input::Lease { outcome, .. } => !matches!(outcome, LeaseOutcome::Failed),
             _ => false,
         }
     }
@@ -240,7 +240,7 @@
 #[derive(Clone, Debug)]
 pub enum WorkerAnswer {
     /// The heartbeat counts, and this is to be done.
-    Orders(Orders),
+    Response(HeartbeatResponse),
     /// To report to that controller, or to any other.
     Redirect(Option<String>),
     /// Not now.
@@ -303,13 +303,13 @@
     /// A call to the store.
     Store(StoreCall),
     /// A direct message to a worker.
-    Orders {
+    DirectCommands {
         /// Which machine.
         machine: MachineId,
         /// Where its worker listens.
         addr: SocketAddr,
         /// What it is told.
-        orders: DirectOrders,
+        commands: DirectCommands,
     },
     /// A call to the cloud.
     Cloud {
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,9 +1,10 @@
 //! Who owns what and what runs where.
 //!
-//! Pure: commands and the time come in, effects go out. One [`Controller`] owns all state of a
-//! controller; the daemon feeds it a queue of commands in batches. Everything a decision rests on
+//! Pure: inputs and the time come in, effects go out. One [`Controller`] owns all state of a
+//! controller; the daemon feeds it a queue of inputs in batches. Everything a decision rests on
 //! is either in the store (see [`crate::storage`]) or was proven by a worker's heartbeat.
 
+mod agent_commands;
 mod audit;
 mod boots;
 pub mod budget;
@@ -25,7 +26,6 @@
 mod machines;
 mod messages;
 mod moves;
-mod orders;
 pub mod placement;
 mod preemption;
 mod reads;
@@ -46,7 +46,7 @@
 mod zones;
 
 pub use messages::{
-    Clock, CloudCall, CloudOutcome, Command, Effect, Failure, LeaseOutcome, OrdersOutcome, ReadKind, ReadOutcome,
+    Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, LeaseOutcome, ReadKind, ReadOutcome,
     StoreCall, TxnOutcome, UserAnswer, UserRequest, Waiter, WorkerAnswer,
 };
 
@@ -148,7 +148,7 @@
     next_nonce: u64,
 }
 
-/// Without any command for so long a process has stood still.
+/// Without any input for so long a process has stood still.
 const STANDSTILL: Micros = Micros::from_millis(1000);
 
 impl Controller {
@@ -234,28 +234,28 @@
         self.now().since(self.store_last_answered_at) < patience
     }
 
-    /// Takes in one command. What it leads to comes with the next [`Controller::round`].
-    pub fn handle(&mut self, clock: Clock, command: Command) {
+    /// Takes in one input. What it leads to comes with the next [`Controller::round`].
+    pub fn handle(&mut self, clock: Clock, input: Input) {
         let pause = clock.steady.since(self.clock.steady);
         self.clock = clock;
         if self.sync.done && pause >= STANDSTILL {
             self.stood_still(pause);
         }
-        if command.is_store_answer() {
+        if input.is_store_answer() {
             self.store_last_answered_at = clock.steady;
         }
-        match command {
-            Command::User(waiter, request) => self.user_request(waiter, request),
-            Command::Heartbeat { waiter, heartbeat, relayed } => self.heartbeat(waiter, heartbeat, relayed),
-            Command::Txn { ticket, outcome } => self.txn_outcome(ticket, outcome),
-            Command::Changes { ticket, outcome } => self.changes_outcome(ticket, outcome),
-            Command::Page { ticket, outcome } => self.page_outcome(ticket, outcome),
-            Command::Lease { ticket, outcome } => self.lease_outcome(ticket, outcome),
-            Command::Orders { machine, outcome } => self.orders_outcome(&machine, outcome),
-            Command::Cloud { call, outcome } => self.cloud_outcome(call, outcome),
-            Command::Peer(waiter, message) => self.cancellation_notified(waiter, &message),
-            Command::PeerAnswer { call, answer } => self.cancellation_acknowledged(call, answer),
-            Command::Tick => self.tick(),
+        match input {
+            Input::User(waiter, request) => self.user_request(waiter, request),
+            Input::Heartbeat { waiter, heartbeat, relayed } => self.heartbeat(waiter, heartbeat, relayed),
+            Input::Txn { ticket, outcome } => self.txn_outcome(ticket, outcome),
+            Input::Changes { ticket, outcome } => self.changes_outcome(ticket, outcome),
+            Input::Page { ticket, outcome } => self.page_outcome(ticket, outcome),
+            Input::Lease { ticket, outcome } => self.lease_outcome(ticket, outcome),
+            Input::DirectCommands { machine, outcome } => self.direct_commands_outcome(&machine, outcome),
+            Input::Cloud { call, outcome } => self.cloud_outcome(call, outcome),
+            Input::Peer(waiter, message) => self.cancellation_notified(waiter, &message),
+            Input::PeerAnswer { call, answer } => self.cancellation_acknowledged(call, answer),
+            Input::Tick => self.tick(),
         }
     }
 
@@ -291,7 +291,7 @@
         self.pass_wanted = true;
     }
 
-    /// To be called after each batch of commands: makes the decisions the batch allows.
+    /// To be called after each batch of inputs: makes the decisions the batch allows.
     /// `time_left` says whether the round's budget still lasts; what is not reached is
     /// looked at first in the next round.
     pub fn round(&mut self, clock: Clock, time_left: &mut dyn FnMut() -> bool) -> Vec<Effect> {
@@ -300,7 +300,7 @@
             self.answer_open_questions();
             self.place(time_left);
             self.spend();
-            self.push_orders();
+            self.send_pending_direct_commands();
             self.confirm_cancellations();
         }
         self.start_fresh_read();
--- a/src/coordination/rentals.rs
+++ b/src/coordination/rentals.rs
@@ -73,13 +73,13 @@
         // Those that may never come up leave room for others, but not without bound.
         let (all, late) = (self.leader.boots.len() as u64, self.overdue_boots().count() as u64);
         let room_left = most.saturating_sub(all - late.min(most));
-        let orders = self.offers_for(unmet, room_left);
-        self.send_rentals(orders);
+        let commands = self.offers_for(unmet, room_left);
+        self.send_rentals(commands);
     }
 
     /// What to rent for tasks that find no resources, and how many of each, up to so many machines.
     fn offers_for(&self, unmet: &[Unmet], mut room_left: u64) -> BTreeMap<Offer, u32> {
-        let mut orders: BTreeMap<Offer, u32> = BTreeMap::new();
+        let mut commands: BTreeMap<Offer, u32> = BTreeMap::new();
         // Counted once: a walk over all machines for each one to be rented took most of a second.
         let mut by_zone: BTreeMap<String, u64> = BTreeMap::new();
         for record in self.replica.machines.values() {
@@ -117,16 +117,16 @@
                     *ordered.entry(offer.1.clone()).or_default() += 1;
                     closed = self.zones_closed_to_rentals(&ordered);
                 }
-                *orders.entry(offer).or_default() += 1;
+                *commands.entry(offer).or_default() += 1;
                 room_left -= 1;
             }
         }
-        orders
+        commands
     }
 
-    fn send_rentals(&mut self, orders: BTreeMap<Offer, u32>) {
+    fn send_rentals(&mut self, commands: BTreeMap<Offer, u32>) {
         let fencing_token = self.held(Role::Leader).unwrap_or_default();
-        for (offer, count) in orders {
+        for (offer, count) in commands {
             self.leader.rental_requests += 1;
             // The fencing token is this process's alone, so the name never comes again.
             let request = format!("r-{}-{}", fencing_token.0, self.leader.rental_requests);
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -111,7 +111,7 @@
 /// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum AgentCommand {
     /// Starts a task.
     #[serde(rename = "launch")]
     Start {
@@ -149,17 +149,18 @@
 
 /// The answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct HeartbeatResponse {
     /// Right to give commands.
     #[serde(rename = "helm")]
     pub fencing_token: FencingToken,
     /// In this order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<AgentCommand>,
 }
 
 /// Commands straight to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct DirectOrders {
+pub struct DirectCommands {
     /// Right to give commands.
     #[serde(rename = "helm")]
     pub fencing_token: FencingToken,
@@ -167,7 +168,8 @@
     #[serde(rename = "watch")]
     pub incarnation: u64,
     /// In this order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<AgentCommand>,
 }
 
 /// Sends the worker to another controller.
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -160,7 +160,7 @@
     /// Shard that it belongs to.
     #[serde(rename = "s")]
     pub shard: u32,
-    /// Orders to this machine carry this or the shard's fencing token, whichever is higher.
+    /// Commands to this machine carry this or the shard's fencing token, whichever is higher.
     #[serde(rename = "t")]
     pub fencing_token: FencingToken,
     /// Its type, as the cloud names it.
--- a/src/transport/calls.rs
+++ b/src/transport/calls.rs
@@ -3,10 +3,10 @@
 use super::client::{Answer, Client};
 use super::limits::{Class, Limiter};
 use crate::coordination::{
-    CloudCall, CloudOutcome, Command, Failure, LeaseOutcome, OrdersOutcome, ReadKind, ReadOutcome, StoreCall,
+    CloudCall, CloudOutcome, DirectCommandsOutcome, Failure, Input, LeaseOutcome, ReadKind, ReadOutcome, StoreCall,
     TxnOutcome,
 };
-use crate::protocol::worker::{DirectOrders, Heartbeat};
+use crate::protocol::worker::{DirectCommands, Heartbeat};
 use crate::protocol::{cloud, decode, encode, store};
 use crate::settings::{Platform, Policy};
 use crate::types::MachineId;
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const ORDERS_LIMIT: Duration = Duration::from_millis(2500);
+const DIRECT_COMMANDS_TIMEOUT: Duration = Duration::from_millis(2500);
 const CLOUD_LIMIT: Duration = Duration::from_millis(5000);
 
 /// Where calls go, and how fast.
@@ -69,12 +69,12 @@
     }
 
     /// Calls the store; what the controller hears of it.
-    pub async fn store(&self, call: StoreCall) -> Command {
+    pub async fn store(&self, call: StoreCall) -> Input {
         match call {
             StoreCall::Txn { ticket, txn, urgent } => {
                 // Records can wait a moment for the next free write, users can't.
                 let class = if urgent { Class::Renewal } else { Class::Transaction };
-                Command::Txn { ticket, outcome: self.txn(&txn, class).await }
+                Input::Txn { ticket, outcome: self.txn(&txn, class).await }
             }
             StoreCall::Changes { ticket, kind, after, wait_ms } => {
                 let path = store::changes_path(self.prefix, after, wait_ms);
@@ -83,13 +83,13 @@
                     ReadKind::Fresh => self.store_timeout,
                 };
                 let answer = self.store_call(Class::Read, Method::GET, &path, Vec::new(), limit).await;
-                Command::Changes { ticket, outcome: read_outcome(answer) }
+                Input::Changes { ticket, outcome: read_outcome(answer) }
             }
             StoreCall::Page { ticket, after } => {
                 let path = store::page_path(self.prefix, after.as_deref());
                 let limit = self.store_timeout * 2;
                 let answer = self.store_call(Class::Read, Method::GET, &path, Vec::new(), limit).await;
-                Command::Page { ticket, outcome: read_outcome(answer) }
+                Input::Page { ticket, outcome: read_outcome(answer) }
             }
             StoreCall::GrantLease { ticket, ttl_ms } => {
                 let body = encode(&store::GrantLease { ttl_ms });
@@ -101,7 +101,7 @@
                     }
                     _ => LeaseOutcome::Failed,
                 };
-                Command::Lease { ticket, outcome }
+                Input::Lease { ticket, outcome }
             }
             StoreCall::KeepAlive { ticket, lease } => {
                 let path = store::keep_alive_path(lease);
@@ -113,7 +113,7 @@
                     Ok(a) if a.status == 404 => LeaseOutcome::Gone,
                     _ => LeaseOutcome::Failed,
                 };
-                Command::Lease { ticket, outcome }
+                Input::Lease { ticket, outcome }
             }
         }
     }
@@ -144,28 +144,28 @@
     }
 
     /// Sends a direct message to a worker; what the controller hears of it.
-    pub async fn orders(&self, machine: MachineId, addr: SocketAddr, orders: DirectOrders) -> Command {
-        let empty = orders.orders.is_empty();
-        let limit = if empty { self.probe_limit } else { ORDERS_LIMIT };
-        let answer = self.client.call(addr, Method::POST, "/orders", encode(&orders), limit).await;
+    pub async fn commands(&self, machine: MachineId, addr: SocketAddr, commands: DirectCommands) -> Input {
+        let empty = commands.commands.is_empty();
+        let limit = if empty { self.probe_limit } else { DIRECT_COMMANDS_TIMEOUT };
+        let answer = self.client.call(addr, Method::POST, "/orders", encode(&commands), limit).await;
         let outcome = match answer {
             Ok(a) if a.status == 200 || a.status == 409 => match read::<Heartbeat>(&a) {
-                Some(heartbeat) if a.status == 200 => OrdersOutcome::Done(heartbeat),
-                Some(heartbeat) => OrdersOutcome::Rejected(heartbeat),
-                None => OrdersOutcome::Failed(Failure::Unknown),
+                Some(heartbeat) if a.status == 200 => DirectCommandsOutcome::Done(heartbeat),
+                Some(heartbeat) => DirectCommandsOutcome::Rejected(heartbeat),
+                None => DirectCommandsOutcome::Failed(Failure::Unknown),
             },
-            Ok(_) => OrdersOutcome::Failed(Failure::Unknown),
+            Ok(_) => DirectCommandsOutcome::Failed(Failure::Unknown),
             // Without commands nothing can be carried out late.
-            Err(_) if empty => OrdersOutcome::Failed(Failure::NotDone),
-            Err(failure) => OrdersOutcome::Failed(failure),
+            Err(_) if empty => DirectCommandsOutcome::Failed(Failure::NotDone),
+            Err(failure) => DirectCommandsOutcome::Failed(failure),
         };
-        Command::Orders { machine, outcome }
+        Input::DirectCommands { machine, outcome }
     }
 
     /// Calls the cloud; what the controller hears of it.
-    pub async fn cloud(&self, call: u64, request: CloudCall) -> Command {
+    pub async fn cloud(&self, call: u64, request: CloudCall) -> Input {
         let outcome = self.cloud_outcome(request).await;
-        Command::Cloud { call, outcome }
+        Input::Cloud { call, outcome }
     }
 
     async fn cloud_outcome(&self, request: CloudCall) -> CloudOutcome {
@@ -212,9 +212,9 @@
 }
 
 /// Runs `call` beside everything else and hands its outcome to `done`.
-pub fn spawn<F>(call: F, done: Arc<dyn Fn(Command) + Send + std::marker::Sync>)
+pub fn spawn<F>(call: F, done: Arc<dyn Fn(Input) + Send + std::marker::Sync>)
 where
-    F: Future<Output = Command> + Send + 'static,
+    F: Future<Output = Input> + Send + 'static,
 {
     tokio::spawn(async move { done(call.await) });
 }
--- a/src/transport/daemon.rs
+++ b/src/transport/daemon.rs
@@ -4,7 +4,7 @@
 use super::client::Client;
 use super::server::{Gate, PeerAsk, UserAsk, WorkerAsk, serve};
 use super::siblings::{NodeStatus, RedirectedWorkers, look_at_siblings, notify_sibling};
-use crate::coordination::{Clock, Command, Controller, Effect, UserAnswer, Waiter, WorkerAnswer};
+use crate::coordination::{Clock, Controller, Effect, Input, UserAnswer, Waiter, WorkerAnswer};
 use crate::protocol::peer::CancellationAck;
 use crate::settings::{Platform, Policy};
 use crate::types::Micros;
@@ -46,7 +46,7 @@
     let (users, from_users) = mpsc::channel::<UserAsk>(USER_ASKS);
     let (workers, from_workers) = mpsc::channel::<WorkerAsk>(WORKER_ASKS);
     let (peers, from_peers) = mpsc::channel::<PeerAsk>(PEER_ASKS);
-    let (outcomes, done) = mpsc::unbounded_channel::<Command>();
+    let (outcomes, done) = mpsc::unbounded_channel::<Input>();
     let gate = Arc::new(Gate {
         redirected: RedirectedWorkers::default(),
         users,
@@ -66,8 +66,8 @@
     tokio::spawn(serve(back, gate.clone(), siblings, true));
     tokio::spawn(look_at_siblings(gate.clone()));
 
-    let deliver: Arc<dyn Fn(Command) + Send + Sync> = Arc::new(move |command| {
-        let _ = outcomes.send(command);
+    let deliver: Arc<dyn Fn(Input) + Send + Sync> = Arc::new(move |input| {
+        let _ = outcomes.send(input);
     });
     let began = Instant::now();
     let clock = || Clock {
@@ -102,7 +102,7 @@
 /// What waits for the controller.
 struct Queues {
     /// Answers to calls, which come first: much waits for them.
-    done: mpsc::UnboundedReceiver<Command>,
+    done: mpsc::UnboundedReceiver<Input>,
     peers: mpsc::Receiver<PeerAsk>,
     users: mpsc::Receiver<UserAsk>,
     workers: mpsc::Receiver<WorkerAsk>,
@@ -114,19 +114,19 @@
     async fn wait(&mut self, controller: &mut Controller, waiters: &mut Waiters, clock: &impl Fn() -> Clock) {
         tokio::select! {
             biased;
-            Some(command) = self.done.recv() => controller.handle(clock(), command),
+            Some(input) = self.done.recv() => controller.handle(clock(), input),
             Some(ask) = self.peers.recv() => waiters.peer(controller, clock(), ask),
             Some(ask) = self.users.recv() => waiters.user(controller, clock(), ask),
             Some(ask) = self.workers.recv() => waiters.worker(controller, clock(), ask),
-            _ = self.tick.tick() => controller.handle(clock(), Command::Tick),
+            _ = self.tick.tick() => controller.handle(clock(), Input::Tick),
         }
     }
 
     /// Feeds what has come meanwhile, up to a batch.
     fn take_batch(&mut self, controller: &mut Controller, waiters: &mut Waiters, clock: &impl Fn() -> Clock) {
         for _ in 0..BATCH {
-            if let Ok(command) = self.done.try_recv() {
-                controller.handle(clock(), command);
+            if let Ok(input) = self.done.try_recv() {
+                controller.handle(clock(), input);
                 continue;
             }
             if let Ok(ask) = self.peers.try_recv() {
@@ -147,27 +147,27 @@
     fn user(&mut self, controller: &mut Controller, clock: Clock, ask: UserAsk) {
         self.next += 1;
         self.users.insert(self.next, ask.back);
-        controller.handle(clock, Command::User(self.next, ask.request));
+        controller.handle(clock, Input::User(self.next, ask.request));
     }
 
     fn peer(&mut self, controller: &mut Controller, clock: Clock, ask: PeerAsk) {
         self.next += 1;
         self.peers.insert(self.next, ask.back);
-        controller.handle(clock, Command::Peer(self.next, ask.message));
+        controller.handle(clock, Input::Peer(self.next, ask.message));
     }
 
     fn worker(&mut self, controller: &mut Controller, clock: Clock, ask: WorkerAsk) {
         let WorkerAsk { heartbeat, relayed, back } = ask;
         self.next += 1;
         self.workers.insert(self.next, back);
-        controller.handle(clock, Command::Heartbeat { waiter: self.next, heartbeat, relayed });
+        controller.handle(clock, Input::Heartbeat { waiter: self.next, heartbeat, relayed });
     }
 }
 
 fn carry_out(
     effect: Effect,
     services: &Arc<Services>,
-    deliver: &Arc<dyn Fn(Command) + Send + Sync>,
+    deliver: &Arc<dyn Fn(Input) + Send + Sync>,
     waiters: &mut Waiters,
     gate: &Arc<Gate>,
 ) {
@@ -192,13 +192,13 @@
         Effect::Peer { call, to, message } => {
             let gate = gate.clone();
             spawn(
-                async move { Command::PeerAnswer { call, answer: notify_sibling(&gate, &to, &message).await } },
+                async move { Input::PeerAnswer { call, answer: notify_sibling(&gate, &to, &message).await } },
                 deliver.clone(),
             );
         }
         Effect::Store(call) => spawn(async move { services.store(call).await }, deliver.clone()),
-        Effect::Orders { machine, addr, orders } => {
-            spawn(async move { services.orders(machine, addr, orders).await }, deliver.clone());
+        Effect::DirectCommands { machine, addr, commands } => {
+            spawn(async move { services.commands(machine, addr, commands).await }, deliver.clone());
         }
         Effect::Cloud { call, request } => {
             spawn(async move { services.cloud(call, request).await }, deliver.clone());
--- a/src/transport/server.rs
+++ b/src/transport/server.rs
@@ -7,7 +7,7 @@
 use crate::coordination::{UserAnswer, UserRequest, WorkerAnswer};
 use crate::protocol::peer::{CANCELLED_PATH, CancellationAck, Cancelled};
 use crate::protocol::user::{self, JobState, JobStatus, Refusal};
-use crate::protocol::worker::{Heartbeat, Orders, Redirect};
+use crate::protocol::worker::{Heartbeat, HeartbeatResponse, Redirect};
 use crate::protocol::{BODY_LIMIT, decode, encode};
 use crate::types::{FencingToken, JobId};
 use bytes::Bytes;
@@ -312,9 +312,9 @@
         return Plain::unavailable(1);
     }
     match timeout(ANSWER_LIMIT, answer).await {
-        Ok(Ok(WorkerAnswer::Orders(Orders { fencing_token, orders }))) => {
+        Ok(Ok(WorkerAnswer::Response(HeartbeatResponse { fencing_token, commands }))) => {
             debug_assert!(fencing_token > FencingToken(0));
-            Plain::new(200, encode(&Orders { fencing_token, orders }))
+            Plain::new(200, encode(&HeartbeatResponse { fencing_token, commands }))
         }
         Ok(Ok(WorkerAnswer::Redirect(controller))) => {
             if relay
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,7 +1,7 @@
 //! One controller's state machine, driven by hand: its calls to the store wait until the test answers them.
 
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, Command, Controller, Effect, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome,
+    Clock, CloudCall, CloudOutcome, Controller, Effect, Input, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome,
     UserAnswer, UserRequest, Waiter,
 };
 use burlhatch::protocol::cloud::{MachineType, MachineTypes};
@@ -60,7 +60,7 @@
         let controller = Controller::new(Arc::new(platform), Arc::new(Policy::default()), 7);
         let mut controller =
             ControllerHarness { controller, now: 1_000_000, calls: Vec::new(), answers: Vec::new(), waiters: 0 };
-        controller.feed(Command::Tick);
+        controller.feed(Input::Tick);
         controller
     }
 
@@ -78,22 +78,22 @@
         if let Some(StoreCall::GrantLease { ticket, .. }) =
             self.take(|call| matches!(call, StoreCall::GrantLease { .. }))
         {
-            self.feed(Command::Lease { ticket, outcome: LeaseOutcome::New(1) });
+            self.feed(Input::Lease { ticket, outcome: LeaseOutcome::New(1) });
         }
         self.pass(1000);
     }
 
-    pub fn feed(&mut self, command: Command) {
+    pub fn feed(&mut self, input: Input) {
         self.now += 10;
         let clock = Clock { steady: Micros(self.now), wall: Micros(1_700_000_000_000_000 + self.now) };
-        self.controller.handle(clock, command);
+        self.controller.handle(clock, input);
         for effect in self.controller.round(clock, &mut || true) {
             match effect {
                 Effect::Store(call) => self.calls.push(call),
                 Effect::AnswerUser(waiter, answer) => self.answers.push((waiter, answer)),
                 Effect::Cloud { call, request: CloudCall::Types } => {
                     let outcome = CloudOutcome::Types(MachineTypes { types: vec![machine_type()] });
-                    self.feed(Command::Cloud { call, outcome });
+                    self.feed(Input::Cloud { call, outcome });
                 }
                 _ => {}
             }
@@ -104,14 +104,14 @@
     pub fn pass(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             self.now += 100_000;
-            self.feed(Command::Tick);
+            self.feed(Input::Tick);
         }
     }
 
     pub fn ask(&mut self, request: UserRequest) -> Waiter {
         self.waiters += 1;
         let waiter = self.waiters;
-        self.feed(Command::User(waiter, request));
+        self.feed(Input::User(waiter, request));
         waiter
     }
 
@@ -155,20 +155,20 @@
     }
 
     pub fn commit(&mut self, ticket: u64, revision: u64) {
-        self.feed(Command::Txn { ticket, outcome: TxnOutcome::Committed(revision) });
+        self.feed(Input::Txn { ticket, outcome: TxnOutcome::Committed(revision) });
     }
 
     pub fn answer_page(&mut self, items: Vec<Item>, more: bool) {
         let Some(StoreCall::Page { ticket, .. }) = self.take(|call| matches!(call, StoreCall::Page { .. })) else {
             panic!("no page was asked for");
         };
-        self.feed(Command::Page { ticket, outcome: ReadOutcome::Got(Page { items, more, revision: FIRST }) });
+        self.feed(Input::Page { ticket, outcome: ReadOutcome::Got(Page { items, more, revision: FIRST }) });
     }
 
     /// Answers the first read of changes that `wanted` says: whether it is a fresh one.
     pub fn answer_changes(&mut self, wanted: impl Fn(bool) -> bool, revision: u64, events: Vec<Event>) {
         let ticket = self.take_changes(wanted);
-        self.feed(Command::Changes { ticket, outcome: ReadOutcome::Got(Changes { revision, events }) });
+        self.feed(Input::Changes { ticket, outcome: ReadOutcome::Got(Changes { revision, events }) });
     }
 
     pub fn take_changes(&mut self, wanted: impl Fn(bool) -> bool) -> u64 {
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -6,7 +6,7 @@
 //! job, and answers what the model derives from the records at the revision that its read was answered with.
 
 use super::controller::{ControllerHarness, batch, id, spec};
-use burlhatch::coordination::{Command, ReadOutcome, StoreCall, UserAnswer, UserRequest, Waiter};
+use burlhatch::coordination::{Input, ReadOutcome, StoreCall, UserAnswer, UserRequest, Waiter};
 use burlhatch::protocol::peer::{Cancelled, CancelledJob};
 use burlhatch::protocol::store::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
@@ -188,7 +188,7 @@
             match call {
                 StoreCall::Changes { ticket, after, wait_ms, .. } if wait_ms == 0 || watches => {
                     let outcome = self.history.changes(after);
-                    self.controller.feed(Command::Changes { ticket, outcome });
+                    self.controller.feed(Input::Changes { ticket, outcome });
                 }
                 // Roles and machines are no matter here.
                 StoreCall::Txn { .. } | StoreCall::GrantLease { .. } | StoreCall::KeepAlive { .. } => {}
@@ -200,7 +200,7 @@
     /// Reads everything again: pages of different times, with steps in between.
     fn start_over(&mut self, page_items: usize, between: &mut impl Iterator<Item = Step>) {
         let watch = self.controller.take_changes(|fresh| !fresh);
-        self.controller.feed(Command::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
+        self.controller.feed(Input::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
         loop {
             self.controller.pass(100);
             let Some(StoreCall::Page { ticket, after }) =
@@ -215,7 +215,7 @@
             let more = items.len() > page_items;
             items.truncate(page_items);
             let page = Page { items, more, revision: self.history.revision };
-            self.controller.feed(Command::Page { ticket, outcome: ReadOutcome::Got(page) });
+            self.controller.feed(Input::Page { ticket, outcome: ReadOutcome::Got(page) });
             if let Some(step) = between.next() {
                 self.history.apply(&step);
             }
@@ -238,7 +238,7 @@
         self.siblings += 1;
         let jobs = vec![told[nth % told.len()].clone()];
         let message = Cancelled { shard: 0, fencing_token: 1, jobs };
-        self.controller.feed(Command::Peer(SIBLING + self.siblings, message));
+        self.controller.feed(Input::Peer(SIBLING + self.siblings, message));
     }
 
     /// Asks about all jobs, and about one that nobody submitted.
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -6,7 +6,7 @@
 mod controller;
 mod histories;
 
-use burlhatch::coordination::{Command, ReadOutcome, UserAnswer, UserRequest};
+use burlhatch::coordination::{Input, ReadOutcome, UserAnswer, UserRequest};
 use burlhatch::protocol::store::{Changes, Event};
 use burlhatch::protocol::user::{JobSpec, JobState};
 use burlhatch::storage::schema::{BatchMember, JobRecord, Key, to_value};
@@ -99,7 +99,7 @@
     controller.ask(UserRequest::Get(id(1)));
     let early = controller.take_changes(|fresh| fresh);
     let watch = controller.take_changes(|fresh| !fresh);
-    controller.feed(Command::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
+    controller.feed(Input::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
     controller.pass(100);
     controller.answer_page(vec![item(Key::Batch("1".into()), known, 5)], false);
     controller.answer_changes(|_| true, FIRST, Vec::new());
@@ -107,7 +107,7 @@
     // Elsewhere the job is cancelled at 12 and its user told so.
     let question = controller.ask(UserRequest::Get(id(1)));
     controller.pass(300);
-    controller.feed(Command::Changes {
+    controller.feed(Input::Changes {
         ticket: early,
         outcome: ReadOutcome::Got(Changes { revision: 11, events: Vec::new() }),
     });
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -2,7 +2,7 @@
 
 use burlhatch::coordination::Failure;
 use burlhatch::protocol::store::{Txn, Write};
-use burlhatch::protocol::worker::{DirectOrders, Order, Orders};
+use burlhatch::protocol::worker::{AgentCommand, DirectCommands, HeartbeatResponse};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::transport::client::{Answer, Client};
@@ -139,12 +139,12 @@
             "watch": 1, "tally": self.seq, "helm": self.fencing_token, "warning_s": null, "pieces": pieces})
     }
 
-    fn obey(&mut self, orders: Vec<Order>) {
-        for order in orders {
+    fn obey(&mut self, commands: Vec<AgentCommand>) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => drop(self.exited.insert(task, attempt)),
-                Order::Forget { task, .. } => drop(self.exited.remove(&task)),
-                Order::Stop { .. } => {}
+                AgentCommand::Start { task, attempt } => drop(self.exited.insert(task, attempt)),
+                AgentCommand::Forget { task, .. } => drop(self.exited.remove(&task)),
+                AgentCommand::Stop { .. } => {}
             }
         }
     }
@@ -154,34 +154,34 @@
     let state = Arc::new(Mutex::new(Worker::default()));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("its address");
-    tokio::spawn(worker_orders(listener, state.clone(), addr));
+    tokio::spawn(worker_commands(listener, state.clone(), addr));
     loop {
         let heartbeat = state.lock().expect("no panic").heartbeat(addr);
         let answer = call(&client, controller, Method::POST, "/checkin", &heartbeat).await;
         if let Ok(Answer { status: 200, body, .. }) = answer {
-            let orders: Orders = decode(&body).expect("orders");
+            let commands: HeartbeatResponse = decode(&body).expect("orders");
             let mut state = state.lock().expect("no panic");
-            state.fencing_token = orders.fencing_token.0;
-            state.obey(orders.orders);
+            state.fencing_token = commands.fencing_token.0;
+            state.obey(commands.commands);
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 /// The worker's own address: commands straight from a controller.
-async fn worker_orders(listener: TcpListener, state: Arc<Mutex<Worker>>, addr: SocketAddr) {
+async fn worker_commands(listener: TcpListener, state: Arc<Mutex<Worker>>, addr: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
         let state = state.clone();
         let service = service_fn(move |request: Request<Incoming>| {
             let state = state.clone();
             async move {
                 let body = request.into_body().collect().await.expect("a body").to_bytes();
-                let orders: DirectOrders = decode(&body).expect("orders");
+                let commands: DirectCommands = decode(&body).expect("orders");
                 let mut state = state.lock().expect("no panic");
-                let fits = orders.fencing_token.0 >= state.fencing_token && orders.incarnation == 1;
+                let fits = commands.fencing_token.0 >= state.fencing_token && commands.incarnation == 1;
                 if fits {
-                    state.fencing_token = orders.fencing_token.0;
-                    state.obey(orders.orders);
+                    state.fencing_token = commands.fencing_token.0;
+                    state.obey(commands.commands);
                 }
                 let body = Full::new(Bytes::from(encode(&state.heartbeat(addr))));
                 let status = if fits { 200 } else { 409 };
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -4,7 +4,7 @@
 use burlhatch::protocol::peer::{Relay, Relayed};
 use burlhatch::protocol::store::{Changes, Event, Page, Precondition, Txn, Write};
 use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
-use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, Orders, TaskState};
+use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::types::{FencingToken, JobId};
 use ciborium::Value;
@@ -135,13 +135,13 @@
 }
 
 #[test]
-fn orders_look_as_the_page_shows() {
-    let orders = vec![
-        Order::Start { task: "wk-000412/4".into(), attempt: 2 },
-        Order::Stop { task: "wk-000377/1".into(), attempt: 1, grace_s: 10.0 },
-        Order::Forget { task: "wk-000398/0".into(), attempt: 1 },
+fn commands_look_as_the_page_shows() {
+    let commands = vec![
+        AgentCommand::Start { task: "wk-000412/4".into(), attempt: 2 },
+        AgentCommand::Stop { task: "wk-000377/1".into(), attempt: 1, grace_s: 10.0 },
+        AgentCommand::Forget { task: "wk-000398/0".into(), attempt: 1 },
     ];
-    let answer = Orders { fencing_token: FencingToken(41), orders: orders.clone() };
+    let answer = HeartbeatResponse { fencing_token: FencingToken(41), commands: commands.clone() };
     assert_eq!(
         shown(&encode(&answer)),
         json!({"helm":41,"orders":[
@@ -149,9 +149,9 @@
             {"verb":"stop","piece":"wk-000377/1","try":1,"leeway_s":10.0},
             {"verb":"reap","piece":"wk-000398/0","try":1}]})
     );
-    let direct = DirectOrders { fencing_token: FencingToken(41), incarnation: 1, orders };
+    let direct = DirectCommands { fencing_token: FencingToken(41), incarnation: 1, commands };
     assert_eq!(shown(&encode(&direct))["watch"], json!(1));
-    assert_eq!(decode::<DirectOrders>(&encode(&direct)).expect("round trip"), direct);
+    assert_eq!(decode::<DirectCommands>(&encode(&direct)).expect("round trip"), direct);
 }
 
 #[test]
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -1,9 +1,9 @@
-//! Controllers: commands in, effects carried out.
+//! Controllers: inputs in, effects carried out.
 
 use super::network::Fate;
 use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
-    Clock, CloudOutcome, Command, Effect, Failure, OrdersOutcome, StoreCall, UserAnswer, UserRequest,
+    Clock, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, StoreCall, UserAnswer, UserRequest,
 };
 use burlhatch::types::{JobId, Micros};
 
@@ -16,18 +16,18 @@
         }
     }
 
-    pub(super) fn feed(&mut self, node: usize, command: Command) {
+    pub(super) fn feed(&mut self, node: usize, input: Input) {
         let clock = self.clock(node);
         let _at = tracing::debug_span!("at", ms = self.now / MS, node).entered();
         let frozen = self.now < self.nodes[node].frozen_until;
         let Some(controller) = self.nodes[node].controller.as_mut() else { return };
         if frozen {
-            if !matches!(command, Command::Tick) {
-                self.nodes[node].backlog.push(command);
+            if !matches!(input, Input::Tick) {
+                self.nodes[node].backlog.push(input);
             }
             return;
         }
-        controller.handle(clock, command);
+        controller.handle(clock, input);
         let mut looks = 50;
         let effects = controller.round(clock, &mut || {
             looks -= 1;
@@ -57,8 +57,8 @@
             }
             Effect::AnswerPeer(waiter, answer) => {
                 if let Some((to, life, call, number)) = self.nodes[node].peers.remove(&waiter) {
-                    let command = Command::PeerAnswer { call: number, answer: Some(answer) };
-                    self.reply(Place::Node(node), to, life, call, command);
+                    let input = Input::PeerAnswer { call: number, answer: Some(answer) };
+                    self.reply(Place::Node(node), to, life, call, input);
                 }
             }
             Effect::Peer { call: number, to, message } => {
@@ -68,7 +68,7 @@
                     Place::Node(to),
                     700 * MS,
                     |call| Event::Peer { node, life, call, to, number, message: message.clone() },
-                    |_| Command::PeerAnswer { call: number, answer: None },
+                    |_| Input::PeerAnswer { call: number, answer: None },
                 );
             }
             Effect::Store(request) => {
@@ -85,8 +85,8 @@
                     let late = 2 * S + self.pick(10 * S);
                     self.open_calls.insert(call, ());
                     self.at(late, Event::Store { node, life, call, request });
-                    let command = store::failed(&shape, Failure::Unknown);
-                    return self.at(limit, Event::Outcome { node, life, call, command });
+                    let input = store::failed(&shape, Failure::Unknown);
+                    return self.at(limit, Event::Outcome { node, life, call, input });
                 }
                 self.call(
                     node,
@@ -101,28 +101,34 @@
                 Place::Cloud,
                 5 * S,
                 |call| Event::Cloud { node, life, call, number, request: request.clone() },
-                |_| Command::Cloud { call: number, outcome: CloudOutcome::Failed },
+                |_| Input::Cloud { call: number, outcome: CloudOutcome::Failed },
             ),
-            Effect::Orders { machine, orders, .. } => {
+            Effect::DirectCommands { machine, commands, .. } => {
                 let id = machine.clone();
-                let empty = orders.orders.is_empty();
+                let empty = commands.commands.is_empty();
                 if let Some(late) = self.command_delay() {
                     self.next_call += 1;
                     let call = self.next_call;
                     self.open_calls.insert(call, ());
-                    self.at(late, Event::Orders { node, life, call, machine, orders });
+                    self.at(late, Event::DirectCommands { node, life, call, machine, commands });
                     let failure = if empty { Failure::NotDone } else { Failure::Unknown };
-                    let command = Command::Orders { machine: id, outcome: OrdersOutcome::Failed(failure) };
-                    return self.at(2500 * MS, Event::Outcome { node, life, call, command });
+                    let input = Input::DirectCommands { machine: id, outcome: DirectCommandsOutcome::Failed(failure) };
+                    return self.at(2500 * MS, Event::Outcome { node, life, call, input });
                 }
                 self.call(
                     node,
                     Place::Worker(machine.clone()),
                     2500 * MS,
-                    |call| Event::Orders { node, life, call, machine: machine.clone(), orders: orders.clone() },
+                    |call| Event::DirectCommands {
+                        node,
+                        life,
+                        call,
+                        machine: machine.clone(),
+                        commands: commands.clone(),
+                    },
                     |failure| {
                         let failure = if empty { Failure::NotDone } else { failure };
-                        Command::Orders { machine: id.clone(), outcome: OrdersOutcome::Failed(failure) }
+                        Input::DirectCommands { machine: id.clone(), outcome: DirectCommandsOutcome::Failed(failure) }
                     },
                 );
             }
@@ -133,7 +139,7 @@
     pub fn ask_at(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
-        controller.handle(clock, Command::User(u64::MAX, UserRequest::Get(id.clone())));
+        controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
         let effects = controller.round(clock, &mut || true);
         let mut answer = None;
         for effect in effects {
@@ -149,7 +155,7 @@
     pub fn ask_fresh(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
-        controller.handle(clock, Command::User(u64::MAX, UserRequest::Get(id.clone())));
+        controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
         self.overheard = None;
         for _ in 0..60 {
             self.run_for(50 * MS);
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -61,7 +61,9 @@
         Effect::AnswerPeer(waiter, answer) => ("peer answer", *waiter, String::new(), bitcode::encode(answer)),
         Effect::Peer { call, to, message } => ("peer", *call, to.clone(), bitcode::encode(message)),
         Effect::Store(call) => store_call(call),
-        Effect::Orders { machine, addr, orders } => ("direct", 0, format!("{machine} {addr}"), encode(orders)),
+        Effect::DirectCommands { machine, addr, commands } => {
+            ("direct", 0, format!("{machine} {addr}"), encode(commands))
+        }
         Effect::Cloud { call, request } => {
             let (path, body) = cloud_call(request);
             ("cloud", *call, path, body)
@@ -82,7 +84,7 @@
 
 fn worker_answer(answer: &WorkerAnswer) -> (String, Vec<u8>) {
     match answer {
-        WorkerAnswer::Orders(orders) => ("200".into(), encode(orders)),
+        WorkerAnswer::Response(commands) => ("200".into(), encode(commands)),
         WorkerAnswer::Redirect(to) => ("409".into(), encode(&Redirect { controller: to.clone() })),
         WorkerAnswer::Unavailable => ("503".into(), Vec::new()),
     }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -13,9 +13,9 @@
 mod users;
 mod worker;
 
-use burlhatch::coordination::{CloudCall, Command, Controller, StoreCall, UserAnswer, WorkerAnswer};
+use burlhatch::coordination::{CloudCall, Controller, Input, StoreCall, UserAnswer, WorkerAnswer};
 use burlhatch::protocol::peer::Cancelled;
-use burlhatch::protocol::worker::{DirectOrders, Heartbeat};
+use burlhatch::protocol::worker::{DirectCommands, Heartbeat};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::RecordVersion;
 use burlhatch::types::{JobId, MachineId};
@@ -113,19 +113,19 @@
         number: u64,
         request: CloudCall,
     },
-    Orders {
+    DirectCommands {
         node: usize,
         life: u64,
         call: u64,
         machine: MachineId,
-        orders: DirectOrders,
+        commands: DirectCommands,
     },
     /// An answer, or the moment the caller gives up, whichever comes first.
     Outcome {
         node: usize,
         life: u64,
         call: u64,
-        command: Command,
+        input: Input,
     },
     Peer {
         node: usize,
@@ -182,7 +182,7 @@
     /// It stands still until then while its clocks run on.
     frozen_until: u64,
     /// What reached it meanwhile.
-    backlog: Vec<Command>,
+    backlog: Vec<Input>,
 }
 
 pub struct World {
@@ -203,7 +203,7 @@
     pub violations: Vec<String>,
     pub started: u64,
     pub policy: Policy,
-    /// Late copies of direct orders and transactions, one in so many.
+    /// Late copies of direct commands and transactions, one in so many.
     copies: u32,
     /// Late copies of heartbeats, one in so many; 0 for none.
     pub heartbeat_copies: u32,
@@ -381,7 +381,7 @@
             }
             Event::Tick(i, life) => {
                 if self.nodes[i].life == life && self.nodes[i].controller.is_some() {
-                    self.feed(i, Command::Tick);
+                    self.feed(i, Input::Tick);
                     self.at(50 * MS, Event::Tick(i, life));
                 }
             }
@@ -389,16 +389,16 @@
                 if self.nodes[node].life == life && self.nodes[node].frozen_until <= self.now {
                     // Timers may fire before or after the sockets are read.
                     if self.chance(2) {
-                        self.feed(node, Command::Tick);
+                        self.feed(node, Input::Tick);
                     }
-                    for command in std::mem::take(&mut self.nodes[node].backlog) {
-                        self.feed(node, command);
+                    for input in std::mem::take(&mut self.nodes[node].backlog) {
+                        self.feed(node, input);
                     }
                 }
             }
-            Event::Outcome { node, life, call, command } => {
+            Event::Outcome { node, life, call, input } => {
                 if self.open_calls.remove(&call).is_some() && self.nodes[node].life == life {
-                    self.feed(node, command);
+                    self.feed(node, input);
                 }
             }
             Event::Store { node, life, call, request } => self.store_request(node, life, call, request),
@@ -409,7 +409,7 @@
                 self.nodes[to].next_waiter += 1;
                 let waiter = self.nodes[to].next_waiter;
                 self.nodes[to].peers.insert(waiter, (node, life, call, number));
-                self.feed(to, Command::Peer(waiter, message));
+                self.feed(to, Input::Peer(waiter, message));
             }
             Event::WatchEnds { call } => {
                 if let Some(watch) = self.store.watches.remove(&call) {
@@ -418,12 +418,12 @@
             }
             Event::Cloud { node, life, call, number, request } => {
                 let outcome = self.cloud_request(request);
-                let command = Command::Cloud { call: number, outcome };
-                self.reply(Place::Cloud, node, life, call, command);
+                let input = Input::Cloud { call: number, outcome };
+                self.reply(Place::Cloud, node, life, call, input);
             }
             Event::Boots { machine } => self.machine_up(machine),
-            Event::Orders { node, life, call, machine, orders } => {
-                self.worker_orders(node, life, call, machine, orders);
+            Event::DirectCommands { node, life, call, machine, commands } => {
+                self.worker_commands(node, life, call, machine, commands);
             }
             Event::Heartbeat { node, heartbeat, serial } => {
                 let machine = heartbeat.machine.clone();
@@ -434,7 +434,7 @@
                 self.nodes[node].next_waiter += 1;
                 let waiter = self.nodes[node].next_waiter;
                 self.nodes[node].workers.insert(waiter, (machine, serial));
-                self.feed(node, Command::Heartbeat { waiter, heartbeat, relayed: false });
+                self.feed(node, Input::Heartbeat { waiter, heartbeat, relayed: false });
             }
             Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
             Event::WorkerHeartbeat { machine, wake } => self.worker_heartbeat(machine, wake),
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,7 +1,7 @@
 //! The network: delays, cuts, packets held back, and copies that come late.
 
 use super::{Event, MS, S, STORE_TIMEOUT, World};
-use burlhatch::coordination::{Command, Failure};
+use burlhatch::coordination::{Failure, Input};
 use burlhatch::types::MachineId;
 use rand::Rng;
 use std::ops::Range;
@@ -61,14 +61,14 @@
         Fate::Arrives(delay)
     }
 
-    /// Sends a request; `timeout` is the command for the caller if no answer comes in time.
+    /// Sends a request; `timeout` is the input for the caller if no answer comes in time.
     pub(super) fn call(
         &mut self,
         node: usize,
         to: Place,
         limit: u64,
         event: impl Fn(u64) -> Event,
-        fail: impl Fn(Failure) -> Command,
+        fail: impl Fn(Failure) -> Input,
     ) {
         self.next_call += 1;
         let call = self.next_call;
@@ -77,7 +77,7 @@
         match self.fate(&Place::Node(node), &to) {
             Fate::Arrives(delay) => {
                 self.at(delay, event(call));
-                self.at(limit, Event::Outcome { node, life, call, command: fail(Failure::Unknown) });
+                self.at(limit, Event::Outcome { node, life, call, input: fail(Failure::Unknown) });
                 if self.copies > 0
                     && matches!(to, Place::Store | Place::Worker(_) | Place::Node(_))
                     && self.chance(self.copies)
@@ -88,10 +88,10 @@
             }
             Fate::Held(late) => {
                 self.at(late, event(call));
-                self.at(limit, Event::Outcome { node, life, call, command: fail(Failure::Unknown) });
+                self.at(limit, Event::Outcome { node, life, call, input: fail(Failure::Unknown) });
             }
             Fate::Refused => {
-                self.at(limit.min(S), Event::Outcome { node, life, call, command: fail(Failure::NotDone) });
+                self.at(limit.min(S), Event::Outcome { node, life, call, input: fail(Failure::NotDone) });
             }
         }
     }
@@ -102,15 +102,15 @@
         self.chance(late.one_in).then(|| self.rng.random_range(late.delays))
     }
 
-    pub(super) fn reply(&mut self, from: Place, node: usize, life: u64, call: u64, command: Command) {
-        self.reply_after(0, from, node, life, call, command);
+    pub(super) fn reply(&mut self, from: Place, node: usize, life: u64, call: u64, input: Input) {
+        self.reply_after(0, from, node, life, call, input);
     }
 
-    pub(super) fn reply_after(&mut self, lag: u64, from: Place, node: usize, life: u64, call: u64, command: Command) {
+    pub(super) fn reply_after(&mut self, lag: u64, from: Place, node: usize, life: u64, call: u64, input: Input) {
         if let Fate::Arrives(delay) = self.fate(&from, &Place::Node(node)) {
             let held = from == Place::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
             let late = if held { self.pick(STORE_TIMEOUT) } else { 0 };
-            self.at(delay + lag + late, Event::Outcome { node, life, call, command });
+            self.at(delay + lag + late, Event::Outcome { node, life, call, input });
         }
     }
 }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -1,7 +1,7 @@
 //! The store.
 
 use super::{Event as WorldEvent, MS, Place, World};
-use burlhatch::coordination::{Command, Failure, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome};
+use burlhatch::coordination::{Failure, Input, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome};
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use ciborium::Value;
 use std::collections::{BTreeMap, VecDeque};
@@ -78,13 +78,13 @@
 }
 
 /// What a caller hears that gets no answer.
-pub fn failed(request: &StoreCall, failure: Failure) -> Command {
+pub fn failed(request: &StoreCall, failure: Failure) -> Input {
     match request {
-        StoreCall::Txn { ticket, .. } => Command::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
-        StoreCall::Changes { ticket, .. } => Command::Changes { ticket: *ticket, outcome: ReadOutcome::Failed },
-        StoreCall::Page { ticket, .. } => Command::Page { ticket: *ticket, outcome: ReadOutcome::Failed },
+        StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
+        StoreCall::Changes { ticket, .. } => Input::Changes { ticket: *ticket, outcome: ReadOutcome::Failed },
+        StoreCall::Page { ticket, .. } => Input::Page { ticket: *ticket, outcome: ReadOutcome::Failed },
         StoreCall::GrantLease { ticket, .. } | StoreCall::KeepAlive { ticket, .. } => {
-            Command::Lease { ticket: *ticket, outcome: LeaseOutcome::Failed }
+            Input::Lease { ticket: *ticket, outcome: LeaseOutcome::Failed }
         }
     }
 }
@@ -241,22 +241,22 @@
         TxnOutcome::Committed(self.revision)
     }
 
-    pub fn answer(&mut self, now: u64, request: &StoreCall) -> Command {
+    pub fn answer(&mut self, now: u64, request: &StoreCall) -> Input {
         match request {
             StoreCall::Txn { ticket, txn, .. } => {
                 let outcome = if self.admits(now, txn.writes.len()) { self.txn(txn) } else { TxnOutcome::Limited };
-                Command::Txn { ticket: *ticket, outcome }
+                Input::Txn { ticket: *ticket, outcome }
             }
             StoreCall::Changes { ticket, after, .. } => {
-                Command::Changes { ticket: *ticket, outcome: self.changes(*after) }
+                Input::Changes { ticket: *ticket, outcome: self.changes(*after) }
             }
             StoreCall::Page { ticket, after } => {
-                Command::Page { ticket: *ticket, outcome: ReadOutcome::Got(self.page(after.as_ref())) }
+                Input::Page { ticket: *ticket, outcome: ReadOutcome::Got(self.page(after.as_ref())) }
             }
             StoreCall::GrantLease { ticket, ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + ttl_ms * 1000, ttl_ms * 1000));
-                Command::Lease { ticket: *ticket, outcome: LeaseOutcome::New(self.next_lease) }
+                Input::Lease { ticket: *ticket, outcome: LeaseOutcome::New(self.next_lease) }
             }
             StoreCall::KeepAlive { ticket, lease } => {
                 let outcome = match self.leases.get_mut(lease) {
@@ -266,7 +266,7 @@
                     }
                     None => LeaseOutcome::Gone,
                 };
-                Command::Lease { ticket: *ticket, outcome }
+                Input::Lease { ticket: *ticket, outcome }
             }
         }
     }
@@ -277,20 +277,20 @@
         let now = self.now;
         let refused = now < self.store.down_until || self.store.refused.get(&node).is_some_and(|t| *t > now);
         if refused {
-            let command = match &request {
+            let input = match &request {
                 StoreCall::Txn { ticket, .. } => {
-                    Command::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(Failure::NotDone) }
+                    Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(Failure::NotDone) }
                 }
                 other => failed(other, Failure::NotDone),
             };
-            return self.reply(Place::Store, node, life, call, command);
+            return self.reply(Place::Store, node, life, call, input);
         }
         if !self.store.admits_request(now) {
-            let command = match &request {
-                StoreCall::Txn { ticket, .. } => Command::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
+            let input = match &request {
+                StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
                 other => failed(other, Failure::NotDone),
             };
-            return self.reply(Place::Store, node, life, call, command);
+            return self.reply(Place::Store, node, life, call, input);
         }
         self.store.expire(now);
         if let StoreCall::Changes { ticket, after, wait_ms, .. } = &request
@@ -307,15 +307,15 @@
             // A copy that arrives after the limits were lowered, and that nobody waits for: it gets 400.
             return;
         }
-        let command = self.store.answer(now, &request);
-        if let (StoreCall::Txn { txn, .. }, Command::Txn { outcome: TxnOutcome::Committed(revision), .. }) =
-            (&request, &command)
+        let input = self.store.answer(now, &request);
+        if let (StoreCall::Txn { txn, .. }, Input::Txn { outcome: TxnOutcome::Committed(revision), .. }) =
+            (&request, &input)
         {
             for what in self.records.committed(txn, *revision) {
                 self.broken(what);
             }
         }
-        self.reply(Place::Store, node, life, call, command);
+        self.reply(Place::Store, node, life, call, input);
         self.wake_watches();
     }
 
@@ -331,8 +331,8 @@
 
     /// Answers of watches take longer to some controllers than to others.
     pub(super) fn answer_watch(&mut self, call: u64, watch: &Watch) {
-        let command = Command::Changes { ticket: watch.ticket, outcome: self.store.changes(watch.after) };
+        let input = Input::Changes { ticket: watch.ticket, outcome: self.store.changes(watch.after) };
         let lag = self.watch_lag[watch.node];
-        self.reply_after(lag, Place::Store, watch.node, watch.life, call, command);
+        self.reply_after(lag, Place::Store, watch.node, watch.life, call, input);
     }
 }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -1,7 +1,7 @@
 //! Users: what they submit, ask and call off, and the rules about what they are told.
 
 use super::{Event, MS, S, World};
-use burlhatch::coordination::{Command, Controller, UserAnswer, UserRequest};
+use burlhatch::coordination::{Controller, Input, UserAnswer, UserRequest};
 use burlhatch::protocol::user::{JobSpec, JobState, JobStatus, Kind, Priority, Submission};
 use burlhatch::types::JobId;
 use rand::Rng;
@@ -116,7 +116,7 @@
         self.nodes[node].next_waiter += 1;
         let waiter = self.nodes[node].next_waiter;
         self.nodes[node].users.insert(waiter, (self.now, asked));
-        self.feed(node, Command::User(waiter, request));
+        self.feed(node, Input::User(waiter, request));
     }
 
     /// Its user calls a job off, at once.
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -3,9 +3,9 @@
 
 use super::cloud::cpus_of;
 use super::{Event, Fate, MS, Place, S, World};
-use burlhatch::coordination::{Command, OrdersOutcome, WorkerAnswer};
+use burlhatch::coordination::{DirectCommandsOutcome, Input, WorkerAnswer};
 use burlhatch::protocol::user::{JobSpec, Kind};
-use burlhatch::protocol::worker::{DirectOrders, ExitCause, Heartbeat, Order, TaskState, TaskStatus};
+use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
@@ -186,7 +186,7 @@
 
     /// An answer renews the lease: it must stop what the heartbeat names of jobs that the controller knows to be cancelled.
     pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &WorkerAnswer) {
-        let WorkerAnswer::Orders(given) = answer else { return };
+        let WorkerAnswer::Response(given) = answer else { return };
         let Some(worker) = self.workers.get(id).filter(|w| w.flight.is_some_and(|(flight, ..)| flight == serial))
         else {
             return;
@@ -198,8 +198,8 @@
             job.and_then(|job| ends.get(&job)).is_some_and(|end| end.value.outcome == Outcome::Cancelled)
         };
         let stopped = |task: &TaskStatus| {
-            given.orders.iter().any(
-                |order| matches!(order, Order::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
+            given.commands.iter().any(
+                |order| matches!(order, AgentCommand::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
             )
         };
         let missing = worker.reported.iter().find(|task| cancelled(task) && !stopped(task));
@@ -224,11 +224,11 @@
         }
         worker.flight = None;
         let pause = match answer {
-            Some(WorkerAnswer::Orders(orders)) => {
-                if orders.fencing_token >= worker.fencing_token && incarnation == worker.incarnation {
-                    worker.take_token(orders.fencing_token, now, times.lease);
+            Some(WorkerAnswer::Response(commands)) => {
+                if commands.fencing_token >= worker.fencing_token && incarnation == worker.incarnation {
+                    worker.take_token(commands.fencing_token, now, times.lease);
                     worker.renewed = worker.renewed.max(sent);
-                    self.obey(&id, &orders.orders);
+                    self.obey(&id, &commands.commands);
                 }
                 let changed = self.workers.get(&id).is_some_and(|w| w.changed);
                 if changed { 500 * MS } else { times.heartbeat - times.heartbeat / 4 + self.pick(times.heartbeat / 2) }
@@ -254,40 +254,48 @@
         self.wake_in(&id, pause);
     }
 
-    pub(super) fn worker_orders(&mut self, node: usize, life: u64, call: u64, id: MachineId, orders: DirectOrders) {
+    pub(super) fn worker_commands(
+        &mut self,
+        node: usize,
+        life: u64,
+        call: u64,
+        id: MachineId,
+        commands: DirectCommands,
+    ) {
         let (now, times) = (self.now, self.size.times);
         let Some(worker) = self.workers.get_mut(&id) else { return };
         if worker.hung_until > now {
             let rest = worker.hung_until - now;
-            return self.at(rest, Event::Orders { node, life, call, machine: id, orders });
+            return self.at(rest, Event::DirectCommands { node, life, call, machine: id, commands });
         }
-        let done = orders.fencing_token >= worker.fencing_token && orders.incarnation == worker.incarnation;
+        let done = commands.fencing_token >= worker.fencing_token && commands.incarnation == worker.incarnation;
         if done {
-            worker.take_token(orders.fencing_token, now, times.lease);
-            self.obey(&id, &orders.orders);
+            worker.take_token(commands.fencing_token, now, times.lease);
+            self.obey(&id, &commands.commands);
         }
         let Some(worker) = self.workers.get_mut(&id) else { return };
         let heartbeat = worker.heartbeat(&id);
         let changed = worker.changed && worker.flight.is_none();
-        let outcome = if done { OrdersOutcome::Done(heartbeat) } else { OrdersOutcome::Rejected(heartbeat) };
-        self.reply(Place::Worker(id.clone()), node, life, call, Command::Orders { machine: id.clone(), outcome });
+        let outcome =
+            if done { DirectCommandsOutcome::Done(heartbeat) } else { DirectCommandsOutcome::Rejected(heartbeat) };
+        self.reply(Place::Worker(id.clone()), node, life, call, Input::DirectCommands { machine: id.clone(), outcome });
         if changed {
             self.wake_in(&id, 500 * MS);
         }
     }
 
-    fn obey(&mut self, id: &MachineId, orders: &[Order]) {
-        for order in orders {
+    fn obey(&mut self, id: &MachineId, commands: &[AgentCommand]) {
+        for order in commands {
             match order {
-                Order::Start { task, attempt } => self.obey_start(id, task, *attempt),
-                Order::Stop { task, attempt, .. } => {
+                AgentCommand::Start { task, attempt } => self.obey_start(id, task, *attempt),
+                AgentCommand::Stop { task, attempt, .. } => {
                     let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { continue };
                     let here = self.workers.get(id).and_then(|w| w.tasks.get(&key));
                     if here.is_some_and(|t| t.attempt == *attempt) {
                         self.exit(id, &key, ExitCause::Stopped);
                     }
                 }
-                Order::Forget { task, attempt } => {
+                AgentCommand::Forget { task, attempt } => {
                     let Some(t) = TaskId::parse(task) else { continue };
                     if let Some(worker) = self.workers.get_mut(id) {
                         worker.exited.remove(&(t.job, t.index, *attempt));
