--- a/src/coordination/users.rs
+++ b/src/coordination/api/requests.rs
@@ -1,12 +1,12 @@
 //! Questions and cancellations, and the one place where users are answered.
 //!
 //! A final state is answered from memory. Anything else waits in the list of open questions for evidence that the
-//! replica is fresh enough, see [`super::evidence`].
+//! replica is fresh enough, see [`crate::coordination::store_sync::evidence`].
 
-use super::evidence::{Evidence, Fresh, LogicalTime, reached};
-use super::submissions::{Form, Submissions};
-use super::txns::{ProposedTxn, Purpose};
-use super::{Controller, Effect, UserAnswer, UserRequest, Waiter};
+use crate::coordination::api::submissions::{Form, Submissions};
+use crate::coordination::store_sync::evidence::{Evidence, Fresh, LogicalTime, reached};
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::{Controller, Effect, UserAnswer, UserRequest, Waiter};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
 use crate::storage::schema::{EndRecord, Key, Outcome, to_value};
 use crate::types::{JobId, Revision};
@@ -14,13 +14,13 @@
 
 /// Who asks, and when the question came.
 #[derive(Clone, Copy)]
-pub(super) struct Asked {
+pub(crate) struct Asked {
     pub waiter: Waiter,
     pub at: LogicalTime,
 }
 
 /// What to answer once the replica is fresh.
-pub(super) enum Question {
+pub(crate) enum Question {
     Status(JobId),
     /// Whether it is known; if not, it is taken or refused.
     Submit(JobId, Option<Box<JobSpec>>),
@@ -42,7 +42,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Users {
+pub(crate) struct Users {
     open: Vec<Open>,
     pub submissions: Submissions,
     /// Who waits for cancellations on their way. They are answered with final states only.
@@ -67,15 +67,15 @@
     }
 }
 
-pub(super) const BUSY: UserAnswer = UserAnswer::Unavailable { retry_after_s: 1 };
+pub(crate) const BUSY: UserAnswer = UserAnswer::Unavailable { retry_after_s: 1 };
 
 impl Controller {
-    pub(super) fn answer(&mut self, waiter: Waiter, answer: UserAnswer) {
+    pub(crate) fn answer(&mut self, waiter: Waiter, answer: UserAnswer) {
         self.out.push(Effect::AnswerUser(waiter, answer));
     }
 
     /// Tells a user how a job stands; that it is cancelled only once that is known where it counts.
-    pub(super) fn tell(&mut self, waiter: Waiter, status: JobStatus) {
+    pub(crate) fn tell(&mut self, waiter: Waiter, status: JobStatus) {
         match status.state {
             JobState::Cancelled => self.answer_cancelled(waiter, status.id),
             _ => self.answer(waiter, UserAnswer::Status(status)),
@@ -83,7 +83,7 @@
     }
 
     /// The final state of a job that is over. It needs no evidence: it never changes.
-    pub(super) fn final_status(&self, id: &JobId) -> Option<JobStatus> {
+    pub(crate) fn final_status(&self, id: &JobId) -> Option<JobStatus> {
         let state = match self.outcome(id)? {
             Outcome::Done => JobState::Done,
             Outcome::Cancelled => JobState::Cancelled,
@@ -104,7 +104,7 @@
         Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
     }
 
-    pub(super) fn user_request(&mut self, waiter: Waiter, request: UserRequest) {
+    pub(crate) fn user_request(&mut self, waiter: Waiter, request: UserRequest) {
         let asked = Asked { waiter, at: self.order.tick() };
         let known = match &request {
             UserRequest::Get(id) | UserRequest::Cancel(id) => Some(id),
@@ -144,7 +144,7 @@
         self.submit_txn(txn, Purpose::Cancel(id));
     }
 
-    pub(super) fn cancel_over(&mut self, id: &JobId) {
+    pub(crate) fn cancel_over(&mut self, id: &JobId) {
         for waiter in self.users.cancels.remove(id).unwrap_or_default() {
             match self.final_status(id) {
                 Some(status) => self.tell(waiter, status),
@@ -154,7 +154,7 @@
     }
 
     /// A read that began then has ended without an answer: whoever waited for it is told to come back.
-    pub(super) fn read_failed(&mut self, begun: LogicalTime) {
+    pub(crate) fn read_failed(&mut self, begun: LogicalTime) {
         let (failed, open) = std::mem::take(&mut self.users.open).into_iter().partition(|open| open.asked.at < begun);
         self.users.open = open;
         for Open { asked, .. } in failed {
@@ -163,14 +163,14 @@
     }
 
     /// A read has been answered.
-    pub(super) fn read_proves(&mut self, evidence: &Evidence) {
+    pub(crate) fn read_proves(&mut self, evidence: &Evidence) {
         for open in &mut self.users.open {
             open.known = open.known.or(evidence.revision_after(open.asked.at));
         }
     }
 
     /// Answers every question that the replica is fresh enough for.
-    pub(super) fn answer_open_questions(&mut self) {
+    pub(crate) fn answer_open_questions(&mut self) {
         let applied = self.replica.applied;
         for open in std::mem::take(&mut self.users.open) {
             match reached(open.known, applied) {
@@ -181,7 +181,7 @@
     }
 
     /// The one place where a user is told something that is not final.
-    pub(super) fn answer_question(&mut self, asked: Asked, question: Question, fresh: &Fresh) {
+    pub(crate) fn answer_question(&mut self, asked: Asked, question: Question, fresh: &Fresh) {
         let waiter = asked.waiter;
         let id = match &question {
             Question::Status(id) | Question::Submit(id, _) | Question::Cancel(id) => id,
--- a/src/coordination/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -7,23 +7,23 @@
 //! another controller may have taken the same submission, perhaps with something else in it, in an earlier batch that
 //! was not read yet. The earlier counts.
 
-use super::evidence::Fresh;
-use super::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose, TxnEnd};
-use super::users::{Asked, BUSY, Question};
-use super::{Controller, UserAnswer, Waiter};
+use crate::coordination::api::requests::{Asked, BUSY, Question};
+use crate::coordination::store_sync::evidence::Fresh;
+use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose, TxnEnd};
+use crate::coordination::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobSpec, Kind, Submission};
 use crate::storage::schema::{BatchMember, JobRecord, Key, to_value};
 use crate::types::{JobId, Micros, Resources, Revision};
 use std::collections::{HashMap, VecDeque};
 
 /// Part of the allowed size that a value of several entries is filled to.
-pub(super) const VALUE_FILL: f64 = 0.9;
+pub(crate) const VALUE_FILL: f64 = 0.9;
 
 /// What an depended on job's name takes in a list besides itself: quotes and a comma.
 const LIST_ENTRY_BYTES: usize = 3;
 
 /// How a submission can be written down.
-pub(super) enum Form {
+pub(crate) enum Form {
     /// As an entry of a batch.
     Entry(BatchMember),
     /// Its list of dependencies under keys of its own, the rest as an entry.
@@ -34,7 +34,7 @@
 
 /// A job in a batch on its way.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Submitted {
+pub(crate) struct Submitted {
     pub id: JobId,
     /// Whether its outcome may follow from other jobs'.
     pub has_dependencies: bool,
@@ -55,7 +55,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Submissions {
+pub(crate) struct Submissions {
     /// Who waits for which job to be taken.
     waiting: HashMap<JobId, Vec<Asked>>,
     queue: VecDeque<Queued>,
@@ -102,7 +102,7 @@
 }
 
 impl Controller {
-    pub(super) fn submit(&mut self, asked: Asked, submission: Submission) {
+    pub(crate) fn submit(&mut self, asked: Asked, submission: Submission) {
         let Some(id) = submission.id else {
             return self.answer(asked.waiter, UserAnswer::Malformed);
         };
@@ -121,7 +121,7 @@
         }
     }
 
-    pub(super) fn form(&self, id: JobId, spec: JobSpec) -> Form {
+    pub(crate) fn form(&self, id: JobId, spec: JobSpec) -> Form {
         let member = BatchMember { id, record: JobRecord { accepted: self.clock.wall, pieces: None, spec } };
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
         if size <= self.platform.deployment.store.value_bytes() {
@@ -134,7 +134,7 @@
     }
 
     /// Has it written down, once for all who submit it meanwhile.
-    pub(super) fn accept(&mut self, asked: Asked, form: Form) {
+    pub(crate) fn accept(&mut self, asked: Asked, form: Form) {
         let id = match &form {
             Form::Entry(member) | Form::Parts(member) => member.id.clone(),
             Form::TooLarge => return self.answer(asked.waiter, UserAnswer::Malformed),
@@ -187,7 +187,7 @@
         }
     }
 
-    pub(super) fn dependency_list_parts_over(&mut self, name: &str, committed: bool) {
+    pub(crate) fn dependency_list_parts_over(&mut self, name: &str, committed: bool) {
         let Some(partial) = self.users.submissions.partial.get_mut(name) else { return };
         partial.left -= 1;
         if committed && partial.left > 0 {
@@ -207,7 +207,7 @@
     }
 
     /// Takes into the stored records, as one batch, what waits to be accepted.
-    pub(super) fn send_submissions(&mut self) {
+    pub(crate) fn send_submissions(&mut self) {
         self.users.submissions.batch_at = self.now();
         let members = self.next_batch();
         let name = Key::Batch(format!("{:x}", self.nonce()));
@@ -253,7 +253,7 @@
     }
 
     /// Whoever waits for the change budget for too long is told to come back.
-    pub(super) fn give_up_submissions(&mut self) {
+    pub(crate) fn give_up_submissions(&mut self) {
         let patience = Micros::from_millis(self.policy.user_patience_ms);
         let longest = Micros::from_millis(self.policy.submission_wait_ms);
         let now = self.now();
@@ -268,7 +268,7 @@
     }
 
     /// The batch that would take a job in has ended.
-    pub(super) fn submit_over(&mut self, submitted: &Submitted, end: &TxnEnd) {
+    pub(crate) fn submit_over(&mut self, submitted: &Submitted, end: &TxnEnd) {
         let id = &submitted.id;
         if let TxnEnd::Committed(evidence) = end
             && evidence.revision() > self.replica.applied
@@ -296,7 +296,7 @@
     }
 
     /// Why a job that is not known can't be taken now, or ever.
-    pub(super) fn refusal(&self, spec: &JobSpec) -> Option<UserAnswer> {
+    pub(crate) fn refusal(&self, spec: &JobSpec) -> Option<UserAnswer> {
         let never = |why| Some(UserAnswer::CanNeverRun(why));
         let resources = spec.resources();
         let all = match spec.kind {
--- a/src/coordination/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -1,8 +1,8 @@
 //! Planning capacity: which shard lacks resources for what waits, which machines go to another shard, and which are
 //! returned.
 
-use super::Controller;
-use super::jobs::Job;
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros, Resources};
@@ -10,7 +10,7 @@
 
 /// A machine's room in the plan.
 #[derive(Clone)]
-pub(super) struct Slot {
+pub(crate) struct Slot {
     pub id: Option<MachineId>,
     pub machine_type: String,
     pub zone: String,
@@ -28,7 +28,7 @@
 
 /// Tasks that found no resources in the plan.
 #[derive(Clone)]
-pub(super) struct Unmet {
+pub(crate) struct Unmet {
     pub shard: u32,
     pub spec: JobSpec,
     pub count: u64,
@@ -59,7 +59,7 @@
 }
 
 impl Controller {
-    pub(super) fn plan(&mut self) {
+    pub(crate) fn plan(&mut self) {
         let mut unmet: Vec<Unmet> = Vec::new();
         let mut slots: BTreeMap<u32, Vec<Slot>> = BTreeMap::new();
         for shard in 0..self.shard_count() {
@@ -104,7 +104,7 @@
 
     /// Fits the waiting tasks of a shard into its machines and notes what is left over, as far as
     /// that is worth machines of its own.
-    pub(super) fn fill(&self, shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
+    pub(crate) fn fill(&self, shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
         let has_zone = |job: &Job| job.spec.zone.as_ref().is_none_or(|zone| self.zone_takes_work(zone));
         let open = |job: &&Job| job.shard == shard && job.recorded && job.over.is_none() && has_zone(job);
         let mut jobs: Vec<&Job> = self.jobs.values().filter(open).collect();
@@ -277,7 +277,7 @@
 
     /// How many more machines may be on their way to other shards. Each move costs two changes, which starts and
     /// submissions need more.
-    pub(super) fn moves_left(&self) -> usize {
+    pub(crate) fn moves_left(&self) -> usize {
         let moving = self.replica.machines.values().filter(|m| matches!(m.value.hold, Some(Hold::Move(_)))).count();
         let most = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
         most.saturating_sub(moving)
@@ -310,14 +310,14 @@
     }
 }
 
-pub(super) fn count_in(each: &Resources, resources: &Resources) -> u64 {
+pub(crate) fn count_in(each: &Resources, resources: &Resources) -> u64 {
     let by = |each: u64, resources: u64| resources.checked_div(each).unwrap_or(u64::MAX);
     by(each.cpus, resources.cpus).min(by(each.gpus, resources.gpus)).min(by(each.memory, resources.memory))
 }
 
 /// Puts up to `count` tasks into the slots, first fit, and says how many found room. `zones`
 /// counts the job's tasks by zone.
-pub(super) fn fit(spec: &JobSpec, count: u64, slots: &mut [Slot], zones: &mut BTreeMap<String, u64>) -> u64 {
+pub(crate) fn fit(spec: &JobSpec, count: u64, slots: &mut [Slot], zones: &mut BTreeMap<String, u64>) -> u64 {
     let each = spec.resources();
     let most = u64::from(spec.tasks.div_ceil(2));
     let mut placed = 0;
--- a/src/coordination/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -1,9 +1,9 @@
 //! The leader's work: takes machines into the stored records, plans which shard gets which, rents and returns.
 
-use super::boots::BootHistory;
-use super::capacity::Unmet;
-use super::txns::{MachineChange, ProposedTxn, Purpose};
-use super::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
+use crate::coordination::autoscaling::capacity::Unmet;
+use crate::coordination::autoscaling::provisioning::BootHistory;
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
 use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros, Resources};
@@ -11,7 +11,7 @@
 
 /// A machine rented or listed that has no record yet.
 #[derive(Clone, Debug)]
-pub(super) struct Boot {
+pub(crate) struct Boot {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -26,7 +26,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) enum Call {
+pub(crate) enum Call {
     Types,
     List,
     Rent(Rental, u32),
@@ -36,10 +36,10 @@
 }
 
 /// A kind of machine as the cloud rents it out: type, zone, spot or not.
-pub(super) type Offer = (String, String, bool);
+pub(crate) type Offer = (String, String, bool);
 
 #[derive(Default)]
-pub(super) struct Leader {
+pub(crate) struct Leader {
     pub calls: BTreeMap<u64, Call>,
     /// Calls to be made again, with what they were.
     pub again: Vec<(Micros, Call)>,
@@ -75,10 +75,10 @@
 const LIST_EVERY: Micros = Micros::from_millis(2500);
 const TYPES_EVERY: Micros = Micros::from_millis(60_000);
 /// How often capacity is planned.
-pub(super) const PLAN_EVERY: Micros = Micros::from_millis(500);
+pub(crate) const PLAN_EVERY: Micros = Micros::from_millis(500);
 
 impl Controller {
-    pub(super) fn cloud(&mut self, call: Call) {
+    pub(crate) fn cloud(&mut self, call: Call) {
         let request = match &call {
             Call::Types => CloudCall::Types,
             Call::List => CloudCall::List { after: self.leader.page.last().map(|m| m.id.clone()) },
@@ -91,7 +91,7 @@
         self.out.push(Effect::Cloud { call: number, request });
     }
 
-    pub(super) fn tick_types(&mut self) {
+    pub(crate) fn tick_types(&mut self) {
         let now = self.now();
         let due = if self.types.is_empty() { Micros::from_millis(1000) } else { TYPES_EVERY };
         if self.types_asked == Micros::ZERO || now.since(self.types_asked) >= due {
@@ -100,7 +100,7 @@
         }
     }
 
-    pub(super) fn leader_changed(&mut self) {
+    pub(crate) fn leader_changed(&mut self) {
         if self.is_leader() {
             self.leader.listed_once = false;
             self.leader.next_list = self.now();
@@ -110,7 +110,7 @@
         }
     }
 
-    pub(super) fn cloud_outcome(&mut self, number: u64, outcome: CloudOutcome) {
+    pub(crate) fn cloud_outcome(&mut self, number: u64, outcome: CloudOutcome) {
         let Some(call) = self.leader.calls.remove(&number) else { return };
         let now = self.now();
         match (call, outcome) {
@@ -202,7 +202,7 @@
 
     /// Takes deleted machines out of the stored records, which proves to their shards that nothing is left
     /// on them.
-    pub(super) fn strike_out(&mut self, ids: Vec<MachineId>) {
+    pub(crate) fn strike_out(&mut self, ids: Vec<MachineId>) {
         let returned =
             |id: &MachineId| self.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire));
         let (returned, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(returned);
@@ -267,19 +267,19 @@
         self.delete(failed);
     }
 
-    pub(super) fn set_hold_of(&mut self, id: &MachineId, hold: Hold) {
+    pub(crate) fn set_hold_of(&mut self, id: &MachineId, hold: Hold) {
         self.machines.entry(id.clone()).or_default();
         self.set_hold(id, hold);
     }
 
-    pub(super) fn delete(&mut self, ids: Vec<MachineId>) {
+    pub(crate) fn delete(&mut self, ids: Vec<MachineId>) {
         let ids: Vec<MachineId> = ids.into_iter().filter(|id| self.leader.deleting.insert(id.clone())).collect();
         for part in ids.chunks(100) {
             self.cloud(Call::Delete(part.to_vec()));
         }
     }
 
-    pub(super) fn tick_leader(&mut self) {
+    pub(crate) fn tick_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
             self.leader.again.clear();
--- a/src/coordination/boots.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -4,7 +4,7 @@
 //! its place, if need be of another kind. It is still used if it comes, and given up after the time that
 //! `boot_patience` allows.
 
-use super::leader::{Boot, Offer};
+use crate::coordination::autoscaling::leader::{Boot, Offer};
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
--- a/src/coordination/rentals.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -1,9 +1,9 @@
 //! What is rented: which kind of machine, and how many, for tasks that find no resources.
 
-use super::Controller;
-use super::boots::{Reliability, overdue};
-use super::capacity::{Slot, Unmet, count_in, fit};
-use super::leader::{Boot, Call, Offer};
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::capacity::{Slot, Unmet, count_in, fit};
+use crate::coordination::autoscaling::leader::{Boot, Call, Offer};
+use crate::coordination::autoscaling::provisioning::{Reliability, overdue};
 use crate::protocol::cloud::Rental;
 use crate::protocol::user::JobSpec;
 use crate::storage::schema::Role;
@@ -37,7 +37,7 @@
     }
 
     /// Machines that boot and can be counted on.
-    pub(super) fn boot_slots(&self) -> Vec<Slot> {
+    pub(crate) fn boot_slots(&self) -> Vec<Slot> {
         let now = self.now();
         let likely = self.leader.boots.values().filter(|boot| now.since(boot.since) <= self.boot_span(boot));
         likely
@@ -53,14 +53,14 @@
     }
 
     /// Whether any kind of machine that takes such a task is not known to be sold out.
-    pub(super) fn can_rent_for(&self, unmet: &Unmet) -> bool {
+    pub(crate) fn can_rent_for(&self, unmet: &Unmet) -> bool {
         let reliability = self.leader.boot_history.reliability(std::iter::empty(), self.now());
         let closed = self.zones_closed_to_rentals(&BTreeMap::new());
         let market = Market { by_zone: &BTreeMap::new(), closed: &closed, reliability: &reliability };
         self.cheapest(&unmet.spec, &unmet.zones, &market).is_some()
     }
 
-    pub(super) fn rent_for(&mut self, unmet: &[Unmet]) {
+    pub(crate) fn rent_for(&mut self, unmet: &[Unmet]) {
         let now = self.now();
         let in_flight = self.leader.calls.values().chain(self.leader.again.iter().map(|(_, c)| c));
         // Until the answer is here it isn't known what is coming.
--- a/src/coordination/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -1,7 +1,7 @@
 //! New fencing tokens for machines, which prove older commands void.
 
-use super::Controller;
-use super::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::Controller;
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use rand::Rng;
@@ -16,7 +16,7 @@
     /// Machines with a direct command in doubt get a new fencing token once they are heard again: a heartbeat
     /// that carries it proves the command void. For a few each gets one of its own; many in one
     /// shard get the shard's, which costs two changes however many they are.
-    pub(super) fn renew_fencing_tokens(&mut self, ours: &[MachineId]) {
+    pub(crate) fn renew_fencing_tokens(&mut self, ours: &[MachineId]) {
         let now = self.now();
         if now < self.next_renewal {
             return;
--- a/src/coordination/roles.rs
+++ b/src/coordination/control/roles.rs
@@ -4,15 +4,15 @@
 //! next fencing token from the one counter in the same transaction. A controller holds a role only once
 //! the watch has shown it the key: then its replica also has every start recorded before.
 
-use super::machines::Machine;
-use super::txns::{ProposedTxn, Purpose};
-use super::{Controller, Effect, LeaseOutcome, StoreCall};
+use crate::coordination::fleet::machines::Machine;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::{Controller, Effect, LeaseOutcome, StoreCall};
 use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
 
 #[derive(Default)]
-pub(super) struct Session {
+pub(crate) struct Session {
     pub lease: Option<u64>,
     /// The call on its way.
     in_flight: Option<u64>,
@@ -23,7 +23,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Roles {
+pub(crate) struct Roles {
     /// Since when each role has been seen without a holder.
     free_since: BTreeMap<Role, Micros>,
     /// Roles held, with the fencing tokens under which they were last seen.
@@ -58,32 +58,32 @@
 const LEASE_PART: f64 = 0.5;
 
 impl Controller {
-    pub(super) fn shard_count(&self) -> u32 {
+    pub(crate) fn shard_count(&self) -> u32 {
         self.platform.deployment.nodes
     }
 
     /// The fencing token of a role this process holds.
-    pub(super) fn held(&self, role: Role) -> Option<FencingToken> {
+    pub(crate) fn held(&self, role: Role) -> Option<FencingToken> {
         self.roles.held.get(&role).copied()
     }
 
-    pub(super) fn is_leader(&self) -> bool {
+    pub(crate) fn is_leader(&self) -> bool {
         self.held(Role::Leader).is_some()
     }
 
     /// Whether nobody else can lead: the session that the role is bound to surely lasts. A leader
     /// cut off from the store knows old records only, and rents and deletes nothing by them.
-    pub(super) fn surely_leads(&self) -> bool {
+    pub(crate) fn surely_leads(&self) -> bool {
         let lasts = Micros(Micros::from_millis(self.policy.session_ms).0 / 10 * 9);
         self.is_leader() && self.session.prolonged.is_some_and(|at| self.now().since(at) < lasts)
     }
 
     /// Label of whoever holds a role, if it is another controller.
-    pub(super) fn other_holder(&self, role: Role) -> Option<String> {
+    pub(crate) fn other_holder(&self, role: Role) -> Option<String> {
         self.replica.roles.get(&role).map(|s| s.value.owner.clone()).filter(|o| *o != self.label)
     }
 
-    pub(super) fn tick_session(&mut self) {
+    pub(crate) fn tick_session(&mut self) {
         let now = self.now();
         if self.session.in_flight.is_some() || now < self.session.next {
             return;
@@ -98,12 +98,12 @@
         self.out.push(Effect::Store(call));
     }
 
-    pub(super) fn renew_session_at_once(&mut self) {
+    pub(crate) fn renew_session_at_once(&mut self) {
         self.session.next = self.now();
         self.tick_session();
     }
 
-    pub(super) fn lease_outcome(&mut self, ticket: u64, outcome: LeaseOutcome) {
+    pub(crate) fn lease_outcome(&mut self, ticket: u64, outcome: LeaseOutcome) {
         if self.session.in_flight != Some(ticket) {
             return;
         }
@@ -131,7 +131,7 @@
 
     /// The session has ended and with it all that was bound to it, whatever the replica still shows.
     /// Nothing is decided any more before the stored records tell who holds what.
-    pub(super) fn session_ended(&mut self) {
+    pub(crate) fn session_ended(&mut self) {
         self.session.lease = None;
         self.session.prolonged = None;
         for role in std::mem::take(&mut self.roles.held).into_keys() {
@@ -168,7 +168,7 @@
         (me + n - home) % n
     }
 
-    pub(super) fn tick_roles(&mut self) {
+    pub(crate) fn tick_roles(&mut self) {
         let now = self.now();
         if !self.sync.done {
             return;
@@ -244,7 +244,7 @@
     }
 
     /// Gives a shard we hold a new fencing token.
-    pub(super) fn renew_shard(&mut self, shard: u32, fencing_token: FencingToken) {
+    pub(crate) fn renew_shard(&mut self, shard: u32, fencing_token: FencingToken) {
         let role = Role::Shard(shard);
         let Some(lease) = self.session.lease else { return };
         if !self.roles.taking && self.held(role).is_some() {
@@ -299,7 +299,7 @@
 
     /// Judges by its own machines whether this controller has lost contact, and once it has, by
     /// all machines whether it is back.
-    pub(super) fn judge_contact(&mut self, ours: &[MachineId]) {
+    pub(crate) fn judge_contact(&mut self, ours: &[MachineId]) {
         let now = self.now();
         if self.roles.unfit {
             if self.roles.answered >= 2 {
@@ -372,7 +372,7 @@
         self.submit_txn(txn, Purpose::Role);
     }
 
-    pub(super) fn role_txn_over(&mut self, purpose: &Purpose, failed: bool) {
+    pub(crate) fn role_txn_over(&mut self, purpose: &Purpose, failed: bool) {
         match purpose {
             Purpose::Node => self.roles.node_writing = false,
             _ => self.roles.taking = false,
@@ -383,7 +383,7 @@
         self.reads.wanted = true;
     }
 
-    pub(super) fn role_changed(&mut self, role: Role) {
+    pub(crate) fn role_changed(&mut self, role: Role) {
         let mine = self
             .replica
             .roles
--- a/src/coordination/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -1,18 +1,18 @@
 //! Commands to workers: what a machine is to be told, in the answer to its heartbeat or in a direct message, and what the
 //! answer to such a message proves.
 
-use super::audit::AbsenceProof;
-use super::heartbeats::Source;
-use super::machines::{Machine, UnrecordedTask};
-use super::usage::{Phase, Start};
-use super::{Controller, DirectCommandsOutcome, Effect, Failure};
+use crate::coordination::fleet::heartbeats::Source;
+use crate::coordination::fleet::machines::{Machine, UnrecordedTask};
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
 use crate::protocol::worker::{AgentCommand, DirectCommands};
 use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros};
 use std::net::SocketAddr;
 
 /// Commands in one message at most, so that it stays below the size limit.
-pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
+pub(crate) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
 /// What a recorded start's machine is to be told of it.
 enum NextStep {
@@ -56,7 +56,7 @@
 }
 
 impl Controller {
-    pub(super) fn want_push(&mut self, id: &MachineId) {
+    pub(crate) fn want_push(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.push = true;
             machine.push_after = Micros::ZERO;
@@ -66,7 +66,7 @@
 
     /// The machine is to be told something that can wait a moment for its next heartbeat: machines with
     /// work heartbeat often, and each direct message costs as much as a heartbeat.
-    pub(super) fn want_push_soon(&mut self, id: &MachineId) {
+    pub(crate) fn want_push_soon(&mut self, id: &MachineId) {
         let after = self.now() + Micros::from_millis(self.policy.batch_push_ms);
         if let Some(machine) = self.machines.get_mut(id)
             && !machine.push
@@ -79,7 +79,7 @@
 
     /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the
     /// heartbeat's number.
-    pub(super) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
+    pub(crate) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
         let Some(machine) = self.machines.get(id) else { return Vec::new() };
         let doomed = self.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
         let incarnation = machine.incarnation;
@@ -117,7 +117,7 @@
     }
 
     /// Sends what can't wait for the next heartbeat.
-    pub(super) fn send_pending_direct_commands(&mut self) {
+    pub(crate) fn send_pending_direct_commands(&mut self) {
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
         while self.pushes_later.first().is_some_and(|(at, _)| *at <= now) {
@@ -152,7 +152,7 @@
         }
     }
 
-    pub(super) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, commands: DirectCommands) {
+    pub(crate) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, commands: DirectCommands) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.direct = true;
             machine.direct_token = commands.fencing_token;
@@ -163,7 +163,7 @@
         self.out.push(Effect::DirectCommands { machine: id.clone(), addr, commands });
     }
 
-    pub(super) fn direct_commands_outcome(&mut self, id: &MachineId, outcome: DirectCommandsOutcome) {
+    pub(crate) fn direct_commands_outcome(&mut self, id: &MachineId, outcome: DirectCommandsOutcome) {
         self.direct_open = self.direct_open.saturating_sub(1);
         let fencing_token = self.fencing_token(id);
         let now = self.now();
--- a/src/coordination/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -2,12 +2,12 @@
 //!
 //! A cancelled task that nothing proves gone is deleted with its machine before the time allowed for a cancellation is
 //! over. That needs neither the store nor the leader, and holds for a machine that hangs. It needs the cloud;
-//! what holds without it is in [`super::lease_renewal`].
+//! what holds without it is in [`crate::coordination::fleet::lease_renewal`].
 
-use super::Controller;
-use super::audit::AbsenceProof;
-use super::leader::Call;
-use super::usage::Phase;
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::leader::Call;
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::usage::Phase;
 use crate::storage::schema::{Outcome, Role};
 use crate::types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 /// Cancelled jobs of which something may be left, and machines that are deleted on their account.
 #[derive(Default)]
-pub(super) struct Clearing {
+pub(crate) struct Clearing {
     deadlines: BTreeMap<JobId, Deadline>,
     /// Machines whose deletion was asked for, and when.
     asked: BTreeMap<MachineId, Micros>,
@@ -66,7 +66,7 @@
 
     /// Notes by when a cancelled job's tasks have to be proven gone. Counted from what the stored records say, so it
     /// holds for a successor as well.
-    pub(super) fn note_deadline(&mut self, id: &JobId) {
+    pub(crate) fn note_deadline(&mut self, id: &JobId) {
         let Some(end) = self.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else { return };
         if !self.jobs.contains_key(id) {
             return;
@@ -82,7 +82,7 @@
 
     /// Deletes the machines on which something of a cancelled job may run when its time is up. A machine that
     /// obeys a successor is left to that one.
-    pub(super) fn clear_cancelled(&mut self) {
+    pub(crate) fn clear_cancelled(&mut self) {
         let now = self.now();
         self.strike_out_cleared();
         if self.cancellations.clearing.deadlines.is_empty() {
@@ -133,7 +133,7 @@
     }
 
     /// Whether something of a cancelled job may be on the machine although its time for renewals is over.
-    pub(super) fn is_overdue_on(&self, id: &MachineId) -> bool {
+    pub(crate) fn is_overdue_on(&self, id: &MachineId) -> bool {
         let deadlines = &self.cancellations.clearing.deadlines;
         let Some(placed) = self.usage.placed(id).filter(|_| !deadlines.is_empty()) else { return false };
         let now = self.now();
@@ -152,17 +152,17 @@
     }
 
     /// Whether it was deleted here, though the stored records don't say so yet.
-    pub(super) fn is_cleared(&self, id: &MachineId) -> bool {
+    pub(crate) fn is_cleared(&self, id: &MachineId) -> bool {
         self.cancellations.clearing.cleared.contains_key(id)
     }
 
     /// The cloud did not confirm a deletion. It is asked for again as long as it is due.
-    pub(super) fn clearing_failed(&self, machines: &[MachineId]) {
+    pub(crate) fn clearing_failed(&self, machines: &[MachineId]) {
         tracing::warn!(machines = machines.len(), first = ?machines.first(), "deletion not confirmed");
     }
 
     /// Their deletion was confirmed: nothing is left on them, whether or not that can be written down now.
-    pub(super) fn machines_cleared(&mut self, ids: Vec<MachineId>) {
+    pub(crate) fn machines_cleared(&mut self, ids: Vec<MachineId>) {
         let now = self.now();
         tracing::info!(machines = ids.len(), first = ?ids.first(), "deletion confirmed");
         for id in ids {
--- a/src/coordination/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -1,8 +1,8 @@
 //! Machines that tasks have to leave: faulty ones, those to be returned, and those about to be taken.
 
-use super::Controller;
-use super::machines::{Failures, Machine};
-use super::usage::{Phase, Start};
+use crate::coordination::Controller;
+use crate::coordination::fleet::machines::{Failures, Machine};
+use crate::coordination::jobs::usage::{Phase, Start};
 use crate::protocol::user::Kind;
 use crate::storage::schema::{Hold, Outcome};
 use crate::types::{JobId, MachineId};
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Tasks of different jobs that fail on one machine and get on elsewhere speak against the machine.
-    pub(super) fn retire_faulty(&mut self, ours: &[MachineId]) {
+    pub(crate) fn retire_faulty(&mut self, ours: &[MachineId]) {
         for id in ours {
             let Some(machine) = self.machines.get(id).filter(|machine| !machine.failed_jobs.is_empty()) else {
                 continue;
@@ -61,7 +61,7 @@
     }
 
     /// A machine to be returned is emptied first.
-    pub(super) fn drain_retired(&mut self, ours: &[MachineId]) {
+    pub(crate) fn drain_retired(&mut self, ours: &[MachineId]) {
         for id in ours {
             if self.replica.machines.get(id).is_some_and(|m| m.value.hold == Some(Hold::Retire)) {
                 self.stop_where(id, |_| true);
@@ -71,7 +71,7 @@
 
     /// Services leave a machine that is about to be taken while there is time; other work runs
     /// on, it may finish.
-    pub(super) fn leave_noticed(&mut self, ours: &[MachineId]) {
+    pub(crate) fn leave_noticed(&mut self, ours: &[MachineId]) {
         for id in ours {
             if self.machines.get(id).is_some_and(|m| m.notice) {
                 self.stop_services(id);
@@ -80,7 +80,7 @@
     }
 
     /// Everything leaves a machine that another shard needs more urgently.
-    pub(super) fn vacate(&mut self, id: &MachineId) {
+    pub(crate) fn vacate(&mut self, id: &MachineId) {
         self.stop_where(id, |_| true);
     }
 
--- a/src/coordination/failure_detector.rs
+++ b/src/coordination/fleet/failure_detector.rs
@@ -1,9 +1,9 @@
 //! Which machines have failed: leases that have run out, probes, and the decision to replace a machine.
 
-use super::Controller;
-use super::audit::AbsenceProof;
-use super::machines::Machine;
-use super::usage::Phase;
+use crate::coordination::Controller;
+use crate::coordination::fleet::machines::Machine;
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::usage::Phase;
 use crate::protocol::worker::DirectCommands;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -73,7 +73,7 @@
 impl Controller {
     /// A worker whose lease has surely run out has killed its tasks. Only our answers can have
     /// renewed it once it has shown our fencing token.
-    pub(super) fn expire_leases(&mut self, ours: &[MachineId]) {
+    pub(crate) fn expire_leases(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let lease_s = self.platform.deployment.workers.lease_s;
         let lease = Micros::from_secs_f64(lease_s * 1.002 + 1.0);
@@ -100,7 +100,7 @@
     /// heartbeats those with services, whose loss is felt at once. The latter only as far as the rate of
     /// probes allows, those heard longest ago first: a controller that holds all shards would do little
     /// else. What has no place now comes first in the next round.
-    pub(super) fn probe(&mut self, ours: &[MachineId]) {
+    pub(crate) fn probe(&mut self, ours: &[MachineId]) {
         let due = self.due_probes(ours);
         let now = self.now();
         let rate = self.policy.probes_per_s;
@@ -170,7 +170,7 @@
 
     /// Asks a machine that is not in the stored records for a sign of life. The fencing token 0 moves nobody to
     /// anything.
-    pub(super) fn ask_for_life(&mut self, id: &MachineId, addr: Option<&str>) {
+    pub(crate) fn ask_for_life(&mut self, id: &MachineId, addr: Option<&str>) {
         let Some(addr) = addr.and_then(|a| a.parse().ok()) else { return };
         let now = self.now();
         let machine = self.machines.entry(id.clone()).or_default();
@@ -187,7 +187,7 @@
 
     /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The fencing token 0 moves
     /// nobody to anything.
-    pub(super) fn look_for_machines(&mut self) {
+    pub(crate) fn look_for_machines(&mut self) {
         let machines = &self.replica.machines;
         let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
         let mut ids: Vec<&MachineId> =
@@ -211,7 +211,7 @@
 
     /// A single machine gone silent is deleted, which proves its tasks gone sooner than its lease
     /// would. If many are silent the fault is ours or a cut's, and they may come back.
-    pub(super) fn replace_silent(&mut self, ours: &[MachineId]) {
+    pub(crate) fn replace_silent(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let after = Micros::from_millis(self.policy.replace_after_ms);
         let silent = self.silent_of(ours, after);
@@ -318,7 +318,7 @@
 
     /// Machines that can send but not hear look alive in turns, and when such a time ends they are heard
     /// again one by one. While many fail to answer, and a while after, none is judged by that.
-    pub(super) fn judge_unreachable(&mut self, ours: &[MachineId]) {
+    pub(crate) fn judge_unreachable(&mut self, ours: &[MachineId]) {
         let (unreachable, known) = self.unreachable_of(ours);
         if unreachable as f64 > (known as f64 * self.policy.replace_max_part).max(2.0) {
             self.many_unreachable = Some(self.now());
@@ -328,7 +328,7 @@
     /// A machine whose heartbeats arrive though nothing reaches it: its lease runs out again and again,
     /// and whatever it is given is lost. Replaced like a silent one, unless many are so at once:
     /// then the fault is our own network.
-    pub(super) fn replace_unreachable(&mut self, ours: &[MachineId]) {
+    pub(crate) fn replace_unreachable(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let span = Micros::from_millis(self.policy.unreachable_after_ms);
         let unreachable_long: Vec<MachineId> = ours
@@ -355,14 +355,14 @@
 
     /// Without a heartbeat for so long a machine's heartbeats are taken not to get through: the next is due, and a few
     /// controllers may have to be tried in vain.
-    pub(super) fn unreported_span(&self) -> Micros {
+    pub(crate) fn unreported_span(&self) -> Micros {
         let heartbeat = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 1.25);
         heartbeat + Micros::from_millis(self.policy.unreported_ms)
     }
 
     /// A machine whose heartbeats reach no controller is replaced while its lease lasts, unless many are so: then
     /// the fault is elsewhere.
-    pub(super) fn replace_unreported(&mut self, ours: &[MachineId]) {
+    pub(crate) fn replace_unreported(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let span = self.unreported_span();
         let unreported: Vec<MachineId> = ours
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -1,10 +1,10 @@
 //! Heartbeats of workers: which are new, what they prove about tasks, and what is answered.
 
-use super::audit::AbsenceProof;
-use super::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
-use super::usage::{Phase, Start};
-use super::zones::ZoneStart;
-use super::{Controller, Effect, Unregistered, Waiter, WorkerAnswer};
+use crate::coordination::fleet::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::zones::zone_control::ZoneStart;
+use crate::coordination::{Controller, Effect, Unregistered, Waiter, WorkerAnswer};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
 use crate::storage::schema::Role;
@@ -16,7 +16,7 @@
 
 /// How a worker's account of itself came.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Source {
+pub(crate) enum Source {
     /// As a heartbeat, which the worker sends only after it is through with the answer to the one before.
     Heartbeat,
     /// As the answer to a direct message.
@@ -24,7 +24,7 @@
 }
 
 impl Controller {
-    pub(super) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
+    pub(crate) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
         let answer = match self.sync.done {
             true => self.heartbeat_answer(waiter, heartbeat, relayed),
             false => Some(WorkerAnswer::Unavailable),
@@ -107,7 +107,7 @@
     }
 
     /// Takes in a worker's account of itself.
-    pub(super) fn take_heartbeat(&mut self, heartbeat: &Heartbeat, source: Source) {
+    pub(crate) fn take_heartbeat(&mut self, heartbeat: &Heartbeat, source: Source) {
         let now = self.now();
         let id = &heartbeat.machine;
         let Some(fencing_token) = self.fencing_token(id) else { return };
--- a/src/coordination/lease_renewal.rs
+++ b/src/coordination/fleet/lease_renewal.rs
@@ -10,15 +10,15 @@
 //!   gone, the lease is not renewed beyond the time in which it would run out before the cancellation is due. Its end
 //!   makes the command void. Under a later fencing token the answer does so by itself.
 
-use super::agent_commands::MAX_COMMANDS_PER_MESSAGE;
-use super::{Controller, WorkerAnswer};
+use crate::coordination::fleet::agent_commands::MAX_COMMANDS_PER_MESSAGE;
+use crate::coordination::{Controller, WorkerAnswer};
 use crate::protocol::worker::{AgentCommand, Heartbeat, HeartbeatResponse, TaskState};
 use crate::storage::schema::Outcome;
 use crate::types::{FencingToken, MachineId, TaskId};
 
 impl Controller {
     /// The answer to a heartbeat that was just taken in, under our fencing token.
-    pub(super) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> WorkerAnswer {
+    pub(crate) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> WorkerAnswer {
         let now = self.now();
         let id = &heartbeat.machine;
         if self.is_renewal_withheld(id, fencing_token) {
--- a/src/coordination/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -1,8 +1,8 @@
 //! Machines: what their workers report, what they are told, and when they count as lost.
 
-use super::audit::AbsenceProof;
-use super::txns::{MachineChange, ProposedTxn, Purpose};
-use super::{Controller, Effect, WorkerAnswer};
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::{Controller, Effect, WorkerAnswer};
 use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, MachineId, Micros, Resources};
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 /// An image being fetched, as far as can be told from outside.
 #[derive(Clone, Debug)]
-pub(super) struct Fetch {
+pub(crate) struct Fetch {
     pub image: String,
     pub megabytes: f64,
     pub since: Micros,
@@ -18,7 +18,7 @@
 
 /// A task on the machine that the stored records know nothing of.
 #[derive(Clone, Debug)]
-pub(super) struct UnrecordedTask {
+pub(crate) struct UnrecordedTask {
     pub task: String,
     pub attempt: u64,
     pub exited: bool,
@@ -28,7 +28,7 @@
 }
 
 /// Failed tasks of one job on one machine.
-pub(super) struct Failures {
+pub(crate) struct Failures {
     pub count: u32,
     pub last: Micros,
     /// The last of them.
@@ -48,7 +48,7 @@
 
 /// The newest heartbeat of a worker.
 #[derive(Clone, Copy, Default)]
-pub(super) struct LastHeartbeat {
+pub(crate) struct LastHeartbeat {
     pub incarnation: u64,
     pub number: u64,
     /// It came from the worker itself, not through a sibling.
@@ -56,7 +56,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Machine {
+pub(crate) struct Machine {
     /// Shard it was last seen in.
     pub shard: Option<u32>,
     pub incarnation: u64,
@@ -212,29 +212,29 @@
 const MACHINES_EVERY: Micros = Micros::from_millis(100);
 
 impl Controller {
-    pub(super) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
+    pub(crate) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
         self.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
 
     /// The fencing token for commands to a machine of a shard we hold.
-    pub(super) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
+    pub(crate) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
         let record = &self.replica.machines.get(id)?.value;
         let fencing_token = self.held(Role::Shard(record.shard))?;
         Some(fencing_token.max(record.fencing_token))
     }
 
-    pub(super) fn machine_resources(&self, id: &MachineId) -> Resources {
+    pub(crate) fn machine_resources(&self, id: &MachineId) -> Resources {
         let Some(record) = self.replica.machines.get(id) else { return Resources::default() };
         self.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
     }
 
     /// What is left on a machine after all starts not proven gone.
-    pub(super) fn free_resources(&self, id: &MachineId) -> Resources {
+    pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
         self.machine_resources(id).minus(&self.usage.used_on(id))
     }
 
     /// Notes since when nothing runs on it.
-    pub(super) fn machine_freed(&mut self, id: &MachineId) {
+    pub(crate) fn machine_freed(&mut self, id: &MachineId) {
         let now = self.now();
         let busy = self.usage.is_busy(id);
         if let Some(machine) = self.machines.get_mut(id) {
@@ -246,7 +246,7 @@
         }
     }
 
-    pub(super) fn machine_changed(&mut self, id: &MachineId) {
+    pub(crate) fn machine_changed(&mut self, id: &MachineId) {
         let now = self.now();
         self.zone_of_machine_changed(id);
         match self.replica.machines.get(id) {
@@ -293,7 +293,7 @@
     }
 
     /// A shard was taken or lost.
-    pub(super) fn shard_changed(&mut self, shard: u32) {
+    pub(crate) fn shard_changed(&mut self, shard: u32) {
         let now = self.now();
         let ids: Vec<MachineId> =
             self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
@@ -307,7 +307,7 @@
 
     /// The shard has a new fencing token under the same owner: what is known stays, but from here on only
     /// messages that carry the fencing token prove anything.
-    pub(super) fn shard_renewed(&mut self, shard: u32) {
+    pub(crate) fn shard_renewed(&mut self, shard: u32) {
         let ids: Vec<MachineId> =
             self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
         for id in ids {
@@ -321,7 +321,7 @@
         }
     }
 
-    pub(super) fn machines_txn_over(&mut self, ids: &[MachineId]) {
+    pub(crate) fn machines_txn_over(&mut self, ids: &[MachineId]) {
         for id in ids {
             if let Some(machine) = self.machines.get_mut(id) {
                 machine.writing = false;
@@ -331,7 +331,7 @@
         }
     }
 
-    pub(super) fn tick_machines(&mut self) {
+    pub(crate) fn tick_machines(&mut self) {
         let now = self.now();
         let late = Micros::from_millis(1000);
         for held in std::mem::take(&mut self.unregistered) {
@@ -373,7 +373,7 @@
     /// Changes a machine's record under the conditions that it is as we know it, and that we still hold the role by which
     /// we decide about it: what a controller without contact concludes from silence may be carried out long after its
     /// successor has found the machine well.
-    pub(super) fn write_machine(
+    pub(crate) fn write_machine(
         &mut self,
         id: &MachineId,
         what: MachineChange,
@@ -397,7 +397,7 @@
         self.submit_txn(proposal, Purpose::Machines(what, vec![id.clone()]));
     }
 
-    pub(super) fn set_hold(&mut self, id: &MachineId, hold: Hold) {
+    pub(crate) fn set_hold(&mut self, id: &MachineId, hold: Hold) {
         let before = self.replica.machines.get(id).and_then(|m| m.value.hold);
         let writing = self.machines.get(id).is_none_or(|m| m.writing);
         if before != Some(Hold::Doomed) && before != Some(hold) && !writing {
--- a/src/coordination/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -7,11 +7,11 @@
 //! That write is conditional on its lease on the shard, as its starts are.
 //!
 //! Next to controllers of the first record version the leader makes the second write, as that version expects; see
-//! [`super::versions`].
+//! [`crate::coordination::control::versions`].
 
-use super::Controller;
-use super::txns::{MachineChange, ProposedTxn, Purpose};
-use super::versions::{Mover, mover};
+use crate::coordination::Controller;
+use crate::coordination::control::versions::{Mover, mover};
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -27,7 +27,7 @@
 impl Controller {
     /// Keeps machines that were to go to other shards and have something on them, unless that has to make way for more
     /// urgent work there, and notes by when the others should move.
-    pub(super) fn plan_moves(&mut self) {
+    pub(crate) fn plan_moves(&mut self) {
         let mut wanted = false;
         for (shard, machines) in self.machines_to_move() {
             if self.roles_for_moves(shard).is_empty() {
@@ -48,7 +48,7 @@
 
     /// Moves machines, those of one shard. Put into words only when it is sent: all controllers draw fencing tokens from one
     /// counter, so what waited for the change budget would mostly be refused, and a refusal costs as much.
-    pub(super) fn send_moves(&mut self) {
+    pub(crate) fn send_moves(&mut self) {
         self.moves_due = None;
         for (shard, machines) in self.machines_to_move() {
             let roles = self.roles_for_moves(shard);
--- a/src/coordination/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -1,9 +1,9 @@
 //! Registering machines: those that report and have no record yet, which have come up or come back.
 
-use super::capacity::{Slot, fit};
-use super::submissions::VALUE_FILL;
-use super::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
-use super::{Controller, Effect};
+use crate::coordination::api::submissions::VALUE_FILL;
+use crate::coordination::autoscaling::capacity::{Slot, fit};
+use crate::coordination::store_sync::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
+use crate::coordination::{Controller, Effect};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -25,7 +25,7 @@
 
 impl Controller {
     /// Machines that report and have no record get one, in the shard that needs them most.
-    pub(super) fn register_machines(&mut self) {
+    pub(crate) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
         let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let heartbeats: Vec<_> = self.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
@@ -92,7 +92,7 @@
         self.unregistered.retain(|held| {
             let keep = !refused.contains(&held.heartbeat.machine);
             if !keep {
-                self.out.push(Effect::AnswerWorker(held.waiter, super::WorkerAnswer::Unavailable));
+                self.out.push(Effect::AnswerWorker(held.waiter, crate::coordination::WorkerAnswer::Unavailable));
             }
             keep
         });
--- a/src/coordination/audit.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -4,8 +4,8 @@
 //! answered last. Lines are bounded in rate, so that a wave of cancellations does not cost more than the work itself; a
 //! summary every few seconds counts what is open, and what was left out.
 
-use super::Controller;
-use super::usage::Phase;
+use crate::coordination::Controller;
+use crate::coordination::jobs::usage::Phase;
 use crate::storage::schema::Outcome;
 use crate::types::{JobId, MachineId, Micros};
 
@@ -17,7 +17,7 @@
 
 /// Bounds the rate of lines about cancellations.
 #[derive(Debug)]
-pub(super) struct Audit {
+pub(crate) struct Audit {
     lines_left: f64,
     refilled_at: Micros,
     left_out: u64,
@@ -59,7 +59,7 @@
 
 /// What proves that a start is not on its machine any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AbsenceProof {
+pub(crate) enum AbsenceProof {
     /// The worker has begun a later incarnation.
     LaterIncarnation,
     /// A heartbeat lacks it, and no command is on its way that could still start it.
@@ -76,7 +76,7 @@
 
 /// What allowed a user to be told that a job is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum AcknowledgedBy {
+pub(crate) enum AcknowledgedBy {
     /// It needs a cancelled job, so nothing of it was ever started.
     Cascade,
     /// The holder of its shard said so.
@@ -93,7 +93,7 @@
     }
 
     /// A user is about to be told that a job is cancelled.
-    pub(super) fn audit_told(&mut self, job: &JobId, by: AcknowledgedBy) {
+    pub(crate) fn audit_told(&mut self, job: &JobId, by: AcknowledgedBy) {
         let now = self.now();
         // Users ask about old jobs again and again.
         let Some(left) = self.jobs.get(job).map(|job| job.live.occupying()) else { return };
@@ -106,7 +106,7 @@
     }
 
     /// A task of a cancelled job is proven gone.
-    pub(super) fn audit_gone(&mut self, job: &JobId, task: u32, machine: &MachineId, proof: AbsenceProof) {
+    pub(crate) fn audit_gone(&mut self, job: &JobId, task: u32, machine: &MachineId, proof: AbsenceProof) {
         let now = self.now();
         if self.outcome(job) != Some(Outcome::Cancelled) || !self.audit.admits(now) {
             return;
@@ -116,7 +116,7 @@
     }
 
     /// Sums up cancellations of which something may be left.
-    pub(super) fn audit_summary(&mut self) {
+    pub(crate) fn audit_summary(&mut self) {
         let now = self.now();
         if now.since(self.audit.summed_up_at) < SUMMARY_EVERY {
             return;
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -4,14 +4,14 @@
 //! fails next. So it is told only once it is known where it counts: by the controller that commands the job's
 //! tasks, as of a moment at or after the cancellation, and once the machines with tasks of the job obey that one:
 //! until then a deposed holder that knows of nothing could go on renewing their leases. From here on every answer that
-//! renews a lease carries the stops (see [`super::lease_renewal`]). If nothing proves in time that the tasks are gone,
-//! their machines are deleted (see [`super::clearing`]).
+//! renews a lease carries the stops (see [`crate::coordination::fleet::lease_renewal`]). If nothing proves in time that the tasks are gone,
+//! their machines are deleted (see [`crate::coordination::fleet::clearing`]).
 
-use super::audit::AcknowledgedBy;
-use super::clearing::Clearing;
-use super::usage::Phase;
-use super::users::BUSY;
-use super::{Controller, Effect, UserAnswer, Waiter};
+use crate::coordination::api::requests::BUSY;
+use crate::coordination::fleet::clearing::Clearing;
+use crate::coordination::jobs::cancellation_log::AcknowledgedBy;
+use crate::coordination::jobs::usage::Phase;
+use crate::coordination::{Controller, Effect, UserAnswer, Waiter};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
 use crate::storage::schema::{EndRecord, Key, Role, to_value};
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
-pub(super) struct Cancellations {
+pub(crate) struct Cancellations {
     /// Users who asked about cancelled jobs, and since when they wait.
     waiting: BTreeMap<JobId, Vec<(Micros, Waiter)>>,
     /// Jobs whose shard's holder said that it knows.
@@ -107,13 +107,13 @@
     }
 
     /// Tells a user that a job is cancelled, as soon as that may be told.
-    pub(super) fn answer_cancelled(&mut self, waiter: Waiter, id: JobId) {
+    pub(crate) fn answer_cancelled(&mut self, waiter: Waiter, id: JobId) {
         let now = self.now();
         self.cancellations.waiting.entry(id).or_default().push((now, waiter));
     }
 
     /// Answers whoever can be answered about cancelled jobs, and asks the holders of their shards.
-    pub(super) fn confirm_cancellations(&mut self) {
+    pub(crate) fn confirm_cancellations(&mut self) {
         if self.cancellations.waiting.is_empty() {
             return;
         }
@@ -186,7 +186,7 @@
         });
     }
 
-    pub(super) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
+    pub(crate) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
         let Some(ids) = self.cancellations.notifying.remove(&call) else { return };
         if answer.is_some_and(|a| a.holds) {
             self.cancellations.confirmed.extend(ids);
@@ -212,7 +212,7 @@
 
     /// A sibling saw jobs cancelled and wants to know whether we see to it. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
-    pub(super) fn cancellation_notified(&mut self, waiter: Waiter, message: &Cancelled) {
+    pub(crate) fn cancellation_notified(&mut self, waiter: Waiter, message: &Cancelled) {
         if !self.sync.done {
             return self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds: false }));
         }
--- a/src/coordination/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -5,10 +5,10 @@
 //! itself and may tell it at once, and there are no tasks to end. The job's own outcome is written when there is
 //! time for it, so that its batch can be cleared away.
 
-use super::Controller;
-use super::dependency_graph::Urgency;
-use super::jobs::Job;
-use super::txns::{ProposedTxn, Purpose};
+use crate::coordination::Controller;
+use crate::coordination::jobs::dependency_graph::Urgency;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{JobSpec, Priority};
 use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
 use crate::types::{JobId, Micros};
@@ -28,13 +28,13 @@
 
 impl Controller {
     /// What became of a job, whether its own key says so or that of one it needs.
-    pub(super) fn outcome(&self, id: &JobId) -> Option<Outcome> {
+    pub(crate) fn outcome(&self, id: &JobId) -> Option<Outcome> {
         let written = self.replica.ends.get(id).map(|e| e.value.outcome);
         written.or_else(|| self.cascaded.contains(id).then_some(Outcome::Cancelled))
     }
 
     /// Whether all jobs it depends on are known to have been accepted.
-    pub(super) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
+    pub(crate) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
         spec.depends_on.iter().all(|id| self.replica.jobs.contains_key(id) || self.replica.ends.contains_key(id))
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Ties a job that has just become known to those it waits for.
-    pub(super) fn add_to_dependency_graph(&mut self, id: &JobId) {
+    pub(crate) fn add_to_dependency_graph(&mut self, id: &JobId) {
         let Some(known) = self.replica.jobs.get(id) else { return };
         let depends_on = known.record.spec.depends_on.clone();
         if depends_on.is_empty() && self.dependency_graph.urgency(id).is_none() {
@@ -106,7 +106,7 @@
     }
 
     /// A job is over: those that waited for it are ready, or over as well, and so on.
-    pub(super) fn job_over(&mut self, id: &JobId) {
+    pub(crate) fn job_over(&mut self, id: &JobId) {
         let mut open = vec![id.clone()];
         while let Some(id) = open.pop() {
             if self.replica.ends.contains_key(&id) {
@@ -137,7 +137,7 @@
     }
 
     /// Writes down, in the shards held here, that swept jobs are over. Nobody waits for it.
-    pub(super) fn write_cascaded(&mut self) {
+    pub(crate) fn write_cascaded(&mut self) {
         if self.cascaded.is_empty() || self.txns.cascading() {
             return;
         }
@@ -157,7 +157,7 @@
 
     /// Whether a chunk of a job's records can name one more start and stay within what may be written. A start that
     /// ends leaves a range at most, which is shorter.
-    pub(super) fn chunk_has_room(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
+    pub(crate) fn chunk_has_room(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
         let tasks = chunk * self.chunk_tasks..(chunk + 1).saturating_mul(self.chunk_tasks);
         let stored = self.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
         let (mut starts, mut longest_start) = (0, 0);
--- a/src/coordination/failures.rs
+++ b/src/coordination/jobs/failures.rs
@@ -5,7 +5,7 @@
 //! that failed on several machines is tried one task at a time, after growing pauses, and no machine is rented,
 //! emptied or suspected for it; as soon as a task gets further than those that failed, more of them follow.
 
-use super::usage::{JobStarts, Phase, Start};
+use crate::coordination::jobs::usage::{JobStarts, Phase, Start};
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/coordination/jobs.rs
+++ b/src/coordination/jobs/job.rs
@@ -1,11 +1,11 @@
 //! Jobs and their starts, kept in line with the replica and with what machines report.
 
-use super::Controller;
-use super::audit::AbsenceProof;
-use super::dependency_graph::Urgency;
-use super::failures::{Failure, FailureHistory};
-use super::usage::{JobStarts, Phase, Start, Usage};
-use super::zones::ZoneStart;
+use crate::coordination::Controller;
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::dependency_graph::Urgency;
+use crate::coordination::jobs::failures::{Failure, FailureHistory};
+use crate::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
+use crate::coordination::zones::zone_control::ZoneStart;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::protocol::worker::ExitCause;
 use crate::storage::schema::{JobRecord, Outcome, RunChunk};
@@ -17,7 +17,7 @@
 /// A start that a worker refused is tried again after this.
 const REFUSED_PAUSE: Micros = Micros::from_millis(500);
 
-pub(super) struct Job {
+pub(crate) struct Job {
     pub spec: Arc<JobSpec>,
     pub accepted: Micros,
     pub resources: Resources,
@@ -230,7 +230,7 @@
     }
 
     /// Brings a job in line with the replica.
-    pub(super) fn job_changed(&mut self, id: &JobId) {
+    pub(crate) fn job_changed(&mut self, id: &JobId) {
         if !self.job_known(id) {
             return;
         }
@@ -248,7 +248,7 @@
     }
 
     /// One chunk of a job's records has changed.
-    pub(super) fn run_changed(&mut self, id: &JobId, chunk: u32) {
+    pub(crate) fn run_changed(&mut self, id: &JobId, chunk: u32) {
         if self.job_known(id) {
             self.sync_chunk(id, chunk);
             self.forget_if_over(id);
@@ -343,7 +343,7 @@
     }
 
     /// A start was seen to have ended.
-    pub(super) fn start_ended(&mut self, id: &JobId, task: u32, why: ExitCause) {
+    pub(crate) fn start_ended(&mut self, id: &JobId, task: u32, why: ExitCause) {
         let now = self.now();
         let retry_max = Micros::from_millis(self.policy.retry_max_ms);
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -387,7 +387,7 @@
     }
 
     /// A start was proven not to be on its machine.
-    pub(super) fn start_gone(&mut self, id: &JobId, task: u32, proof: AbsenceProof) {
+    pub(crate) fn start_gone(&mut self, id: &JobId, task: u32, proof: AbsenceProof) {
         let now = self.now();
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Some(live) = job.live.get(task) else { return };
@@ -406,7 +406,7 @@
         self.pass_wanted = true;
     }
 
-    pub(super) fn job_txn_over(&mut self, id: &JobId) {
+    pub(crate) fn job_txn_over(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.locked = false;
         }
@@ -421,7 +421,7 @@
     }
 
     /// The shard was taken or lost: what was believed about its jobs' starts is void.
-    pub(super) fn jobs_of_shard_reset(&mut self, shard: u32) {
+    pub(crate) fn jobs_of_shard_reset(&mut self, shard: u32) {
         for job in self.jobs.values_mut().filter(|j| j.shard == shard) {
             job.done_unrecorded.clear();
             job.not_before.clear();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -4,45 +4,14 @@
 //! controller; the daemon feeds it a queue of inputs in batches. Everything a decision rests on
 //! is either in the store (see [`crate::storage`]) or was proven by a worker's heartbeat.
 
-mod agent_commands;
-mod audit;
-mod boots;
-pub mod budget;
-mod cancellations;
-mod capacity;
-mod clearing;
-pub mod dependency_graph;
-mod dependency_records;
-mod draining;
-mod evacuation;
-mod evidence;
-mod failure_detector;
-mod failures;
-mod heartbeats;
-mod jobs;
-mod leader;
-mod lease_renewal;
-mod machine_tokens;
-mod machines;
+mod api;
+mod autoscaling;
+pub mod control;
+mod fleet;
+pub mod jobs;
 mod messages;
-mod moves;
-pub mod placement;
-mod preemption;
-mod reads;
-mod rebalancing;
-mod reclaim;
-mod records;
-mod registration;
-mod rentals;
-mod roles;
-mod scheduling_order;
-mod shard_view;
-mod submissions;
-mod tidying;
-mod txns;
-pub mod usage;
-mod users;
-pub mod versions;
+pub mod scheduling;
+pub mod store_sync;
 mod zones;
 
 pub use messages::{
@@ -84,29 +53,29 @@
     rng: SmallRng,
     clock: Clock,
     /// In which questions come and calls leave.
-    order: evidence::LogicalClock,
+    order: store_sync::evidence::LogicalClock,
     out: Vec<Effect>,
     replica: Replica,
-    sync: reads::Sync,
+    sync: store_sync::reads::Sync,
     /// When the stored records had been read.
     synced_at: Micros,
-    reads: reads::Reads,
-    session: roles::Session,
-    roles: roles::Roles,
-    txns: txns::Txns,
-    users: users::Users,
-    cancellations: cancellations::Cancellations,
-    audit: audit::Audit,
-    dependency_graph: dependency_graph::DependencyGraph,
+    reads: store_sync::reads::Reads,
+    session: control::roles::Session,
+    roles: control::roles::Roles,
+    txns: store_sync::txns::Txns,
+    users: api::requests::Users,
+    cancellations: jobs::cancellations::Cancellations,
+    audit: jobs::cancellation_log::Audit,
+    dependency_graph: jobs::dependency_graph::DependencyGraph,
     /// Jobs over because one that they need was cancelled, which their own keys don't say yet.
     cascaded: BTreeSet<JobId>,
     /// The change budget.
-    budget: budget::Budget,
-    usage: usage::Usage,
+    budget: store_sync::budget::Budget,
+    usage: jobs::usage::Usage,
     /// Tasks per run chunk.
     chunk_tasks: u32,
-    jobs: BTreeMap<JobId, jobs::Job>,
-    machines: BTreeMap<MachineId, machines::Machine>,
+    jobs: BTreeMap<JobId, jobs::job::Job>,
+    machines: BTreeMap<MachineId, fleet::machines::Machine>,
     /// Machines that are to be told something before they report.
     pushes: BTreeSet<MachineId>,
     /// The same for what can wait until then.
@@ -137,8 +106,8 @@
     pass_began: Micros,
     /// Something urgent has come since the last pass began.
     urgent_pass: bool,
-    leader: leader::Leader,
-    zone_control: zones::ZoneControl,
+    leader: autoscaling::leader::Leader,
+    zone_control: zones::zone_control::ZoneControl,
     /// By when machines of shards held here should move to others, if any are to.
     moves_due: Option<Micros>,
     /// The oldest version of the rules for stored records among the controllers alive.
@@ -159,32 +128,32 @@
         let direct_most = platform.deployment.quota.part_of_sockets(policy.direct_part);
         Controller {
             label: platform.label.clone(),
-            budget: budget::Budget::new(
+            budget: store_sync::budget::Budget::new(
                 platform.deployment.store.write_rps,
                 platform.deployment.store.least_write_rps(),
                 platform.deployment.nodes,
                 policy.state_limits_together,
             ),
-            usage: usage::Usage::default(),
+            usage: jobs::usage::Usage::default(),
             chunk_tasks: schema::chunk_tasks(platform.deployment.store.value_kb),
             platform,
             policy,
             incarnation,
             rng,
             clock: Clock::default(),
-            order: evidence::LogicalClock::default(),
+            order: store_sync::evidence::LogicalClock::default(),
             out: Vec::new(),
             replica: Replica::default(),
-            sync: reads::Sync::default(),
+            sync: store_sync::reads::Sync::default(),
             synced_at: Micros::ZERO,
-            reads: reads::Reads::default(),
-            session: roles::Session::default(),
-            roles: roles::Roles::default(),
-            txns: txns::Txns::default(),
-            users: users::Users::default(),
-            cancellations: cancellations::Cancellations::default(),
-            audit: audit::Audit::default(),
-            dependency_graph: dependency_graph::DependencyGraph::default(),
+            reads: store_sync::reads::Reads::default(),
+            session: control::roles::Session::default(),
+            roles: control::roles::Roles::default(),
+            txns: store_sync::txns::Txns::default(),
+            users: api::requests::Users::default(),
+            cancellations: jobs::cancellations::Cancellations::default(),
+            audit: jobs::cancellation_log::Audit::default(),
+            dependency_graph: jobs::dependency_graph::DependencyGraph::default(),
             cascaded: BTreeSet::new(),
             jobs: BTreeMap::new(),
             machines: BTreeMap::new(),
@@ -207,8 +176,8 @@
             pass_wanted: false,
             pass_began: Micros::ZERO,
             urgent_pass: false,
-            leader: leader::Leader::default(),
-            zone_control: zones::ZoneControl::default(),
+            leader: autoscaling::leader::Leader::default(),
+            zone_control: zones::zone_control::ZoneControl::default(),
             moves_due: None,
             oldest_version: None,
             next_call: 1,
@@ -323,7 +292,7 @@
 
     /// A controller has come or gone: tells when the oldest one's version is another than before.
     fn versions_changed(&mut self) {
-        let oldest = versions::oldest(&self.replica);
+        let oldest = control::versions::oldest(&self.replica);
         if oldest == self.oldest_version {
             return;
         }
--- a/src/coordination/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -1,12 +1,12 @@
 //! Which machine a task goes to: steps 1 to 6 of the design, after DataHelix's deadline-aware
 //! placement with image caches standing in for its locality.
 
-use super::Controller;
-use super::jobs::Job;
-use super::machines::Machine;
-use super::shard_view::{ShardView, Spot};
-use super::usage::{Phase, Start};
-use super::zones::ZoneStart;
+use crate::coordination::Controller;
+use crate::coordination::fleet::machines::Machine;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::scheduling::shard_view::{ShardView, Spot};
+use crate::coordination::zones::zone_control::ZoneStart;
 use crate::protocol::user::Kind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, MachineId, Micros, Resources};
@@ -62,7 +62,7 @@
 }
 
 /// An image that a machine has still to fetch.
-pub(super) struct PendingFetch<'a> {
+pub(crate) struct PendingFetch<'a> {
     pub image: &'a str,
     pub megabytes: f64,
 }
@@ -91,7 +91,7 @@
 
 impl Controller {
     /// Looks at waiting jobs in order until the time is up; the next round goes on from there.
-    pub(super) fn place(&mut self, time_left: &mut dyn FnMut() -> bool) {
+    pub(crate) fn place(&mut self, time_left: &mut dyn FnMut() -> bool) {
         if self.pass.is_empty() {
             // Urgent work is looked at when it comes, everything else every so often.
             let gap = Micros::from_millis(self.policy.pass_gap_ms);
@@ -303,7 +303,7 @@
     }
 
     /// Images that a machine has still to fetch, in order, with what is left of each at that rate in MB a second.
-    pub(super) fn pending_fetches<'a>(
+    pub(crate) fn pending_fetches<'a>(
         &'a self,
         id: &MachineId,
         machine: &'a Machine,
--- a/src/coordination/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,10 +1,10 @@
 //! Room for urgent work where none is left: which running work of lower priority has to leave, and where that costs
 //! least.
 
-use super::Controller;
-use super::jobs::Job;
-use super::shard_view::Spot;
-use super::usage::Start;
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::usage::Start;
+use crate::coordination::scheduling::shard_view::Spot;
 use crate::protocol::user::{Kind, Priority};
 use crate::types::{JobId, Micros, Resources};
 
@@ -23,7 +23,7 @@
 impl Controller {
     /// Stops lower work where that lets waiting tasks of a more urgent job in, where least is lost
     /// first.
-    pub(super) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
+    pub(crate) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
         let now = self.now();
         let Some(job) = self.jobs.get(id) else { return };
         if now < job.preempting_until || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
--- a/src/coordination/reclaim.rs
+++ b/src/coordination/scheduling/reclaim.rs
@@ -2,11 +2,11 @@
 //!
 //! Where nothing more can be rented, a shard's waiting work would wait until whole machines of others fall free. So the
 //! leader also asks for machines on which nothing but arrays of the lowest priority runs, in the same way as for free
-//! ones: by a hold (see [`super::moves`]). The holder stops what runs there, as long as more urgent work waits where
+//! ones: by a hold (see [`crate::coordination::fleet::moves`]). The holder stops what runs there, as long as more urgent work waits where
 //! the machine is to go; otherwise it lifts the hold.
 
-use super::Controller;
-use super::capacity::{Slot, Unmet, fit};
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::capacity::{Slot, Unmet, fit};
 use crate::protocol::user::Priority;
 use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros};
@@ -18,7 +18,7 @@
 impl Controller {
     /// For tasks that find no resources, nor any machine to rent: asks for machines of other shards that only do work of the
     /// lowest priority.
-    pub(super) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
+    pub(crate) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
         let now = self.now();
         self.leader.reclaimed.retain(|_, at| now.since(*at) < ASK_AGAIN);
         if self.usage.lowest() == 0 {
@@ -56,7 +56,7 @@
     }
 
     /// Whether the holder of a machine that another shard asks for should empty it: more urgent work waits there.
-    pub(super) fn should_vacate(&self, id: &MachineId, to: u32) -> bool {
+    pub(crate) fn should_vacate(&self, id: &MachineId, to: u32) -> bool {
         let waits = || {
             self.jobs.values().any(|job| {
                 job.shard == to && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
--- a/src/coordination/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -1,7 +1,7 @@
 //! In which order waiting jobs are looked at.
 
-use super::Controller;
-use super::jobs::Job;
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros, Resources};
 
@@ -35,14 +35,14 @@
 
     /// Whether no task of it was ever started though it was accepted long ago. The largest jobs
     /// would wait without end behind small ones that keep coming.
-    pub(super) fn is_overdue(&self, job: &Job) -> bool {
+    pub(crate) fn is_overdue(&self, job: &Job) -> bool {
         let patience = Micros::from_millis(self.policy.begin_within_ms);
         job.fresh_from == 0 && self.clock.wall.since(job.ready) >= patience
     }
 
     /// Jobs of our shards that wait for a place: by priority, then those that should have begun long
     /// ago, then those within their team's guarantee, then by turn.
-    pub(super) fn waiting_in_order(&self) -> Vec<JobId> {
+    pub(crate) fn waiting_in_order(&self) -> Vec<JobId> {
         let mut waiting: Vec<_> = self
             .jobs
             .iter()
@@ -60,7 +60,7 @@
         if self.is_restoring() { self.in_restoration_order(&waiting) } else { waiting }
     }
 
-    pub(super) fn within_guarantee(&self, job: &Job) -> bool {
+    pub(crate) fn within_guarantee(&self, job: &Job) -> bool {
         let Some(team) = job.spec.team.as_ref().and_then(|name| self.platform.deployment.team(name)) else {
             return false;
         };
--- a/src/coordination/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -1,14 +1,14 @@
 //! The machines of a shard that take work, with what is kept free on them and what a job's conditions allow.
 
-use super::Controller;
-use super::jobs::Job;
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::fetches::FetchQueues;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine of one shard as this round sees it.
-pub(super) struct Spot {
+pub(crate) struct Spot {
     pub id: MachineId,
     pub machine_type: String,
     pub zone: String,
@@ -50,7 +50,7 @@
 }
 
 /// The machines of one shard that take work, as one pass over the jobs sees them.
-pub(super) struct ShardView {
+pub(crate) struct ShardView {
     pub spots: Vec<Spot>,
     /// Fetches in each zone, while they are limited.
     pub fetch_queues: Option<FetchQueues>,
@@ -74,13 +74,13 @@
 }
 
 /// What placing a task changes of a [`ShardView`].
-pub(super) struct SavedView {
+pub(crate) struct SavedView {
     spots: Vec<(Resources, u32)>,
     fetch_queues: Option<FetchQueues>,
 }
 
 /// What a job's own conditions allow for one more task, given where its others are.
-pub(super) struct Allowance<'a> {
+pub(crate) struct Allowance<'a> {
     spec: &'a JobSpec,
     zone: Option<&'a str>,
     pub per_zone: BTreeMap<String, u32>,
@@ -127,7 +127,7 @@
     }
 
     /// Machines of a shard that take work now.
-    pub(super) fn spots_of(&self, shard: u32) -> Vec<Spot> {
+    pub(crate) fn spots_of(&self, shard: u32) -> Vec<Spot> {
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 1.7);
         let pause = Micros::from_millis(self.policy.retry_max_ms);
@@ -162,7 +162,7 @@
         spots
     }
 
-    pub(super) fn view_of(&mut self, shard: u32) -> ShardView {
+    pub(crate) fn view_of(&mut self, shard: u32) -> ShardView {
         let mut spots = self.spots_of(shard);
         if !self.judges_zones() {
             return ShardView { spots, fetch_queues: None, distrusted: BTreeSet::new() };
@@ -184,7 +184,7 @@
     }
 
     /// Machines that the job's own conditions allow for one more task.
-    pub(super) fn allowance<'a>(&self, job: &'a Job, zone: Option<&'a str>) -> Allowance<'a> {
+    pub(crate) fn allowance<'a>(&self, job: &'a Job, zone: Option<&'a str>) -> Allowance<'a> {
         let spec = &*job.spec;
         let mut per_zone: BTreeMap<String, u32> = BTreeMap::new();
         if spec.one_zone || spec.spread {
@@ -199,14 +199,14 @@
     }
 
     /// The same for a task whose job's others may be in lost zones, from which they are to go.
-    pub(super) fn allowance_beyond_lost_zones<'a>(&self, job: &'a Job) -> Allowance<'a> {
+    pub(crate) fn allowance_beyond_lost_zones<'a>(&self, job: &'a Job) -> Allowance<'a> {
         let mut allowance = self.allowance(job, None);
         allowance.per_zone.retain(|zone, _| self.zone_takes_work(zone));
         allowance
     }
 
     /// Whether a zone that returns takes one more start, and a machine one more fetch while these are limited.
-    pub(super) fn is_admitted(&self, job: &Job, spot: &Spot, view: &ShardView) -> bool {
+    pub(crate) fn is_admitted(&self, job: &Job, spot: &Spot, view: &ShardView) -> bool {
         if spot.is_returning && !self.zone_admits_start(&spot.zone) {
             return false;
         }
@@ -215,7 +215,7 @@
     }
 
     /// Whether a task started there would have one more image fetched.
-    pub(super) fn adds_fetch(&self, job: &Job, spot: &Spot) -> bool {
+    pub(crate) fn adds_fetch(&self, job: &Job, spot: &Spot) -> bool {
         let image = job.spec.image.as_str();
         let Some(machine) = self.machines.get(&spot.id) else { return true };
         let is_pending = || self.pending_fetches(&spot.id, machine, 0.0).iter().any(|fetch| fetch.image == image);
@@ -223,7 +223,7 @@
     }
 
     /// Whether a whole zone takes no more starts, or no more fetches, in this pass.
-    pub(super) fn is_zone_exhausted(&self, spot: &Spot, view: &ShardView) -> bool {
+    pub(crate) fn is_zone_exhausted(&self, spot: &Spot, view: &ShardView) -> bool {
         let no_starts = spot.is_returning && !self.zone_admits_start(&spot.zone);
         let no_fetches = || view.fetch_queues.as_ref().is_some_and(|q| !q.zone_admits(&spot.zone, &self.policy.zones));
         no_starts || no_fetches()
--- a/src/coordination/evidence.rs
+++ b/src/coordination/store_sync/evidence.rs
@@ -11,11 +11,11 @@
 
 /// A point in the order in which questions reach this controller and calls leave it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct LogicalTime(u64);
+pub(crate) struct LogicalTime(u64);
 
 /// Hands out points in that order.
 #[derive(Debug, Default)]
-pub(super) struct LogicalClock(u64);
+pub(crate) struct LogicalClock(u64);
 
 impl LogicalClock {
     /// The next point: later than all before.
@@ -27,14 +27,14 @@
 
 /// What an answered call proves: the stored records had this revision at some moment after the call began.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Evidence {
+pub(crate) struct Evidence {
     begun: LogicalTime,
     revision: Revision,
 }
 
 /// Permission to answer one question from the replica as it stands.
 #[derive(Debug)]
-pub(super) struct Fresh(());
+pub(crate) struct Fresh(());
 
 impl Evidence {
     /// From a read, a commit or a refused condition, each with the revision that its answer names.
@@ -60,6 +60,6 @@
 }
 
 /// About any job, once the replica has reached a revision that the stored records had after the question came.
-pub(super) fn reached(known: Option<Revision>, applied: Revision) -> Option<Fresh> {
+pub(crate) fn reached(known: Option<Revision>, applied: Revision) -> Option<Fresh> {
     known.is_some_and(|revision| revision <= applied).then_some(Fresh(()))
 }
--- a/src/coordination/tidying.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -1,7 +1,7 @@
 //! Clearing away records that nothing needs any more, a little at a time.
 
-use super::Controller;
-use super::txns::{ProposedTxn, Purpose};
+use crate::coordination::Controller;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role};
 use crate::types::{JobId, Micros};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 impl Controller {
     /// Clears away, a little at a time, fleets and notes of machines long gone, and batches whose
     /// jobs are over.
-    pub(super) fn tidy(&mut self) {
+    pub(crate) fn tidy(&mut self) {
         let now = self.now();
         if self.txns.tidying() || now < self.leader.next_tidy {
             return;
--- a/src/coordination/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -4,15 +4,15 @@
 //! rely on the replica afterwards. One is in flight at a time, shared by all who wait. An answer counts only for the
 //! call that its ticket names.
 
-use super::evidence::{Evidence, LogicalTime};
-use super::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
+use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
+use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
 use crate::protocol::store::{Changes, Page};
 use crate::types::{Micros, Revision};
 
 /// The first reading of all records: pages one after the other, then what changed since the first of them. Only then
 /// is the replica what the store held at one moment, and anything decided or told by it.
 #[derive(Default)]
-pub(super) struct Sync {
+pub(crate) struct Sync {
     pub done: bool,
     /// The call on its way.
     in_flight: Option<u64>,
@@ -31,7 +31,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Reads {
+pub(crate) struct Reads {
     watch: Option<InFlight>,
     watch_not_before: Micros,
     fresh: Option<InFlight>,
@@ -49,7 +49,7 @@
 const PAUSE_AFTER_FAILURE: Micros = Micros::from_millis(300);
 
 impl Controller {
-    pub(super) fn tick_reads(&mut self) {
+    pub(crate) fn tick_reads(&mut self) {
         let now = self.now();
         if !self.sync.done {
             if self.sync.in_flight.is_none() && now >= self.sync.not_before {
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn page_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Page>) {
+    pub(crate) fn page_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Page>) {
         if self.sync.in_flight != Some(ticket) {
             return;
         }
@@ -153,7 +153,7 @@
     }
 
     /// Sends a fresh read if anybody waits for one.
-    pub(super) fn start_fresh_read(&mut self) {
+    pub(crate) fn start_fresh_read(&mut self) {
         let now = self.now();
         let gap = self.read_gap(FRESH_PART);
         let wanted = self.reads.wanted || self.users.wants_read();
@@ -168,7 +168,7 @@
         self.reads.fresh = Some(self.begin_read(ReadKind::Fresh, 0));
     }
 
-    pub(super) fn changes_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Changes>) {
+    pub(crate) fn changes_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Changes>) {
         let names = |call: &Option<InFlight>| call.is_some_and(|call| call.ticket == ticket);
         if names(&self.reads.watch) {
             self.watch_outcome(outcome);
--- a/src/coordination/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -3,11 +3,11 @@
 //! A start is recorded under the preconditions that this controller still holds the job's shard, that the job is not
 //! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
 
-use super::Controller;
-use super::jobs::Job;
-use super::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
-use super::usage::{Phase, Start};
-use super::versions::leader_leaves_moves;
+use crate::coordination::Controller;
+use crate::coordination::control::versions::leader_leaves_moves;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
@@ -20,7 +20,7 @@
 
 /// A job whose records are to be brought up to date.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct DueRecord {
+pub(crate) struct DueRecord {
     /// Until then it may wait for others when the change budget is short.
     pub latest: Micros,
     shard: u32,
@@ -231,7 +231,7 @@
 impl Controller {
     /// Jobs whose records are to be brought up to date, those that can wait least first, and until
     /// when each may wait for others when the change budget is short.
-    pub(super) fn due_records(&mut self) -> Vec<DueRecord> {
+    pub(crate) fn due_records(&mut self) -> Vec<DueRecord> {
         let now = self.now();
         let delay = Micros::from_millis(self.policy.record_delay_ms);
         let batch_delay = Micros::from_millis(self.policy.batch_delay_ms);
@@ -285,7 +285,7 @@
 
     /// Writes down what was decided and seen about the first job of `due`, and about as many of the
     /// next ones as fit the same transaction.
-    pub(super) fn record(&mut self, due: &mut VecDeque<DueRecord>) {
+    pub(crate) fn record(&mut self, due: &mut VecDeque<DueRecord>) {
         let limits = self.txn_limits();
         // Near the limit the service rather refuses large transactions than small ones.
         let rate = self.platform.deployment.store.write_rps;
--- a/src/coordination/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -4,9 +4,9 @@
 //! until there is an answer. After a conflict nothing is decided before the replica has reached
 //! the revision of the refusal; then everything is derived anew from it.
 
-use super::evidence::{Evidence, LogicalTime};
-use super::submissions::Submitted;
-use super::{Controller, Effect, Failure, StoreCall, TxnOutcome};
+use crate::coordination::api::submissions::Submitted;
+use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
+use crate::coordination::{Controller, Effect, Failure, StoreCall, TxnOutcome};
 use crate::protocol::store::{Precondition, Txn, Write};
 use crate::storage::Replica;
 use crate::storage::schema::Key;
@@ -17,7 +17,7 @@
 
 /// What is written about machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum MachineChange {
+pub(crate) enum MachineChange {
     /// They have come up.
     Register,
     /// They go to another shard, or stay after all.
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Purpose {
+pub(crate) enum Purpose {
     Submit(Vec<Submitted>),
     /// Lists of a large submission, under that name.
     DependencyListParts(String),
@@ -97,7 +97,7 @@
 }
 
 /// How a transaction has ended, and what that proves.
-pub(super) enum TxnEnd {
+pub(crate) enum TxnEnd {
     /// It was carried out.
     Committed(Evidence),
     /// A condition did not hold, and the replica has reached the revision at which it did not.
@@ -120,7 +120,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Txns {
+pub(crate) struct Txns {
     pending: BTreeMap<u64, Pending>,
 }
 
@@ -159,7 +159,7 @@
 
 /// A transaction being put together; preconditions name the versions the replica has.
 #[derive(Default)]
-pub(super) struct ProposedTxn {
+pub(crate) struct ProposedTxn {
     pub txn: Txn,
 }
 
@@ -187,12 +187,12 @@
 }
 
 /// Preconditions a transaction may hold for each write the service allows.
-pub(super) const PRECONDITIONS_PER_WRITE: usize = 4;
+pub(crate) const PRECONDITIONS_PER_WRITE: usize = 4;
 
 impl Controller {
     /// Puts a transaction in the queue for the change budget. Roles don't wait: everything else
     /// depends on them.
-    pub(super) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
+    pub(crate) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
         let patience = match purpose {
             Purpose::Node | Purpose::Role => return self.send_txn(proposal, purpose),
             Purpose::Submit(_) | Purpose::DependencyListParts(_) | Purpose::Cancel(_) => self.policy.user_patience_ms,
@@ -206,7 +206,7 @@
         self.txns.pending.insert(ticket, pending);
     }
 
-    pub(super) fn send_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
+    pub(crate) fn send_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
         let ticket = self.next_ticket();
         self.txns.pending.insert(ticket, Pending::new(proposal.txn, purpose, Stage::Sent));
         self.send_pending(ticket);
@@ -227,7 +227,7 @@
     /// Spends the change budget on what can wait least: queued transactions and the stored records of jobs,
     /// which are only now put into words, so that they hold all there is to say. Submissions go
     /// before: one change takes in many.
-    pub(super) fn spend(&mut self) {
+    pub(crate) fn spend(&mut self) {
         let now = self.now();
         if self.users.submissions.batch_due(now, self.budget.batch_gap()) {
             self.send_submissions();
@@ -250,7 +250,7 @@
         }
     }
 
-    pub(super) fn txn_outcome(&mut self, ticket: u64, outcome: TxnOutcome) {
+    pub(crate) fn txn_outcome(&mut self, ticket: u64, outcome: TxnOutcome) {
         let Some(pending) = self.txns.pending.get_mut(&ticket) else { return };
         match outcome {
             TxnOutcome::Committed(revision) => {
@@ -298,7 +298,7 @@
         }
     }
 
-    pub(super) fn tick_txns(&mut self) {
+    pub(crate) fn tick_txns(&mut self) {
         let now = self.now();
         let again = |p: &Pending| matches!(p.stage, Stage::Again(at) if at <= now);
         let due: Vec<u64> = self.txns.pending.iter().filter(|(_, p)| again(p)).map(|(ticket, _)| *ticket).collect();
@@ -318,7 +318,7 @@
     }
 
     /// Settles conflicts that the replica has caught up with.
-    pub(super) fn txns_read(&mut self) {
+    pub(crate) fn txns_read(&mut self) {
         let applied = self.replica.applied.0;
         let reached = |pending: &Pending| match pending.stage {
             Stage::Reading(revision) if revision <= applied => Some(Revision(revision)),
--- a/src/coordination/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -4,10 +4,10 @@
 //! Nothing starts elsewhere before the old attempt is proven gone. Machines of a zone that is merely cut off work on, so
 //! none is deleted for batch work, nor before the controllers agree that the zone is lost.
 
-use super::Controller;
-use super::capacity::count_in;
-use super::jobs::Job;
-use super::shard_view::Spot;
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::capacity::count_in;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::scheduling::shard_view::Spot;
 use crate::protocol::user::Kind;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{JobId, MachineId, Micros, Resources};
@@ -23,7 +23,7 @@
 
 impl Controller {
     /// Replicas of services on machines of lost zones, of all shards: the leader plans for them all.
-    pub(super) fn find_displaced(&mut self) {
+    pub(crate) fn find_displaced(&mut self) {
         let mut displaced: BTreeMap<JobId, u32> = BTreeMap::new();
         for zone in self.zone_control.zones.in_condition(Condition::Lost) {
             for machine in self.zone_control.zones.machines(zone) {
@@ -52,12 +52,12 @@
     }
 
     /// How many replicas of a job are displaced.
-    pub(super) fn displaced_of(&self, id: &JobId) -> u32 {
+    pub(crate) fn displaced_of(&self, id: &JobId) -> u32 {
         self.zone_control.displaced.get(id).copied().unwrap_or(0)
     }
 
     /// Room that a team's displaced replicas still take by the stored records.
-    pub(super) fn displaced_resources(&self, team: &str) -> Resources {
+    pub(crate) fn displaced_resources(&self, team: &str) -> Resources {
         let of_team = self.zone_control.displaced.iter().filter_map(|(id, count)| {
             let job = self.jobs.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
             Some(job.resources.times(u64::from(*count)))
@@ -67,7 +67,7 @@
 
     /// Keeps room for displaced replicas of a shard on machines that take work, holders of their images first. Says for
     /// how many of each job there is room.
-    pub(super) fn reserve_displaced(&self, shard: u32, spots: &mut [Spot]) -> Places {
+    pub(crate) fn reserve_displaced(&self, shard: u32, spots: &mut [Spot]) -> Places {
         self.reserve_places(&self.zone_control.displaced, shard, spots)
     }
 
@@ -100,7 +100,7 @@
     }
 
     /// Has machines of lost zones deleted that run services, as far as there is room for these elsewhere.
-    pub(super) fn evacuate(&mut self) {
+    pub(crate) fn evacuate(&mut self) {
         if !self.policy.zones.evacuate || self.zone_control.displaced.is_empty() {
             return;
         }
--- a/src/coordination/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -5,11 +5,11 @@
 //! only for a moment. The stop and the new start are ordinary ones: the start is recorded after the old attempt is
 //! proven gone.
 
-use super::Controller;
-use super::jobs::Job;
-use super::shard_view::Spot;
-use super::usage::Phase;
-use super::zones::MovingReplica;
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::usage::Phase;
+use crate::coordination::scheduling::shard_view::Spot;
+use crate::coordination::zones::zone_control::MovingReplica;
 use crate::protocol::user::Kind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
@@ -26,7 +26,7 @@
 
 impl Controller {
     /// Looks at a few services and moves at most one replica.
-    pub(super) fn move_replicas(&mut self) {
+    pub(crate) fn move_replicas(&mut self) {
         self.forget_moves();
         let zones = &self.zone_control.zones;
         let wanted = zones.any_on_hold() || self.policy.zones.rebalance;
@@ -130,7 +130,7 @@
 
     /// Zones that a job's next start had better avoid: one that a replica of it is moving out of, and those that fail
     /// again and again if all of its replicas would be there.
-    pub(super) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
+    pub(crate) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
         let mut avoided = BTreeSet::new();
         if !self.judges_zones() || job.spec.kind != Kind::Service {
             return avoided;
@@ -146,7 +146,7 @@
     }
 
     /// Whether a service that found no place outside the zones it avoids takes one there: it has waited long enough.
-    pub(super) fn gives_up_avoiding(&mut self, id: &JobId) -> bool {
+    pub(crate) fn gives_up_avoiding(&mut self, id: &JobId) -> bool {
         let now = self.now();
         let patience = Micros::from_millis(self.policy.zones.distrust_wait_ms);
         let since = *self.zone_control.avoiding_since.entry(id.clone()).or_insert(now);
--- a/src/coordination/zones.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -2,13 +2,13 @@
 //!
 //! Each holder of a shard judges zones by its own machines and stores its view under its lease on the shard; from all
 //! views every controller derives the same condition (see `docs/zones.md`). What follows from it is decided where such
-//! work is decided already: [`super::placement`] asks which zones take work and in which order jobs are looked at,
-//! [`super::capacity`] and [`super::rentals`] plan around lost zones, [`super::evacuation`] proves tasks gone.
+//! work is decided already: [`crate::coordination::scheduling::placement`] asks which zones take work and in which order jobs are looked at,
+//! [`crate::coordination::autoscaling::capacity`] and [`crate::coordination::autoscaling::scale_out`] plan around lost zones, [`crate::coordination::zones::zone_control::evacuation`] proves tasks gone.
 
-use super::Controller;
-use super::shard_view::Spot;
-use super::txns::{ProposedTxn, Purpose};
-use super::usage::Start;
+use crate::coordination::Controller;
+use crate::coordination::jobs::usage::Start;
+use crate::coordination::scheduling::shard_view::Spot;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{Kind, Priority};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
 use crate::types::{JobId, MachineId, Micros};
@@ -21,7 +21,7 @@
 const ZONES_EVERY: Micros = Micros::from_millis(250);
 
 /// A replica that was stopped to move to another zone.
-pub(super) struct MovingReplica {
+pub(crate) struct MovingReplica {
     /// The zone that it left.
     pub from: String,
     /// When it was told to stop.
@@ -30,7 +30,7 @@
 
 /// What the controller knows about zones.
 #[derive(Default)]
-pub(super) struct ZoneControl {
+pub(crate) struct ZoneControl {
     pub zones: Zones,
     next: Micros,
     /// Views on their way to the store.
@@ -46,7 +46,7 @@
 }
 
 impl Controller {
-    pub(super) fn judges_zones(&self) -> bool {
+    pub(crate) fn judges_zones(&self) -> bool {
         self.policy.zones.enabled
     }
 
@@ -55,7 +55,7 @@
     }
 
     /// A machine's record has changed.
-    pub(super) fn zone_of_machine_changed(&mut self, id: &MachineId) {
+    pub(crate) fn zone_of_machine_changed(&mut self, id: &MachineId) {
         if !self.judges_zones() {
             return;
         }
@@ -66,7 +66,7 @@
     }
 
     /// All views and holds, once the stored records are read.
-    pub(super) fn zones_read(&mut self) {
+    pub(crate) fn zones_read(&mut self) {
         let views: Vec<(String, u32)> = self.replica.zones.keys().cloned().collect();
         for (zone, shard) in views {
             self.zone_view_changed(&zone, shard);
@@ -78,7 +78,7 @@
     }
 
     /// A shard's view of a zone was stored or removed, or the shard has another holder.
-    pub(super) fn zone_view_changed(&mut self, zone: &str, shard: u32) {
+    pub(crate) fn zone_view_changed(&mut self, zone: &str, shard: u32) {
         if !self.judges_zones() {
             return;
         }
@@ -94,7 +94,7 @@
     }
 
     /// A shard has another holder: which views count as votes follows from that.
-    pub(super) fn zone_views_of_role_changed(&mut self, role: Role) {
+    pub(crate) fn zone_views_of_role_changed(&mut self, role: Role) {
         let Role::Shard(shard) = role else { return };
         let zones: Vec<String> =
             self.replica.zones.keys().filter(|(_, of)| *of == shard).map(|(zone, _)| zone.clone()).collect();
@@ -104,7 +104,7 @@
     }
 
     /// Operators hold a zone, or have released it.
-    pub(super) fn zone_hold_changed(&mut self, zone: &str) {
+    pub(crate) fn zone_hold_changed(&mut self, zone: &str) {
         let on_hold = self.replica.zone_holds.contains_key(zone);
         if self.judges_zones() && self.zone_control.zones.is_on_hold(zone) != on_hold {
             tracing::info!(zone, on_hold, "zone held or released by operators");
@@ -114,7 +114,7 @@
     }
 
     /// Judges all zones and acts on what follows.
-    pub(super) fn tick_zones(&mut self, ours: &[MachineId]) {
+    pub(crate) fn tick_zones(&mut self, ours: &[MachineId]) {
         let now = self.now();
         if !self.judges_zones() || now < self.zone_control.next {
             return;
@@ -132,7 +132,7 @@
         self.move_replicas();
     }
 
-    pub(super) fn held_shards(&self) -> impl Iterator<Item = u32> {
+    pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
         self.roles.held.keys().filter_map(|role| match role {
             Role::Shard(shard) => Some(*shard),
             Role::Leader => None,
@@ -194,12 +194,12 @@
     }
 
     /// A view has been stored, or not.
-    pub(super) fn zone_view_txn_over(&mut self, name: &(String, u32)) {
+    pub(crate) fn zone_view_txn_over(&mut self, name: &(String, u32)) {
         self.zone_control.writing.remove(name);
     }
 
     /// Whether a zone takes any new work.
-    pub(super) fn zone_takes_work(&self, zone: &str) -> bool {
+    pub(crate) fn zone_takes_work(&self, zone: &str) -> bool {
         if !self.judges_zones() {
             return true;
         }
@@ -208,23 +208,23 @@
     }
 
     /// Whether a zone gets its work back step by step at present.
-    pub(super) fn zone_is_returning(&self, zone: &str) -> bool {
+    pub(crate) fn zone_is_returning(&self, zone: &str) -> bool {
         self.judges_zones() && self.zone_control.zones.condition(zone) == Condition::Returning
     }
 
     /// Whether a zone takes one more start in this step of its return.
-    pub(super) fn zone_admits_start(&self, zone: &str) -> bool {
+    pub(crate) fn zone_admits_start(&self, zone: &str) -> bool {
         let state = self.zone_control.zones.state(zone).filter(|_| self.zone_is_returning(zone));
         state.is_none_or(|state| state.ramp.admits(&self.policy.zones))
     }
 
     /// Whether work is being restored after the loss of a zone.
-    pub(super) fn is_restoring(&self) -> bool {
+    pub(crate) fn is_restoring(&self) -> bool {
         self.judges_zones() && self.zone_control.zones.is_restoring(self.now(), &self.policy.zones)
     }
 
     /// Zones that have failed too often lately.
-    pub(super) fn distrusted_zones(&mut self, spots: &[Spot]) -> BTreeSet<String> {
+    pub(crate) fn distrusted_zones(&mut self, spots: &[Spot]) -> BTreeSet<String> {
         if !self.judges_zones() {
             return BTreeSet::new();
         }
@@ -236,7 +236,7 @@
     }
 
     /// Notes what became of a start in a zone that returns.
-    pub(super) fn note_zone_start(&mut self, machine: &MachineId, what: ZoneStart) {
+    pub(crate) fn note_zone_start(&mut self, machine: &MachineId, what: ZoneStart) {
         if !self.judges_zones() {
             return;
         }
@@ -256,7 +256,7 @@
 
     /// A start is proven gone. One that came to work since its zone returned, and was not told to stop, speaks against
     /// the zone.
-    pub(super) fn note_zone_loss(&mut self, start: &Start) {
+    pub(crate) fn note_zone_loss(&mut self, start: &Start) {
         if !self.judges_zones() || start.stop.is_some() {
             return;
         }
@@ -269,7 +269,7 @@
     }
 
     /// Whether batch work of which nothing has begun has its turn among the services, with one task.
-    pub(super) fn is_starved_in_restoration(&self, id: &JobId) -> bool {
+    pub(crate) fn is_starved_in_restoration(&self, id: &JobId) -> bool {
         self.is_restoring() && self.as_waiting(id).is_some_and(|job| job.is_starved(&self.policy.zones))
     }
 
@@ -296,13 +296,13 @@
     }
 
     /// Jobs in the order in which they are restored.
-    pub(super) fn in_restoration_order(&self, waiting: &[JobId]) -> Vec<JobId> {
+    pub(crate) fn in_restoration_order(&self, waiting: &[JobId]) -> Vec<JobId> {
         let jobs = waiting.iter().filter_map(|id| self.as_waiting(id)).collect();
         restoration_order(jobs, &self.policy.zones).into_iter().cloned().collect()
     }
 
     /// Zones in which nothing may be rented now, given how many machines may still be ordered for each that returns.
-    pub(super) fn zones_closed_to_rentals(&self, ordered: &BTreeMap<String, u32>) -> BTreeSet<String> {
+    pub(crate) fn zones_closed_to_rentals(&self, ordered: &BTreeMap<String, u32>) -> BTreeSet<String> {
         let mut closed = BTreeSet::new();
         if !self.judges_zones() {
             return closed;
@@ -320,7 +320,7 @@
 
 /// What became of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ZoneStart {
+pub(crate) enum ZoneStart {
     Decided,
     Withdrawn,
     AtWork,
--- a/src/storage/schema.rs
+++ b/src/storage/schema.rs
@@ -1,6 +1,6 @@
 //! Keys and values. Value field names are short: values are bounded and so are writes.
 
-use crate::coordination::dependency_graph::Urgency;
+use crate::coordination::jobs::dependency_graph::Urgency;
 use crate::protocol::user::JobSpec;
 use crate::types::{FencingToken, JobId, MachineId, Micros};
 use ciborium::Value;
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,9 +1,9 @@
 //! The real code against slow, plain models.
 
-use burlhatch::coordination::budget::Budget;
-use burlhatch::coordination::dependency_graph::{DependencyGraph, Urgency};
-use burlhatch::coordination::placement::{Candidate, choose};
-use burlhatch::coordination::usage::{JobStarts, Phase, Start, Usage};
+use burlhatch::coordination::jobs::dependency_graph::{DependencyGraph, Urgency};
+use burlhatch::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
+use burlhatch::coordination::scheduling::placement::{Candidate, choose};
+use burlhatch::coordination::store_sync::budget::Budget;
 use burlhatch::protocol::store::Event;
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
 use burlhatch::protocol::worker::ExitCause;
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,6 +1,6 @@
 //! Who moves machines out of a shard, by what the roles in the replica announce.
 
-use burlhatch::coordination::versions::{Mover, leader_leaves_moves, mover};
+use burlhatch::coordination::control::versions::{Mover, leader_leaves_moves, mover};
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, RecordVersion, Role, RoleRecord, to_value};
 use burlhatch::types::FencingToken;
