--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -96,21 +96,21 @@
         if let Some(status) = self.final_status(id) {
             return Some(status);
         }
-        if !self.replica.jobs.contains_key(id) && !self.users.submissions.is_committed(id) {
+        if !self.store.replica.jobs.contains_key(id) && !self.api.submissions.is_committed(id) {
             return None;
         }
-        let (done, running) = self.jobs.get(id).map_or((0, 0), |job| job.counts());
+        let (done, running) = self.jobs.by_id.get(id).map_or((0, 0), |job| job.counts());
         let state = if running > 0 { JobState::Running } else { JobState::Queued };
         Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
     }
 
     pub(crate) fn user_request(&mut self, waiter: Waiter, request: UserRequest) {
-        let asked = Asked { waiter, at: self.order.tick() };
+        let asked = Asked { waiter, at: self.store.order.tick() };
         let known = match &request {
             UserRequest::Get(id) | UserRequest::Cancel(id) => Some(id),
             UserRequest::Submit(submission) => submission.id.as_ref(),
         };
-        if !self.sync.done {
+        if !self.store.sync.done {
             return self.answer(waiter, BUSY);
         }
         if let Some(status) = known.and_then(|id| self.final_status(id)) {
@@ -122,30 +122,30 @@
             return self.answer(waiter, BUSY);
         }
         match request {
-            UserRequest::Get(id) => self.users.ask(asked, Question::Status(id), None),
-            UserRequest::Cancel(id) if self.replica.jobs.contains_key(&id) => self.cancel(waiter, id),
-            UserRequest::Cancel(id) => self.users.ask(asked, Question::Cancel(id), None),
+            UserRequest::Get(id) => self.api.ask(asked, Question::Status(id), None),
+            UserRequest::Cancel(id) if self.store.replica.jobs.contains_key(&id) => self.cancel(waiter, id),
+            UserRequest::Cancel(id) => self.api.ask(asked, Question::Cancel(id), None),
             UserRequest::Submit(submission) => self.submit(asked, *submission),
         }
     }
 
     fn cancel(&mut self, waiter: Waiter, id: JobId) {
-        let waiters = self.users.cancels.entry(id.clone()).or_default();
+        let waiters = self.api.cancels.entry(id.clone()).or_default();
         waiters.push(waiter);
         if waiters.len() > 1 {
             return;
         }
         let mut txn = ProposedTxn::default();
-        if let Some(known) = self.replica.jobs.get(&id) {
-            txn.unchanged(&self.replica, Key::Batch(known.batch.clone()));
+        if let Some(known) = self.store.replica.jobs.get(&id) {
+            txn.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
         }
-        txn.unchanged(&self.replica, Key::End(id.clone()));
+        txn.unchanged(&self.store.replica, Key::End(id.clone()));
         txn.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
         self.submit_txn(txn, Purpose::Cancel(id));
     }
 
     pub(crate) fn cancel_over(&mut self, id: &JobId) {
-        for waiter in self.users.cancels.remove(id).unwrap_or_default() {
+        for waiter in self.api.cancels.remove(id).unwrap_or_default() {
             match self.final_status(id) {
                 Some(status) => self.tell(waiter, status),
                 None => self.answer(waiter, BUSY),
@@ -155,8 +155,8 @@
 
     /// A read that began then has ended without an answer: whoever waited for it is told to come back.
     pub(crate) fn read_failed(&mut self, begun: LogicalTime) {
-        let (failed, open) = std::mem::take(&mut self.users.open).into_iter().partition(|open| open.asked.at < begun);
-        self.users.open = open;
+        let (failed, open) = std::mem::take(&mut self.api.open).into_iter().partition(|open| open.asked.at < begun);
+        self.api.open = open;
         for Open { asked, .. } in failed {
             self.answer(asked.waiter, BUSY);
         }
@@ -164,18 +164,18 @@
 
     /// A read has been answered.
     pub(crate) fn read_proves(&mut self, evidence: &Evidence) {
-        for open in &mut self.users.open {
+        for open in &mut self.api.open {
             open.known = open.known.or(evidence.revision_after(open.asked.at));
         }
     }
 
     /// Answers every question that the replica is fresh enough for.
     pub(crate) fn answer_open_questions(&mut self) {
-        let applied = self.replica.applied;
-        for open in std::mem::take(&mut self.users.open) {
+        let applied = self.store.replica.applied;
+        for open in std::mem::take(&mut self.api.open) {
             match reached(open.known, applied) {
                 Some(fresh) => self.answer_question(open.asked, open.question, &fresh),
-                None => self.users.open.push(open),
+                None => self.api.open.push(open),
             }
         }
     }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -107,16 +107,16 @@
             return self.answer(asked.waiter, UserAnswer::Malformed);
         };
         let Some(spec) = submission.spec else {
-            return self.users.ask(asked, Question::Submit(id, None), None);
+            return self.api.ask(asked, Question::Submit(id, None), None);
         };
         let acceptable = self.refusal(&spec).is_none() && self.dependencies_exist(&spec);
-        let known = self.replica.jobs.contains_key(&id) || self.users.submissions.is_committed(&id);
+        let known = self.store.replica.jobs.contains_key(&id) || self.api.submissions.is_committed(&id);
         if known || !acceptable {
             // Known, or to be refused unless it is known after all.
-            return self.users.ask(asked, Question::Submit(id, Some(Box::new(spec))), None);
+            return self.api.ask(asked, Question::Submit(id, Some(Box::new(spec))), None);
         }
         match self.form(id.clone(), spec) {
-            Form::TooLarge => self.users.ask(asked, Question::Submit(id, None), None),
+            Form::TooLarge => self.api.ask(asked, Question::Submit(id, None), None),
             form => self.accept(asked, form),
         }
     }
@@ -139,7 +139,7 @@
             Form::Entry(member) | Form::Parts(member) => member.id.clone(),
             Form::TooLarge => return self.answer(asked.waiter, UserAnswer::Malformed),
         };
-        let waiting = self.users.submissions.waiting.entry(id).or_default();
+        let waiting = self.api.submissions.waiting.entry(id).or_default();
         waiting.push(asked);
         if waiting.len() > 1 {
             return;
@@ -153,7 +153,7 @@
 
     fn queue_submission(&mut self, member: BatchMember) {
         let latest = self.now() + Micros::from_millis(self.policy.user_patience_ms);
-        self.users.submissions.queue.push_back(Queued { latest, member });
+        self.api.submissions.queue.push_back(Queued { latest, member });
     }
 
     /// A list too long for one value goes to keys of its own first, under a name that nobody else uses; the job's
@@ -176,11 +176,11 @@
         member.record.pieces = Some((name.clone(), lists.len() as u32));
         let numbered: Vec<(u32, Vec<JobId>)> = (0..).zip(lists).collect();
         let parts = numbered.chunks(ops);
-        self.users.submissions.partial.insert(name.clone(), Partial { left: parts.len(), member });
+        self.api.submissions.partial.insert(name.clone(), Partial { left: parts.len(), member });
         for part in parts {
             let mut proposal = ProposedTxn::default();
             for (number, list) in part {
-                proposal.unchanged(&self.replica, Key::DependencyListPart(name.clone(), *number));
+                proposal.unchanged(&self.store.replica, Key::DependencyListPart(name.clone(), *number));
                 proposal.put(Key::DependencyListPart(name.clone(), *number), to_value(list));
             }
             self.submit_txn(proposal, Purpose::DependencyListParts(name.clone()));
@@ -188,12 +188,12 @@
     }
 
     pub(crate) fn dependency_list_parts_over(&mut self, name: &str, committed: bool) {
-        let Some(partial) = self.users.submissions.partial.get_mut(name) else { return };
+        let Some(partial) = self.api.submissions.partial.get_mut(name) else { return };
         partial.left -= 1;
         if committed && partial.left > 0 {
             return;
         }
-        let Some(Partial { member, .. }) = self.users.submissions.partial.remove(name) else { return };
+        let Some(Partial { member, .. }) = self.api.submissions.partial.remove(name) else { return };
         if committed {
             return self.queue_submission(member);
         }
@@ -201,22 +201,22 @@
     }
 
     fn give_up_submission(&mut self, id: &JobId, answer: UserAnswer) {
-        for asked in self.users.submissions.take_waiters(id) {
+        for asked in self.api.submissions.take_waiters(id) {
             self.answer(asked.waiter, answer.clone());
         }
     }
 
     /// Takes into the stored records, as one batch, what waits to be accepted.
     pub(crate) fn send_submissions(&mut self) {
-        self.users.submissions.batch_at = self.now();
+        self.api.submissions.batch_at = self.now();
         let members = self.next_batch();
         let name = Key::Batch(format!("{:x}", self.nonce()));
         let mut txn = ProposedTxn::default();
-        txn.unchanged(&self.replica, name.clone());
+        txn.unchanged(&self.store.replica, name.clone());
         for member in &members {
-            txn.unchanged(&self.replica, Key::End(member.id.clone()));
+            txn.unchanged(&self.store.replica, Key::End(member.id.clone()));
             if let Some((name, _)) = &member.record.pieces {
-                txn.unchanged(&self.replica, Key::DependencyListPart(name.clone(), 0));
+                txn.unchanged(&self.store.replica, Key::DependencyListPart(name.clone(), 0));
             }
         }
         txn.put(name, to_value(&members));
@@ -235,7 +235,7 @@
         let accepted = self.clock.wall;
         let mut members: Vec<BatchMember> = Vec::new();
         let (mut size, mut named) = (0, 0);
-        while let Some(Queued { member, .. }) = self.users.submissions.queue.front() {
+        while let Some(Queued { member, .. }) = self.api.submissions.queue.front() {
             let mut member = member.clone();
             member.record.accepted = accepted;
             let more = serde_json::to_string(&member).map_or(value_bytes, |text| text.len() + 1);
@@ -247,7 +247,7 @@
             size += more;
             named += preconditions;
             members.push(member);
-            self.users.submissions.queue.pop_front();
+            self.api.submissions.queue.pop_front();
         }
         members
     }
@@ -257,7 +257,7 @@
         let patience = Micros::from_millis(self.policy.user_patience_ms);
         let longest = Micros::from_millis(self.policy.submission_wait_ms);
         let now = self.now();
-        let submissions = &mut self.users.submissions.queue;
+        let submissions = &mut self.api.submissions.queue;
         let mut late = Vec::new();
         while submissions.front().is_some_and(|queued| (now + patience).since(queued.latest) > longest) {
             late.extend(submissions.pop_front().map(|queued| queued.member.id));
@@ -271,12 +271,12 @@
     pub(crate) fn submit_over(&mut self, submitted: &Submitted, end: &TxnEnd) {
         let id = &submitted.id;
         if let TxnEnd::Committed(evidence) = end
-            && evidence.revision() > self.replica.applied
+            && evidence.revision() > self.store.replica.applied
         {
-            self.users.submissions.committed.insert(id.clone(), evidence.revision());
+            self.api.submissions.committed.insert(id.clone(), evidence.revision());
         }
-        let known = self.replica.jobs.contains_key(id) || self.users.submissions.is_committed(id);
-        for (position, asked) in self.users.submissions.take_waiters(id).into_iter().enumerate() {
+        let known = self.store.replica.jobs.contains_key(id) || self.api.submissions.is_committed(id);
+        for (position, asked) in self.api.submissions.take_waiters(id).into_iter().enumerate() {
             if let Some(status) = self.final_status(id) {
                 self.tell(asked.waiter, status);
                 continue;
@@ -289,7 +289,7 @@
                 None if !known => self.answer(asked.waiter, BUSY),
                 None => {
                     let revision = end.evidence().and_then(|evidence| evidence.revision_after(asked.at));
-                    self.users.ask(asked, question, revision);
+                    self.api.ask(asked, question, revision);
                 }
             }
         }
@@ -313,10 +313,10 @@
                 return never("needs more than the team's limit");
             }
         }
-        if self.types.is_empty() {
+        if self.autoscaling.types.is_empty() {
             return Some(BUSY);
         }
-        let fits = self.types.values().any(|t| {
+        let fits = self.autoscaling.types.values().any(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.wire.name))
                 && spec.zone.as_ref().is_none_or(|z| t.wire.zones.is_empty() || t.wire.zones.contains(z))
                 && resources.fits_in(&t.resources)
--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -69,7 +69,7 @@
         }
         // Whoever is most urgent gets what is free, what is coming, and is rented for first.
         unmet.sort_by_key(|u| (std::cmp::Reverse(u.spec.priority), !u.worth_renting));
-        self.leader.need = unmet.clone();
+        self.autoscaling.leader.need = unmet.clone();
         self.shift(&mut slots, &mut unmet);
         unmet.retain(|u| u.worth_renting);
         let mut boots = self.boot_slots();
@@ -83,7 +83,8 @@
     }
 
     fn slots_of(&self, shard: u32) -> Vec<Slot> {
-        self.replica
+        self.store
+            .replica
             .machines
             .iter()
             .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
@@ -107,13 +108,14 @@
     pub(crate) fn fill(&self, shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
         let has_zone = |job: &Job| job.spec.zone.as_ref().is_none_or(|zone| self.zone_takes_work(zone));
         let open = |job: &&Job| job.shard == shard && job.recorded && job.over.is_none() && has_zone(job);
-        let mut jobs: Vec<&Job> = self.jobs.values().filter(open).collect();
+        let mut jobs: Vec<&Job> = self.jobs.by_id.values().filter(open).collect();
         jobs.sort_by_key(|j| (std::cmp::Reverse(j.urgency.priority), j.ready));
         let mut batch = Backlog::default();
         let mut used: HashMap<&str, Resources> = HashMap::new();
         for job in &jobs {
             if let Some(team) = &job.spec.team {
-                used.entry(team).or_insert_with(|| self.usage.used_by(team).minus(&self.displaced_resources(team)));
+                used.entry(team)
+                    .or_insert_with(|| self.jobs.usage.used_by(team).minus(&self.displaced_resources(team)));
             }
         }
         for job in &jobs {
@@ -168,7 +170,7 @@
         let mut zones = BTreeMap::new();
         if job.spec.one_zone || job.spec.spread {
             for live in job.live.values().filter(|l| l.occupies()) {
-                if let Some(r) = self.replica.machines.get(live.machine())
+                if let Some(r) = self.store.replica.machines.get(live.machine())
                     && self.zone_takes_work(&r.value.zone)
                 {
                     *zones.entry(r.value.zone.clone()).or_default() += 1;
@@ -249,7 +251,7 @@
             }
             let urgent = u.spec.priority > Priority::Normal;
             let free_enough = |s: &Slot| {
-                let machine = s.id.as_ref().and_then(|id| self.machines.get(id));
+                let machine = s.id.as_ref().and_then(|id| self.fleet.machines.get(id));
                 urgent || machine.and_then(|m| m.free_since).is_some_and(|since| now.since(since) >= patience)
             };
             for (from, own) in slots.iter_mut().filter(|(s, _)| **s != u.shard) {
@@ -278,7 +280,8 @@
     /// How many more machines may be on their way to other shards. Each move costs two changes, which starts and
     /// submissions need more.
     pub(crate) fn moves_left(&self) -> usize {
-        let moving = self.replica.machines.values().filter(|m| matches!(m.value.hold, Some(Hold::Move(_)))).count();
+        let moving =
+            self.store.replica.machines.values().filter(|m| matches!(m.value.hold, Some(Hold::Move(_)))).count();
         let most = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
         most.saturating_sub(moving)
     }
@@ -290,7 +293,7 @@
             return;
         }
         // Each machine returned costs a few changes, and one rented again another.
-        let plenty = self.budget.is_idle(now);
+        let plenty = self.store.budget.is_idle(now);
         let idle_ms = if plenty { self.policy.idle_return_ms } else { self.policy.idle_return_short_ms };
         let idle = Micros::from_millis(idle_ms);
         let ids: Vec<MachineId> = slots
@@ -299,10 +302,10 @@
             .filter(|s| s.untouched)
             .filter_map(|s| s.id.clone())
             .filter(|id| {
-                let free = self.machines.get(id).and_then(|m| m.free_since);
+                let free = self.fleet.machines.get(id).and_then(|m| m.free_since);
                 free.is_some_and(|since| now.since(since) >= idle)
             })
-            .take((self.replica.machines.len() / RETURN_PART).max(2))
+            .take((self.store.replica.machines.len() / RETURN_PART).max(2))
             .collect();
         for id in ids {
             self.set_hold_of(&id, Hold::Retire);
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -1,9 +1,10 @@
 //! The leader's work: takes machines into the stored records, plans which shard gets which, rents and returns.
 
+use crate::coordination::autoscaling::TypeInfo;
 use crate::coordination::autoscaling::capacity::Unmet;
 use crate::coordination::autoscaling::provisioning::BootHistory;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
-use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect, TypeInfo};
+use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
 use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros, Resources};
@@ -81,45 +82,46 @@
     pub(crate) fn cloud(&mut self, call: Call) {
         let request = match &call {
             Call::Types => CloudCall::Types,
-            Call::List => CloudCall::List { after: self.leader.page.last().map(|m| m.id.clone()) },
+            Call::List => CloudCall::List { after: self.autoscaling.leader.page.last().map(|m| m.id.clone()) },
             Call::Rent(rental, _) => CloudCall::Rent(rental.clone()),
             Call::Delete(ids) | Call::Clear(ids) => CloudCall::Delete(ids.clone()),
         };
-        let number = self.next_call;
-        self.next_call += 1;
-        self.leader.calls.insert(number, call);
+        let number = self.autoscaling.next_call;
+        self.autoscaling.next_call += 1;
+        self.autoscaling.leader.calls.insert(number, call);
         self.out.push(Effect::Cloud { call: number, request });
     }
 
     pub(crate) fn tick_types(&mut self) {
         let now = self.now();
-        let due = if self.types.is_empty() { Micros::from_millis(1000) } else { TYPES_EVERY };
-        if self.types_asked == Micros::ZERO || now.since(self.types_asked) >= due {
-            self.types_asked = now.max(Micros(1));
+        let due = if self.autoscaling.types.is_empty() { Micros::from_millis(1000) } else { TYPES_EVERY };
+        if self.autoscaling.types_requested_at == Micros::ZERO || now.since(self.autoscaling.types_requested_at) >= due
+        {
+            self.autoscaling.types_requested_at = now.max(Micros(1));
             self.cloud(Call::Types);
         }
     }
 
     pub(crate) fn leader_changed(&mut self) {
         if self.is_leader() {
-            self.leader.listed_once = false;
-            self.leader.next_list = self.now();
-            self.leader.boots.clear();
-            self.leader.deleting.clear();
-            self.leader.next_plan = self.now() + PLAN_EVERY;
+            self.autoscaling.leader.listed_once = false;
+            self.autoscaling.leader.next_list = self.now();
+            self.autoscaling.leader.boots.clear();
+            self.autoscaling.leader.deleting.clear();
+            self.autoscaling.leader.next_plan = self.now() + PLAN_EVERY;
         }
     }
 
     pub(crate) fn cloud_outcome(&mut self, number: u64, outcome: CloudOutcome) {
-        let Some(call) = self.leader.calls.remove(&number) else { return };
+        let Some(call) = self.autoscaling.leader.calls.remove(&number) else { return };
         let now = self.now();
         match (call, outcome) {
             (Call::Types, CloudOutcome::Types(types)) => self.types_listed(types),
             (Call::Types, _) => {}
             (Call::List, CloudOutcome::List(list)) => self.page_listed(list),
             (Call::List, _) => {
-                self.leader.listing = false;
-                self.leader.page.clear();
+                self.autoscaling.leader.listing = false;
+                self.autoscaling.leader.page.clear();
             }
             (Call::Rent(rental, _), CloudOutcome::Rented(names)) => self.rented(rental, names.machines),
             (Call::Rent(rental, _), CloudOutcome::NoCapacity) => {
@@ -130,13 +132,13 @@
             (Call::Rent(rental, tries), _) => {
                 // It may have been carried out: the same name again tells what it brought.
                 if tries < RENT_TRIES {
-                    self.leader.again.push((now + RENT_AGAIN, Call::Rent(rental, tries + 1)));
+                    self.autoscaling.leader.again.push((now + RENT_AGAIN, Call::Rent(rental, tries + 1)));
                 }
             }
             (Call::Delete(ids), CloudOutcome::Deleted) => self.deleted(ids),
             (Call::Clear(ids), CloudOutcome::Deleted) => self.machines_cleared(ids),
             (Call::Clear(ids), _) => self.clearing_failed(&ids),
-            (Call::Delete(ids), _) => self.leader.again.push((now + DELETE_AGAIN, Call::Delete(ids))),
+            (Call::Delete(ids), _) => self.autoscaling.leader.again.push((now + DELETE_AGAIN, Call::Delete(ids))),
         }
     }
 
@@ -145,19 +147,19 @@
             let resources = Resources::new(wire.cpus, wire.gpus, wire.memory_gb);
             (wire.name.clone(), TypeInfo { wire, resources })
         });
-        self.types = with_resources.collect();
-        self.pass_wanted = true;
+        self.autoscaling.types = with_resources.collect();
+        self.scheduling.cycle_wanted = true;
     }
 
     fn page_listed(&mut self, list: MachineList) {
-        self.leader.listing = false;
+        self.autoscaling.leader.listing = false;
         let more = list.more && !list.machines.is_empty();
-        self.leader.page.extend(list.machines);
+        self.autoscaling.leader.page.extend(list.machines);
         if more && self.is_leader() {
-            self.leader.listing = true;
+            self.autoscaling.leader.listing = true;
             self.cloud(Call::List);
         } else {
-            let machines = std::mem::take(&mut self.leader.page);
+            let machines = std::mem::take(&mut self.autoscaling.leader.page);
             self.take_list(machines);
         }
     }
@@ -171,7 +173,7 @@
             self.refuse(offer, now);
         }
         for id in machines {
-            if !self.replica.machines.contains_key(&id) {
+            if !self.store.replica.machines.contains_key(&id) {
                 let boot = Boot {
                     machine_type: rental.machine_type.clone(),
                     zone: rental.zone.clone(),
@@ -179,7 +181,7 @@
                     since: now,
                     last_listed: now,
                 };
-                self.leader.boots.entry(id).or_insert(boot);
+                self.autoscaling.leader.boots.entry(id).or_insert(boot);
             }
         }
     }
@@ -189,12 +191,12 @@
         let mut recorded = Vec::new();
         for id in ids {
             tracing::info!(machine = %id, "machine deleted");
-            self.leader.boots.remove(&id);
-            self.leader.deleted.insert(id.clone(), now);
-            if self.replica.machines.contains_key(&id) {
+            self.autoscaling.leader.boots.remove(&id);
+            self.autoscaling.leader.deleted.insert(id.clone(), now);
+            if self.store.replica.machines.contains_key(&id) {
                 recorded.push(id);
             } else {
-                self.leader.deleting.remove(&id);
+                self.autoscaling.leader.deleting.remove(&id);
             }
         }
         self.strike_out(recorded);
@@ -203,8 +205,9 @@
     /// Takes deleted machines out of the stored records, which proves to their shards that nothing is left
     /// on them.
     pub(crate) fn strike_out(&mut self, ids: Vec<MachineId>) {
-        let returned =
-            |id: &MachineId| self.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire));
+        let returned = |id: &MachineId| {
+            self.store.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire))
+        };
         let (returned, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(returned);
         self.strike_out_as(MachineChange::Return, returned);
         self.strike_out_as(MachineChange::Replace, lost);
@@ -216,9 +219,9 @@
             let mut proposal = ProposedTxn::default();
             for id in ids {
                 let key = Key::Machine(id.clone());
-                proposal.unchanged(&self.replica, key.clone());
+                proposal.unchanged(&self.store.replica, key.clone());
                 // As long as a fleet names it, a note must say that it is gone.
-                match (self.replica.fleet_of(id), self.replica.machines.get(id)) {
+                match (self.store.replica.fleet_of(id), self.store.replica.machines.get(id)) {
                     (Some(_), Some(held)) => {
                         let record = MachineRecord { hold: Some(Hold::Gone), ..held.value.clone() };
                         proposal.put(key, to_value(&record));
@@ -232,30 +235,30 @@
 
     fn refuse(&mut self, offer: Offer, now: Micros) {
         let until = now + Micros::from_millis(self.policy.refused_pause_ms);
-        self.leader.refused.insert(offer, until);
-        self.leader.next_plan = now;
+        self.autoscaling.leader.refused.insert(offer, until);
+        self.autoscaling.leader.next_plan = now;
     }
 
     fn take_list(&mut self, machines: Vec<ListedMachine>) {
         let now = self.now();
-        self.leader.listed_once = true;
+        self.autoscaling.leader.listed_once = true;
         let mut failed = Vec::new();
         for machine in machines {
             let id = machine.id.clone();
             if machine.state == ListedState::Failed {
-                if self.replica.machines.contains_key(&id) {
+                if self.store.replica.machines.contains_key(&id) {
                     self.set_hold_of(&id, Hold::Doomed);
-                } else if !self.leader.deleted.contains_key(&id) {
+                } else if !self.autoscaling.leader.deleted.contains_key(&id) {
                     // The list lags: one that was deleted stays on it as failed for a while.
                     failed.push(id);
                 }
                 continue;
             }
-            let gone = self.leader.deleted.contains_key(&id) || self.replica.is_gone(&id);
-            if self.replica.machines.contains_key(&id) || gone {
+            let gone = self.autoscaling.leader.deleted.contains_key(&id) || self.store.replica.is_gone(&id);
+            if self.store.replica.machines.contains_key(&id) || gone {
                 continue;
             }
-            let boot = self.leader.boots.entry(id).or_insert_with(|| Boot {
+            let boot = self.autoscaling.leader.boots.entry(id).or_insert_with(|| Boot {
                 machine_type: machine.machine_type,
                 zone: machine.zone,
                 spot: machine.spot,
@@ -268,12 +271,13 @@
     }
 
     pub(crate) fn set_hold_of(&mut self, id: &MachineId, hold: Hold) {
-        self.machines.entry(id.clone()).or_default();
+        self.fleet.machines.entry(id.clone()).or_default();
         self.set_hold(id, hold);
     }
 
     pub(crate) fn delete(&mut self, ids: Vec<MachineId>) {
-        let ids: Vec<MachineId> = ids.into_iter().filter(|id| self.leader.deleting.insert(id.clone())).collect();
+        let ids: Vec<MachineId> =
+            ids.into_iter().filter(|id| self.autoscaling.leader.deleting.insert(id.clone())).collect();
         for part in ids.chunks(100) {
             self.cloud(Call::Delete(part.to_vec()));
         }
@@ -282,30 +286,33 @@
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
-            self.leader.again.clear();
+            self.autoscaling.leader.again.clear();
             return;
         }
         if !self.surely_leads() {
             return;
         }
         let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.leader.again).into_iter().partition(|(at, _)| *at <= now);
-        self.leader.again = later;
+            std::mem::take(&mut self.autoscaling.leader.again).into_iter().partition(|(at, _)| *at <= now);
+        self.autoscaling.leader.again = later;
         for (_, call) in due {
             self.cloud(call);
         }
-        if !self.leader.listing && now >= self.leader.next_list {
-            self.leader.listing = true;
-            self.leader.next_list = now + LIST_EVERY;
+        if !self.autoscaling.leader.listing && now >= self.autoscaling.leader.next_list {
+            self.autoscaling.leader.listing = true;
+            self.autoscaling.leader.next_list = now + LIST_EVERY;
             self.cloud(Call::List);
         }
-        self.leader.deleted.retain(|_, at| now.since(*at) < Micros::from_millis(600_000));
+        self.autoscaling.leader.deleted.retain(|_, at| now.since(*at) < Micros::from_millis(600_000));
         self.register_machines();
         self.delete_held();
         self.give_up_boots();
         self.tidy();
-        if now >= self.leader.next_plan && self.leader.listed_once && !self.types.is_empty() {
-            self.leader.next_plan = now + PLAN_EVERY;
+        if now >= self.autoscaling.leader.next_plan
+            && self.autoscaling.leader.listed_once
+            && !self.autoscaling.types.is_empty()
+        {
+            self.autoscaling.leader.next_plan = now + PLAN_EVERY;
             self.plan();
         }
     }
@@ -313,13 +320,13 @@
     /// Machines that are to be returned are deleted: the lost ones at once, others with nothing recorded on them.
     fn delete_held(&mut self) {
         let mut ids = Vec::new();
-        for (id, held) in &self.replica.machines {
-            if self.leader.deleting.contains(id) {
+        for (id, held) in &self.store.replica.machines {
+            if self.autoscaling.leader.deleting.contains(id) {
                 continue;
             }
             // The hold is seen by whoever records starts. One that crosses with it is lost with the machine, and
             // starts again elsewhere.
-            let empty = self.replica.applied.0 >= held.version && self.usage.is_empty(id);
+            let empty = self.store.replica.applied.0 >= held.version && self.jobs.usage.is_empty(id);
             match held.value.hold {
                 Some(Hold::Doomed) => ids.push(id.clone()),
                 Some(Hold::Retire) if empty => ids.push(id.clone()),
@@ -334,8 +341,8 @@
         let lag = Micros::from_secs_f64(self.platform.deployment.cloud.list_lag_s * 2.0 + 5.0);
         let patience = self.policy.boot_patience;
         let mut late = Vec::new();
-        let (types, recorded) = (&self.types, &self.replica.machines);
-        self.leader.boots.retain(|id, boot| {
+        let (types, recorded) = (&self.autoscaling.types, &self.store.replica.machines);
+        self.autoscaling.leader.boots.retain(|id, boot| {
             let usual = types.get(&boot.machine_type).map_or(60.0, |t| t.wire.boot_s);
             let came_up = recorded.contains_key(id);
             let given_up = !came_up && now.since(boot.since) > Micros::from_secs_f64(usual * patience);
@@ -346,10 +353,14 @@
             given_up || !came_up && now.since(boot.last_listed) < lag
         });
         for id in &late {
-            let Some(boot) = self.leader.boots.get(id).filter(|_| !self.leader.deleting.contains(id)) else { continue };
+            let Some(boot) =
+                self.autoscaling.leader.boots.get(id).filter(|_| !self.autoscaling.leader.deleting.contains(id))
+            else {
+                continue;
+            };
             tracing::info!(machine = %id, "did not come up, given up");
             let offer = boot.offer();
-            self.leader.boot_history.given_up(offer, now);
+            self.autoscaling.leader.boot_history.given_up(offer, now);
         }
         self.delete(late);
     }
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -27,26 +27,27 @@
 impl Controller {
     /// When a machine that boots should be up.
     fn boot_span(&self, boot: &Boot) -> Micros {
-        let usual_s = self.types.get(&boot.machine_type).map_or(USUAL_BOOT_S, |info| info.wire.boot_s);
-        self.leader.boot_history.ordinary_span(&boot.machine_type, usual_s)
+        let usual_s = self.autoscaling.types.get(&boot.machine_type).map_or(USUAL_BOOT_S, |info| info.wire.boot_s);
+        self.autoscaling.leader.boot_history.ordinary_span(&boot.machine_type, usual_s)
     }
 
     /// Machines that boot and should be up by now.
     fn overdue_boots(&self) -> impl Iterator<Item = &Boot> {
-        overdue(&self.leader.boots, |boot| self.boot_span(boot), self.now())
+        overdue(&self.autoscaling.leader.boots, |boot| self.boot_span(boot), self.now())
     }
 
     /// Machines that boot and can be counted on.
     pub(crate) fn boot_slots(&self) -> Vec<Slot> {
         let now = self.now();
-        let likely = self.leader.boots.values().filter(|boot| now.since(boot.since) <= self.boot_span(boot));
+        let likely =
+            self.autoscaling.leader.boots.values().filter(|boot| now.since(boot.since) <= self.boot_span(boot));
         likely
             .map(|b| Slot {
                 id: None,
                 machine_type: b.machine_type.clone(),
                 zone: b.zone.clone(),
                 spot: b.spot,
-                free: self.types.get(&b.machine_type).map(|t| t.resources).unwrap_or_default(),
+                free: self.autoscaling.types.get(&b.machine_type).map(|t| t.resources).unwrap_or_default(),
                 untouched: true,
             })
             .collect()
@@ -54,7 +55,7 @@
 
     /// Whether any kind of machine that takes such a task is not known to be sold out.
     pub(crate) fn can_rent_for(&self, unmet: &Unmet) -> bool {
-        let reliability = self.leader.boot_history.reliability(std::iter::empty(), self.now());
+        let reliability = self.autoscaling.leader.boot_history.reliability(std::iter::empty(), self.now());
         let closed = self.zones_closed_to_rentals(&BTreeMap::new());
         let market = Market { by_zone: &BTreeMap::new(), closed: &closed, reliability: &reliability };
         self.cheapest(&unmet.spec, &unmet.zones, &market).is_some()
@@ -62,16 +63,17 @@
 
     pub(crate) fn rent_for(&mut self, unmet: &[Unmet]) {
         let now = self.now();
-        let in_flight = self.leader.calls.values().chain(self.leader.again.iter().map(|(_, c)| c));
+        let in_flight =
+            self.autoscaling.leader.calls.values().chain(self.autoscaling.leader.again.iter().map(|(_, c)| c));
         // Until the answer is here it isn't known what is coming.
         if in_flight.into_iter().any(|c| matches!(c, Call::Rent(..))) {
             return;
         }
-        self.leader.refused.retain(|_, until| *until > now);
-        let by_size = (self.replica.machines.len() as f64 * self.policy.boots_part) as u64;
+        self.autoscaling.leader.refused.retain(|_, until| *until > now);
+        let by_size = (self.store.replica.machines.len() as f64 * self.policy.boots_part) as u64;
         let most = u64::from(self.policy.boots_max).max(by_size);
         // Those that may never come up leave room for others, but not without bound.
-        let (all, late) = (self.leader.boots.len() as u64, self.overdue_boots().count() as u64);
+        let (all, late) = (self.autoscaling.leader.boots.len() as u64, self.overdue_boots().count() as u64);
         let room_left = most.saturating_sub(all - late.min(most));
         let commands = self.offers_for(unmet, room_left);
         self.send_rentals(commands);
@@ -82,13 +84,13 @@
         let mut commands: BTreeMap<Offer, u32> = BTreeMap::new();
         // Counted once: a walk over all machines for each one to be rented took most of a second.
         let mut by_zone: BTreeMap<String, u64> = BTreeMap::new();
-        for record in self.replica.machines.values() {
+        for record in self.store.replica.machines.values() {
             match by_zone.get_mut(&record.value.zone) {
                 Some(count) => *count += 1,
                 None => *by_zone.entry(record.value.zone.clone()).or_default() = 1,
             }
         }
-        let reliability = self.leader.boot_history.reliability(self.overdue_boots(), self.now());
+        let reliability = self.autoscaling.leader.boot_history.reliability(self.overdue_boots(), self.now());
         let mut fresh: Vec<Slot> = Vec::new();
         let mut ordered: BTreeMap<String, u32> = BTreeMap::new();
         let mut closed = self.zones_closed_to_rentals(&ordered);
@@ -127,9 +129,9 @@
     fn send_rentals(&mut self, commands: BTreeMap<Offer, u32>) {
         let fencing_token = self.held(Role::Leader).unwrap_or_default();
         for (offer, count) in commands {
-            self.leader.rental_requests += 1;
+            self.autoscaling.leader.rental_requests += 1;
             // The fencing token is this process's alone, so the name never comes again.
-            let request = format!("r-{}-{}", fencing_token.0, self.leader.rental_requests);
+            let request = format!("r-{}-{}", fencing_token.0, self.autoscaling.leader.rental_requests);
             let (machine_type, zone, spot) = offer;
             let rental = Rental { request, machine_type, zone, spot, count: count.min(RENTAL_MOST) };
             self.cloud(Call::Rent(rental, 0));
@@ -148,7 +150,7 @@
                 && (!spec.spread || zones.get(zone).copied().unwrap_or(0) < most)
         };
         let mut best: Option<((u64, u64), Offer, Resources)> = None;
-        for info in self.types.values() {
+        for info in self.autoscaling.types.values() {
             if spec.types.as_ref().is_some_and(|t| !t.contains(&info.wire.name)) || !need.fits_in(&info.resources) {
                 continue;
             }
@@ -156,7 +158,7 @@
             for zone in info.wire.zones.iter().filter(|z| zone_allowed(z)) {
                 for spot in [false, true] {
                     let offer = (info.wire.name.clone(), zone.clone(), spot);
-                    if (spot && !spec.spot) || self.leader.refused.contains_key(&offer) {
+                    if (spot && !spec.spot) || self.autoscaling.leader.refused.contains_key(&offer) {
                         continue;
                     }
                     let price = if spot { info.wire.spot_price.unwrap_or(info.wire.price) } else { info.wire.price };
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -18,14 +18,14 @@
     /// shard get the shard's, which costs two changes however many they are.
     pub(crate) fn renew_fencing_tokens(&mut self, ours: &[MachineId]) {
         let now = self.now();
-        if now < self.next_renewal {
+        if now < self.control.next_token_renewal_at {
             return;
         }
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
         let mut unacknowledged: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in ours {
             let fencing_token = self.fencing_token(id).unwrap_or_default();
-            let Some(machine) = self.machines.get(id) else { continue };
+            let Some(machine) = self.fleet.machines.get(id) else { continue };
             let Some(shard) = machine.shard else { continue };
             let in_doubt = machine.unacknowledged.is_some_and(|d| d >= fencing_token);
             if in_doubt && !machine.writing && !machine.direct && now.since(machine.heard) < recent {
@@ -37,24 +37,24 @@
         };
         // All controllers draw from one counter: at random times they rarely meet.
         let pause = self.rng.random_range(RENEW_EVERY.0 / 2..RENEW_EVERY.0 * 3 / 2);
-        self.next_renewal = now + Micros(pause);
-        let worst = ids.iter().filter_map(|id| self.machines.get(id)?.unacknowledged).max().unwrap_or_default();
-        let fencing_token = FencingToken(self.replica.latest_fencing_token().0.max(worst.0) + 1);
+        self.control.next_token_renewal_at = now + Micros(pause);
+        let worst = ids.iter().filter_map(|id| self.fleet.machines.get(id)?.unacknowledged).max().unwrap_or_default();
+        let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0.max(worst.0) + 1);
         if ids.len() > OWN_TERMS_MOST {
             self.renew_shard(shard, fencing_token);
             return;
         }
         let mut proposal = ProposedTxn::default();
-        proposal.unchanged(&self.replica, Key::FencingToken);
-        proposal.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
+        proposal.unchanged(&self.store.replica, Key::FencingToken);
+        proposal.unchanged(&self.store.replica, Key::Role(Role::Shard(shard)));
         proposal.put(Key::FencingToken, to_value(&fencing_token));
         for id in &ids {
-            let Some(held) = self.replica.machines.get(id) else { continue };
+            let Some(held) = self.store.replica.machines.get(id) else { continue };
             let mut record = held.value.clone();
             record.fencing_token = fencing_token;
-            proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+            proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
-            if let Some(machine) = self.machines.get_mut(id) {
+            if let Some(machine) = self.fleet.machines.get_mut(id) {
                 machine.writing = true;
             }
         }
@@ -65,7 +65,7 @@
     /// that makes up most of the messages, reading them costs more than the fencing token.
     fn clear_exited(&mut self, ours: &[MachineId]) {
         let mut kept: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
-        for machine in ours.iter().filter_map(|id| self.machines.get(id)) {
+        for machine in ours.iter().filter_map(|id| self.fleet.machines.get(id)) {
             if let Some(shard) = machine.shard {
                 let usage = kept.entry(shard).or_default();
                 *usage = (usage.0 + machine.kept, usage.1 + 1);
@@ -80,8 +80,8 @@
                 machines = usage.1,
                 "new fencing token, so that exited tasks may be forgotten"
             );
-            self.next_renewal = self.now() + Micros::from_millis(self.policy.exited_every_ms);
-            self.renew_shard(shard, FencingToken(self.replica.latest_fencing_token().0 + 1));
+            self.control.next_token_renewal_at = self.now() + Micros::from_millis(self.policy.exited_every_ms);
+            self.renew_shard(shard, FencingToken(self.store.replica.latest_fencing_token().0 + 1));
         }
     }
 }
--- a/src/coordination/control/roles.rs
+++ b/src/coordination/control/roles.rs
@@ -64,7 +64,7 @@
 
     /// The fencing token of a role this process holds.
     pub(crate) fn held(&self, role: Role) -> Option<FencingToken> {
-        self.roles.held.get(&role).copied()
+        self.control.roles.held.get(&role).copied()
     }
 
     pub(crate) fn is_leader(&self) -> bool {
@@ -75,23 +75,23 @@
     /// cut off from the store knows old records only, and rents and deletes nothing by them.
     pub(crate) fn surely_leads(&self) -> bool {
         let lasts = Micros(Micros::from_millis(self.policy.session_ms).0 / 10 * 9);
-        self.is_leader() && self.session.prolonged.is_some_and(|at| self.now().since(at) < lasts)
+        self.is_leader() && self.control.session.prolonged.is_some_and(|at| self.now().since(at) < lasts)
     }
 
     /// Label of whoever holds a role, if it is another controller.
     pub(crate) fn other_holder(&self, role: Role) -> Option<String> {
-        self.replica.roles.get(&role).map(|s| s.value.owner.clone()).filter(|o| *o != self.label)
+        self.store.replica.roles.get(&role).map(|s| s.value.owner.clone()).filter(|o| *o != self.label)
     }
 
     pub(crate) fn tick_session(&mut self) {
         let now = self.now();
-        if self.session.in_flight.is_some() || now < self.session.next {
+        if self.control.session.in_flight.is_some() || now < self.control.session.next {
             return;
         }
         let ticket = self.next_ticket();
-        self.session.in_flight = Some(ticket);
-        self.session.sent = now;
-        let call = match self.session.lease {
+        self.control.session.in_flight = Some(ticket);
+        self.control.session.sent = now;
+        let call = match self.control.session.lease {
             Some(lease) => StoreCall::KeepAlive { ticket, lease },
             None => StoreCall::GrantLease { ticket, ttl_ms: self.policy.session_ms },
         };
@@ -99,49 +99,49 @@
     }
 
     pub(crate) fn renew_session_at_once(&mut self) {
-        self.session.next = self.now();
+        self.control.session.next = self.now();
         self.tick_session();
     }
 
     pub(crate) fn lease_outcome(&mut self, ticket: u64, outcome: LeaseOutcome) {
-        if self.session.in_flight != Some(ticket) {
+        if self.control.session.in_flight != Some(ticket) {
             return;
         }
-        self.session.in_flight = None;
+        self.control.session.in_flight = None;
         let renew = Micros::from_millis(self.policy.session_ms / 4);
         match outcome {
             LeaseOutcome::New(lease) => {
-                self.session.lease = Some(lease);
-                self.session.prolonged = Some(self.session.sent);
-                self.session.next = self.now() + renew;
+                self.control.session.lease = Some(lease);
+                self.control.session.prolonged = Some(self.control.session.sent);
+                self.control.session.next = self.now() + renew;
                 self.tick_roles();
             }
             LeaseOutcome::KeptAlive => {
-                self.session.prolonged = Some(self.session.sent);
-                self.session.next = self.now() + renew;
+                self.control.session.prolonged = Some(self.control.session.sent);
+                self.control.session.next = self.now() + renew;
             }
             LeaseOutcome::Gone => {
                 self.session_ended();
-                self.session.next = self.now();
+                self.control.session.next = self.now();
                 self.tick_session();
             }
-            LeaseOutcome::Failed => self.session.next = self.now() + Micros::from_millis(200),
+            LeaseOutcome::Failed => self.control.session.next = self.now() + Micros::from_millis(200),
         }
     }
 
     /// The session has ended and with it all that was bound to it, whatever the replica still shows.
     /// Nothing is decided any more before the stored records tell who holds what.
     pub(crate) fn session_ended(&mut self) {
-        self.session.lease = None;
-        self.session.prolonged = None;
-        for role in std::mem::take(&mut self.roles.held).into_keys() {
+        self.control.session.lease = None;
+        self.control.session.prolonged = None;
+        for role in std::mem::take(&mut self.control.roles.held).into_keys() {
             tracing::info!(?role, "lost: the session has ended");
             match role {
                 Role::Leader => self.leader_changed(),
                 Role::Shard(shard) => self.shard_changed(shard),
             }
         }
-        self.reads.wanted = true;
+        self.store.reads.wanted = true;
     }
 
     fn role_list(&self) -> Vec<Role> {
@@ -170,44 +170,49 @@
 
     pub(crate) fn tick_roles(&mut self) {
         let now = self.now();
-        if !self.sync.done {
+        if !self.store.sync.done {
             return;
         }
-        let Some(lease) = self.session.lease else { return };
+        let Some(lease) = self.control.session.lease else { return };
         self.note_siblings();
-        if now < self.roles.not_before {
+        if now < self.control.roles.not_before {
             return;
         }
-        let record =
-            NodeRecord { incarnation: self.incarnation, unfit: self.roles.unfit, version: self.record_version() };
-        if self.replica.nodes.get(&self.label).map(|n| &n.value) != Some(&record) && !self.roles.node_writing {
-            self.roles.node_writing = true;
+        let record = NodeRecord {
+            incarnation: self.incarnation,
+            unfit: self.control.roles.unfit,
+            version: self.record_version(),
+        };
+        if self.store.replica.nodes.get(&self.label).map(|n| &n.value) != Some(&record)
+            && !self.control.roles.node_writing
+        {
+            self.control.roles.node_writing = true;
             let mut txn = ProposedTxn::default();
             txn.put_bound(Key::Node(self.label.clone()), to_value(&record), lease);
             self.submit_txn(txn, Purpose::Node);
         }
-        if self.roles.taking {
+        if self.control.roles.taking {
             return;
         }
-        if self.roles.unfit && self.fit_sibling() {
+        if self.control.roles.unfit && self.fit_sibling() {
             self.give_up_shard();
             return;
         }
         let step = Micros::from_millis(self.policy.takeover_step_ms);
         for role in self.role_list() {
-            let record = self.replica.roles.get(&role).map(|s| s.value.clone());
+            let record = self.store.replica.roles.get(&role).map(|s| s.value.clone());
             let take = match &record {
                 // Held by an earlier process under our label, which is surely dead.
                 Some(r) if r.owner == self.label => r.incarnation != self.incarnation,
                 Some(_) => false,
                 None => {
-                    let since = *self.roles.free_since.entry(role).or_insert(now);
-                    let burden = self.roles.held.len() as u64;
+                    let since = *self.control.roles.free_since.entry(role).or_insert(now);
+                    let burden = self.control.roles.held.len() as u64;
                     let distance = u64::from(self.distance(role));
                     // When all begin at once, some have read the stored records a moment before the others: a
                     // shard taken from one of these would be handed back, and all its machines asked
                     // anew twice.
-                    let early = now.since(self.synced_at) < Micros::from_millis(self.policy.settle_ms);
+                    let early = now.since(self.store.synced_at) < Micros::from_millis(self.policy.settle_ms);
                     if early && distance > 0 {
                         continue;
                     }
@@ -216,10 +221,10 @@
                 }
             };
             if record.is_some() {
-                self.roles.free_since.remove(&role);
+                self.control.roles.free_since.remove(&role);
             }
             if take {
-                self.take_role(role, lease, FencingToken(self.replica.latest_fencing_token().0 + 1));
+                self.take_role(role, lease, FencingToken(self.store.replica.latest_fencing_token().0 + 1));
                 return;
             }
         }
@@ -235,45 +240,51 @@
             version: self.record_version(),
         };
         let mut txn = ProposedTxn::default();
-        txn.unchanged(&self.replica, Key::Role(role));
-        txn.unchanged(&self.replica, Key::FencingToken);
+        txn.unchanged(&self.store.replica, Key::Role(role));
+        txn.unchanged(&self.store.replica, Key::FencingToken);
         txn.put_bound(Key::Role(role), to_value(&record), lease);
         txn.put(Key::FencingToken, to_value(&fencing_token));
-        self.roles.taking = true;
+        self.control.roles.taking = true;
         self.submit_txn(txn, Purpose::Role);
     }
 
     /// Gives a shard we hold a new fencing token.
     pub(crate) fn renew_shard(&mut self, shard: u32, fencing_token: FencingToken) {
         let role = Role::Shard(shard);
-        let Some(lease) = self.session.lease else { return };
-        if !self.roles.taking && self.held(role).is_some() {
+        let Some(lease) = self.control.session.lease else { return };
+        if !self.control.roles.taking && self.held(role).is_some() {
             self.take_role(role, lease, fencing_token);
         }
     }
 
     fn note_siblings(&mut self) {
         let now = self.now();
-        let nodes = &self.replica.nodes;
+        let nodes = &self.store.replica.nodes;
         // One that could not reach its machines counts from when it can again.
         let fit = |label: &String| nodes.get(label).is_some_and(|node| !node.value.unfit);
-        self.roles.siblings_since.retain(|label, _| fit(label));
+        self.control.roles.siblings_since.retain(|label, _| fit(label));
         for label in nodes.keys().filter(|l| **l != self.label && fit(l)) {
-            self.roles.siblings_since.entry(label.clone()).or_insert(now);
+            self.control.roles.siblings_since.entry(label.clone()).or_insert(now);
         }
     }
 
     /// Gives up one shard if a sibling that has been back for a while holds none.
     fn hand_back(&mut self) {
-        let shards: Vec<Role> = self.roles.held.keys().copied().filter(|s| matches!(s, Role::Shard(_))).collect();
+        let shards: Vec<Role> =
+            self.control.roles.held.keys().copied().filter(|s| matches!(s, Role::Shard(_))).collect();
         if shards.len() < 2 {
             return;
         }
         let patience = Micros::from_millis(self.policy.hand_back_after_ms);
         let now = self.now();
-        let idle = self.roles.siblings_since.iter().find(|(label, since)| {
+        let idle = self.control.roles.siblings_since.iter().find(|(label, since)| {
             now.since(**since) >= patience
-                && !self.replica.roles.iter().any(|(s, r)| matches!(s, Role::Shard(_)) && r.value.owner == **label)
+                && !self
+                    .store
+                    .replica
+                    .roles
+                    .iter()
+                    .any(|(s, r)| matches!(s, Role::Shard(_)) && r.value.owner == **label)
         });
         if idle.is_none() {
             return;
@@ -285,12 +296,12 @@
     }
 
     fn fit_sibling(&self) -> bool {
-        self.replica.nodes.iter().any(|(label, n)| *label != self.label && !n.value.unfit)
+        self.store.replica.nodes.iter().any(|(label, n)| *label != self.label && !n.value.unfit)
     }
 
     /// A controller that can't reach its machines leaves its shards to one that may.
     fn give_up_shard(&mut self) {
-        let shard = self.roles.held.keys().copied().find(|s| matches!(s, Role::Shard(_)));
+        let shard = self.control.roles.held.keys().copied().find(|s| matches!(s, Role::Shard(_)));
         if let Some(role) = shard {
             tracing::warn!(?role, "given up: most machines can't be reached from here");
             self.release(role);
@@ -301,12 +312,12 @@
     /// all machines whether it is back.
     pub(crate) fn judge_contact(&mut self, ours: &[MachineId]) {
         let now = self.now();
-        if self.roles.unfit {
-            if self.roles.answered >= 2 {
+        if self.control.roles.unfit {
+            if self.control.roles.answered >= 2 {
                 tracing::info!("machines can be reached again");
-                self.roles.unfit = false;
-            } else if now >= self.roles.next_look {
-                self.roles.next_look = now + LOOK_EVERY;
+                self.control.roles.unfit = false;
+            } else if now >= self.control.roles.next_look {
+                self.control.roles.next_look = now + LOOK_EVERY;
                 self.look_for_machines();
             }
             return;
@@ -315,19 +326,19 @@
         let unreachable = |m: &Machine| m.is_unreachable(now, self.policy.unreachable_probes, patience);
         let silent = |id: &&MachineId| {
             let lost = |m: &Machine| (m.probes_failed >= 2 && now.since(m.heard) >= patience) || unreachable(m);
-            self.machines.get(*id).is_some_and(lost)
+            self.fleet.machines.get(*id).is_some_and(lost)
         };
         let lost = ours.iter().filter(silent).count();
         if ours.is_empty() || lost * 3 < ours.len() * 2 {
-            self.roles.looking_since = None;
+            self.control.roles.looking_since = None;
             return;
         }
         if self.contact_is_lost(ours.len()) {
-            self.roles.unfit = true;
-            self.roles.unfit_times += 1;
-            self.roles.last_unfit = now;
-            self.roles.answered = 0;
-            self.roles.looking_since = None;
+            self.control.roles.unfit = true;
+            self.control.roles.unfit_times += 1;
+            self.control.roles.last_unfit = now;
+            self.control.roles.answered = 0;
+            self.control.roles.looking_since = None;
         }
     }
 
@@ -335,69 +346,70 @@
     /// shards answer, and a sibling would reach ours no better: the shard would only go to and fro.
     fn contact_is_lost(&mut self, ours: usize) -> bool {
         let now = self.now();
-        if self.replica.machines.len() <= ours {
+        if self.store.replica.machines.len() <= ours {
             return ours >= OWN_MACHINES_LEAST;
         }
-        let since = match self.roles.looking_since {
+        let since = match self.control.roles.looking_since {
             Some(since) => since,
             None => {
-                self.roles.answered = 0;
-                self.roles.next_look = now;
-                *self.roles.looking_since.insert(now)
+                self.control.roles.answered = 0;
+                self.control.roles.next_look = now;
+                *self.control.roles.looking_since.insert(now)
             }
         };
-        if now >= self.roles.next_look {
-            self.roles.next_look = now + LOOK_EVERY;
+        if now >= self.control.roles.next_look {
+            self.control.roles.next_look = now + LOOK_EVERY;
             self.look_for_machines();
         }
-        self.roles.answered == 0 && now.since(since) >= LOOK_SPAN
+        self.control.roles.answered == 0 && now.since(since) >= LOOK_SPAN
     }
 
     /// How long most machines must have been silent. It grows if that happens again and again, but a shard must be
     /// given away while the leases of its machines last.
     fn contact_patience(&mut self) -> Micros {
-        if self.now().since(self.roles.last_unfit) >= UNFIT_REMEMBERED {
-            self.roles.unfit_times = 0;
+        if self.now().since(self.control.roles.last_unfit) >= UNFIT_REMEMBERED {
+            self.control.roles.unfit_times = 0;
         }
         let first = Micros::from_millis(self.policy.lose_contact_ms);
         let most = Micros::from_secs_f64(self.platform.deployment.workers.lease_s * LEASE_PART).max(first);
-        Micros(first.0 << self.roles.unfit_times.min(UNFIT_DOUBLINGS)).min(most)
+        Micros(first.0 << self.control.roles.unfit_times.min(UNFIT_DOUBLINGS)).min(most)
     }
 
     fn release(&mut self, role: Role) {
         let mut txn = ProposedTxn::default();
-        txn.unchanged(&self.replica, Key::Role(role));
+        txn.unchanged(&self.store.replica, Key::Role(role));
         txn.delete(Key::Role(role));
-        self.roles.taking = true;
+        self.control.roles.taking = true;
         self.submit_txn(txn, Purpose::Role);
     }
 
     pub(crate) fn role_txn_over(&mut self, purpose: &Purpose, failed: bool) {
         match purpose {
-            Purpose::Node => self.roles.node_writing = false,
-            _ => self.roles.taking = false,
+            Purpose::Node => self.control.roles.node_writing = false,
+            _ => self.control.roles.taking = false,
         }
         if failed {
-            self.roles.not_before = self.now() + Micros::from_millis(100);
+            self.control.roles.not_before = self.now() + Micros::from_millis(100);
         }
-        self.reads.wanted = true;
+        self.store.reads.wanted = true;
     }
 
     pub(crate) fn role_changed(&mut self, role: Role) {
         let mine = self
+            .store
             .replica
             .roles
             .get(&role)
             .filter(|s| s.value.owner == self.label && s.value.incarnation == self.incarnation)
             .map(|s| s.value.fencing_token);
-        let before = self.roles.held.get(&role).copied();
+        let before = self.control.roles.held.get(&role).copied();
         if mine == before {
             return;
         }
-        let revision = self.replica.applied.0;
+        let revision = self.store.replica.applied.0;
         match mine {
             Some(fencing_token) => {
-                self.roles.held.insert(role, fencing_token);
+                self.control.roles.held.insert(role, fencing_token);
                 if let (Role::Shard(shard), Some(_)) = (role, before) {
                     tracing::debug!(?role, fencing_token = fencing_token.0, revision, "role has a new fencing token");
                     return self.shard_renewed(shard);
@@ -405,7 +417,7 @@
                 tracing::info!(?role, fencing_token = fencing_token.0, revision, "took over");
             }
             None => {
-                self.roles.held.remove(&role);
+                self.control.roles.held.remove(&role);
                 tracing::info!(?role, revision, "lost");
             }
         }
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -57,10 +57,10 @@
 
 impl Controller {
     pub(crate) fn want_push(&mut self, id: &MachineId) {
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             machine.push = true;
             machine.push_after = Micros::ZERO;
-            self.pushes.insert(id.clone());
+            self.fleet.pending_commands.insert(id.clone());
         }
     }
 
@@ -68,25 +68,27 @@
     /// work heartbeat often, and each direct message costs as much as a heartbeat.
     pub(crate) fn want_push_soon(&mut self, id: &MachineId) {
         let after = self.now() + Micros::from_millis(self.policy.batch_push_ms);
-        if let Some(machine) = self.machines.get_mut(id)
+        if let Some(machine) = self.fleet.machines.get_mut(id)
             && !machine.push
         {
             machine.push = true;
             machine.push_after = after;
-            self.pushes_later.insert((after, id.clone()));
+            self.fleet.delayed_commands.insert((after, id.clone()));
         }
     }
 
     /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the
     /// heartbeat's number.
     pub(crate) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
-        let Some(machine) = self.machines.get(id) else { return Vec::new() };
-        let doomed = self.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
+        let Some(machine) = self.fleet.machines.get(id) else { return Vec::new() };
+        let doomed = self.store.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
         let incarnation = machine.incarnation;
         let mut commands = commands_for_unrecorded(machine);
         let mut never_sent = Vec::new();
-        for (job_id, index) in self.usage.starts_on(id) {
-            let Some(start) = self.jobs.get_mut(&job_id).and_then(|job| job.live.get_mut(index)) else { continue };
+        for (job_id, index) in self.jobs.usage.starts_on(id) {
+            let Some(start) = self.jobs.by_id.get_mut(&job_id).and_then(|job| job.live.get_mut(index)) else {
+                continue;
+            };
             if start.incarnation != incarnation {
                 continue;
             }
@@ -120,23 +122,25 @@
     pub(crate) fn send_pending_direct_commands(&mut self) {
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
-        while self.pushes_later.first().is_some_and(|(at, _)| *at <= now) {
-            self.pushes.extend(self.pushes_later.pop_first().map(|(_, id)| id));
+        while self.fleet.delayed_commands.first().is_some_and(|(at, _)| *at <= now) {
+            self.fleet.pending_commands.extend(self.fleet.delayed_commands.pop_first().map(|(_, id)| id));
         }
-        for id in std::mem::take(&mut self.pushes) {
-            let Some(machine) = self.machines.get(&id).filter(|m| m.push && m.push_after <= now) else { continue };
-            if machine.direct || self.direct_open >= self.direct_most {
+        for id in std::mem::take(&mut self.fleet.pending_commands) {
+            let Some(machine) = self.fleet.machines.get(&id).filter(|m| m.push && m.push_after <= now) else {
+                continue;
+            };
+            if machine.direct || self.fleet.direct_open >= self.fleet.direct_most {
                 // Once the message on its way is answered, or there is room for one more.
-                self.pushes.insert(id);
+                self.fleet.pending_commands.insert(id);
                 continue;
             }
             let Some(fencing_token) = self.fencing_token(&id) else {
-                if let Some(machine) = self.machines.get_mut(&id) {
+                if let Some(machine) = self.fleet.machines.get_mut(&id) {
                     machine.push = false;
                 }
                 continue;
             };
-            let Some(machine) = self.machines.get_mut(&id) else { continue };
+            let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
             machine.push = false;
             let Some(addr) = machine.addr else { continue };
             // Nothing is said to a machine that did not answer last time: it would only be in doubt.
@@ -153,42 +157,42 @@
     }
 
     pub(crate) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, commands: DirectCommands) {
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             machine.direct = true;
             machine.direct_token = commands.fencing_token;
             machine.direct_after = (machine.incarnation, machine.seq);
             machine.ask = false;
         }
-        self.direct_open += 1;
+        self.fleet.direct_open += 1;
         self.out.push(Effect::DirectCommands { machine: id.clone(), addr, commands });
     }
 
     pub(crate) fn direct_commands_outcome(&mut self, id: &MachineId, outcome: DirectCommandsOutcome) {
-        self.direct_open = self.direct_open.saturating_sub(1);
+        self.fleet.direct_open = self.fleet.direct_open.saturating_sub(1);
         let fencing_token = self.fencing_token(id);
         let now = self.now();
-        let recorded = self.replica.machines.contains_key(id);
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let recorded = self.store.replica.machines.contains_key(id);
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         machine.direct = false;
         if let DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) = &outcome
             && heartbeat.machine == *id
         {
             machine.hears(now);
             if !recorded && self.is_leader() {
-                self.leader.alive.insert(id.clone(), now);
+                self.autoscaling.leader.alive.insert(id.clone(), now);
                 return;
             }
         }
-        let Some(machine) = self.machines.get_mut(id) else { return };
-        let looking = self.roles.unfit || self.roles.looking_since.is_some();
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
+        let looking = self.control.roles.unfit || self.control.roles.looking_since.is_some();
         if looking && matches!(outcome, DirectCommandsOutcome::Done(_) | DirectCommandsOutcome::Rejected(_)) {
-            self.roles.answered += 1;
+            self.control.roles.answered += 1;
         }
         match outcome {
             DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
                 if heartbeat.machine != *id || fencing_token.is_none_or(|t| heartbeat.fencing_token > t) {
                     machine.outranked |= heartbeat.machine == *id;
-                    self.reads.wanted = true;
+                    self.store.reads.wanted = true;
                     return;
                 }
                 // It answered what was sent after its newest message, and yet shows a smaller number: its
--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -67,8 +67,10 @@
     /// Notes by when a cancelled job's tasks have to be proven gone. Counted from what the stored records say, so it
     /// holds for a successor as well.
     pub(crate) fn note_deadline(&mut self, id: &JobId) {
-        let Some(end) = self.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else { return };
-        if !self.jobs.contains_key(id) {
+        let Some(end) = self.store.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
+            return;
+        };
+        if !self.jobs.by_id.contains_key(id) {
             return;
         }
         let age = self.clock.wall.since(end.value.at);
@@ -77,7 +79,7 @@
             cease_renewal: self.now() + self.renew_for().since(age),
             delete: self.now() + self.clear_after().since(age).max(contact),
         };
-        self.cancellations.clearing.deadlines.insert(id.clone(), deadline);
+        self.jobs.cancellations.clearing.deadlines.insert(id.clone(), deadline);
     }
 
     /// Deletes the machines on which something of a cancelled job may run when its time is up. A machine that
@@ -85,14 +87,14 @@
     pub(crate) fn clear_cancelled(&mut self) {
         let now = self.now();
         self.strike_out_cleared();
-        if self.cancellations.clearing.deadlines.is_empty() {
+        if self.jobs.cancellations.clearing.deadlines.is_empty() {
             return;
         }
         let mut due: BTreeMap<MachineId, Micros> = BTreeMap::new();
-        let mut deadlines = std::mem::take(&mut self.cancellations.clearing.deadlines);
+        let mut deadlines = std::mem::take(&mut self.jobs.cancellations.clearing.deadlines);
         deadlines.retain(|id, deadline| {
             // Also with nothing left for now: a late commit may still bring a start.
-            let Some(job) = self.jobs.get(id) else { return false };
+            let Some(job) = self.jobs.by_id.get(id) else { return false };
             let Deadline { delete, .. } = *deadline;
             if delete > now || job.live.occupying() == 0 || !self.clears_shard(job.shard) {
                 return true;
@@ -103,19 +105,19 @@
             }
             true
         });
-        self.cancellations.clearing.deadlines = deadlines;
-        self.cancellations.clearing.asked.retain(|_, at| now.since(*at) < CLEAR_AGAIN);
+        self.jobs.cancellations.clearing.deadlines = deadlines;
+        self.jobs.cancellations.clearing.asked.retain(|_, at| now.since(*at) < CLEAR_AGAIN);
         let mut ids: Vec<(Micros, MachineId)> = due
             .into_iter()
-            .filter(|(id, _)| self.machines.get(id).is_some_and(|m| !m.outranked))
-            .filter(|(id, _)| !self.cancellations.clearing.asked.contains_key(id) && !self.is_cleared(id))
+            .filter(|(id, _)| self.fleet.machines.get(id).is_some_and(|m| !m.outranked))
+            .filter(|(id, _)| !self.jobs.cancellations.clearing.asked.contains_key(id) && !self.is_cleared(id))
             .map(|(id, deadline)| (deadline, id))
             .collect();
         ids.sort_unstable();
         for part in ids.chunks(CLEAR_MOST) {
             let part: Vec<MachineId> = part.iter().map(|(_, id)| id.clone()).collect();
             self.note_deletion(&part, ids.first().map_or(now, |(deadline, _)| *deadline));
-            self.cancellations.clearing.asked.extend(part.iter().map(|id| (id.clone(), now)));
+            self.jobs.cancellations.clearing.asked.extend(part.iter().map(|id| (id.clone(), now)));
             self.cloud(Call::Clear(part));
         }
     }
@@ -128,18 +130,18 @@
         let workers = &self.platform.deployment.workers;
         let time_left = Micros::from_secs_f64(workers.cancel_s).since(self.clear_after());
         if now.since(due) + CLEAR_AGAIN >= time_left {
-            self.audit.late_deletions += machines.len() as u64;
+            self.jobs.audit.late_deletions += machines.len() as u64;
         }
     }
 
     /// Whether something of a cancelled job may be on the machine although its time for renewals is over.
     pub(crate) fn is_overdue_on(&self, id: &MachineId) -> bool {
-        let deadlines = &self.cancellations.clearing.deadlines;
-        let Some(placed) = self.usage.placed(id).filter(|_| !deadlines.is_empty()) else { return false };
+        let deadlines = &self.jobs.cancellations.clearing.deadlines;
+        let Some(placed) = self.jobs.usage.placed(id).filter(|_| !deadlines.is_empty()) else { return false };
         let now = self.now();
         placed.starts.iter().any(|(job, task)| {
             let overdue = deadlines.get(job).is_some_and(|deadline| deadline.cease_renewal <= now);
-            let start = self.jobs.get(job).filter(|_| overdue).and_then(|job| job.live.get(*task));
+            let start = self.jobs.by_id.get(job).filter(|_| overdue).and_then(|job| job.live.get(*task));
             start.is_some_and(|start| start.occupies() && start.phase() != Phase::Decided)
         })
     }
@@ -148,12 +150,12 @@
     /// does, and as long as the store is away nobody can take it.
     fn clears_shard(&self, shard: u32) -> bool {
         let role = Role::Shard(shard);
-        self.held(role).is_some() || (!self.replica.roles.contains_key(&role) && !self.reaches_store())
+        self.held(role).is_some() || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
     }
 
     /// Whether it was deleted here, though the stored records don't say so yet.
     pub(crate) fn is_cleared(&self, id: &MachineId) -> bool {
-        self.cancellations.clearing.cleared.contains_key(id)
+        self.jobs.cancellations.clearing.cleared.contains_key(id)
     }
 
     /// The cloud did not confirm a deletion. It is asked for again as long as it is due.
@@ -166,23 +168,23 @@
         let now = self.now();
         tracing::info!(machines = ids.len(), first = ?ids.first(), "deletion confirmed");
         for id in ids {
-            for (job, task) in self.usage.starts_on(&id) {
+            for (job, task) in self.jobs.usage.starts_on(&id) {
                 self.start_gone(&job, task, AbsenceProof::MachineDeleted);
             }
-            self.leader.deleted.insert(id.clone(), now);
-            self.cancellations.clearing.cleared.insert(id, None);
+            self.autoscaling.leader.deleted.insert(id.clone(), now);
+            self.jobs.cancellations.clearing.cleared.insert(id, None);
         }
     }
 
     /// Takes machines deleted here out of the stored records, again if a change of their records came between.
     fn strike_out_cleared(&mut self) {
         let now = self.now();
-        let recorded = &self.replica.machines;
-        self.cancellations.clearing.cleared.retain(|id, _| recorded.contains_key(id));
+        let recorded = &self.store.replica.machines;
+        self.jobs.cancellations.clearing.cleared.retain(|id, _| recorded.contains_key(id));
         let mut ids = Vec::new();
-        for (id, sent) in &mut self.cancellations.clearing.cleared {
+        for (id, sent) in &mut self.jobs.cancellations.clearing.cleared {
             let due = sent.is_none_or(|at| now.since(at) >= CLEAR_AGAIN);
-            if let Some(machine) = self.machines.get_mut(id).filter(|m| due && !m.writing) {
+            if let Some(machine) = self.fleet.machines.get_mut(id).filter(|m| due && !m.writing) {
                 machine.writing = true;
                 *sent = Some(now);
                 ids.push(id.clone());
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -14,13 +14,13 @@
     /// Tasks of different jobs that fail on one machine and get on elsewhere speak against the machine.
     pub(crate) fn retire_faulty(&mut self, ours: &[MachineId]) {
         for id in ours {
-            let Some(machine) = self.machines.get(id).filter(|machine| !machine.failed_jobs.is_empty()) else {
+            let Some(machine) = self.fleet.machines.get(id).filter(|machine| !machine.failed_jobs.is_empty()) else {
                 continue;
             };
             if !self.is_faulty(id, machine) {
                 continue;
             }
-            let hold = self.replica.machines.get(id).and_then(|m| m.value.hold);
+            let hold = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
             if hold.is_none() {
                 tracing::warn!(machine = %id, "tasks of several jobs fail there");
                 self.set_hold(id, Hold::Retire);
@@ -34,13 +34,13 @@
         let proven = || failed().filter(|(job, failures)| self.gets_on_elsewhere(id, job, failures));
         // One job alone does if it fails again and again there, and on no other machine.
         let elsewhere =
-            |job: &JobId| self.machines.iter().any(|(other, m)| other != id && m.failed_jobs.contains_key(job));
+            |job: &JobId| self.fleet.machines.iter().any(|(other, m)| other != id && m.failed_jobs.contains_key(job));
         let again_and_again = |f: &Failures| f.count > self.policy.faulty_after * 2;
         if proven().count() >= several || proven().any(|(job, f)| again_and_again(f) && !elsewhere(job)) {
             return true;
         }
         // A gang that can't do without this machine never gets further. Its other tasks fail nowhere else.
-        let only_here = |job: &JobId| self.jobs.get(job).is_some_and(|job| job.failures.failed_only_on(id));
+        let only_here = |job: &JobId| self.jobs.by_id.get(job).is_some_and(|job| job.failures.failed_only_on(id));
         if failed().any(|(job, f)| f.alone_in_gang > self.policy.faulty_after * 2 && only_here(job)) {
             return true;
         }
@@ -51,11 +51,11 @@
     /// Whether a job that failed on a machine is not itself at fault: the same task is done by now, or has run for
     /// longer on another machine than any that failed.
     fn gets_on_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &Failures) -> bool {
-        let Some(job) = self.jobs.get(job_id) else {
-            return self.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
+        let Some(job) = self.jobs.by_id.get(job_id) else {
+            return self.store.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
         };
-        let chunks = self.replica.runs.get(job_id);
-        let chunk = chunks.and_then(|chunks| chunks.get(&(failures.task / self.chunk_tasks))).map(|c| &c.value);
+        let chunks = self.store.replica.runs.get(job_id);
+        let chunk = chunks.and_then(|chunks| chunks.get(&(failures.task / self.store.chunk_tasks))).map(|c| &c.value);
         let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
         job.is_task_done(failures.task, chunk) || job.live.get(failures.task).is_some_and(runs_on)
     }
@@ -63,7 +63,7 @@
     /// A machine to be returned is emptied first.
     pub(crate) fn drain_retired(&mut self, ours: &[MachineId]) {
         for id in ours {
-            if self.replica.machines.get(id).is_some_and(|m| m.value.hold == Some(Hold::Retire)) {
+            if self.store.replica.machines.get(id).is_some_and(|m| m.value.hold == Some(Hold::Retire)) {
                 self.stop_where(id, |_| true);
             }
         }
@@ -73,7 +73,7 @@
     /// on, it may finish.
     pub(crate) fn leave_noticed(&mut self, ours: &[MachineId]) {
         for id in ours {
-            if self.machines.get(id).is_some_and(|m| m.notice) {
+            if self.fleet.machines.get(id).is_some_and(|m| m.notice) {
                 self.stop_services(id);
             }
         }
@@ -91,8 +91,8 @@
     fn stop_where(&mut self, id: &MachineId, wanted: impl Fn(Kind) -> bool) {
         let grace = self.policy.stop_grace_s;
         let mut push = false;
-        for (job, task) in self.usage.starts_on(id) {
-            let Some(job) = self.jobs.get_mut(&job) else { continue };
+        for (job, task) in self.jobs.usage.starts_on(id) {
+            let Some(job) = self.jobs.by_id.get_mut(&job) else { continue };
             if !wanted(job.spec.kind) {
                 continue;
             }
--- a/src/coordination/fleet/failure_detector.rs
+++ b/src/coordination/fleet/failure_detector.rs
@@ -78,14 +78,15 @@
         let lease_s = self.platform.deployment.workers.lease_s;
         let lease = Micros::from_secs_f64(lease_s * 1.002 + 1.0);
         for id in ours {
-            let Some(machine) = self.machines.get(id) else { continue };
+            let Some(machine) = self.fleet.machines.get(id) else { continue };
             if !machine.token_confirmed || now.since(machine.answered) <= lease {
                 continue;
             }
             let incarnation = machine.incarnation;
-            for (job, task) in self.usage.starts_on(id) {
+            for (job, task) in self.jobs.usage.starts_on(id) {
                 let expired = self
                     .jobs
+                    .by_id
                     .get(&job)
                     .and_then(|j| j.live.get(task))
                     .is_some_and(|l| l.incarnation <= incarnation && l.phase() != Phase::Decided);
@@ -104,17 +105,18 @@
         let due = self.due_probes(ours);
         let now = self.now();
         let rate = self.policy.probes_per_s;
-        self.probes_left = (self.probes_left + now.since(self.probed_at).secs() * rate).min(rate.max(1.0));
-        self.probed_at = now;
+        self.fleet.probes_left =
+            (self.fleet.probes_left + now.since(self.fleet.probed_at).secs() * rate).min(rate.max(1.0));
+        self.fleet.probed_at = now;
         for DueProbe { routine, machine: id, .. } in due {
-            if self.direct_open >= self.direct_most || (routine && self.probes_left < 1.0) {
+            if self.fleet.direct_open >= self.fleet.direct_most || (routine && self.fleet.probes_left < 1.0) {
                 break;
             }
             if routine {
-                self.probes_left -= 1.0;
+                self.fleet.probes_left -= 1.0;
             }
             let Some(fencing_token) = self.fencing_token(id) else { continue };
-            let Some(machine) = self.machines.get_mut(id) else { continue };
+            let Some(machine) = self.fleet.machines.get_mut(id) else { continue };
             let Some(addr) = machine.addr else { continue };
             machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
             let incarnation = machine.incarnation.max(1);
@@ -131,7 +133,8 @@
         let mut quiet: BTreeMap<&str, Vec<DueProbe>> = BTreeMap::new();
         let mut suspected: BTreeSet<&str> = BTreeSet::new();
         for id in ours {
-            let (Some(machine), Some(record)) = (self.machines.get(id), self.replica.machines.get(id)) else {
+            let (Some(machine), Some(record)) = (self.fleet.machines.get(id), self.store.replica.machines.get(id))
+            else {
                 continue;
             };
             let zone = record.value.zone.as_str();
@@ -145,7 +148,7 @@
                 continue;
             }
             let probe = DueProbe { routine: !suspect, heard: machine.heard, machine: id };
-            if suspect || self.usage.serves(id) {
+            if suspect || self.jobs.usage.serves(id) {
                 due.push(probe);
             } else {
                 quiet.entry(zone).or_default().push(probe);
@@ -163,7 +166,7 @@
     fn widen_search<'a>(&self, zone: &str, mut quiet: Vec<DueProbe<'a>>, due: &mut Vec<DueProbe<'a>>) {
         quiet.sort_unstable();
         due.extend(quiet.into_iter().take(WIDENED).map(|probe| DueProbe { routine: false, ..probe }));
-        let in_zone = |id: &MachineId| self.replica.machines.get(id).is_some_and(|m| m.value.zone == zone);
+        let in_zone = |id: &MachineId| self.store.replica.machines.get(id).is_some_and(|m| m.value.zone == zone);
         let routine = due.iter_mut().filter(|probe| probe.routine && in_zone(probe.machine));
         routine.take(WIDENED).for_each(|probe| probe.routine = false);
     }
@@ -173,8 +176,8 @@
     pub(crate) fn ask_for_life(&mut self, id: &MachineId, addr: Option<&str>) {
         let Some(addr) = addr.and_then(|a| a.parse().ok()) else { return };
         let now = self.now();
-        let machine = self.machines.entry(id.clone()).or_default();
-        if machine.direct || now < machine.next_probe || self.direct_open >= self.direct_most {
+        let machine = self.fleet.machines.entry(id.clone()).or_default();
+        if machine.direct || now < machine.next_probe || self.fleet.direct_open >= self.fleet.direct_most {
             return;
         }
         machine.next_probe = now + Micros::from_millis(self.policy.probe_ms);
@@ -188,7 +191,7 @@
     /// Asks a few machines for a sign of life, of shards that are not held here if there are any. The fencing token 0 moves
     /// nobody to anything.
     pub(crate) fn look_for_machines(&mut self) {
-        let machines = &self.replica.machines;
+        let machines = &self.store.replica.machines;
         let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
         let mut ids: Vec<&MachineId> =
             machines.iter().filter(|(_, m)| !is_ours(m.value.shard)).map(|(id, _)| id).collect();
@@ -198,7 +201,7 @@
         let every = ids.len().div_ceil(LOOKED_AT).max(1);
         let asked: Vec<MachineId> = ids.into_iter().step_by(every).cloned().collect();
         for id in asked {
-            let Some(machine) = self.machines.get(&id) else { continue };
+            let Some(machine) = self.fleet.machines.get(&id) else { continue };
             if let Some(addr) = machine.addr.filter(|_| !machine.direct) {
                 self.send_direct(
                     &id,
@@ -216,7 +219,7 @@
         let after = Micros::from_millis(self.policy.replace_after_ms);
         let silent = self.silent_of(ours, after);
         self.replace_never_heard(&silent);
-        if silent.is_empty() || self.many_unreachable.is_some_and(|at| now.since(at) < after) {
+        if silent.is_empty() || self.fleet.many_unreachable_at.is_some_and(|at| now.since(at) < after) {
             return;
         }
         let verdicts = self.judge_silence(ours, silent, after);
@@ -224,9 +227,9 @@
             Silence::ZoneCutOff(zone) => Some((zone.clone(), now)),
             _ => None,
         });
-        self.zones_cut.extend(cut);
+        self.fleet.zones_cut_at.extend(cut);
         if verdicts.contains(&Silence::ManySilent) {
-            self.many_unreachable = Some(now);
+            self.fleet.many_unreachable_at = Some(now);
             return;
         }
         for verdict in verdicts {
@@ -240,7 +243,7 @@
     fn silent_of(&self, ours: &[MachineId], after: Micros) -> Vec<MachineId> {
         let now = self.now();
         let silent = |m: &Machine| m.probes_failed >= self.policy.probes_failed && now.since(m.heard) >= after;
-        ours.iter().filter(|id| self.machines.get(*id).is_some_and(silent)).cloned().collect()
+        ours.iter().filter(|id| self.fleet.machines.get(*id).is_some_and(silent)).cloned().collect()
     }
 
     /// Never heard since we took the shard, for longer than a lease: nothing but a deletion can prove its tasks gone,
@@ -249,7 +252,7 @@
         let now = self.now();
         let lease = Micros::from_secs_f64(self.platform.deployment.workers.lease_s * 1.002 + 2.0);
         for id in silent {
-            let never = self.machines.get(id).is_some_and(|m| !m.token_confirmed && now.since(m.heard) >= lease);
+            let never = self.fleet.machines.get(id).is_some_and(|m| !m.token_confirmed && now.since(m.heard) >= lease);
             if never {
                 self.set_hold(id, Hold::Doomed);
             }
@@ -261,15 +264,16 @@
         // Machines go silent one by one even if all are cut off at once, as each was last heard at
         // a moment of its own. So the others must have been heard well after this one fell silent.
         let gap = Micros::from_millis(self.policy.probe_after_ms + self.policy.probe_ms);
-        let others = Contacts::of(ours.iter().filter_map(|id| self.machines.get(id)));
+        let others = Contacts::of(ours.iter().filter_map(|id| self.fleet.machines.get(id)));
         let mut zones: BTreeMap<&str, Contacts> = BTreeMap::new();
         let mut verdicts = Vec::new();
         for id in silent {
-            let Some(last) = self.machines.get(&id).map(|m| m.heard) else { continue };
-            let Some(zone) = self.replica.machines.get(&id).map(|m| m.value.zone.as_str()) else { continue };
+            let Some(last) = self.fleet.machines.get(&id).map(|m| m.heard) else { continue };
+            let Some(zone) = self.store.replica.machines.get(&id).map(|m| m.value.zone.as_str()) else { continue };
             let in_zone = zones.entry(zone).or_insert_with(|| {
-                let there = |id: &&MachineId| self.replica.machines.get(*id).is_some_and(|m| m.value.zone == zone);
-                Contacts::of(ours.iter().filter(there).filter_map(|id| self.machines.get(id)))
+                let there =
+                    |id: &&MachineId| self.store.replica.machines.get(*id).is_some_and(|m| m.value.zone == zone);
+                Contacts::of(ours.iter().filter(there).filter_map(|id| self.fleet.machines.get(id)))
             });
             let moment = last + gap;
             verdicts.push(if self.many_are_silent(others.since(moment)) {
@@ -303,13 +307,13 @@
         let now = self.now();
         let all = (lost + heard).saturating_sub(1);
         let alone = all < 2 && now.since(last) < Micros(after.0 * 3);
-        alone || self.zones_cut.get(zone).is_some_and(|at| now.since(*at) < after)
+        alone || self.fleet.zones_cut_at.get(zone).is_some_and(|at| now.since(*at) < after)
     }
 
     /// How many machines fail to answer, and of how many that can be said: of those that heard something
     /// since the first of them fell silent, too. The rest were sent nothing.
     fn unreachable_of(&self, ours: &[MachineId]) -> (usize, usize) {
-        let machines = || ours.iter().filter_map(|id| self.machines.get(id));
+        let machines = || ours.iter().filter_map(|id| self.fleet.machines.get(id));
         let unreachable = || machines().filter(|m| m.unanswered >= 2);
         let Some(since) = unreachable().map(|m| m.unanswered_since).min() else { return (0, ours.len()) };
         let count = unreachable().count();
@@ -321,7 +325,7 @@
     pub(crate) fn judge_unreachable(&mut self, ours: &[MachineId]) {
         let (unreachable, known) = self.unreachable_of(ours);
         if unreachable as f64 > (known as f64 * self.policy.replace_max_part).max(2.0) {
-            self.many_unreachable = Some(self.now());
+            self.fleet.many_unreachable_at = Some(self.now());
         }
     }
 
@@ -334,7 +338,10 @@
         let unreachable_long: Vec<MachineId> = ours
             .iter()
             .filter(|id| {
-                self.machines.get(*id).is_some_and(|m| m.is_unreachable(now, self.policy.unreachable_probes, span))
+                self.fleet
+                    .machines
+                    .get(*id)
+                    .is_some_and(|m| m.is_unreachable(now, self.policy.unreachable_probes, span))
             })
             .cloned()
             .collect();
@@ -345,7 +352,7 @@
         // least one other must have heard something.
         let (unreachable, known) = self.unreachable_of(ours);
         let most = (known as f64 * self.policy.replace_max_part).max(1.0);
-        let many = self.many_unreachable.is_some_and(|at| now.since(at) < span);
+        let many = self.fleet.many_unreachable_at.is_some_and(|at| now.since(at) < span);
         if !many && unreachable as f64 <= most && known > unreachable {
             for id in &unreachable_long {
                 self.set_hold(id, Hold::Doomed);
@@ -367,17 +374,18 @@
         let span = self.unreported_span();
         let unreported: Vec<MachineId> = ours
             .iter()
-            .filter(|id| self.machines.get(*id).is_some_and(|m| m.is_unreported(now, span)))
+            .filter(|id| self.fleet.machines.get(*id).is_some_and(|m| m.is_unreported(now, span)))
             .cloned()
             .collect();
         // Their last heartbeats came at different moments: those on their way there count as well.
         let half = span - Micros(Micros::from_millis(self.policy.unreported_ms).0 / 2);
-        let late = ours.iter().filter(|id| self.machines.get(*id).is_some_and(|m| m.is_unreported(now, half))).count();
+        let late =
+            ours.iter().filter(|id| self.fleet.machines.get(*id).is_some_and(|m| m.is_unreported(now, half))).count();
         if late as f64 > (ours.len() as f64 * self.policy.replace_max_part).max(1.0) {
-            self.many_unreported = Some(now);
+            self.fleet.many_unreported_at = Some(now);
         }
         // When such a time ends they are heard again one by one.
-        if unreported.is_empty() || self.many_unreported.is_some_and(|at| now.since(at) < span) {
+        if unreported.is_empty() || self.fleet.many_unreported_at.is_some_and(|at| now.since(at) < span) {
             return;
         }
         for id in &unreported {
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -1,10 +1,11 @@
 //! Heartbeats of workers: which are new, what they prove about tasks, and what is answered.
 
+use crate::coordination::fleet::Unregistered;
 use crate::coordination::fleet::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::zones::zone_control::ZoneStart;
-use crate::coordination::{Controller, Effect, Unregistered, Waiter, WorkerAnswer};
+use crate::coordination::{Controller, Effect, Waiter, WorkerAnswer};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
 use crate::storage::schema::Role;
@@ -25,7 +26,7 @@
 
 impl Controller {
     pub(crate) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
-        let answer = match self.sync.done {
+        let answer = match self.store.sync.done {
             true => self.heartbeat_answer(waiter, heartbeat, relayed),
             false => Some(WorkerAnswer::Unavailable),
         };
@@ -52,7 +53,7 @@
     /// A machine without a record: the leader may register it, others send its worker there.
     fn unregistered_heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat) -> Option<WorkerAnswer> {
         if self.is_leader() {
-            self.unregistered.push(Unregistered { since: self.now(), waiter, heartbeat });
+            self.fleet.unregistered.push(Unregistered { since: self.now(), waiter, heartbeat });
             return None;
         }
         Some(self.redirect_to_holder(Role::Leader))
@@ -68,9 +69,9 @@
     /// Somebody has a later fencing token than we know of, or this is news from the future of another shard: learn which, and
     /// draw a higher one if the machine is ours after all.
     fn later_token_shown(&mut self, id: &MachineId, fencing_token: FencingToken) {
-        self.reads.wanted = true;
+        self.store.reads.wanted = true;
         let now = self.now();
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             machine.unacknowledged = Some(fencing_token);
             machine.outranked = true;
             machine.token_confirmed = false;
@@ -81,7 +82,7 @@
     /// Whether a heartbeat is newer than the one before, and what its number tells of what the worker has heard.
     fn note_heartbeat(&mut self, heartbeat: &Heartbeat, relayed: bool) -> bool {
         let now = self.now();
-        let machine = self.machines.entry(heartbeat.machine.clone()).or_default();
+        let machine = self.fleet.machines.entry(heartbeat.machine.clone()).or_default();
         let last = machine.last_heartbeat;
         if (heartbeat.incarnation, heartbeat.seq) <= (last.incarnation, last.number) {
             // A copy of a heartbeat we have seen, for which nobody waits any more. Or a worker that began
@@ -111,7 +112,7 @@
         let now = self.now();
         let id = &heartbeat.machine;
         let Some(fencing_token) = self.fencing_token(id) else { return };
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         if (heartbeat.incarnation, heartbeat.seq) <= (machine.incarnation, machine.seq) {
             return;
         }
@@ -148,7 +149,7 @@
             // Until it showed our fencing token a former owner may have gone on renewing its lease.
             machine.answered = now;
         }
-        self.pass_wanted |= first;
+        self.scheduling.cycle_wanted |= first;
         self.take_tasks(heartbeat, source, first);
     }
 
@@ -160,13 +161,13 @@
         for reported in &heartbeat.tasks {
             let exited = (reported.state == TaskState::Exited).then(|| reported.why.unwrap_or(ExitCause::Unknown));
             let known = TaskId::parse(&reported.task).filter(|t| {
-                self.jobs.get(&t.job).and_then(|j| j.live.get(t.index)).is_some_and(|l| {
+                self.jobs.by_id.get(&t.job).and_then(|j| j.live.get(t.index)).is_some_and(|l| {
                     *l.machine() == *id && l.attempt == reported.attempt && l.phase() != Phase::Decided
                 })
             });
             let Some(task) = known else {
                 let (task, attempt) = (reported.task.clone(), reported.attempt);
-                let void = first || self.machines.get(id).is_some_and(|m| m.is_void(&task, attempt));
+                let void = first || self.fleet.machines.get(id).is_some_and(|m| m.is_void(&task, attempt));
                 unrecorded.push(UnrecordedTask { task, attempt, exited: exited.is_some(), void });
                 continue;
             };
@@ -176,7 +177,7 @@
                 None => self.task_seen(id, &task, reported.state, heartbeat.seq),
             }
         }
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let kept = unrecorded.iter().filter(|s| s.exited && !s.forgettable()).count();
         machine.unrecorded = unrecorded;
         machine.kept = kept;
@@ -185,10 +186,10 @@
             machine.unacknowledged = Some(heartbeat.fencing_token);
         }
         let quiet = !machine.direct && machine.unacknowledged.is_none();
-        let mut starts = self.usage.starts_on(id);
+        let mut starts = self.jobs.usage.starts_on(id);
         starts.retain(|s| !seen.contains(s));
         for (job, task) in starts {
-            let Some(live) = self.jobs.get(&job).and_then(|j| j.live.get(task)) else { continue };
+            let Some(live) = self.jobs.by_id.get(&job).and_then(|j| j.live.get(task)) else { continue };
             if live.phase() == Phase::Decided || !live.occupies() {
                 continue;
             }
@@ -209,7 +210,7 @@
 
     fn task_seen(&mut self, id: &MachineId, task: &TaskId, state: TaskState, seq: u64) {
         let now = self.now();
-        let Some(job) = self.jobs.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.by_id.get_mut(&task.job) else { return };
         let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
         let Some(live) = job.live.get_mut(task.index) else { return };
         if !live.occupies() {
@@ -231,9 +232,9 @@
         if phase == Phase::Running {
             live.running_since.get_or_insert(now);
         }
-        job.live.set_phase(task.index, phase, &mut self.usage);
+        job.live.set_phase(task.index, phase, &mut self.jobs.usage);
         if phase == Phase::Fetching {
-            if let Some(machine) = self.machines.get_mut(id)
+            if let Some(machine) = self.fleet.machines.get_mut(id)
                 && !machine.fetches.iter().any(|f| f.image == image)
             {
                 machine.fetches.push(Fetch { image, megabytes, since: now });
@@ -244,7 +245,7 @@
             self.note_zone_start(id, ZoneStart::AtWork);
         }
         if phase == Phase::Running
-            && let Some(job) = self.jobs.get(&task.job)
+            && let Some(job) = self.jobs.by_id.get(&task.job)
         {
             let age_ms = self.clock.wall.since(job.accepted).millis();
             tracing::debug!(task = %task, machine = %id, age_ms, kind = ?job.spec.kind, "runs");
@@ -256,12 +257,13 @@
     fn image_seen(&mut self, id: &MachineId, image: &str, megabytes: f64) {
         let now = self.now();
         let capacity_mb = self
+            .store
             .replica
             .machines
             .get(id)
-            .and_then(|m| self.types.get(&m.value.machine_type))
+            .and_then(|m| self.autoscaling.types.get(&m.value.machine_type))
             .map_or(f64::INFINITY, |t| t.wire.cache_gb * 1000.0);
-        let Some(machine) = self.machines.get_mut(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         if let Some(at) = machine.fetches.iter().position(|f| f.image == image) {
             let fetch = machine.fetches.remove(at);
             let seconds = now.since(fetch.since).secs();
@@ -275,7 +277,7 @@
 
     fn exit_seen(&mut self, id: &MachineId, task: &TaskId, why: ExitCause) {
         let now = self.now();
-        let Some(job) = self.jobs.get(&task.job) else { return };
+        let Some(job) = self.jobs.by_id.get(&task.job) else { return };
         if !job.live.get(task.index).is_some_and(|l| l.occupies()) {
             return;
         }
@@ -285,7 +287,7 @@
             let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
             self.image_seen(id, &image, megabytes);
         }
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             match why {
                 ExitCause::Done => machine.failed_jobs.clear(),
                 ExitCause::Error => {
--- a/src/coordination/fleet/lease_renewal.rs
+++ b/src/coordination/fleet/lease_renewal.rs
@@ -24,7 +24,7 @@
         if self.is_renewal_withheld(id, fencing_token) {
             return WorkerAnswer::Unavailable;
         }
-        let Some(machine) = self.machines.get_mut(id) else { return WorkerAnswer::Unavailable };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return WorkerAnswer::Unavailable };
         machine.answered = now;
         // Before the worker has shown our fencing token its heartbeat proves nothing; the answer's fencing token makes it report again.
         let reliable = machine.token_confirmed && machine.incarnation == heartbeat.incarnation;
@@ -33,10 +33,10 @@
         for stop in self.stops_of_cancelled(heartbeat) {
             if !commands.contains(&stop) {
                 commands.push(stop);
-                self.audit.added_stops += 1;
+                self.jobs.audit.added_stops += 1;
             }
         }
-        if complete && let Some(machine) = self.machines.get_mut(id) {
+        if complete && let Some(machine) = self.fleet.machines.get_mut(id) {
             machine.push = false;
         }
         WorkerAnswer::Response(HeartbeatResponse { fencing_token, commands })
@@ -45,9 +45,9 @@
     /// Whether a lapse of the lease is what makes a late start of a cancelled task void.
     fn is_renewal_withheld(&mut self, id: &MachineId, fencing_token: FencingToken) -> bool {
         let in_doubt =
-            self.machines.get(id).is_some_and(|m| m.unacknowledged.is_some_and(|doubt| doubt >= fencing_token));
+            self.fleet.machines.get(id).is_some_and(|m| m.unacknowledged.is_some_and(|doubt| doubt >= fencing_token));
         let withheld = in_doubt && self.is_overdue_on(id);
-        if let Some(machine) = self.machines.get_mut(id) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             if withheld && !machine.renewal_withheld {
                 tracing::warn!(machine = %id, "lease not renewed: a cancelled task may still be started there");
             }
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -213,31 +213,31 @@
 
 impl Controller {
     pub(crate) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
-        self.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
+        self.store.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
 
     /// The fencing token for commands to a machine of a shard we hold.
     pub(crate) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
-        let record = &self.replica.machines.get(id)?.value;
+        let record = &self.store.replica.machines.get(id)?.value;
         let fencing_token = self.held(Role::Shard(record.shard))?;
         Some(fencing_token.max(record.fencing_token))
     }
 
     pub(crate) fn machine_resources(&self, id: &MachineId) -> Resources {
-        let Some(record) = self.replica.machines.get(id) else { return Resources::default() };
-        self.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
+        let Some(record) = self.store.replica.machines.get(id) else { return Resources::default() };
+        self.autoscaling.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
     }
 
     /// What is left on a machine after all starts not proven gone.
     pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
-        self.machine_resources(id).minus(&self.usage.used_on(id))
+        self.machine_resources(id).minus(&self.jobs.usage.used_on(id))
     }
 
     /// Notes since when nothing runs on it.
     pub(crate) fn machine_freed(&mut self, id: &MachineId) {
         let now = self.now();
-        let busy = self.usage.is_busy(id);
-        if let Some(machine) = self.machines.get_mut(id) {
+        let busy = self.jobs.usage.is_busy(id);
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
             if busy {
                 machine.free_since = None;
             } else {
@@ -249,43 +249,43 @@
     pub(crate) fn machine_changed(&mut self, id: &MachineId) {
         let now = self.now();
         self.zone_of_machine_changed(id);
-        match self.replica.machines.get(id) {
+        match self.store.replica.machines.get(id) {
             None => {
                 // Deleted: whatever was on it is gone.
-                for (job, task) in self.usage.starts_on(id) {
+                for (job, task) in self.jobs.usage.starts_on(id) {
                     self.start_gone(&job, task, AbsenceProof::MachineStruckOut);
                 }
-                self.machines.remove(id);
+                self.fleet.machines.remove(id);
             }
             Some(record) => {
                 let addr = record.value.addr.parse().ok();
                 let shard = record.value.shard;
-                let machine = self.machines.entry(id.clone()).or_default();
+                let machine = self.fleet.machines.entry(id.clone()).or_default();
                 machine.addr = addr.or(machine.addr);
                 if machine.shard != Some(shard) {
                     machine.shard = Some(shard);
                     machine.new_owner(now);
                 }
-                if self.usage.is_empty(id) {
+                if self.jobs.usage.is_empty(id) {
                     machine.free_since.get_or_insert(now);
                 }
                 // A new fencing token or shard: only heartbeats that carry it count.
                 let highest_token_seen = machine.highest_token_seen;
                 let token_confirmed = self.fencing_token(id).is_some_and(|t| highest_token_seen >= t);
-                if let Some(machine) = self.machines.get_mut(id) {
+                if let Some(machine) = self.fleet.machines.get_mut(id) {
                     machine.token_confirmed = token_confirmed;
                     machine.obeys_holder |= token_confirmed;
                     machine.push |= !token_confirmed;
                     if machine.push {
                         machine.push_after = Micros::ZERO;
-                        self.pushes.insert(id.clone());
+                        self.fleet.pending_commands.insert(id.clone());
                     }
                 }
-                for held in std::mem::take(&mut self.unregistered) {
+                for held in std::mem::take(&mut self.fleet.unregistered) {
                     if held.heartbeat.machine == *id {
                         self.heartbeat(held.waiter, held.heartbeat, true);
                     } else {
-                        self.unregistered.push(held);
+                        self.fleet.unregistered.push(held);
                     }
                 }
             }
@@ -295,65 +295,78 @@
     /// A shard was taken or lost.
     pub(crate) fn shard_changed(&mut self, shard: u32) {
         let now = self.now();
-        let ids: Vec<MachineId> =
-            self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<MachineId> = self
+            .store
+            .replica
+            .machines
+            .iter()
+            .filter(|(_, m)| m.value.shard == shard)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in &ids {
-            self.machines.entry(id.clone()).or_default().new_owner(now);
-            self.pushes.insert(id.clone());
+            self.fleet.machines.entry(id.clone()).or_default().new_owner(now);
+            self.fleet.pending_commands.insert(id.clone());
         }
         self.jobs_of_shard_reset(shard);
-        self.pass_wanted = true;
+        self.scheduling.cycle_wanted = true;
     }
 
     /// The shard has a new fencing token under the same owner: what is known stays, but from here on only
     /// messages that carry the fencing token prove anything.
     pub(crate) fn shard_renewed(&mut self, shard: u32) {
-        let ids: Vec<MachineId> =
-            self.replica.machines.iter().filter(|(_, m)| m.value.shard == shard).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<MachineId> = self
+            .store
+            .replica
+            .machines
+            .iter()
+            .filter(|(_, m)| m.value.shard == shard)
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in ids {
             let fencing_token = self.fencing_token(&id);
-            if let Some(machine) = self.machines.get_mut(&id) {
+            if let Some(machine) = self.fleet.machines.get_mut(&id) {
                 machine.token_confirmed = fencing_token.is_some_and(|t| machine.highest_token_seen >= t);
                 machine.push |= !machine.token_confirmed;
                 machine.push_after = Micros::ZERO;
-                self.pushes.insert(id);
+                self.fleet.pending_commands.insert(id);
             }
         }
     }
 
     pub(crate) fn machines_txn_over(&mut self, ids: &[MachineId]) {
         for id in ids {
-            if let Some(machine) = self.machines.get_mut(id) {
+            if let Some(machine) = self.fleet.machines.get_mut(id) {
                 machine.writing = false;
                 machine.registering = false;
             }
-            self.leader.deleting.remove(id);
+            self.autoscaling.leader.deleting.remove(id);
         }
     }
 
     pub(crate) fn tick_machines(&mut self) {
         let now = self.now();
         let late = Micros::from_millis(1000);
-        for held in std::mem::take(&mut self.unregistered) {
+        for held in std::mem::take(&mut self.fleet.unregistered) {
             if now.since(held.since) > late {
                 self.out.push(Effect::AnswerWorker(held.waiter, WorkerAnswer::Unavailable));
             } else {
-                self.unregistered.push(held);
+                self.fleet.unregistered.push(held);
             }
         }
-        if now < self.next_machines {
+        if now < self.fleet.next_check_at {
             return;
         }
-        self.next_machines = now + MACHINES_EVERY;
+        self.fleet.next_check_at = now + MACHINES_EVERY;
         let ours: Vec<MachineId> = self
+            .store
             .replica
             .machines
             .iter()
             .filter(|(_, m)| self.held(Role::Shard(m.value.shard)).is_some())
             .map(|(id, _)| id.clone())
             .collect();
-        let recorded = &self.replica.machines;
-        self.machines.retain(|id, m| recorded.contains_key(id) || m.direct || m.writing || m.registering);
+        let recorded = &self.store.replica.machines;
+        self.fleet.machines.retain(|id, m| recorded.contains_key(id) || m.direct || m.writing || m.registering);
         self.judge_contact(&ours);
         self.expire_leases(&ours);
         self.clear_cancelled();
@@ -379,10 +392,10 @@
         what: MachineChange,
         change: impl FnOnce(&mut MachineRecord),
     ) {
-        let Some(machine) = self.machines.get_mut(id) else { return };
-        let Some(held) = self.replica.machines.get(id) else { return };
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
+        let Some(held) = self.store.replica.machines.get(id) else { return };
         let shard = Role::Shard(held.value.shard);
-        let role = [shard, Role::Leader].into_iter().find(|role| self.roles.held.contains_key(role));
+        let role = [shard, Role::Leader].into_iter().find(|role| self.control.roles.held.contains_key(role));
         let Some(role) = role.filter(|_| !machine.writing) else { return };
         let mut record = held.value.clone();
         change(&mut record);
@@ -391,15 +404,15 @@
         }
         machine.writing = true;
         let mut proposal = ProposedTxn::default();
-        proposal.unchanged(&self.replica, Key::Role(role));
-        proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+        proposal.unchanged(&self.store.replica, Key::Role(role));
+        proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         proposal.put(Key::Machine(id.clone()), to_value(&record));
         self.submit_txn(proposal, Purpose::Machines(what, vec![id.clone()]));
     }
 
     pub(crate) fn set_hold(&mut self, id: &MachineId, hold: Hold) {
-        let before = self.replica.machines.get(id).and_then(|m| m.value.hold);
-        let writing = self.machines.get(id).is_none_or(|m| m.writing);
+        let before = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
+        let writing = self.fleet.machines.get(id).is_none_or(|m| m.writing);
         if before != Some(Hold::Doomed) && before != Some(hold) && !writing {
             tracing::info!(machine = %id, ?hold, "machine put on hold");
             let what = match hold {
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -43,13 +43,13 @@
             }
         }
         let latest = self.now() + Micros::from_millis(self.policy.machine_patience_ms);
-        self.moves_due = wanted.then(|| self.moves_due.unwrap_or(latest));
+        self.fleet.moves_due = wanted.then(|| self.fleet.moves_due.unwrap_or(latest));
     }
 
     /// Moves machines, those of one shard. Put into words only when it is sent: all controllers draw fencing tokens from one
     /// counter, so what waited for the change budget would mostly be refused, and a refusal costs as much.
     pub(crate) fn send_moves(&mut self) {
-        self.moves_due = None;
+        self.fleet.moves_due = None;
         for (shard, machines) in self.machines_to_move() {
             let roles = self.roles_for_moves(shard);
             if !roles.is_empty() && !machines.empty.is_empty() {
@@ -66,7 +66,7 @@
         if self.record_version() == RecordVersion::FIRST {
             return if leads { vec![Role::Leader] } else { Vec::new() };
         }
-        match mover(&self.replica, shard) {
+        match mover(&self.store.replica, shard) {
             Mover::Holder if self.held(holder).is_some() => vec![holder],
             // Its holder is of the first version, and must still be when the machine moves.
             Mover::Leader if leads => vec![Role::Leader, holder],
@@ -77,16 +77,16 @@
     /// Machines on hold to be moved, by the shard that they are to leave.
     fn machines_to_move(&self) -> BTreeMap<u32, Leaving> {
         let mut leaving: BTreeMap<u32, Leaving> = BTreeMap::new();
-        for (id, held) in &self.replica.machines {
+        for (id, held) in &self.store.replica.machines {
             let Some(Hold::Move(to)) = held.value.hold else { continue };
             // From the hold's revision on the replica shows every start that others recorded there.
-            let visible = self.replica.applied.0 >= held.version;
-            let writing = self.machines.get(id).is_some_and(|m| m.writing);
-            if !visible || writing || self.leader.deleting.contains(id) {
+            let visible = self.store.replica.applied.0 >= held.version;
+            let writing = self.fleet.machines.get(id).is_some_and(|m| m.writing);
+            if !visible || writing || self.autoscaling.leader.deleting.contains(id) {
                 continue;
             }
             let machines = leaving.entry(held.value.shard).or_default();
-            if self.usage.is_empty(id) {
+            if self.jobs.usage.is_empty(id) {
                 machines.empty.push((id.clone(), to));
             } else {
                 machines.occupied.push((id.clone(), to));
@@ -98,20 +98,20 @@
     /// Gives machines to their new shards, as many as one transaction takes.
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
         moves.truncate(self.platform.deployment.store.ops() - 1);
-        let fencing_token = FencingToken(self.replica.latest_fencing_token().0 + 1);
+        let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
         let mut proposal = ProposedTxn::default();
-        proposal.unchanged(&self.replica, Key::FencingToken);
+        proposal.unchanged(&self.store.replica, Key::FencingToken);
         for role in roles {
-            proposal.unchanged(&self.replica, Key::Role(*role));
+            proposal.unchanged(&self.store.replica, Key::Role(*role));
         }
         proposal.put(Key::FencingToken, to_value(&fencing_token));
         let mut ids = Vec::new();
         for (id, to) in moves {
-            let Some(held) = self.replica.machines.get(&id) else { continue };
+            let Some(held) = self.store.replica.machines.get(&id) else { continue };
             let record = MachineRecord { shard: to, fencing_token, hold: None, ..held.value.clone() };
-            proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+            proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
-            self.machines.entry(id.clone()).or_default().writing = true;
+            self.fleet.machines.entry(id.clone()).or_default().writing = true;
             ids.push(id);
         }
         self.send_txn(proposal, Purpose::Machines(MachineChange::Move, ids));
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -28,9 +28,9 @@
     pub(crate) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
         let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
-        let heartbeats: Vec<_> = self.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
+        let heartbeats: Vec<_> = self.fleet.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
-        self.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
+        self.autoscaling.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
         let mut members: Vec<FleetMember> = Vec::new();
         let mut refused = Vec::new();
         let mut size = 0;
@@ -62,17 +62,17 @@
     }
 
     fn registration(&self, id: &MachineId) -> Registration {
-        if self.replica.machines.contains_key(id) {
+        if self.store.replica.machines.contains_key(id) {
             return Registration::Known;
         }
-        let deleted = self.leader.deleting.contains(id) || self.leader.deleted.contains_key(id);
-        if deleted || self.replica.is_gone(id) {
+        let deleted = self.autoscaling.leader.deleting.contains(id) || self.autoscaling.leader.deleted.contains_key(id);
+        if deleted || self.store.replica.is_gone(id) {
             return Registration::Deleted;
         }
-        if self.machines.get(id).is_some_and(|m| m.registering) {
+        if self.fleet.machines.get(id).is_some_and(|m| m.registering) {
             return Registration::Known;
         }
-        if self.leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
+        if self.autoscaling.leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
     fn new_member(&mut self, heartbeat: &Heartbeat, members: &[FleetMember]) -> FleetMember {
@@ -89,7 +89,7 @@
     }
 
     fn refuse_heartbeats_of(&mut self, refused: &[MachineId]) {
-        self.unregistered.retain(|held| {
+        self.fleet.unregistered.retain(|held| {
             let keep = !refused.contains(&held.heartbeat.machine);
             if !keep {
                 self.out.push(Effect::AnswerWorker(held.waiter, crate::coordination::WorkerAnswer::Unavailable));
@@ -101,18 +101,18 @@
     /// Writes down machines that are not in the stored records, all in one value unless it is a single one.
     fn record_registrations(&mut self, members: Vec<FleetMember>) {
         let mut proposal = ProposedTxn::default();
-        proposal.unchanged(&self.replica, Key::Role(Role::Leader));
+        proposal.unchanged(&self.store.replica, Key::Role(Role::Leader));
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
         for id in &ids {
-            self.machines.entry(id.clone()).or_default().registering = true;
+            self.fleet.machines.entry(id.clone()).or_default().registering = true;
             self.boot_over(id);
-            proposal.unchanged(&self.replica, Key::Machine(id.clone()));
+            proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         }
         match &members[..] {
             [single] => proposal.put(Key::Machine(single.id.clone()), to_value(&single.record)),
             _ => {
                 let name = Key::Fleet(format!("{:x}", self.nonce()));
-                proposal.unchanged(&self.replica, name.clone());
+                proposal.unchanged(&self.store.replica, name.clone());
                 proposal.put(name, to_value(&members));
             }
         }
@@ -122,25 +122,25 @@
     /// A machine that was rented has come up.
     fn boot_over(&mut self, id: &MachineId) {
         let now = self.now();
-        if let Some(boot) = self.leader.boots.remove(id) {
-            self.leader.boot_history.came_up(boot.offer(), now.since(boot.since), now);
+        if let Some(boot) = self.autoscaling.leader.boots.remove(id) {
+            self.autoscaling.leader.boot_history.came_up(boot.offer(), now.since(boot.since), now);
         }
     }
 
     /// The shard with the most unmet need, else the one with the least room for its teams.
     fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
-        let cpus = self.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
+        let cpus = self.autoscaling.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
         // The most urgent tasks that it can really take decide, wherever else room is lacking.
         let mut slot = Slot {
             id: None,
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
-            free: self.types.get(&heartbeat.machine_type).map(|t| t.resources).unwrap_or_default(),
+            free: self.autoscaling.types.get(&heartbeat.machine_type).map(|t| t.resources).unwrap_or_default(),
             untouched: true,
         };
         let mut chosen = None;
-        for need in &mut self.leader.need {
+        for need in &mut self.autoscaling.leader.need {
             if chosen.is_none_or(|shard| shard == need.shard) {
                 let taken = fit(&need.spec, need.count, std::slice::from_mut(&mut slot), &mut need.zones);
                 need.count -= taken;
@@ -166,10 +166,10 @@
             teams.fill(1);
         }
         let mut have = vec![0u64; shards as usize];
-        let recorded = self.replica.machines.values().map(|held| &held.value);
+        let recorded = self.store.replica.machines.values().map(|held| &held.value);
         for record in recorded.chain(registered.iter().map(|m| &m.record)) {
             if let Some(sum) = have.get_mut(record.shard as usize) {
-                *sum += self.types.get(&record.machine_type).map_or(1_000_000, |t| t.resources.cpus);
+                *sum += self.autoscaling.types.get(&record.machine_type).map_or(1_000_000, |t| t.resources.cpus);
             }
         }
         (0..shards)
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -89,61 +89,61 @@
 
 impl Controller {
     fn store_silence_ms(&self) -> u64 {
-        self.now().since(self.store_last_answered_at).millis()
+        self.now().since(self.store.last_answered_at).millis()
     }
 
     /// A user is about to be told that a job is cancelled.
     pub(crate) fn audit_told(&mut self, job: &JobId, by: AcknowledgedBy) {
         let now = self.now();
         // Users ask about old jobs again and again.
-        let Some(left) = self.jobs.get(job).map(|job| job.live.occupying()) else { return };
-        if !self.audit.admits(now) {
+        let Some(left) = self.jobs.by_id.get(job).map(|job| job.live.occupying()) else { return };
+        if !self.jobs.audit.admits(now) {
             return;
         }
-        let revision = self.replica.applied.0;
-        let cancelled_at = self.replica.ends.get(job).map_or(0, |end| end.version);
+        let revision = self.store.replica.applied.0;
+        let cancelled_at = self.store.replica.ends.get(job).map_or(0, |end| end.version);
         tracing::info!(%job, ?by, revision, cancelled_at, left, store_silence_ms = self.store_silence_ms(), "cancelled, told");
     }
 
     /// A task of a cancelled job is proven gone.
     pub(crate) fn audit_gone(&mut self, job: &JobId, task: u32, machine: &MachineId, proof: AbsenceProof) {
         let now = self.now();
-        if self.outcome(job) != Some(Outcome::Cancelled) || !self.audit.admits(now) {
+        if self.outcome(job) != Some(Outcome::Cancelled) || !self.jobs.audit.admits(now) {
             return;
         }
-        let revision = self.replica.applied.0;
+        let revision = self.store.replica.applied.0;
         tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task proven gone");
     }
 
     /// Sums up cancellations of which something may be left.
     pub(crate) fn audit_summary(&mut self) {
         let now = self.now();
-        if now.since(self.audit.summed_up_at) < SUMMARY_EVERY {
+        if now.since(self.jobs.audit.summed_up_at) < SUMMARY_EVERY {
             return;
         }
-        self.audit.summed_up_at = now;
+        self.jobs.audit.summed_up_at = now;
         let (mut tasks, mut stops_waiting, mut oldest) = (0, 0, Micros::ZERO);
-        for id in self.cancellations.clearing.jobs() {
-            let Some(job) = self.jobs.get(id).filter(|job| job.live.occupying() > 0) else { continue };
+        for id in self.jobs.cancellations.clearing.jobs() {
+            let Some(job) = self.jobs.by_id.get(id).filter(|job| job.live.occupying() > 0) else { continue };
             tasks += job.live.occupying();
             stops_waiting += job.live.values().filter(|start| start.phase() == Phase::Recorded && start.sent).count();
-            let age = self.replica.ends.get(id).map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
+            let age = self.store.replica.ends.get(id).map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
             oldest = oldest.max(age);
         }
-        let left_out = std::mem::take(&mut self.audit.left_out);
+        let left_out = std::mem::take(&mut self.jobs.audit.left_out);
         if tasks == 0 && left_out == 0 {
             return;
         }
-        let withheld = self.machines.values().filter(|machine| machine.renewal_withheld).count();
+        let withheld = self.fleet.machines.values().filter(|machine| machine.renewal_withheld).count();
         tracing::info!(
             tasks,
             oldest_ms = oldest.millis(),
             stops_waiting,
             withheld,
-            late_deletions = self.audit.late_deletions,
-            added_stops = self.audit.added_stops,
+            late_deletions = self.jobs.audit.late_deletions,
+            added_stops = self.jobs.audit.added_stops,
             left_out,
-            revision = self.replica.applied.0,
+            revision = self.store.replica.applied.0,
             store_silence_ms = self.store_silence_ms(),
             "cancelled tasks not proven gone"
         );
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -58,27 +58,27 @@
 
 impl Controller {
     fn acknowledgement(&self, id: &JobId) -> Acknowledgement {
-        let Some(end) = self.replica.ends.get(id) else {
+        let Some(end) = self.store.replica.ends.get(id) else {
             // Over because a job that it needs was cancelled: nothing of it was ever started.
-            return match self.cascaded.contains(id) {
+            return match self.jobs.cascaded.contains(id) {
                 true => Acknowledgement::Sure(AcknowledgedBy::Cascade),
                 false => Acknowledgement::Stale,
             };
         };
-        if self.cancellations.confirmed.contains(id) {
+        if self.jobs.cancellations.confirmed.contains(id) {
             return Acknowledgement::Sure(AcknowledgedBy::Sibling);
         }
         // Who holds the shard is only known as of what was read. A holder from before the cancellation
         // may have a successor by now, and a start may be in the stored records that is not seen here yet.
-        if self.replica.applied.0 < end.version {
+        if self.store.replica.applied.0 < end.version {
             return Acknowledgement::Stale;
         }
         // Starts are recorded under the condition that the job isn't over, and leave the stored records only when
         // proven gone: without any nothing runs, nor will.
-        if !self.replica.has_starts(id) {
+        if !self.store.replica.has_starts(id) {
             return Acknowledgement::Sure(AcknowledgedBy::NoStarts);
         }
-        let Some(job) = self.jobs.get(id) else { return Acknowledgement::Stale };
+        let Some(job) = self.jobs.by_id.get(id) else { return Acknowledgement::Stale };
         let role = Role::Shard(job.shard);
         // Held here, and the replica shows no later holder.
         if self.held(role).is_some() {
@@ -87,7 +87,7 @@
                 false => Acknowledgement::NotObeyed,
             };
         }
-        match self.replica.roles.get(&role) {
+        match self.store.replica.roles.get(&role) {
             Some(held) if held.value.owner != self.label => {
                 Acknowledgement::Ask(job.shard, held.value.owner.clone(), held.value.fencing_token)
             }
@@ -98,29 +98,29 @@
     /// Whether all machines with a recorded start of the job have shown a fencing token of this holder's: from then on no earlier
     /// holder can renew their leases, nor have a start carried out there.
     fn is_obeyed_on(&self, id: &JobId) -> bool {
-        let Some(job) = self.jobs.get(id) else { return true };
+        let Some(job) = self.jobs.by_id.get(id) else { return true };
         let mut starts = job.live.values().filter(|start| start.occupies() && start.phase() != Phase::Decided);
         starts.all(|start| {
             let machine = start.machine();
-            self.is_cleared(machine) || self.machines.get(machine).is_some_and(|m| m.obeys_holder)
+            self.is_cleared(machine) || self.fleet.machines.get(machine).is_some_and(|m| m.obeys_holder)
         })
     }
 
     /// Tells a user that a job is cancelled, as soon as that may be told.
     pub(crate) fn answer_cancelled(&mut self, waiter: Waiter, id: JobId) {
         let now = self.now();
-        self.cancellations.waiting.entry(id).or_default().push((now, waiter));
+        self.jobs.cancellations.waiting.entry(id).or_default().push((now, waiter));
     }
 
     /// Answers whoever can be answered about cancelled jobs, and asks the holders of their shards.
     pub(crate) fn confirm_cancellations(&mut self) {
-        if self.cancellations.waiting.is_empty() {
+        if self.jobs.cancellations.waiting.is_empty() {
             return;
         }
         let now = self.now();
         let patience = Micros::from_millis(self.policy.confirm_patience_ms);
         let mut ask: BTreeMap<(u32, String, FencingToken), Vec<JobId>> = BTreeMap::new();
-        for (id, waiters) in std::mem::take(&mut self.cancellations.waiting) {
+        for (id, waiters) in std::mem::take(&mut self.jobs.cancellations.waiting) {
             let answer = match self.acknowledgement(&id) {
                 Acknowledgement::Sure(by) => {
                     self.audit_told(&id, by);
@@ -133,12 +133,12 @@
                 }
                 Acknowledgement::Stale if !self.reaches_store() => BUSY,
                 Acknowledgement::Stale => {
-                    self.reads.wanted = true;
+                    self.store.reads.wanted = true;
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
                 }
                 Acknowledgement::Ask(shard, holder, fencing_token) => {
-                    if !self.cancellations.notifying.values().flatten().any(|told| *told == id) {
+                    if !self.jobs.cancellations.notifying.values().flatten().any(|told| *told == id) {
                         ask.entry((shard, holder, fencing_token)).or_default().push(id.clone());
                     }
                     self.keep_waiting(id, waiters, now, patience);
@@ -151,7 +151,7 @@
         }
         for ((shard, holder, fencing_token), ids) in ask {
             let (alone, together): (Vec<_>, Vec<_>) =
-                ids.into_iter().partition(|id| self.cancellations.ask_alone.remove(id));
+                ids.into_iter().partition(|id| self.jobs.cancellations.ask_alone.remove(id));
             let messages = alone.into_iter().map(|id| vec![id]).chain([together]).filter(|ids| !ids.is_empty());
             for ids in messages.collect::<Vec<_>>() {
                 self.notify_holder(shard, holder.clone(), fencing_token, ids);
@@ -166,19 +166,19 @@
             self.answer(waiter, BUSY);
         }
         if !rest.is_empty() {
-            self.cancellations.waiting.insert(id, rest);
+            self.jobs.cancellations.waiting.insert(id, rest);
         }
     }
 
     fn notify_holder(&mut self, shard: u32, holder: String, fencing_token: FencingToken, ids: Vec<JobId>) {
         let told = |id: &JobId| {
-            let end = self.replica.ends.get(id)?;
+            let end = self.store.replica.ends.get(id)?;
             Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
         };
         let jobs: Vec<CancelledJob> = ids.iter().filter_map(told).collect();
-        self.cancellations.next_call += 1;
-        let call = self.cancellations.next_call;
-        self.cancellations.notifying.insert(call, ids);
+        self.jobs.cancellations.next_call += 1;
+        let call = self.jobs.cancellations.next_call;
+        self.jobs.cancellations.notifying.insert(call, ids);
         self.out.push(Effect::Peer {
             call,
             to: holder,
@@ -187,24 +187,24 @@
     }
 
     pub(crate) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
-        let Some(ids) = self.cancellations.notifying.remove(&call) else { return };
+        let Some(ids) = self.jobs.cancellations.notifying.remove(&call) else { return };
         if answer.is_some_and(|a| a.holds) {
-            self.cancellations.confirmed.extend(ids);
-            if self.cancellations.confirmed.len() > PRUNE_AT {
-                let replica = &self.replica;
-                self.cancellations.confirmed.retain(|id| replica.has_starts(id));
+            self.jobs.cancellations.confirmed.extend(ids);
+            if self.jobs.cancellations.confirmed.len() > PRUNE_AT {
+                let replica = &self.store.replica;
+                self.jobs.cancellations.confirmed.retain(|id| replica.has_starts(id));
             }
             return;
         }
         if ids.len() > 1 {
             // One of them may be all that the holder can't vouch for.
-            let Cancellations { ask_alone, waiting, .. } = &mut self.cancellations;
+            let Cancellations { ask_alone, waiting, .. } = &mut self.jobs.cancellations;
             ask_alone.extend(ids);
             ask_alone.retain(|id| waiting.contains_key(id));
             return;
         }
         for id in ids {
-            for (_, waiter) in self.cancellations.waiting.remove(&id).unwrap_or_default() {
+            for (_, waiter) in self.jobs.cancellations.waiting.remove(&id).unwrap_or_default() {
                 self.answer(waiter, BUSY);
             }
         }
@@ -213,15 +213,15 @@
     /// A sibling saw jobs cancelled and wants to know whether we see to it. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
     pub(crate) fn cancellation_notified(&mut self, waiter: Waiter, message: &Cancelled) {
-        if !self.sync.done {
+        if !self.store.sync.done {
             return self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds: false }));
         }
         let mut changes = Vec::new();
         for job in message.jobs.iter().filter(|job| valid_id(&job.id)) {
             let id = JobId::new(&job.id);
-            if !self.replica.ends.contains_key(&id) {
+            if !self.store.replica.ends.contains_key(&id) {
                 let end = to_value(&EndRecord::cancelled(Micros(job.at)));
-                changes.push(self.replica.apply(&Key::End(id).to_string(), Some(&end), job.revision));
+                changes.push(self.store.replica.apply(&Key::End(id).to_string(), Some(&end), job.revision));
             }
         }
         self.changed(changes);
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -29,13 +29,15 @@
 impl Controller {
     /// What became of a job, whether its own key says so or that of one it needs.
     pub(crate) fn outcome(&self, id: &JobId) -> Option<Outcome> {
-        let written = self.replica.ends.get(id).map(|e| e.value.outcome);
-        written.or_else(|| self.cascaded.contains(id).then_some(Outcome::Cancelled))
+        let written = self.store.replica.ends.get(id).map(|e| e.value.outcome);
+        written.or_else(|| self.jobs.cascaded.contains(id).then_some(Outcome::Cancelled))
     }
 
     /// Whether all jobs it depends on are known to have been accepted.
     pub(crate) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
-        spec.depends_on.iter().all(|id| self.replica.jobs.contains_key(id) || self.replica.ends.contains_key(id))
+        spec.depends_on
+            .iter()
+            .all(|id| self.store.replica.jobs.contains_key(id) || self.store.replica.ends.contains_key(id))
     }
 
     /// How long a job takes once it is ready, for those that have to be done before it. Estimates are often wrong by
@@ -47,13 +49,13 @@
 
     /// Ties a job that has just become known to those it waits for.
     pub(crate) fn add_to_dependency_graph(&mut self, id: &JobId) {
-        let Some(known) = self.replica.jobs.get(id) else { return };
+        let Some(known) = self.store.replica.jobs.get(id) else { return };
         let depends_on = known.record.spec.depends_on.clone();
-        if depends_on.is_empty() && self.dependency_graph.urgency(id).is_none() {
+        if depends_on.is_empty() && self.jobs.dependency_graph.urgency(id).is_none() {
             return;
         }
         let (own, span) = (known.record.urgency(), self.span(&known.record));
-        self.dependency_graph.note(id, own, span);
+        self.jobs.dependency_graph.note(id, own, span);
         let mut raised = vec![id.clone()];
         let mut cancelled = false;
         for before in &depends_on {
@@ -61,25 +63,25 @@
                 Some(Outcome::Done) => {}
                 Some(Outcome::Cancelled) => cancelled = true,
                 None => {
-                    if let Some(earlier) = self.replica.jobs.get(before) {
+                    if let Some(earlier) = self.store.replica.jobs.get(before) {
                         let (own, span) = (earlier.record.urgency(), self.span(&earlier.record));
-                        self.dependency_graph.note(before, own, span);
+                        self.jobs.dependency_graph.note(before, own, span);
                     } else {
                         // Accepted, as it was named, though not read yet.
                         let own = Urgency { priority: Priority::Low, due: None };
-                        self.dependency_graph.note(before, own, Micros::ZERO);
+                        self.jobs.dependency_graph.note(before, own, Micros::ZERO);
                     }
-                    raised.extend(self.dependency_graph.link(id, before));
+                    raised.extend(self.jobs.dependency_graph.link(id, before));
                 }
             }
         }
         // It may have been noted before as one that others wait for.
-        raised.extend(self.dependency_graph.raise_before(id));
+        raised.extend(self.jobs.dependency_graph.raise_before(id));
         for id in raised {
             self.take_urgency(&id);
         }
-        let held = self.dependency_graph.waits(id);
-        if let Some(job) = self.jobs.get_mut(id) {
+        let held = self.jobs.dependency_graph.waits(id);
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
             job.held = held || cancelled;
         }
         if cancelled {
@@ -89,19 +91,19 @@
     }
 
     fn take_urgency(&mut self, id: &JobId) {
-        if let (Some(job), Some(urgency)) = (self.jobs.get_mut(id), self.dependency_graph.urgency(id)) {
+        if let (Some(job), Some(urgency)) = (self.jobs.by_id.get_mut(id), self.jobs.dependency_graph.urgency(id)) {
             job.urgency = urgency;
         }
     }
 
     /// A job that waits for a cancelled one is over.
     fn cascade(&mut self, id: &JobId) {
-        if self.replica.ends.contains_key(id) {
+        if self.store.replica.ends.contains_key(id) {
             return;
         }
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
             job.over = Some(Outcome::Cancelled);
-            self.cascaded.insert(id.clone());
+            self.jobs.cascaded.insert(id.clone());
         }
     }
 
@@ -109,12 +111,12 @@
     pub(crate) fn job_over(&mut self, id: &JobId) {
         let mut open = vec![id.clone()];
         while let Some(id) = open.pop() {
-            if self.replica.ends.contains_key(&id) {
-                self.cascaded.remove(&id);
+            if self.store.replica.ends.contains_key(&id) {
+                self.jobs.cascaded.remove(&id);
             }
             let Some(outcome) = self.outcome(&id) else { continue };
             let done = outcome == Outcome::Done;
-            for follower in self.dependency_graph.ended(&id, done) {
+            for follower in self.jobs.dependency_graph.ended(&id, done) {
                 if done {
                     self.ready(&follower);
                 } else {
@@ -127,29 +129,29 @@
 
     fn ready(&mut self, id: &JobId) {
         let now = self.clock.wall;
-        if let Some(job) = self.jobs.get_mut(id).filter(|j| j.over.is_none()) {
+        if let Some(job) = self.jobs.by_id.get_mut(id).filter(|j| j.over.is_none()) {
             job.held = false;
             job.ready = now.max(job.accepted);
-            self.urgent_pass |= job.urgency.priority > Priority::Normal;
-            self.pass_wanted = true;
+            self.scheduling.urgent_cycle_wanted |= job.urgency.priority > Priority::Normal;
+            self.scheduling.cycle_wanted = true;
             tracing::debug!(job = %id, "ready: all it needs is done");
         }
     }
 
     /// Writes down, in the shards held here, that swept jobs are over. Nobody waits for it.
     pub(crate) fn write_cascaded(&mut self) {
-        if self.cascaded.is_empty() || self.txns.cascading() {
+        if self.jobs.cascaded.is_empty() || self.store.txns.cascading() {
             return;
         }
         let most = self.platform.deployment.store.ops();
-        let ours = |id: &&JobId| self.jobs.get(*id).is_some_and(|j| self.held(Role::Shard(j.shard)).is_some());
-        let ids: Vec<JobId> = self.cascaded.iter().filter(ours).take(most).cloned().collect();
+        let ours = |id: &&JobId| self.jobs.by_id.get(*id).is_some_and(|j| self.held(Role::Shard(j.shard)).is_some());
+        let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(ours).take(most).cloned().collect();
         if ids.is_empty() {
             return;
         }
         let mut proposal = ProposedTxn::default();
         for id in &ids {
-            proposal.unchanged(&self.replica, Key::End(id.clone()));
+            proposal.unchanged(&self.store.replica, Key::End(id.clone()));
             proposal.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
         }
         self.submit_txn(proposal, Purpose::Cascade);
@@ -158,11 +160,11 @@
     /// Whether a chunk of a job's records can name one more start and stay within what may be written. A start that
     /// ends leaves a range at most, which is shorter.
     pub(crate) fn chunk_has_room(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
-        let tasks = chunk * self.chunk_tasks..(chunk + 1).saturating_mul(self.chunk_tasks);
-        let stored = self.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
+        let tasks = chunk * self.store.chunk_tasks..(chunk + 1).saturating_mul(self.store.chunk_tasks);
+        let stored = self.store.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
         let (mut starts, mut longest_start) = (0, 0);
         // One that is decided gets one of the next attempts.
-        let attempts = stored.map_or(0, |c| c.value.attempts) + u64::from(self.chunk_tasks);
+        let attempts = stored.map_or(0, |c| c.value.attempts) + u64::from(self.store.chunk_tasks);
         for (task, live) in job.live.range(tasks) {
             let numbers = digits(u64::from(task)) + digits(live.attempt.max(attempts)) + digits(live.incarnation);
             let size = START_BYTES + numbers + live.machine().as_str().len();
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -234,9 +234,9 @@
         if !self.job_known(id) {
             return;
         }
-        let chunks: BTreeSet<u32> = match (self.jobs.get(id), self.replica.runs.get(id)) {
+        let chunks: BTreeSet<u32> = match (self.jobs.by_id.get(id), self.store.replica.runs.get(id)) {
             (Some(job), runs) => {
-                let live = job.live.iter().map(|(task, _)| task / self.chunk_tasks);
+                let live = job.live.iter().map(|(task, _)| task / self.store.chunk_tasks);
                 live.chain(runs.into_iter().flat_map(|r| r.keys().copied())).collect()
             }
             (None, _) => BTreeSet::new(),
@@ -257,27 +257,27 @@
 
     /// Whether there is such a job; notes what became of it.
     fn job_known(&mut self, id: &JobId) -> bool {
-        let over = self.replica.ends.get(id).map(|e| e.value.outcome);
-        if !self.jobs.contains_key(id) {
+        let over = self.store.replica.ends.get(id).map(|e| e.value.outcome);
+        if !self.jobs.by_id.contains_key(id) {
             // Over with nothing left of it: its batch alone still names it.
-            if over.is_some() && !self.replica.runs.contains_key(id) {
+            if over.is_some() && !self.store.replica.runs.contains_key(id) {
                 return false;
             }
-            let Some(known) = self.replica.jobs.get(id) else { return false };
+            let Some(known) = self.store.replica.jobs.get(id) else { return false };
             let shard = self.shard_of(known.record.spec.team.as_deref(), id);
             let job = Job::new(id, &known.record, shard);
-            self.urgent_pass |= known.record.spec.priority > Priority::Normal;
-            self.jobs.insert(id.clone(), job);
+            self.scheduling.urgent_cycle_wanted |= known.record.spec.priority > Priority::Normal;
+            self.jobs.by_id.insert(id.clone(), job);
             if over.is_none() {
                 self.add_to_dependency_graph(id);
             }
         }
-        let recorded = self.replica.jobs.contains_key(id);
-        let Some(job) = self.jobs.get_mut(id) else { return false };
+        let recorded = self.store.replica.jobs.contains_key(id);
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return false };
         job.recorded = recorded;
         if job.over.is_none() && over.is_some() {
             job.over = over;
-            self.usage.touched.insert(id.clone());
+            self.jobs.usage.touched.insert(id.clone());
             // Nothing that was only decided may start any more; what may run has to stop.
             let mut machines = Vec::new();
             for live in job.live.values_mut() {
@@ -295,40 +295,40 @@
     }
 
     fn forget_if_over(&mut self, id: &JobId) {
-        let recorded = self.replica.runs.contains_key(id);
+        let recorded = self.store.replica.runs.contains_key(id);
         // One that is over because another was cancelled is known by its entry here until that is written down.
-        let ended = self.replica.ends.contains_key(id);
+        let ended = self.store.replica.ends.contains_key(id);
         let done_with = |job: &Job| (ended && job.over.is_some() || !job.recorded) && !recorded;
-        if self.jobs.get(id).is_some_and(|job| done_with(job) && job.live.is_empty() && !job.locked) {
-            self.jobs.remove(id);
-            self.usage.touched.remove(id);
+        if self.jobs.by_id.get(id).is_some_and(|job| done_with(job) && job.live.is_empty() && !job.locked) {
+            self.jobs.by_id.remove(id);
+            self.jobs.usage.touched.remove(id);
         }
     }
 
     /// Starts in the stored records but not known here appear, those taken out vanish.
     fn sync_chunk(&mut self, id: &JobId, number: u32) {
         let now = self.now();
-        let size = self.chunk_tasks;
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let size = self.store.chunk_tasks;
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let empty = BTreeMap::new();
-        let chunks = self.replica.runs.get(id).unwrap_or(&empty);
+        let chunks = self.store.replica.runs.get(id).unwrap_or(&empty);
         let none = RunChunk::default();
         let chunk = chunks.get(&number).map_or(&none, |c| &c.value);
         let tasks = number * size..(number + 1).saturating_mul(size);
         job.done = chunks.values().map(|c| c.value.done_count()).sum();
-        let mut touched = job.drop_vanished_starts(chunk, tasks.clone(), &mut self.usage);
+        let mut touched = job.drop_vanished_starts(chunk, tasks.clone(), &mut self.jobs.usage);
         let known = |task: u32| chunks.get(&(task / size)).is_some_and(|c| c.value.names(task));
         job.follow_progress(chunk, tasks.clone(), known);
-        touched.extend(job.take_recorded_starts(chunk, &mut self.usage));
+        touched.extend(job.take_recorded_starts(chunk, &mut self.jobs.usage));
         // A machine without a record was deleted: nothing is on it.
         let lost: Vec<u32> = job
             .live
             .range(tasks)
-            .filter(|(_, l)| l.occupies() && !self.replica.machines.contains_key(l.machine()))
+            .filter(|(_, l)| l.occupies() && !self.store.replica.machines.contains_key(l.machine()))
             .map(|(t, _)| t)
             .collect();
         for task in lost {
-            job.live.set_phase(task, Phase::Gone, &mut self.usage);
+            job.live.set_phase(task, Phase::Gone, &mut self.jobs.usage);
             job.dirty(now);
         }
         let patient = job.over.is_none() && job.spec.kind == Kind::Array && !job.is_urgent();
@@ -346,7 +346,7 @@
     pub(crate) fn start_ended(&mut self, id: &JobId, task: u32, why: ExitCause) {
         let now = self.now();
         let retry_max = Micros::from_millis(self.policy.retry_max_ms);
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let Some(live) = job.live.get(task) else { return };
         if !live.occupies() {
             return;
@@ -357,7 +357,7 @@
             tracing::debug!(job = %id, task, %machine, phase = ?live.phase(), ?why, "ended early");
         }
         let came_to_work = why == ExitCause::Done && live.running_since.is_none();
-        job.live.set_phase(task, Phase::Ended(why), &mut self.usage);
+        job.live.set_phase(task, Phase::Ended(why), &mut self.jobs.usage);
         let not_before = match why {
             ExitCause::Done => {
                 job.done_unrecorded.insert(task);
@@ -383,13 +383,13 @@
             self.note_zone_start(&machine, ZoneStart::AtWork);
         }
         self.machine_freed(&machine);
-        self.pass_wanted = true;
+        self.scheduling.cycle_wanted = true;
     }
 
     /// A start was proven not to be on its machine.
     pub(crate) fn start_gone(&mut self, id: &JobId, task: u32, proof: AbsenceProof) {
         let now = self.now();
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let Some(live) = job.live.get(task) else { return };
         if !live.occupies() || live.phase() == Phase::Decided {
             return;
@@ -398,22 +398,22 @@
         let start = live.clone();
         tracing::debug!(job = %id, task, %machine, phase = ?live.phase(), seq = live.seq, ?proof, "proven gone");
         self.audit_gone(id, task, &machine, proof);
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        job.live.set_phase(task, Phase::Gone, &mut self.usage);
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
+        job.live.set_phase(task, Phase::Gone, &mut self.jobs.usage);
         job.dirty(now);
         self.note_zone_loss(&start);
         self.machine_freed(&machine);
-        self.pass_wanted = true;
+        self.scheduling.cycle_wanted = true;
     }
 
     pub(crate) fn job_txn_over(&mut self, id: &JobId) {
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
             job.locked = false;
         }
         self.job_changed(id);
         // What a refused transaction was to take out of the stored records still has to go.
         let now = self.now();
-        if let Some(job) = self.jobs.get_mut(id)
+        if let Some(job) = self.jobs.by_id.get_mut(id)
             && job.live.settled() > 0
         {
             job.dirty(now);
@@ -422,7 +422,7 @@
 
     /// The shard was taken or lost: what was believed about its jobs' starts is void.
     pub(crate) fn jobs_of_shard_reset(&mut self, shard: u32) {
-        for job in self.jobs.values_mut().filter(|j| j.shard == shard) {
+        for job in self.jobs.by_id.values_mut().filter(|j| j.shard == shard) {
             job.done_unrecorded.clear();
             job.not_before.clear();
             job.dirty_since = None;
@@ -430,15 +430,16 @@
             let recorded: Vec<u32> =
                 job.live.iter().filter(|(_, l)| l.phase() != Phase::Decided).map(|(task, _)| task).collect();
             for task in recorded {
-                job.live.set_phase(task, Phase::Recorded, &mut self.usage);
+                job.live.set_phase(task, Phase::Recorded, &mut self.jobs.usage);
                 if let Some(live) = job.live.get_mut(task) {
                     (live.sent, live.seq) = (true, 0);
                     live.stop = over.map(|_| 0.0);
                 }
             }
         }
-        let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.shard == shard).map(|(id, _)| id.clone()).collect();
-        self.usage.touched.extend(ids.iter().cloned());
+        let ids: Vec<JobId> =
+            self.jobs.by_id.iter().filter(|(_, j)| j.shard == shard).map(|(id, _)| id.clone()).collect();
+        self.jobs.usage.touched.extend(ids.iter().cloned());
         for id in ids {
             self.job_changed(&id);
             self.note_deadline(&id);
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -92,19 +92,20 @@
 impl Controller {
     /// Looks at waiting jobs in order until the time is up; the next round goes on from there.
     pub(crate) fn place(&mut self, time_left: &mut dyn FnMut() -> bool) {
-        if self.pass.is_empty() {
+        if self.scheduling.queue.is_empty() {
             // Urgent work is looked at when it comes, everything else every so often.
             let gap = Micros::from_millis(self.policy.pass_gap_ms);
-            let due = self.urgent_pass || (self.pass_wanted && self.now().since(self.pass_began) >= gap);
+            let due = self.scheduling.urgent_cycle_wanted
+                || (self.scheduling.cycle_wanted && self.now().since(self.scheduling.cycle_started_at) >= gap);
             if !due {
                 return;
             }
-            (self.pass_wanted, self.urgent_pass) = (false, false);
-            self.pass_began = self.now();
-            self.pass = self.waiting_in_order().into();
+            (self.scheduling.cycle_wanted, self.scheduling.urgent_cycle_wanted) = (false, false);
+            self.scheduling.cycle_started_at = self.now();
+            self.scheduling.queue = self.waiting_in_order().into();
         }
         let mut field = Field::default();
-        while let Some(id) = self.pass.pop_front() {
+        while let Some(id) = self.scheduling.queue.pop_front() {
             self.place_job(&id, &mut field);
             if !time_left() {
                 break;
@@ -113,7 +114,7 @@
     }
 
     fn place_job(&mut self, id: &JobId, field: &mut Field) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.jobs.by_id.get(id) else { return };
         let shard = job.shard;
         if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
             return;
@@ -130,7 +131,7 @@
 
     fn place_tasks(&mut self, id: &JobId, view: &mut ShardView) {
         let now = self.now();
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.jobs.by_id.get(id) else { return };
         let begins = job.spec.kind == Kind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
         let none = BTreeSet::new();
         let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted);
@@ -140,19 +141,19 @@
             search.avoided_zones = &none;
         }
         if choices.at.is_empty() {
-            let Some(job) = self.jobs.get(id) else { return };
+            let Some(job) = self.jobs.by_id.get(id) else { return };
             search.avoid_failed = false;
             choices = self.choices(id, job, view, search);
         }
         // Locked jobs are left alone while a transaction is on its way, so one takes all it can.
         loop {
-            let Some(job) = self.jobs.get(id) else { return };
+            let Some(job) = self.jobs.by_id.get(id) else { return };
             if !job.may_start(now) {
                 return;
             }
-            let next = job.next_task(now, self.chunk_tasks, |chunk| self.chunk_has_room(id, job, chunk));
+            let next = job.next_task(now, self.store.chunk_tasks, |chunk| self.chunk_has_room(id, job, chunk));
             let Some(task) = next else {
-                if let Some(job) = self.jobs.get_mut(id) {
+                if let Some(job) = self.jobs.by_id.get_mut(id) {
                     job.blocked = job.waiting() > 0;
                 }
                 return;
@@ -175,7 +176,7 @@
 
     /// Step 6: all tasks in one pass or none.
     fn place_gang(&mut self, id: &JobId, view: &mut ShardView) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.jobs.by_id.get(id) else { return };
         let named = |chunk| self.chunk_has_room(id, job, chunk);
         if !job.live.is_empty() || job.waiting() < job.spec.tasks || !named(0) || !job.may_start(self.now()) {
             return;
@@ -195,10 +196,10 @@
         for search in searches(true).chain(searches(false)) {
             let before = view.save();
             let mut placed = Vec::new();
-            let Some(job) = self.jobs.get(id) else { return };
+            let Some(job) = self.jobs.by_id.get(id) else { return };
             let mut choices = self.choices(id, job, view, search);
             for task in 0..tasks {
-                let Some(job) = self.jobs.get(id) else { return };
+                let Some(job) = self.jobs.by_id.get(id) else { return };
                 if !self.within_limit(job) {
                     break;
                 }
@@ -224,7 +225,7 @@
             return true;
         };
         let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
-        let next = self.usage.used_by(&team.name).plus(&job.resources);
+        let next = self.jobs.usage.used_by(&team.name).plus(&job.resources);
         (limit.cpus == 0 || next.cpus <= limit.cpus) && (limit.gpus == 0 || next.gpus <= limit.gpus)
     }
 
@@ -248,7 +249,7 @@
     /// After a task was placed: its machine has less room, and the job's own conditions may have
     /// closed a zone.
     fn choose_again(&self, id: &JobId, view: &ShardView, choices: &mut Choices, chosen: usize, search: Search) {
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.jobs.by_id.get(id) else { return };
         let spot = &view.spots[choices.at[chosen]];
         if job.spec.one_zone || job.spec.spread {
             *choices = self.choices(id, job, view, search);
@@ -281,7 +282,7 @@
         let image = job.spec.image.as_str();
         // Among equals the tightest fit, so that machines fall free as a whole.
         let tie = (spot.free.cpus, spot.free.memory);
-        let Some(machine) = self.machines.get(&spot.id) else {
+        let Some(machine) = self.fleet.machines.get(&spot.id) else {
             return Candidate { ready: Micros(u64::MAX), holds: false, tie };
         };
         if machine.holds(image) {
@@ -316,8 +317,8 @@
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
         // Starts decided or told, whose fetch has not shown up in a heartbeat yet.
-        for (id, task) in self.usage.placed(id).into_iter().flat_map(|p| &p.starts) {
-            let Some(other) = self.jobs.get(id) else { continue };
+        for (id, task) in self.jobs.usage.placed(id).into_iter().flat_map(|p| &p.starts) {
+            let Some(other) = self.jobs.by_id.get(id) else { continue };
             let waits = other.live.get(*task).is_some_and(|l| matches!(l.phase(), Phase::Decided | Phase::Recorded));
             let image = other.spec.image.as_str();
             if waits && !machine.holds(image) && !pending.iter().any(|fetch| fetch.image == image) {
@@ -330,27 +331,27 @@
     fn decide_start(&mut self, id: &JobId, task: u32, view: &mut ShardView, at: usize) {
         let spot = &mut view.spots[at];
         if let Some(queues) = &mut view.fetch_queues
-            && self.jobs.get(id).is_some_and(|job| self.adds_fetch(job, spot))
+            && self.jobs.by_id.get(id).is_some_and(|job| self.adds_fetch(job, spot))
         {
             spot.fetches += 1;
             queues.add(&spot.zone, 1);
         }
-        let Some(job) = self.jobs.get_mut(id) else { return };
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         job.take_task(task);
         job.not_before.remove(&task);
         let live = Start::new(0, spot.id.clone(), spot.incarnation, Phase::Decided);
-        job.live.insert(task, live, &mut self.usage);
+        job.live.insert(task, live, &mut self.jobs.usage);
         spot.free = spot.free.minus(&job.resources);
-        if let Some(machine) = self.machines.get_mut(&spot.id) {
+        if let Some(machine) = self.fleet.machines.get_mut(&spot.id) {
             machine.free_since = None;
         }
-        self.zone_control.avoiding_since.remove(id);
+        self.zones.avoiding_since.remove(id);
         self.note_zone_start(&view.spots[at].id, ZoneStart::Decided);
     }
 
     fn withdraw_start(&mut self, id: &JobId, task: u32) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        if let Some(live) = job.live.remove(task, &mut self.usage) {
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
+        if let Some(live) = job.live.remove(task, &mut self.jobs.usage) {
             job.redo.insert(task);
             self.machine_freed(live.machine());
             self.note_zone_start(live.machine(), ZoneStart::Withdrawn);
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -25,7 +25,7 @@
     /// first.
     pub(crate) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
         let now = self.now();
-        let Some(job) = self.jobs.get(id) else { return };
+        let Some(job) = self.jobs.by_id.get(id) else { return };
         if now < job.preempting_until || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
             return;
         }
@@ -52,12 +52,12 @@
         // Ordinary work pauses also where none was found: with hundreds waiting to look costs most of a round.
         let pauses = !chosen.is_empty() || job.spec.priority == Priority::Normal;
         let pause = if pauses { PREEMPTION_PAUSE } else { Micros::ZERO };
-        if let Some(job) = self.jobs.get_mut(id) {
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
             job.preempting_until = now + pause;
         }
         let grace = self.policy.stop_grace_s;
         for (other, task) in chosen {
-            let Some(victim) = self.jobs.get_mut(&other) else { continue };
+            let Some(victim) = self.jobs.by_id.get_mut(&other) else { continue };
             let stop = if victim.spec.checkpoint_s > 0.0 { grace } else { 0.0 };
             if let Some(live) = victim.live.get_mut(task) {
                 live.stop = Some(stop);
@@ -74,7 +74,7 @@
         match job.spec.priority {
             _ if job.is_failing() => false,
             Priority::Low => false,
-            Priority::Normal if self.usage.lowest() == 0 => false,
+            Priority::Normal if self.jobs.usage.lowest() == 0 => false,
             Priority::Normal => {
                 let waited = self.clock.wall.since(job.ready);
                 self.within_guarantee(job) || waited >= Micros::from_millis(self.policy.preempt_after_ms)
@@ -93,9 +93,9 @@
     /// How many machines will have resources for one task of the job once those have left that were told to.
     fn room_on_its_way(&self, job: &Job, spots: &[Spot]) -> u32 {
         let leaving = |spot: &Spot| {
-            let starts = self.usage.placed(&spot.id).into_iter().flat_map(|placed| &placed.starts);
+            let starts = self.jobs.usage.placed(&spot.id).into_iter().flat_map(|placed| &placed.starts);
             let stopped = starts.filter_map(|(id, task)| {
-                let other = self.jobs.get(id)?;
+                let other = self.jobs.by_id.get(id)?;
                 other.live.get(*task).filter(|live| live.occupies() && live.stop.is_some()).map(|_| other.resources)
             });
             stopped.fold(spot.free, |free, resources| free.plus(&resources))
@@ -108,14 +108,15 @@
     /// first, and what that costs. None if it would not help.
     fn victims(&self, job: &Job, spot: &Spot) -> Option<(Loss, Victims)> {
         let now = self.now();
-        let machine = self.machines.get(&spot.id)?;
+        let machine = self.fleet.machines.get(&spot.id)?;
         let mut lower: Vec<(Micros, JobId, u32, Resources)> = self
+            .jobs
             .usage
             .placed(&spot.id)?
             .starts
             .iter()
             .filter_map(|(other, task)| {
-                let victim = self.jobs.get(other)?;
+                let victim = self.jobs.by_id.get(other)?;
                 let live = victim.live.get(*task)?;
                 let below = victim.urgency.priority < job.spec.priority && victim.spec.kind == Kind::Array;
                 let stoppable = live.phase().on_machine() && live.stop.is_none();
--- a/src/coordination/scheduling/reclaim.rs
+++ b/src/coordination/scheduling/reclaim.rs
@@ -20,8 +20,8 @@
     /// lowest priority.
     pub(crate) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
         let now = self.now();
-        self.leader.reclaimed.retain(|_, at| now.since(*at) < ASK_AGAIN);
-        if self.usage.lowest() == 0 {
+        self.autoscaling.leader.reclaimed.retain(|_, at| now.since(*at) < ASK_AGAIN);
+        if self.jobs.usage.lowest() == 0 {
             return;
         }
         let mut left = self.moves_left();
@@ -31,7 +31,8 @@
             let others = slots.iter().filter(|(shard, _)| **shard != u.shard).flat_map(|(_, own)| own);
             for slot in others {
                 let Some(id) = slot.id.as_ref().filter(|_| count > 0 && left > 0) else { break };
-                let free = !self.leader.reclaimed.contains_key(id) && !asked.iter().any(|(other, _)| other == id);
+                let free =
+                    !self.autoscaling.leader.reclaimed.contains_key(id) && !asked.iter().any(|(other, _)| other == id);
                 if !free || !self.does_lowest_only(id) {
                     continue;
                 }
@@ -45,20 +46,20 @@
         }
         for (id, to) in asked {
             tracing::debug!(machine = %id, to, "asked back for more urgent work");
-            self.leader.reclaimed.insert(id.clone(), now);
+            self.autoscaling.leader.reclaimed.insert(id.clone(), now);
             self.set_hold_of(&id, Hold::Move(to));
         }
     }
 
     /// Whether nothing but arrays of the lowest priority takes resources on a machine, and something does.
     fn does_lowest_only(&self, id: &MachineId) -> bool {
-        self.usage.placed(id).is_some_and(|placed| placed.lowest > 0 && placed.lowest == placed.occupying)
+        self.jobs.usage.placed(id).is_some_and(|placed| placed.lowest > 0 && placed.lowest == placed.occupying)
     }
 
     /// Whether the holder of a machine that another shard asks for should empty it: more urgent work waits there.
     pub(crate) fn should_vacate(&self, id: &MachineId, to: u32) -> bool {
         let waits = || {
-            self.jobs.values().any(|job| {
+            self.jobs.by_id.values().any(|job| {
                 job.shard == to && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
             })
         };
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -45,6 +45,7 @@
     pub(crate) fn waiting_in_order(&self) -> Vec<JobId> {
         let mut waiting: Vec<_> = self
             .jobs
+            .by_id
             .iter()
             .filter(|(_, j)| j.recorded && !j.locked && j.waiting() > 0 && self.held(Role::Shard(j.shard)).is_some())
             .map(|(id, job)| {
@@ -65,7 +66,7 @@
             return false;
         };
         let guaranteed = Resources::new(team.cpus, team.gpus, 0.0);
-        let used = self.usage.used_by(&team.name).plus(&job.resources);
+        let used = self.jobs.usage.used_by(&team.name).plus(&job.resources);
         used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
     }
 }
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -105,7 +105,7 @@
         let window = Micros::from_millis(self.policy.reserve_window_ms);
         let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
         let mut wanted: BTreeMap<&str, (f64, Resources)> = BTreeMap::new();
-        for job in self.jobs.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
+        for job in self.jobs.by_id.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
             if self.clock.wall.since(job.accepted) < window {
                 let entry = wanted.entry(&job.spec.image).or_default();
                 *entry = (entry.0 + f64::from(job.spec.tasks) * part, job.resources);
@@ -118,7 +118,7 @@
                     break;
                 }
                 let with_it = spot.reserved.plus(&resources);
-                if with_it.fits_in(&spot.free) && self.machines.get(&spot.id).is_some_and(|m| m.holds(image)) {
+                if with_it.fits_in(&spot.free) && self.fleet.machines.get(&spot.id).is_some_and(|m| m.holds(image)) {
                     spot.reserved = with_it;
                     left -= 1;
                 }
@@ -133,13 +133,14 @@
         let pause = Micros::from_millis(self.policy.retry_max_ms);
         let unreported = self.unreported_span();
         let mut spots: Vec<Spot> = self
+            .store
             .replica
             .machines
             .iter()
             .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
             .filter(|(id, r)| !self.is_cleared(id) && self.zone_takes_work(&r.value.zone))
             .filter_map(|(id, record)| {
-                let machine = self.machines.get(id)?;
+                let machine = self.fleet.machines.get(id)?;
                 let heard = now.since(machine.heard) <= recent && !machine.is_unreported(now, unreported);
                 if !machine.token_confirmed || machine.notice || !heard || !machine.trusted() {
                     return None;
@@ -177,7 +178,7 @@
         let mut queues = FetchQueues::default();
         for spot in spots {
             spot.fetches =
-                self.machines.get(&spot.id).map_or(0, |m| self.pending_fetches(&spot.id, m, 0.0).len() as u32);
+                self.fleet.machines.get(&spot.id).map_or(0, |m| self.pending_fetches(&spot.id, m, 0.0).len() as u32);
             queues.add(&spot.zone, spot.fetches);
         }
         queues
@@ -190,7 +191,7 @@
         if spec.one_zone || spec.spread {
             // Every start in the stored records counts, also those saving or out of reach.
             for live in job.live.values().filter(|l| l.occupies()) {
-                if let Some(record) = self.replica.machines.get(live.machine()) {
+                if let Some(record) = self.store.replica.machines.get(live.machine()) {
                     *per_zone.entry(record.value.zone.clone()).or_default() += 1;
                 }
             }
@@ -217,7 +218,7 @@
     /// Whether a task started there would have one more image fetched.
     pub(crate) fn adds_fetch(&self, job: &Job, spot: &Spot) -> bool {
         let image = job.spec.image.as_str();
-        let Some(machine) = self.machines.get(&spot.id) else { return true };
+        let Some(machine) = self.fleet.machines.get(&spot.id) else { return true };
         let is_pending = || self.pending_fetches(&spot.id, machine, 0.0).iter().any(|fetch| fetch.image == image);
         !machine.holds(image) && !is_pending()
     }
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -15,17 +15,17 @@
     /// jobs are over.
     pub(crate) fn tidy(&mut self) {
         let now = self.now();
-        if self.txns.tidying() || now < self.leader.next_tidy {
+        if self.store.txns.tidying() || now < self.autoscaling.leader.next_tidy {
             return;
         }
-        self.leader.next_tidy = now + TIDY_EVERY;
+        self.autoscaling.leader.next_tidy = now + TIDY_EVERY;
         self.note_unnamed();
         let most = self.platform.deployment.store.ops();
-        let replica = &self.replica;
+        let replica = &self.store.replica;
         let over = |id: &JobId| replica.ends.contains_key(id) && !replica.runs.contains_key(id);
         let batches = replica.batches.iter().filter(|(_, b)| b.value.iter().all(over));
         let fleets = replica.fleets.iter().filter(|(_, f)| f.value.iter().all(|m| replica.is_gone(&m.id)));
-        let unnamed = self.leader.unnamed.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
+        let unnamed = self.autoscaling.leader.unnamed.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
         let pieces = unnamed.flat_map(|(name, _)| {
             let numbers = replica.pieces.get(name).into_iter().flat_map(|p| p.keys());
             numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
@@ -42,9 +42,9 @@
             return;
         }
         let mut proposal = ProposedTxn::default();
-        proposal.unchanged(&self.replica, Key::Role(Role::Leader));
+        proposal.unchanged(&self.store.replica, Key::Role(Role::Leader));
         for key in keys {
-            proposal.unchanged(&self.replica, key.clone());
+            proposal.unchanged(&self.store.replica, key.clone());
             proposal.delete(key);
         }
         self.submit_txn(proposal, Purpose::Tidy);
@@ -52,16 +52,16 @@
 
     /// Lists whose submission came to nothing, or whose job is over and gone.
     fn note_unnamed(&mut self) {
-        if self.replica.pieces.is_empty() {
-            return self.leader.unnamed.clear();
+        if self.store.replica.pieces.is_empty() {
+            return self.autoscaling.leader.unnamed.clear();
         }
         let now = self.now();
-        let jobs = self.replica.jobs.values();
+        let jobs = self.store.replica.jobs.values();
         let named: BTreeSet<&String> = jobs.filter_map(|j| j.record.pieces.as_ref().map(|(name, _)| name)).collect();
-        let unnamed: Vec<String> = self.replica.pieces.keys().filter(|n| !named.contains(n)).cloned().collect();
-        self.leader.unnamed.retain(|name, _| unnamed.contains(name));
+        let unnamed: Vec<String> = self.store.replica.pieces.keys().filter(|n| !named.contains(n)).cloned().collect();
+        self.autoscaling.leader.unnamed.retain(|name, _| unnamed.contains(name));
         for name in unnamed {
-            self.leader.unnamed.entry(name).or_insert(now);
+            self.autoscaling.leader.unnamed.entry(name).or_insert(now);
         }
     }
 }
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -51,8 +51,8 @@
 impl Controller {
     pub(crate) fn tick_reads(&mut self) {
         let now = self.now();
-        if !self.sync.done {
-            if self.sync.in_flight.is_none() && now >= self.sync.not_before {
+        if !self.store.sync.done {
+            if self.store.sync.in_flight.is_none() && now >= self.store.sync.not_before {
                 self.read_on();
             }
             return;
@@ -63,19 +63,19 @@
     /// The next step of the first reading.
     fn read_on(&mut self) {
         let ticket = self.next_ticket();
-        self.sync.in_flight = Some(ticket);
-        let call = if self.sync.catching_up {
-            let after = self.replica.applied.0;
+        self.store.sync.in_flight = Some(ticket);
+        let call = if self.store.sync.catching_up {
+            let after = self.store.replica.applied.0;
             StoreCall::Changes { ticket, kind: ReadKind::Fresh, after, wait_ms: 0 }
         } else {
-            StoreCall::Page { ticket, after: self.sync.after.clone() }
+            StoreCall::Page { ticket, after: self.store.sync.after.clone() }
         };
         self.out.push(Effect::Store(call));
     }
 
     fn begin_read(&mut self, kind: ReadKind, wait_ms: u64) -> InFlight {
-        let (ticket, begun) = (self.next_ticket(), self.order.tick());
-        let after = self.replica.applied.0;
+        let (ticket, begun) = (self.next_ticket(), self.store.order.tick());
+        let after = self.store.replica.applied.0;
         self.out.push(Effect::Store(StoreCall::Changes { ticket, kind, after, wait_ms }));
         InFlight { ticket, begun }
     }
@@ -89,59 +89,63 @@
     }
 
     fn watch(&mut self) {
-        if self.sync.done && self.reads.watch.is_none() && self.now() >= self.reads.watch_not_before {
+        if self.store.sync.done && self.store.reads.watch.is_none() && self.now() >= self.store.reads.watch_not_before {
             let wait_ms = self.policy.watch_ms;
-            self.reads.watch = Some(self.begin_read(ReadKind::Watch, wait_ms));
+            self.store.reads.watch = Some(self.begin_read(ReadKind::Watch, wait_ms));
         }
     }
 
     pub(crate) fn page_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Page>) {
-        if self.sync.in_flight != Some(ticket) {
+        if self.store.sync.in_flight != Some(ticket) {
             return;
         }
-        self.sync.in_flight = None;
+        self.store.sync.in_flight = None;
         let ReadOutcome::Got(page) = outcome else {
-            self.sync.not_before = self.now() + PAUSE_AFTER_FAILURE;
+            self.store.sync.not_before = self.now() + PAUSE_AFTER_FAILURE;
             return;
         };
-        let first = *self.sync.first_revision.get_or_insert(Revision(page.revision));
+        let first = *self.store.sync.first_revision.get_or_insert(Revision(page.revision));
         for item in &page.items {
-            self.replica.apply(&item.key, Some(&item.value), item.version);
+            self.store.replica.apply(&item.key, Some(&item.value), item.version);
         }
         if page.more
             && let Some(last) = page.items.last()
         {
-            self.sync.after = Some(last.key.clone());
+            self.store.sync.after = Some(last.key.clone());
         } else {
             // Later pages may be newer than the first.
-            self.replica.applied = first;
-            self.sync.catching_up = true;
+            self.store.replica.applied = first;
+            self.store.sync.catching_up = true;
         }
         self.read_on();
     }
 
     fn caught_up(&mut self, outcome: ReadOutcome<Changes>) {
-        self.sync.in_flight = None;
+        self.store.sync.in_flight = None;
         match outcome {
             ReadOutcome::Got(changes) => {
-                self.replica.advance(&changes.events, Revision(changes.revision));
-                self.replica.complete_dependency_lists();
+                self.store.replica.advance(&changes.events, Revision(changes.revision));
+                self.store.replica.complete_dependency_lists();
                 self.all_records_read();
             }
             ReadOutcome::TooOld => self.start_over(),
-            ReadOutcome::Failed => self.sync.not_before = self.now() + PAUSE_AFTER_FAILURE,
+            ReadOutcome::Failed => self.store.sync.not_before = self.now() + PAUSE_AFTER_FAILURE,
         }
     }
 
     fn all_records_read(&mut self) {
-        self.sync.done = true;
-        self.synced_at = self.now();
-        tracing::info!(revision = self.replica.applied.0, jobs = self.replica.jobs.len(), "stored records read");
-        let machines: Vec<_> = self.replica.machines.keys().cloned().collect();
+        self.store.sync.done = true;
+        self.store.synced_at = self.now();
+        tracing::info!(
+            revision = self.store.replica.applied.0,
+            jobs = self.store.replica.jobs.len(),
+            "stored records read"
+        );
+        let machines: Vec<_> = self.store.replica.machines.keys().cloned().collect();
         for id in machines {
             self.machine_changed(&id);
         }
-        let mut jobs: Vec<_> = self.replica.jobs.keys().chain(self.replica.runs.keys()).cloned().collect();
+        let mut jobs: Vec<_> = self.store.replica.jobs.keys().chain(self.store.replica.runs.keys()).cloned().collect();
         jobs.sort_unstable();
         jobs.dedup();
         for id in jobs {
@@ -156,50 +160,50 @@
     pub(crate) fn start_fresh_read(&mut self) {
         let now = self.now();
         let gap = self.read_gap(FRESH_PART);
-        let wanted = self.reads.wanted || self.users.wants_read();
-        if !wanted || !self.sync.done || self.reads.fresh.is_some() {
+        let wanted = self.store.reads.wanted || self.api.wants_read();
+        if !wanted || !self.store.sync.done || self.store.reads.fresh.is_some() {
             return;
         }
-        if now < self.reads.not_before || now.since(self.reads.last_read) < gap {
+        if now < self.store.reads.not_before || now.since(self.store.reads.last_read) < gap {
             return;
         }
-        self.reads.last_read = now;
-        self.reads.wanted = false;
-        self.reads.fresh = Some(self.begin_read(ReadKind::Fresh, 0));
+        self.store.reads.last_read = now;
+        self.store.reads.wanted = false;
+        self.store.reads.fresh = Some(self.begin_read(ReadKind::Fresh, 0));
     }
 
     pub(crate) fn changes_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Changes>) {
         let names = |call: &Option<InFlight>| call.is_some_and(|call| call.ticket == ticket);
-        if names(&self.reads.watch) {
+        if names(&self.store.reads.watch) {
             self.watch_outcome(outcome);
-        } else if names(&self.reads.fresh) {
+        } else if names(&self.store.reads.fresh) {
             self.fresh_outcome(outcome);
-        } else if self.sync.in_flight == Some(ticket) {
+        } else if self.store.sync.in_flight == Some(ticket) {
             self.caught_up(outcome);
         }
     }
 
     fn watch_outcome(&mut self, outcome: ReadOutcome<Changes>) {
-        let Some(InFlight { begun, .. }) = self.reads.watch.take() else { return };
+        let Some(InFlight { begun, .. }) = self.store.reads.watch.take() else { return };
         match outcome {
             ReadOutcome::Got(changes) => {
                 self.take_changes(begun, &changes);
-                self.reads.watch_not_before = self.now() + self.read_gap(WATCH_PART);
+                self.store.reads.watch_not_before = self.now() + self.read_gap(WATCH_PART);
                 self.watch();
             }
             ReadOutcome::TooOld => self.start_over(),
-            ReadOutcome::Failed => self.reads.watch_not_before = self.now() + PAUSE_AFTER_FAILURE,
+            ReadOutcome::Failed => self.store.reads.watch_not_before = self.now() + PAUSE_AFTER_FAILURE,
         }
     }
 
     fn fresh_outcome(&mut self, outcome: ReadOutcome<Changes>) {
-        let Some(InFlight { begun, .. }) = self.reads.fresh.take() else { return };
+        let Some(InFlight { begun, .. }) = self.store.reads.fresh.take() else { return };
         match outcome {
             ReadOutcome::Got(changes) => self.take_changes(begun, &changes),
             ReadOutcome::TooOld => self.start_over(),
             ReadOutcome::Failed => {
-                self.reads.not_before = self.now() + PAUSE_AFTER_FAILURE;
-                self.reads.wanted |= self.txns.awaiting_read();
+                self.store.reads.not_before = self.now() + PAUSE_AFTER_FAILURE;
+                self.store.reads.wanted |= self.store.txns.awaiting_read();
                 self.read_failed(begun);
             }
         }
@@ -207,12 +211,12 @@
 
     fn take_changes(&mut self, begun: LogicalTime, changes: &Changes) {
         let revision = Revision(changes.revision);
-        let changed = self.replica.advance(&changes.events, revision);
-        self.users.submissions.reached(self.replica.applied);
+        let changed = self.store.replica.advance(&changes.events, revision);
+        self.api.submissions.reached(self.store.replica.applied);
         self.changed(changed);
         self.txns_read();
         self.read_proves(&Evidence::new(begun, revision));
         self.answer_open_questions();
-        self.pass_wanted = true;
+        self.scheduling.cycle_wanted = true;
     }
 }
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -235,11 +235,11 @@
         let now = self.now();
         let delay = Micros::from_millis(self.policy.record_delay_ms);
         let batch_delay = Micros::from_millis(self.policy.batch_delay_ms);
-        let idle = self.budget.is_idle(now);
+        let idle = self.store.budget.is_idle(now);
         let mut due = Vec::new();
         let mut settled = Vec::new();
-        for id in &self.usage.touched {
-            let Some(job) = self.jobs.get_mut(id) else {
+        for id in &self.jobs.usage.touched {
+            let Some(job) = self.jobs.by_id.get_mut(id) else {
                 settled.push(id.clone());
                 continue;
             };
@@ -248,7 +248,7 @@
             }
             // Its owner's matter; all are looked at again when the shard is taken. Jobs cancelled with another
             // have nothing in the records but the outcome that is written with others'.
-            if self.cascaded.contains(id) || !self.roles.held.contains_key(&Role::Shard(job.shard)) {
+            if self.jobs.cascaded.contains(id) || !self.control.roles.held.contains_key(&Role::Shard(job.shard)) {
                 settled.push(id.clone());
                 continue;
             }
@@ -277,7 +277,7 @@
             due.push(DueRecord { latest, shard: job.shard, id: id.clone() });
         }
         for id in settled {
-            self.usage.touched.remove(&id);
+            self.jobs.usage.touched.remove(&id);
         }
         due.sort();
         due
@@ -296,9 +296,9 @@
         let mut ids: Vec<JobId> = Vec::new();
         while due.front().is_some_and(|next| next.shard == shard) {
             let Some(DueRecord { id, .. }) = due.pop_front() else { break };
-            let what = self.jobs.get(&id).and_then(Need::of).map_or("nothing", Need::name);
+            let what = self.jobs.by_id.get(&id).and_then(Need::of).map_or("nothing", Need::name);
             let part = self.job_part(&id, role, limits);
-            self.budget.count(what, part.txn.writes.len());
+            self.store.budget.count(what, part.txn.writes.len());
             if part.txn.writes.is_empty() {
                 self.job_txn_over(&id);
                 continue;
@@ -335,27 +335,27 @@
         let writer = self.nonce();
         let now = self.now();
         let progress_patience = Micros::from_millis(self.policy.progress_patience_ms);
-        let leaves_moves = leader_leaves_moves(&self.replica, self.record_version());
+        let leaves_moves = leader_leaves_moves(&self.store.replica, self.record_version());
         let guard = if leaves_moves { MachineGuard::Leadership } else { MachineGuard::Records };
         let mut proposal = ProposedTxn::default();
-        let Some(job) = self.jobs.get_mut(id) else { return proposal };
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return proposal };
         job.locked = true;
         job.dirty_since = None;
         let none = BTreeMap::new();
-        let stored = self.replica.runs.get(id).unwrap_or(&none);
-        let mut changes = ChunkChanges::new(stored, self.chunk_tasks, limits, guard);
-        let tasks = job.tasks_to_record(now, self.chunk_tasks, progress_patience);
-        for task in job.change_chunks(tasks, &self.replica, &mut changes) {
-            job.live.remove(task, &mut self.usage);
+        let stored = self.store.replica.runs.get(id).unwrap_or(&none);
+        let mut changes = ChunkChanges::new(stored, self.store.chunk_tasks, limits, guard);
+        let tasks = job.tasks_to_record(now, self.store.chunk_tasks, progress_patience);
+        for task in job.change_chunks(tasks, &self.store.replica, &mut changes) {
+            job.live.remove(task, &mut self.jobs.usage);
             job.redo.insert(task);
         }
         if changes.left_over {
             job.dirty_since = Some(Micros::ZERO);
         }
-        proposal.unchanged(&self.replica, Key::Role(role));
+        proposal.unchanged(&self.store.replica, Key::Role(role));
         let end = Key::End(id.clone());
         if job.over.is_none() {
-            proposal.unchanged(&self.replica, end.clone());
+            proposal.unchanged(&self.store.replica, end.clone());
         }
         let finishes = job.over.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
         if finishes {
@@ -364,7 +364,7 @@
         if (finishes || job.over.is_some()) && !changes.has_starts() && !changes.left_over {
             // Over and nothing left of it: clear away. The outcome stays, and so does the job's
             // entry in its batch until all of that are over.
-            changes.clear(&self.replica, id, &mut proposal);
+            changes.clear(&self.store.replica, id, &mut proposal);
             return proposal;
         }
         if changes.drop_too_large() {
@@ -376,7 +376,7 @@
                 return ProposedTxn::default();
             }
         }
-        changes.write(&self.replica, id, writer, &mut proposal);
+        changes.write(&self.store.replica, id, writer, &mut proposal);
         proposal
     }
 }
