--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -203,23 +203,23 @@
         let latest = self.now() + Micros::from_millis(patience);
         let ticket = self.next_ticket();
         let pending = Pending::new(proposal.txn, purpose, Stage::Queued(latest));
-        self.txns.pending.insert(ticket, pending);
+        self.store.txns.pending.insert(ticket, pending);
     }
 
     pub(crate) fn send_txn(&mut self, proposal: ProposedTxn, purpose: Purpose) {
         let ticket = self.next_ticket();
-        self.txns.pending.insert(ticket, Pending::new(proposal.txn, purpose, Stage::Sent));
+        self.store.txns.pending.insert(ticket, Pending::new(proposal.txn, purpose, Stage::Sent));
         self.send_pending(ticket);
     }
 
     fn send_pending(&mut self, ticket: u64) {
         let now = self.now();
-        let Some(pending) = self.txns.pending.get_mut(&ticket) else { return };
+        let Some(pending) = self.store.txns.pending.get_mut(&ticket) else { return };
         pending.stage = Stage::Sent;
-        pending.begun = self.order.tick();
+        pending.begun = self.store.order.tick();
         pending.tries += 1;
-        self.budget.spend(now, pending.txn.writes.len());
-        self.budget.count(pending.purpose.name(), pending.txn.writes.len());
+        self.store.budget.spend(now, pending.txn.writes.len());
+        self.store.budget.count(pending.purpose.name(), pending.txn.writes.len());
         let (txn, urgent) = (pending.txn.clone(), pending.purpose.urgent());
         self.out.push(Effect::Store(StoreCall::Txn { ticket, txn, urgent }));
     }
@@ -229,17 +229,17 @@
     /// before: one change takes in many.
     pub(crate) fn spend(&mut self) {
         let now = self.now();
-        if self.users.submissions.batch_due(now, self.budget.batch_gap()) {
+        if self.api.submissions.batch_due(now, self.store.budget.batch_gap()) {
             self.send_submissions();
         }
-        if !self.budget.allows(now) {
+        if !self.store.budget.allows(now) {
             return;
         }
         let mut due: VecDeque<_> = self.due_records().into();
-        while self.budget.allows(now) {
+        while self.store.budget.allows(now) {
             let record = due.front().map(|first| (first.latest, Next::Record));
-            let queued = self.txns.first_queued().map(|(latest, ticket)| (latest, Next::Queued(ticket)));
-            let moves = self.moves_due.map(|latest| (latest, Next::Moves));
+            let queued = self.store.txns.first_queued().map(|(latest, ticket)| (latest, Next::Queued(ticket)));
+            let moves = self.fleet.moves_due.map(|latest| (latest, Next::Moves));
             // Of equals the first: what is queued is ready to go.
             match [queued, moves, record].into_iter().flatten().min_by_key(|(latest, _)| *latest) {
                 Some((_, Next::Queued(ticket))) => self.send_pending(ticket),
@@ -251,27 +251,27 @@
     }
 
     pub(crate) fn txn_outcome(&mut self, ticket: u64, outcome: TxnOutcome) {
-        let Some(pending) = self.txns.pending.get_mut(&ticket) else { return };
+        let Some(pending) = self.store.txns.pending.get_mut(&ticket) else { return };
         match outcome {
             TxnOutcome::Committed(revision) => {
-                let Some(pending) = self.txns.pending.remove(&ticket) else { return };
+                let Some(pending) = self.store.txns.pending.remove(&ticket) else { return };
                 self.apply_own(&pending.txn, revision);
                 let evidence = Evidence::new(pending.begun, Revision(revision));
                 self.txn_over(&pending.purpose, &TxnEnd::Committed(evidence));
             }
             TxnOutcome::Conflict(revision) => {
-                self.budget.count_conflict(pending.purpose.name(), pending.txn.writes.len());
+                self.store.budget.count_conflict(pending.purpose.name(), pending.txn.writes.len());
                 pending.stage = Stage::Reading(revision);
-                self.reads.wanted = true;
+                self.store.reads.wanted = true;
                 self.txns_read();
             }
             TxnOutcome::NoLease => {
-                let Some(pending) = self.txns.pending.remove(&ticket) else { return };
+                let Some(pending) = self.store.txns.pending.remove(&ticket) else { return };
                 self.session_ended();
                 self.txn_over(&pending.purpose, &TxnEnd::Unknown);
             }
             TxnOutcome::Invalid => {
-                let Some(pending) = self.txns.pending.remove(&ticket) else { return };
+                let Some(pending) = self.store.txns.pending.remove(&ticket) else { return };
                 tracing::error!(purpose = ?pending.purpose, "the state service calls a transaction malformed");
                 self.txn_over(&pending.purpose, &TxnEnd::Unknown);
             }
@@ -279,7 +279,7 @@
                 // Refused for the service's limit: it goes again in its turn.
                 let again = self.clock.steady + Micros::from_millis(self.rng.random_range(50..=150));
                 pending.stage = Stage::Again(again);
-                self.budget.refused(self.clock.steady);
+                self.store.budget.refused(self.clock.steady);
             }
             TxnOutcome::Failed(failure) => {
                 // Whoever submits or cancels asks again; the preconditions make repeats harmless,
@@ -287,7 +287,7 @@
                 // quick try more.
                 let user = pending.purpose.urgent();
                 if user && (failure == Failure::Unknown || pending.tries >= 2) {
-                    let Some(pending) = self.txns.pending.remove(&ticket) else { return };
+                    let Some(pending) = self.store.txns.pending.remove(&ticket) else { return };
                     self.txn_over(&pending.purpose, &TxnEnd::Unknown);
                     return;
                 }
@@ -301,10 +301,11 @@
     pub(crate) fn tick_txns(&mut self) {
         let now = self.now();
         let again = |p: &Pending| matches!(p.stage, Stage::Again(at) if at <= now);
-        let due: Vec<u64> = self.txns.pending.iter().filter(|(_, p)| again(p)).map(|(ticket, _)| *ticket).collect();
+        let due: Vec<u64> =
+            self.store.txns.pending.iter().filter(|(_, p)| again(p)).map(|(ticket, _)| *ticket).collect();
         for ticket in due {
             // What was refused for the limit waits until the budget allows it.
-            let Some(pending) = self.txns.pending.get_mut(&ticket) else { continue };
+            let Some(pending) = self.store.txns.pending.get_mut(&ticket) else { continue };
             match pending.purpose {
                 Purpose::Node | Purpose::Role => self.send_pending(ticket),
                 Purpose::Submit(_) | Purpose::DependencyListParts(_) | Purpose::Cancel(_) => self.send_pending(ticket),
@@ -312,22 +313,22 @@
             }
         }
         self.give_up_submissions();
-        if self.txns.awaiting_read() {
-            self.reads.wanted = true;
+        if self.store.txns.awaiting_read() {
+            self.store.reads.wanted = true;
         }
     }
 
     /// Settles conflicts that the replica has caught up with.
     pub(crate) fn txns_read(&mut self) {
-        let applied = self.replica.applied.0;
+        let applied = self.store.replica.applied.0;
         let reached = |pending: &Pending| match pending.stage {
             Stage::Reading(revision) if revision <= applied => Some(Revision(revision)),
             _ => None,
         };
         let ready: Vec<(u64, Revision)> =
-            self.txns.pending.iter().filter_map(|(ticket, p)| Some((*ticket, reached(p)?))).collect();
+            self.store.txns.pending.iter().filter_map(|(ticket, p)| Some((*ticket, reached(p)?))).collect();
         for (ticket, revision) in ready {
-            if let Some(pending) = self.txns.pending.remove(&ticket) {
+            if let Some(pending) = self.store.txns.pending.remove(&ticket) {
                 let evidence = Evidence::new(pending.begun, revision);
                 self.txn_over(&pending.purpose, &TxnEnd::Refused(evidence));
             }
@@ -339,10 +340,10 @@
     /// earlier counts. A commit that the replica has passed already is in it, with
     /// whatever happened to its keys since.
     fn apply_own(&mut self, txn: &Txn, revision: u64) {
-        if revision <= self.replica.applied.0 {
+        if revision <= self.store.replica.applied.0 {
             return;
         }
-        let is_next = revision == self.replica.applied.0 + 1;
+        let is_next = revision == self.store.replica.applied.0 + 1;
         let mut changes = Vec::new();
         for write in &txn.writes {
             let (key, value) = match write {
@@ -351,8 +352,8 @@
             };
             match Key::parse(key) {
                 Some(Key::Role(_) | Key::FencingToken) | None => {}
-                Some(Key::Batch(_)) if !is_next => self.reads.wanted = true,
-                Some(_) => changes.push(self.replica.apply(key, value, revision)),
+                Some(Key::Batch(_)) if !is_next => self.store.reads.wanted = true,
+                Some(_) => changes.push(self.store.replica.apply(key, value, revision)),
             }
         }
         self.changed(changes);
@@ -373,6 +374,6 @@
                 }
             }
         }
-        self.pass_wanted = true;
+        self.scheduling.cycle_wanted = true;
     }
 }
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -25,27 +25,27 @@
     /// Replicas of services on machines of lost zones, of all shards: the leader plans for them all.
     pub(crate) fn find_displaced(&mut self) {
         let mut displaced: BTreeMap<JobId, u32> = BTreeMap::new();
-        for zone in self.zone_control.zones.in_condition(Condition::Lost) {
-            for machine in self.zone_control.zones.machines(zone) {
+        for zone in self.zones.zones.in_condition(Condition::Lost) {
+            for machine in self.zones.zones.machines(zone) {
                 for job in self.services_on(machine) {
                     *displaced.entry(job).or_default() += 1;
                 }
             }
         }
-        for job in self.zone_control.moving.keys() {
+        for job in self.zones.moving.keys() {
             *displaced.entry(job.clone()).or_default() += 1;
         }
-        self.zone_control.displaced = displaced;
+        self.zones.displaced = displaced;
     }
 
     /// The services with tasks on a machine that occupy resources and are to go on, each as often as it has tasks there.
     fn services_on(&self, machine: &MachineId) -> Vec<JobId> {
-        if !self.usage.serves(machine) {
+        if !self.jobs.usage.serves(machine) {
             return Vec::new();
         }
-        let starts = self.usage.placed(machine).into_iter().flat_map(|placed| &placed.starts);
+        let starts = self.jobs.usage.placed(machine).into_iter().flat_map(|placed| &placed.starts);
         let goes_on = |id: &JobId, task: u32| {
-            let job = self.jobs.get(id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
+            let job = self.jobs.by_id.get(id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
             job.and_then(|job| job.live.get(task)).is_some_and(|live| live.occupies() && live.stop.is_none())
         };
         starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
@@ -53,13 +53,13 @@
 
     /// How many replicas of a job are displaced.
     pub(crate) fn displaced_of(&self, id: &JobId) -> u32 {
-        self.zone_control.displaced.get(id).copied().unwrap_or(0)
+        self.zones.displaced.get(id).copied().unwrap_or(0)
     }
 
     /// Room that a team's displaced replicas still take by the stored records.
     pub(crate) fn displaced_resources(&self, team: &str) -> Resources {
-        let of_team = self.zone_control.displaced.iter().filter_map(|(id, count)| {
-            let job = self.jobs.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
+        let of_team = self.zones.displaced.iter().filter_map(|(id, count)| {
+            let job = self.jobs.by_id.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
             Some(job.resources.times(u64::from(*count)))
         });
         of_team.fold(Resources::default(), |sum, resources| sum.plus(&resources))
@@ -68,13 +68,13 @@
     /// Keeps room for displaced replicas of a shard on machines that take work, holders of their images first. Says for
     /// how many of each job there is room.
     pub(crate) fn reserve_displaced(&self, shard: u32, spots: &mut [Spot]) -> Places {
-        self.reserve_places(&self.zone_control.displaced, shard, spots)
+        self.reserve_places(&self.zones.displaced, shard, spots)
     }
 
     fn reserve_places(&self, wanted: &Places, shard: u32, spots: &mut [Spot]) -> Places {
         let mut places = Places::new();
         for (id, count) in wanted {
-            let Some(job) = self.jobs.get(id).filter(|job| job.shard == shard) else { continue };
+            let Some(job) = self.jobs.by_id.get(id).filter(|job| job.shard == shard) else { continue };
             let allowance = self.allowance_beyond_lost_zones(job);
             let mut left = u64::from(*count);
             for holders in [true, false] {
@@ -82,7 +82,7 @@
                     if left == 0 {
                         break;
                     }
-                    let holds = self.machines.get(&spot.id).is_some_and(|m| m.holds(&job.spec.image));
+                    let holds = self.fleet.machines.get(&spot.id).is_some_and(|m| m.holds(&job.spec.image));
                     if holds != holders || !allowance.allows(spot) {
                         continue;
                     }
@@ -101,7 +101,7 @@
 
     /// Has machines of lost zones deleted that run services, as far as there is room for these elsewhere.
     pub(crate) fn evacuate(&mut self) {
-        if !self.policy.zones.evacuate || self.zone_control.displaced.is_empty() {
+        if !self.policy.zones.evacuate || self.zones.displaced.is_empty() {
             return;
         }
         let shards: Vec<u32> = self.held_shards().collect();
@@ -141,7 +141,7 @@
 
     fn waiting_services(&self, shard: u32) -> Places {
         let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting() > 0;
-        self.jobs.values().filter(waits).map(|job| (job.live.job().clone(), job.waiting())).collect()
+        self.jobs.by_id.values().filter(waits).map(|job| (job.live.job().clone(), job.waiting())).collect()
     }
 
     /// Silent machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
@@ -151,29 +151,31 @@
         }
         let now = self.now();
         let patience = Micros::from_millis(self.policy.zones.evacuate_after_ms);
-        let zones = &self.zone_control.zones;
+        let zones = &self.zones.zones;
         let lost_long = |zone: &&str| zones.state(zone).is_some_and(|state| now.since(state.since()) >= patience);
         let machines = zones.in_condition(Condition::Lost).filter(lost_long).flat_map(|zone| zones.machines(zone));
         let is_due = |id: &&MachineId| {
-            let in_shard = self.replica.machines.get(*id).is_some_and(|record| {
+            let in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
                 record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
-            let idle = self.machines.get(*id).is_some_and(|machine| !machine.writing);
-            in_shard && idle && zones.is_silent(id) && self.usage.serves(id)
+            let idle = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
+            in_shard && idle && zones.is_silent(id) && self.jobs.usage.serves(id)
         };
         machines.filter(is_due).cloned().collect()
     }
 
     fn evacuations_on_their_way(&self, shard: u32) -> Vec<MachineId> {
-        let zones = &self.zone_control.zones;
+        let zones = &self.zones.zones;
         let machines = zones.in_condition(Condition::Lost).flat_map(|zone| zones.machines(zone));
         let is_on_its_way = |id: &&MachineId| {
             let doomed = self
+                .store
                 .replica
                 .machines
                 .get(*id)
                 .is_some_and(|record| record.value.shard == shard && record.value.hold == Some(Hold::Doomed));
-            doomed || self.machines.get(*id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
+            doomed
+                || self.fleet.machines.get(*id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
         };
         machines.filter(is_on_its_way).cloned().collect()
     }
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -28,7 +28,7 @@
     /// Looks at a few services and moves at most one replica.
     pub(crate) fn move_replicas(&mut self) {
         self.forget_moves();
-        let zones = &self.zone_control.zones;
+        let zones = &self.zones.zones;
         let wanted = zones.any_on_hold() || self.policy.zones.rebalance;
         if !wanted || zones.in_condition(Condition::Lost).next().is_some() {
             return;
@@ -44,46 +44,46 @@
     /// Moves whose replica is at work elsewhere, or that came to nothing.
     fn forget_moves(&mut self) {
         let now = self.now();
-        let jobs = &self.jobs;
-        self.zone_control.moving.retain(|id, moving| {
+        let jobs = &self.jobs.by_id;
+        self.zones.moving.retain(|id, moving| {
             let open = jobs.get(id).is_some_and(|job| job.over.is_none() && !is_at_work(job));
             open && now.since(moving.since) < MOVE_SPAN
         });
     }
 
     fn next_services(&mut self) -> Vec<JobId> {
-        let from = self.zone_control.last_looked.take().map_or(Bound::Unbounded, Bound::Excluded);
-        let looked: Vec<&JobId> = self.jobs.range((from, Bound::Unbounded)).take(LOOKED_AT).map(|(id, _)| id).collect();
+        let from = self.zones.last_looked.take().map_or(Bound::Unbounded, Bound::Excluded);
+        let looked: Vec<&JobId> =
+            self.jobs.by_id.range((from, Bound::Unbounded)).take(LOOKED_AT).map(|(id, _)| id).collect();
         let last = looked.last().map(|id| (*id).clone());
         let is_ours = |id: &&JobId| {
-            let job = self.jobs.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
+            let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
             job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
         };
         let services = looked.into_iter().filter(is_ours).cloned().collect();
-        self.zone_control.last_looked = last;
+        self.zones.last_looked = last;
         services
     }
 
     fn move_of(&mut self, id: &JobId) -> Option<Move> {
-        let job = self.jobs.get(id)?;
-        if job.spec.zone.is_some() || job.spec.one_zone || job.is_failing() || self.zone_control.moving.contains_key(id)
-        {
+        let job = self.jobs.by_id.get(id)?;
+        if job.spec.zone.is_some() || job.spec.one_zone || job.is_failing() || self.zones.moving.contains_key(id) {
             return None;
         }
         let replicas = self.replicas_of(id, job);
         let spots = if self.may_need_move(&replicas) { self.spots_of(job.shard) } else { return None };
-        let mut budget = std::mem::take(&mut self.zone_control.disruption);
-        let job = self.jobs.get(id)?;
-        let is_held = |zone: &str| self.zone_control.zones.is_on_hold(zone);
+        let mut budget = std::mem::take(&mut self.zones.disruption);
+        let job = self.jobs.by_id.get(id)?;
+        let is_held = |zone: &str| self.zones.zones.is_on_hold(zone);
         let has_place = |from: &str| spots.iter().any(|spot| spot.zone != from && self.is_ready_for(job, spot, from));
         let found = wanted_move(&replicas, &is_held, &has_place, &mut budget, self.now(), &self.policy.zones);
-        self.zone_control.disruption = budget;
+        self.zones.disruption = budget;
         found
     }
 
     /// Whether looking for places is worth it at all.
     fn may_need_move(&self, replicas: &Replicas) -> bool {
-        let held = replicas.at_work.keys().any(|zone| self.zone_control.zones.is_on_hold(zone));
+        let held = replicas.at_work.keys().any(|zone| self.zones.zones.is_on_hold(zone));
         let tasks = replicas.at_work.values().map(Vec::len).sum::<usize>();
         replicas.is_whole && (held || (self.policy.zones.rebalance && replicas.at_work.len() == 1 && tasks > 1))
     }
@@ -91,7 +91,7 @@
     fn replicas_of(&self, id: &JobId, job: &Job) -> Replicas {
         let mut at_work: BTreeMap<String, Vec<u32>> = BTreeMap::new();
         for (task, live) in job.live.iter().filter(|(_, live)| live.phase() == Phase::Running && live.stop.is_none()) {
-            if let Some(record) = self.replica.machines.get(live.machine()) {
+            if let Some(record) = self.store.replica.machines.get(live.machine()) {
                 at_work.entry(record.value.zone.clone()).or_default().push(task);
             }
         }
@@ -101,8 +101,8 @@
     /// Whether a replica that leaves a zone would be at work there at once; or, if operators have waited long enough for
     /// the zone to be empty, after a fetch.
     fn is_ready_for(&self, job: &Job, spot: &Spot, from: &str) -> bool {
-        let holds = self.machines.get(&spot.id).is_some_and(|machine| machine.holds(&job.spec.image));
-        let up = self.zone_control.zones.condition(&spot.zone) == Condition::Up;
+        let holds = self.fleet.machines.get(&spot.id).is_some_and(|machine| machine.holds(&job.spec.image));
+        let up = self.zones.zones.condition(&spot.zone) == Condition::Up;
         (holds || self.is_held_for_long(from))
             && up
             && job.resources.fits_in(&spot.free)
@@ -110,7 +110,7 @@
     }
 
     fn is_held_for_long(&self, zone: &str) -> bool {
-        let since = self.replica.zone_holds.get(zone).map(|held| held.value.map_or(Micros::ZERO, |hold| hold.at));
+        let since = self.store.replica.zone_holds.get(zone).map(|held| held.value.map_or(Micros::ZERO, |hold| hold.at));
         let patience = Micros::from_millis(self.policy.zones.hold_wait_ms);
         since.is_some_and(|since| self.clock.wall.since(since) >= patience)
     }
@@ -118,13 +118,13 @@
     fn start_move(&mut self, found: Move) {
         let Move { job: id, task, from } = found;
         let now = self.now();
-        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(job) = self.jobs.by_id.get_mut(&id) else { return };
         let grace = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
         let Some(live) = job.live.get_mut(task) else { return };
         live.stop = Some(grace);
         let machine = live.machine().clone();
         tracing::info!(job = %id, task, %machine, from, "replica moves to another zone");
-        self.zone_control.moving.insert(id, MovingReplica { from, since: now });
+        self.zones.moving.insert(id, MovingReplica { from, since: now });
         self.want_push(&machine);
     }
 
@@ -135,10 +135,10 @@
         if !self.judges_zones() || job.spec.kind != Kind::Service {
             return avoided;
         }
-        avoided.extend(self.zone_control.moving.get(id).map(|moving| moving.from.clone()));
+        avoided.extend(self.zones.moving.get(id).map(|moving| moving.from.clone()));
         let elsewhere = |zone: &str| !distrusted.contains(zone) && self.zone_takes_work(zone);
         let machines = job.live.values().filter(|live| live.occupies()).map(|live| live.machine());
-        let mut zones = machines.filter_map(|id| self.replica.machines.get(id)).map(|m| m.value.zone.as_str());
+        let mut zones = machines.filter_map(|id| self.store.replica.machines.get(id)).map(|m| m.value.zone.as_str());
         if !distrusted.is_empty() && !zones.any(elsewhere) {
             avoided.extend(distrusted.iter().cloned());
         }
@@ -149,7 +149,7 @@
     pub(crate) fn gives_up_avoiding(&mut self, id: &JobId) -> bool {
         let now = self.now();
         let patience = Micros::from_millis(self.policy.zones.distrust_wait_ms);
-        let since = *self.zone_control.avoiding_since.entry(id.clone()).or_insert(now);
+        let since = *self.zones.avoiding_since.entry(id.clone()).or_insert(now);
         now.since(since) >= patience
     }
 }
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -59,19 +59,19 @@
         if !self.judges_zones() {
             return;
         }
-        match self.replica.machines.get(id) {
-            Some(held) => self.zone_control.zones.machine(id, &held.value.zone, held.value.shard),
-            None => self.zone_control.zones.machine_gone(id),
+        match self.store.replica.machines.get(id) {
+            Some(held) => self.zones.zones.machine(id, &held.value.zone, held.value.shard),
+            None => self.zones.zones.machine_gone(id),
         }
     }
 
     /// All views and holds, once the stored records are read.
     pub(crate) fn zones_read(&mut self) {
-        let views: Vec<(String, u32)> = self.replica.zones.keys().cloned().collect();
+        let views: Vec<(String, u32)> = self.store.replica.zones.keys().cloned().collect();
         for (zone, shard) in views {
             self.zone_view_changed(&zone, shard);
         }
-        let holds: Vec<String> = self.replica.zone_holds.keys().cloned().collect();
+        let holds: Vec<String> = self.store.replica.zone_holds.keys().cloned().collect();
         for zone in holds {
             self.zone_hold_changed(&zone);
         }
@@ -83,21 +83,21 @@
             return;
         }
         let now = self.moment();
-        let stored = self.replica.zones.get(&(zone.to_string(), shard));
+        let stored = self.store.replica.zones.get(&(zone.to_string(), shard));
         if stored.is_some_and(|stored| stored.value.is_none()) {
             tracing::warn!(zone, shard, "a stored view of a zone can't be read; it is ignored and written anew");
         }
-        let holder = self.replica.roles.get(&Role::Shard(shard)).map(|held| held.value.incarnation);
+        let holder = self.store.replica.roles.get(&Role::Shard(shard)).map(|held| held.value.incarnation);
         let view =
             stored.and_then(|stored| stored.value.as_ref()).map(|record| (record, holder == Some(record.incarnation)));
-        self.zone_control.zones.set_view(zone, shard, view, now, &self.policy.zones);
+        self.zones.zones.set_view(zone, shard, view, now, &self.policy.zones);
     }
 
     /// A shard has another holder: which views count as votes follows from that.
     pub(crate) fn zone_views_of_role_changed(&mut self, role: Role) {
         let Role::Shard(shard) = role else { return };
         let zones: Vec<String> =
-            self.replica.zones.keys().filter(|(_, of)| *of == shard).map(|(zone, _)| zone.clone()).collect();
+            self.store.replica.zones.keys().filter(|(_, of)| *of == shard).map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
             self.zone_view_changed(&zone, shard);
         }
@@ -105,25 +105,25 @@
 
     /// Operators hold a zone, or have released it.
     pub(crate) fn zone_hold_changed(&mut self, zone: &str) {
-        let on_hold = self.replica.zone_holds.contains_key(zone);
-        if self.judges_zones() && self.zone_control.zones.is_on_hold(zone) != on_hold {
+        let on_hold = self.store.replica.zone_holds.contains_key(zone);
+        if self.judges_zones() && self.zones.zones.is_on_hold(zone) != on_hold {
             tracing::info!(zone, on_hold, "zone held or released by operators");
-            self.zone_control.zones.set_on_hold(zone, on_hold);
-            self.pass_wanted = true;
+            self.zones.zones.set_on_hold(zone, on_hold);
+            self.scheduling.cycle_wanted = true;
         }
     }
 
     /// Judges all zones and acts on what follows.
     pub(crate) fn tick_zones(&mut self, ours: &[MachineId]) {
         let now = self.now();
-        if !self.judges_zones() || now < self.zone_control.next {
+        if !self.judges_zones() || now < self.zones.next {
             return;
         }
-        self.zone_control.next = now + ZONES_EVERY;
+        self.zones.next = now + ZONES_EVERY;
         let held: BTreeSet<u32> = self.held_shards().collect();
-        self.zone_control.zones.set_held_shards(&held, now);
+        self.zones.zones.set_held_shards(&held, now);
         self.note_silence(ours);
-        for transition in self.zone_control.zones.round(now, &self.policy.zones) {
+        for transition in self.zones.zones.round(now, &self.policy.zones) {
             self.zone_changed(&transition);
         }
         self.write_zone_views();
@@ -133,7 +133,7 @@
     }
 
     pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
-        self.roles.held.keys().filter_map(|role| match role {
+        self.control.roles.held.keys().filter_map(|role| match role {
             Role::Shard(shard) => Some(*shard),
             Role::Leader => None,
         })
@@ -143,13 +143,13 @@
         let now = self.now();
         let span = Micros::from_millis(self.policy.zones.silent_after_ms);
         for id in ours {
-            let Some(machine) = self.machines.get(id) else { continue };
+            let Some(machine) = self.fleet.machines.get(id) else { continue };
             let life = match (now.since(machine.heard) >= span, machine.probes_failed) {
                 (false, _) => Life::Heard,
                 (true, 0) => Life::Unknown,
                 (true, _) => Life::Silent,
             };
-            self.zone_control.zones.set_life(id, life);
+            self.zones.zones.set_life(id, life);
         }
     }
 
@@ -161,23 +161,23 @@
         } else {
             tracing::warn!(zone, ?from, ?to, machines, against, penalty, "zone has another condition");
         }
-        self.pass_wanted = true;
-        self.urgent_pass |= *to == Condition::Lost;
+        self.scheduling.cycle_wanted = true;
+        self.scheduling.urgent_cycle_wanted |= *to == Condition::Lost;
     }
 
     /// Stores what has changed in the views of our shards, each under the condition that we still hold the shard.
     fn write_zone_views(&mut self) {
         let unreadable = self.unreadable_views();
-        let due = self.zone_control.zones.records_due(self.incarnation, self.moment(), &self.policy.zones);
+        let due = self.zones.zones.records_due(self.incarnation, self.moment(), &self.policy.zones);
         for RecordDue { zone, shard, record } in due.into_iter().chain(unreadable) {
             let name = (zone.clone(), shard);
-            if !is_zone_storable(&zone) || !self.zone_control.writing.insert(name.clone()) {
+            if !is_zone_storable(&zone) || !self.zones.writing.insert(name.clone()) {
                 continue;
             }
             let key = Key::Zone(zone, shard);
             let mut proposal = ProposedTxn::default();
-            proposal.unchanged(&self.replica, Key::Role(Role::Shard(shard)));
-            proposal.unchanged(&self.replica, key.clone());
+            proposal.unchanged(&self.store.replica, Key::Role(Role::Shard(shard)));
+            proposal.unchanged(&self.store.replica, key.clone());
             match record {
                 Some(record) => proposal.put(key, to_value(&record)),
                 None => proposal.delete(key),
@@ -188,14 +188,14 @@
 
     /// Views of our shards that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<RecordDue> {
-        let unreadable = self.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
+        let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
         let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
         ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
     /// A view has been stored, or not.
     pub(crate) fn zone_view_txn_over(&mut self, name: &(String, u32)) {
-        self.zone_control.writing.remove(name);
+        self.zones.writing.remove(name);
     }
 
     /// Whether a zone takes any new work.
@@ -203,24 +203,24 @@
         if !self.judges_zones() {
             return true;
         }
-        let zones = &self.zone_control.zones;
+        let zones = &self.zones.zones;
         !zones.is_on_hold(zone) && zones.condition(zone) != Condition::Lost
     }
 
     /// Whether a zone gets its work back step by step at present.
     pub(crate) fn zone_is_returning(&self, zone: &str) -> bool {
-        self.judges_zones() && self.zone_control.zones.condition(zone) == Condition::Returning
+        self.judges_zones() && self.zones.zones.condition(zone) == Condition::Returning
     }
 
     /// Whether a zone takes one more start in this step of its return.
     pub(crate) fn zone_admits_start(&self, zone: &str) -> bool {
-        let state = self.zone_control.zones.state(zone).filter(|_| self.zone_is_returning(zone));
+        let state = self.zones.zones.state(zone).filter(|_| self.zone_is_returning(zone));
         state.is_none_or(|state| state.ramp.admits(&self.policy.zones))
     }
 
     /// Whether work is being restored after the loss of a zone.
     pub(crate) fn is_restoring(&self) -> bool {
-        self.judges_zones() && self.zone_control.zones.is_restoring(self.now(), &self.policy.zones)
+        self.judges_zones() && self.zones.zones.is_restoring(self.now(), &self.policy.zones)
     }
 
     /// Zones that have failed too often lately.
@@ -230,7 +230,7 @@
         }
         let now = self.now();
         let names: BTreeSet<&str> = spots.iter().map(|spot| spot.zone.as_str()).collect();
-        let control = &mut self.zone_control;
+        let control = &mut self.zones;
         let distrusted = names.into_iter().filter(|zone| control.zones.is_distrusted(zone, now, &self.policy.zones));
         distrusted.map(str::to_string).collect()
     }
@@ -240,12 +240,12 @@
         if !self.judges_zones() {
             return;
         }
-        let Some(record) = self.replica.machines.get(machine) else { return };
+        let Some(record) = self.store.replica.machines.get(machine) else { return };
         let zone = record.value.zone.as_str();
-        if self.zone_control.zones.condition(zone) != Condition::Returning {
+        if self.zones.zones.condition(zone) != Condition::Returning {
             return;
         }
-        let Some(state) = self.zone_control.zones.state_mut(zone) else { return };
+        let Some(state) = self.zones.zones.state_mut(zone) else { return };
         match what {
             ZoneStart::Decided => state.ramp.started(),
             ZoneStart::Withdrawn => state.ramp.withdrawn(),
@@ -260,8 +260,8 @@
         if !self.judges_zones() || start.stop.is_some() {
             return;
         }
-        let Some(record) = self.replica.machines.get(start.machine()) else { return };
-        let returned = self.zone_control.zones.state(&record.value.zone).map(|state| state.since());
+        let Some(record) = self.store.replica.machines.get(start.machine()) else { return };
+        let returned = self.zones.zones.state(&record.value.zone).map(|state| state.since());
         let since_return = |at: Micros| returned.is_some_and(|returned| at >= returned);
         if start.running_since.is_some_and(since_return) {
             self.note_zone_start(start.machine(), ZoneStart::Lost);
@@ -274,7 +274,7 @@
     }
 
     fn as_waiting<'a>(&'a self, id: &'a JobId) -> Option<Waiting<'a, &'a JobId>> {
-        let job = self.jobs.get(id)?;
+        let job = self.jobs.by_id.get(id)?;
         Some(Waiting {
             key: id,
             kind: match job.spec.kind {
@@ -308,7 +308,7 @@
             return closed;
         }
         for zone in &self.platform.deployment.zones {
-            let booting = || self.leader.boots.values().filter(|boot| boot.zone == *zone).count() as u32;
+            let booting = || self.autoscaling.leader.boots.values().filter(|boot| boot.zone == *zone).count() as u32;
             let full = || booting() + ordered.get(zone).copied().unwrap_or(0) >= self.policy.zones.return_boots;
             if !self.zone_takes_work(zone) || (self.zone_is_returning(zone) && full()) {
                 closed.insert(zone.clone());
