--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -289,7 +289,7 @@
             self.autoscaling.leader.again.clear();
             return;
         }
-        if !self.surely_leads() {
+        if !self.has_valid_leadership_lease() {
             return;
         }
         let (due, later): (Vec<_>, Vec<_>) =
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -127,7 +127,7 @@
     }
 
     fn send_rentals(&mut self, commands: BTreeMap<Offer, u32>) {
-        let fencing_token = self.held(Role::Leader).unwrap_or_default();
+        let fencing_token = self.role_token(Role::Leader).unwrap_or_default();
         for (offer, count) in commands {
             self.autoscaling.leader.rental_requests += 1;
             // The fencing token is this process's alone, so the name never comes again.
--- /dev/null
+++ b/src/coordination/control/leases.rs
@@ -0,0 +1,238 @@
+//! Leadership and shard leases: acquiring, renewing and releasing them, and failover when a holder is gone.
+//!
+//! A role's key is bound to its holder's session, so the store deletes it when the session expires. Acquiring a role
+//! draws the next fencing token from the one counter in the same transaction. A controller holds a role only once the
+//! watch has shown it the key: then its replica also has every start recorded before.
+
+use crate::coordination::Controller;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
+use crate::types::{FencingToken, Micros};
+use std::collections::BTreeMap;
+
+/// Pause after a transaction about a role or this controller's entry that failed.
+const RETRY_PAUSE: Micros = Micros::from_millis(100);
+/// A controller that holds this many roles or more waits no longer for others to take a vacant one over.
+const MAX_COUNTED_ROLES: u64 = 4;
+
+/// The roles that this process holds, and its transactions about roles.
+#[derive(Default)]
+pub(super) struct RoleLeases {
+    /// Since when each role has been seen without a holder.
+    vacant_since: BTreeMap<Role, Micros>,
+    /// Roles held, with the fencing tokens under which they were last seen.
+    held: BTreeMap<Role, FencingToken>,
+    /// A transaction that acquires, renews or releases a role is in flight.
+    is_role_write_in_flight: bool,
+    /// A transaction that writes this controller's own entry is in flight.
+    is_node_write_in_flight: bool,
+    retry_at: Micros,
+}
+
+impl RoleLeases {
+    pub(super) fn token(&self, role: Role) -> Option<FencingToken> {
+        self.held.get(&role).copied()
+    }
+
+    pub(super) fn held_shards(&self) -> impl Iterator<Item = u32> {
+        self.held.keys().filter_map(|role| match role {
+            Role::Shard(shard) => Some(*shard),
+            Role::Leader => None,
+        })
+    }
+
+    /// Holds nothing any more; says what was held.
+    pub(super) fn drop_all(&mut self) -> impl Iterator<Item = Role> + use<> {
+        std::mem::take(&mut self.held).into_keys()
+    }
+
+    /// Since when a role without a holder has been seen so: since now, if for the first time.
+    fn vacant_since(&mut self, role: Role, now: Micros) -> Micros {
+        *self.vacant_since.entry(role).or_insert(now)
+    }
+}
+
+impl Controller {
+    /// Keeps this controller's entry up to date, takes over roles without a holder, and releases shards that others
+    /// should have. One transaction about a role at a time.
+    pub(crate) fn tick_leases(&mut self) {
+        if !self.store.sync.done {
+            return;
+        }
+        let Some(session) = self.control.session.lease() else { return };
+        self.observe_siblings();
+        if self.now() < self.control.leases.retry_at {
+            return;
+        }
+        self.write_node_record(session);
+        if self.control.leases.is_role_write_in_flight {
+            return;
+        }
+        if self.control.isolation.is_isolated() && self.has_connected_sibling() {
+            self.release_shard_as_isolated();
+            return;
+        }
+        for role in self.all_roles() {
+            if self.should_acquire(role) {
+                let next_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
+                self.acquire_role(role, session, next_token);
+                return;
+            }
+        }
+        self.rebalance_shards();
+    }
+
+    /// Writes this controller's own entry if it differs from the stored one.
+    fn write_node_record(&mut self, session: u64) {
+        let record = NodeRecord {
+            incarnation: self.incarnation,
+            unfit: self.control.isolation.is_isolated(),
+            version: self.record_version(),
+        };
+        let stored = self.store.replica.nodes.get(&self.label).map(|node| &node.value);
+        if stored == Some(&record) || self.control.leases.is_node_write_in_flight {
+            return;
+        }
+        self.control.leases.is_node_write_in_flight = true;
+        let mut txn = ProposedTxn::default();
+        txn.put_bound(Key::Node(self.label.clone()), to_value(&record), session);
+        self.submit_txn(txn, Purpose::Node);
+    }
+
+    fn all_roles(&self) -> Vec<Role> {
+        std::iter::once(Role::Leader).chain((0..self.shard_count()).map(Role::Shard)).collect()
+    }
+
+    /// Whether this controller should acquire a role now.
+    fn should_acquire(&mut self, role: Role) -> bool {
+        if let Some(record) = self.store.replica.roles.get(&role) {
+            self.control.leases.vacant_since.remove(&role);
+            // An earlier process under our label, which has certainly ended.
+            return record.value.owner == self.label && record.value.incarnation != self.incarnation;
+        }
+        self.is_failover_due(role)
+    }
+
+    /// Whether a role has been vacant for so long that this controller should take it over. Those that precede it in
+    /// the role's order, and those that hold fewer roles, get some time to do so first.
+    fn is_failover_due(&mut self, role: Role) -> bool {
+        let now = self.now();
+        let vacant_since = self.control.leases.vacant_since(role, now);
+        let rank = u64::from(self.failover_rank(role));
+        // When all begin at once, some have read the stored records a moment before the others: a shard taken from one
+        // of these would be given back, and all its machines asked anew twice.
+        let is_settling = now.since(self.store.synced_at) < Micros::from_millis(self.policy.settle_ms);
+        if is_settling && rank > 0 {
+            return false;
+        }
+        let held_count = self.control.leases.held.len() as u64;
+        let step = Micros::from_millis(self.policy.takeover_step_ms);
+        let wait = step.0 * (rank + held_count.min(MAX_COUNTED_ROLES) / 2);
+        now.since(vacant_since) >= Micros(wait)
+    }
+
+    /// Labels of all controllers in order; the same on each of them.
+    fn controller_labels(&self) -> Vec<&str> {
+        let mut labels: Vec<&str> = self.platform.siblings.iter().map(|sibling| sibling.label.as_str()).collect();
+        labels.push(&self.label);
+        labels.sort_unstable();
+        labels
+    }
+
+    /// This controller's position in the order in which controllers take over a role; 0 is first.
+    pub(super) fn failover_rank(&self, role: Role) -> u32 {
+        let labels = self.controller_labels();
+        let count = labels.len() as u32;
+        let own = labels.iter().position(|label| *label == self.label).unwrap_or(0) as u32;
+        let first = match role {
+            Role::Leader => 0,
+            Role::Shard(shard) => shard % count,
+        };
+        (own + count - first) % count
+    }
+
+    /// Writes this controller down as a role's holder under a new fencing token.
+    fn acquire_role(&mut self, role: Role, session: u64, fencing_token: FencingToken) {
+        let record = RoleRecord {
+            owner: self.label.clone(),
+            incarnation: self.incarnation,
+            fencing_token,
+            version: self.record_version(),
+        };
+        let mut txn = ProposedTxn::default();
+        txn.unchanged(&self.store.replica, Key::Role(role));
+        txn.unchanged(&self.store.replica, Key::FencingToken);
+        txn.put_bound(Key::Role(role), to_value(&record), session);
+        txn.put(Key::FencingToken, to_value(&fencing_token));
+        self.submit_role_txn(txn);
+    }
+
+    /// Gives a shard held here a new fencing token, unless another transaction about a role is in flight.
+    pub(super) fn renew_shard_token(&mut self, shard: u32, fencing_token: FencingToken) {
+        let role = Role::Shard(shard);
+        let Some(session) = self.control.session.lease() else { return };
+        if !self.control.leases.is_role_write_in_flight && self.holds(role) {
+            self.acquire_role(role, session, fencing_token);
+        }
+    }
+
+    /// Deletes a role's key, so that another controller can acquire it.
+    pub(super) fn release_role(&mut self, role: Role) {
+        let mut txn = ProposedTxn::default();
+        txn.unchanged(&self.store.replica, Key::Role(role));
+        txn.delete(Key::Role(role));
+        self.submit_role_txn(txn);
+    }
+
+    fn submit_role_txn(&mut self, txn: ProposedTxn) {
+        self.control.leases.is_role_write_in_flight = true;
+        self.submit_txn(txn, Purpose::Role);
+    }
+
+    /// The transaction that writes this controller's own entry has ended.
+    pub(crate) fn node_txn_ended(&mut self, is_committed: bool) {
+        self.control.leases.is_node_write_in_flight = false;
+        self.lease_txn_ended(is_committed);
+    }
+
+    /// The transaction about a role has ended. What it changed is known once the watch shows it.
+    pub(crate) fn role_txn_ended(&mut self, is_committed: bool) {
+        self.control.leases.is_role_write_in_flight = false;
+        self.lease_txn_ended(is_committed);
+    }
+
+    fn lease_txn_ended(&mut self, is_committed: bool) {
+        if !is_committed {
+            self.control.leases.retry_at = self.now() + RETRY_PAUSE;
+        }
+        self.store.reads.wanted = true;
+    }
+
+    /// A role's record has changed: this process holds it from now on, no longer, or under another fencing token.
+    pub(crate) fn role_changed(&mut self, role: Role) {
+        let stored = self.store.replica.roles.get(&role).map(|stored| &stored.value);
+        let own = stored.filter(|record| record.owner == self.label && record.incarnation == self.incarnation);
+        let (before, after) = (self.role_token(role), own.map(|record| record.fencing_token));
+        if after == before {
+            return;
+        }
+        let revision = self.store.replica.applied.0;
+        let Some(fencing_token) = after else {
+            self.control.leases.held.remove(&role);
+            tracing::info!(?role, revision, cause = "deleted or acquired by another controller", "role lease lost");
+            return self.notify_role_changed(role);
+        };
+        self.control.leases.held.insert(role, fencing_token);
+        if let (Role::Shard(shard), Some(_)) = (role, before) {
+            tracing::debug!(
+                ?role,
+                fencing_token = fencing_token.0,
+                revision,
+                "shard lease renewed with new fencing token"
+            );
+            return self.shard_renewed(shard);
+        }
+        tracing::info!(?role, fencing_token = fencing_token.0, revision, "role lease acquired");
+        self.notify_role_changed(role);
+    }
+}
--- /dev/null
+++ b/src/coordination/control/rebalancing.rs
@@ -0,0 +1,66 @@
+//! Shards that this controller releases for others: to balance them after a sibling has come back, and all of them while
+//! it is isolated from its machines.
+
+use crate::coordination::Controller;
+use crate::storage::schema::Role;
+use crate::types::Micros;
+use std::collections::BTreeMap;
+
+/// The other controllers, as far as they can hold shards.
+#[derive(Default)]
+pub(super) struct SiblingControllers {
+    /// Since when each has been seen to be alive and not isolated.
+    connected_since: BTreeMap<String, Micros>,
+}
+
+impl Controller {
+    /// Notes which siblings are alive. One that was isolated counts from when it no longer is.
+    pub(super) fn observe_siblings(&mut self) {
+        let now = self.now();
+        let nodes = &self.store.replica.nodes;
+        let is_connected = |label: &String| nodes.get(label).is_some_and(|node| !node.value.unfit);
+        let connected_since = &mut self.control.siblings.connected_since;
+        connected_since.retain(|label, _| is_connected(label));
+        for label in nodes.keys().filter(|label| **label != self.label && is_connected(label)) {
+            connected_since.entry(label.clone()).or_insert(now);
+        }
+    }
+
+    /// Whether any other controller can reach its machines.
+    pub(super) fn has_connected_sibling(&self) -> bool {
+        self.store.replica.nodes.iter().any(|(label, node)| *label != self.label && !node.value.unfit)
+    }
+
+    /// Releases one shard if this controller holds several and a sibling that has been back for a while holds none.
+    pub(super) fn rebalance_shards(&mut self) {
+        let shards: Vec<Role> = self.control.held_shards().map(Role::Shard).collect();
+        if shards.len() < 2 || !self.has_idle_sibling() {
+            return;
+        }
+        // The one in whose order this controller stands last, so that its first holder takes it.
+        let Some(role) = shards.into_iter().max_by_key(|role| self.failover_rank(*role)) else { return };
+        tracing::info!(?role, "shard released for rebalancing");
+        self.release_role(role);
+    }
+
+    /// Whether a sibling that has been back for a while holds no shard.
+    fn has_idle_sibling(&self) -> bool {
+        let now = self.now();
+        let min_uptime = Micros::from_millis(self.policy.hand_back_after_ms);
+        let holds_shard = |label: &String| {
+            let mut roles = self.store.replica.roles.iter();
+            roles.any(|(role, record)| matches!(role, Role::Shard(_)) && record.value.owner == *label)
+        };
+        let mut siblings = self.control.siblings.connected_since.iter();
+        siblings.any(|(label, since)| now.since(*since) >= min_uptime && !holds_shard(label))
+    }
+
+    /// A controller that can't reach its machines leaves its shards to a sibling that may.
+    pub(super) fn release_shard_as_isolated(&mut self) {
+        let shard = self.control.held_shards().next();
+        if let Some(role) = shard.map(Role::Shard) {
+            tracing::warn!(?role, "shard released: controller is isolated from its machines");
+            self.release_role(role);
+        }
+    }
+}
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -184,9 +184,8 @@
             }
         }
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        let looking = self.control.roles.unfit || self.control.roles.looking_since.is_some();
-        if looking && matches!(outcome, DirectCommandsOutcome::Done(_) | DirectCommandsOutcome::Rejected(_)) {
-            self.control.roles.answered += 1;
+        if matches!(outcome, DirectCommandsOutcome::Done(_) | DirectCommandsOutcome::Rejected(_)) {
+            self.control.record_machine_answer();
         }
         match outcome {
             DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -150,7 +150,7 @@
     /// does, and as long as the store is away nobody can take it.
     fn clears_shard(&self, shard: u32) -> bool {
         let role = Role::Shard(shard);
-        self.held(role).is_some() || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
+        self.holds(role) || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
     }
 
     /// Whether it was deleted here, though the stored records don't say so yet.
--- a/src/coordination/fleet/failure_detector.rs
+++ b/src/coordination/fleet/failure_detector.rs
@@ -192,7 +192,7 @@
     /// nobody to anything.
     pub(crate) fn look_for_machines(&mut self) {
         let machines = &self.store.replica.machines;
-        let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
+        let is_ours = |shard: u32| self.holds(Role::Shard(shard));
         let mut ids: Vec<&MachineId> =
             machines.iter().filter(|(_, m)| !is_ours(m.value.shard)).map(|(id, _)| id).collect();
         if ids.is_empty() {
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -219,7 +219,7 @@
     /// The fencing token for commands to a machine of a shard we hold.
     pub(crate) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
         let record = &self.store.replica.machines.get(id)?.value;
-        let fencing_token = self.held(Role::Shard(record.shard))?;
+        let fencing_token = self.role_token(Role::Shard(record.shard))?;
         Some(fencing_token.max(record.fencing_token))
     }
 
@@ -362,12 +362,12 @@
             .replica
             .machines
             .iter()
-            .filter(|(_, m)| self.held(Role::Shard(m.value.shard)).is_some())
+            .filter(|(_, m)| self.holds(Role::Shard(m.value.shard)))
             .map(|(id, _)| id.clone())
             .collect();
         let recorded = &self.store.replica.machines;
         self.fleet.machines.retain(|id, m| recorded.contains_key(id) || m.direct || m.writing || m.registering);
-        self.judge_contact(&ours);
+        self.update_isolation(&ours);
         self.expire_leases(&ours);
         self.clear_cancelled();
         self.probe(&ours);
@@ -395,7 +395,7 @@
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let Some(held) = self.store.replica.machines.get(id) else { return };
         let shard = Role::Shard(held.value.shard);
-        let role = [shard, Role::Leader].into_iter().find(|role| self.control.roles.held.contains_key(role));
+        let role = [shard, Role::Leader].into_iter().find(|role| self.control.holds(*role));
         let Some(role) = role.filter(|_| !machine.writing) else { return };
         let mut record = held.value.clone();
         change(&mut record);
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -35,7 +35,7 @@
             }
             wanted |= !machines.empty.is_empty();
             for (id, to) in machines.occupied {
-                if self.held(Role::Shard(shard)).is_some() && self.should_vacate(&id, to) {
+                if self.holds(Role::Shard(shard)) && self.should_vacate(&id, to) {
                     self.vacate(&id);
                 } else {
                     self.write_machine(&id, MachineChange::Move, |record| record.hold = None);
@@ -62,12 +62,12 @@
     /// it to do.
     fn roles_for_moves(&self, shard: u32) -> Vec<Role> {
         let holder = Role::Shard(shard);
-        let leads = self.is_leader() && self.surely_leads();
+        let leads = self.is_leader() && self.has_valid_leadership_lease();
         if self.record_version() == RecordVersion::FIRST {
             return if leads { vec![Role::Leader] } else { Vec::new() };
         }
         match mover(&self.store.replica, shard) {
-            Mover::Holder if self.held(holder).is_some() => vec![holder],
+            Mover::Holder if self.holds(holder) => vec![holder],
             // Its holder is of the first version, and must still be when the machine moves.
             Mover::Leader if leads => vec![Role::Leader, holder],
             _ => Vec::new(),
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -81,7 +81,7 @@
         let Some(job) = self.jobs.by_id.get(id) else { return Acknowledgement::Stale };
         let role = Role::Shard(job.shard);
         // Held here, and the replica shows no later holder.
-        if self.held(role).is_some() {
+        if self.holds(role) {
             return match self.is_obeyed_on(id) {
                 true => Acknowledgement::Sure(AcknowledgedBy::OwnShard),
                 false => Acknowledgement::NotObeyed,
@@ -229,7 +229,7 @@
             message.jobs.iter().filter(|job| valid_id(&job.id)).all(|job| self.is_obeyed_on(&JobId::new(&job.id)));
         let holds = obeyed
             && self
-                .held(Role::Shard(message.shard))
+                .role_token(Role::Shard(message.shard))
                 .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token);
         self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds }));
     }
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -144,7 +144,7 @@
             return;
         }
         let most = self.platform.deployment.store.ops();
-        let ours = |id: &&JobId| self.jobs.by_id.get(*id).is_some_and(|j| self.held(Role::Shard(j.shard)).is_some());
+        let ours = |id: &&JobId| self.jobs.by_id.get(*id).is_some_and(|j| self.holds(Role::Shard(j.shard)));
         let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(ours).take(most).cloned().collect();
         if ids.is_empty() {
             return;
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -20,7 +20,6 @@
 };
 
 use crate::settings::{Platform, Policy};
-use crate::storage::schema::RecordVersion;
 use crate::storage::{Change, Replica};
 use crate::types::Micros;
 use rand::rngs::SmallRng;
@@ -142,7 +141,7 @@
         }
         self.tick_txns();
         self.store.budget.account(self.clock.steady);
-        self.tick_roles();
+        self.tick_leases();
         self.tick_machines();
         self.tick_types();
         self.tick_leader();
@@ -176,27 +175,6 @@
         self.clock.steady
     }
 
-    /// Version of the rules for stored records that this controller follows.
-    fn record_version(&self) -> RecordVersion {
-        RecordVersion(self.policy.record_version)
-    }
-
-    /// A controller has come or gone: tells when the oldest one's version is another than before.
-    fn versions_changed(&mut self) {
-        let oldest = control::versions::oldest(&self.store.replica);
-        if oldest == self.control.oldest_version {
-            return;
-        }
-        let (before, own) = (self.control.oldest_version, self.record_version());
-        self.control.oldest_version = oldest;
-        let Some(oldest) = oldest else { return };
-        if before.is_some_and(|before| oldest < before) && oldest < own {
-            tracing::warn!(oldest = oldest.0, own = own.0, "a controller with older rules for records has come up");
-        } else {
-            tracing::info!(oldest = oldest.0, own = own.0, "rules for records that all controllers know");
-        }
-    }
-
     /// Names a call to the store, so that its answer is not taken for another's.
     fn next_ticket(&mut self) -> u64 {
         self.store.last_ticket += 1;
@@ -223,7 +201,7 @@
                     self.job_changed(&id);
                     self.job_over(&id);
                 }
-                Change::Node(_) => self.versions_changed(),
+                Change::Node(_) => self.record_versions_changed(),
                 Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
                 Change::ZoneHold(zone) => self.zone_hold_changed(&zone),
                 Change::Nothing => {}
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -116,7 +116,7 @@
     fn place_job(&mut self, id: &JobId, field: &mut Field) {
         let Some(job) = self.jobs.by_id.get(id) else { return };
         let shard = job.shard;
-        if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
+        if job.locked || !job.recorded || job.over.is_some() || !self.holds(Role::Shard(shard)) {
             return;
         }
         let gang = job.spec.kind == Kind::Gang;
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -47,7 +47,7 @@
             .jobs
             .by_id
             .iter()
-            .filter(|(_, j)| j.recorded && !j.locked && j.waiting() > 0 && self.held(Role::Shard(j.shard)).is_some())
+            .filter(|(_, j)| j.recorded && !j.locked && j.waiting() > 0 && self.holds(Role::Shard(j.shard)))
             .map(|(id, job)| {
                 let (overdue, within) = (self.is_overdue(job), self.within_guarantee(job));
                 (
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -153,7 +153,7 @@
         }
         self.zones_read();
         self.watch();
-        self.tick_roles();
+        self.tick_leases();
     }
 
     /// Sends a fresh read if anybody waits for one.
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -4,7 +4,7 @@
 //! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
 
 use crate::coordination::Controller;
-use crate::coordination::control::versions::leader_leaves_moves;
+use crate::coordination::control::versions::leader_delegates_moves;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
@@ -248,7 +248,7 @@
             }
             // Its owner's matter; all are looked at again when the shard is taken. Jobs cancelled with another
             // have nothing in the records but the outcome that is written with others'.
-            if self.jobs.cascaded.contains(id) || !self.control.roles.held.contains_key(&Role::Shard(job.shard)) {
+            if self.jobs.cascaded.contains(id) || !self.control.holds(Role::Shard(job.shard)) {
                 settled.push(id.clone());
                 continue;
             }
@@ -335,7 +335,7 @@
         let writer = self.nonce();
         let now = self.now();
         let progress_patience = Micros::from_millis(self.policy.progress_patience_ms);
-        let leaves_moves = leader_leaves_moves(&self.store.replica, self.record_version());
+        let leaves_moves = leader_delegates_moves(&self.store.replica, self.record_version());
         let guard = if leaves_moves { MachineGuard::Leadership } else { MachineGuard::Records };
         let mut proposal = ProposedTxn::default();
         let Some(job) = self.jobs.by_id.get_mut(id) else { return proposal };
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -267,7 +267,7 @@
             }
             TxnOutcome::NoLease => {
                 let Some(pending) = self.store.txns.pending.remove(&ticket) else { return };
-                self.session_ended();
+                self.session_expired();
                 self.txn_over(&pending.purpose, &TxnEnd::Unknown);
             }
             TxnOutcome::Invalid => {
@@ -364,7 +364,8 @@
             Purpose::Submit(jobs) => jobs.iter().for_each(|job| self.submit_over(job, end)),
             Purpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
             Purpose::Cancel(id) => self.cancel_over(id),
-            Purpose::Node | Purpose::Role => self.role_txn_over(purpose, !end.is_committed()),
+            Purpose::Node => self.node_txn_ended(end.is_committed()),
+            Purpose::Role => self.role_txn_ended(end.is_committed()),
             Purpose::Machines(_, ids) => self.machines_txn_over(ids),
             Purpose::Tidy | Purpose::Cascade => {}
             Purpose::ZoneView(name) => self.zone_view_txn_over(name),
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -104,7 +104,7 @@
         if !self.policy.zones.evacuate || self.zones.displaced.is_empty() {
             return;
         }
-        let shards: Vec<u32> = self.held_shards().collect();
+        let shards: Vec<u32> = self.control.held_shards().collect();
         for shard in shards {
             self.evacuate_shard(shard);
         }
@@ -146,7 +146,7 @@
 
     /// Silent machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
     fn machines_to_evacuate(&self, shard: u32) -> Vec<MachineId> {
-        if self.held(Role::Shard(shard)).is_none() {
+        if !self.holds(Role::Shard(shard)) {
             return Vec::new();
         }
         let now = self.now();
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -58,7 +58,7 @@
         let last = looked.last().map(|id| (*id).clone());
         let is_ours = |id: &&JobId| {
             let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
-            job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
+            job.is_some_and(|job| self.holds(Role::Shard(job.shard)))
         };
         let services = looked.into_iter().filter(is_ours).cloned().collect();
         self.zones.last_looked = last;
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -120,7 +120,7 @@
             return;
         }
         self.zones.next = now + ZONES_EVERY;
-        let held: BTreeSet<u32> = self.held_shards().collect();
+        let held: BTreeSet<u32> = self.control.held_shards().collect();
         self.zones.zones.set_held_shards(&held, now);
         self.note_silence(ours);
         for transition in self.zones.zones.round(now, &self.policy.zones) {
@@ -132,13 +132,6 @@
         self.move_replicas();
     }
 
-    pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
-        self.control.roles.held.keys().filter_map(|role| match role {
-            Role::Shard(shard) => Some(*shard),
-            Role::Leader => None,
-        })
-    }
-
     fn note_silence(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let span = Micros::from_millis(self.policy.zones.silent_after_ms);
@@ -189,7 +182,7 @@
     /// Views of our shards that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<RecordDue> {
         let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
-        let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
+        let ours = unreadable.filter(|((_, shard), _)| self.holds(Role::Shard(*shard)));
         ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,6 +1,6 @@
 //! Who moves machines out of a shard, by what the roles in the replica announce.
 
-use burlhatch::coordination::control::versions::{Mover, leader_leaves_moves, mover};
+use burlhatch::coordination::control::versions::{Mover, leader_delegates_moves, mover};
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, RecordVersion, Role, RoleRecord, to_value};
 use burlhatch::types::FencingToken;
@@ -36,9 +36,9 @@
 
 #[test]
 fn starts_rely_on_the_leader_only_where_it_is_later() {
-    assert!(leader_leaves_moves(&replica(Some(LATER), None), LATER));
-    assert!(leader_leaves_moves(&replica(None, None), LATER));
-    assert!(!leader_leaves_moves(&replica(Some(FIRST), None), LATER));
-    assert!(!leader_leaves_moves(&replica(Some(LATER), None), FIRST));
-    assert!(!leader_leaves_moves(&replica(None, None), FIRST));
+    assert!(leader_delegates_moves(&replica(Some(LATER), None), LATER));
+    assert!(leader_delegates_moves(&replica(None, None), LATER));
+    assert!(!leader_delegates_moves(&replica(Some(FIRST), None), LATER));
+    assert!(!leader_delegates_moves(&replica(Some(LATER), None), FIRST));
+    assert!(!leader_delegates_moves(&replica(None, None), FIRST));
 }
