--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -8,7 +8,7 @@
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect, UserAnswer, UserRequest, Waiter};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
-use crate::storage::schema::{EndRecord, Key, Outcome, to_value};
+use crate::storage::schema::{Key, Outcome, OutcomeRecord, to_value};
 use crate::types::{JobId, Revision};
 use std::collections::HashMap;
 
@@ -139,8 +139,8 @@
         if let Some(known) = self.store.replica.jobs.get(&id) {
             txn.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
         }
-        txn.unchanged(&self.store.replica, Key::End(id.clone()));
-        txn.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
+        txn.unchanged(&self.store.replica, Key::Outcome(id.clone()));
+        txn.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
         self.submit_txn(txn, Purpose::Cancel(id));
     }
 
@@ -171,7 +171,7 @@
 
     /// Answers every question that the replica is fresh enough for.
     pub(crate) fn answer_open_questions(&mut self) {
-        let applied = self.store.replica.applied;
+        let applied = self.store.replica.applied_revision;
         for open in std::mem::take(&mut self.api.open) {
             match reached(open.known, applied) {
                 Some(fresh) => self.answer_question(open.asked, open.question, &fresh),
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -12,7 +12,7 @@
 use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose, TxnEnd};
 use crate::coordination::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobSpec, Kind, Submission};
-use crate::storage::schema::{BatchMember, JobRecord, Key, to_value};
+use crate::storage::schema::{BatchMember, DependencyListParts, JobRecord, Key, to_value};
 use crate::types::{JobId, Micros, Resources, Revision};
 use std::collections::{HashMap, VecDeque};
 
@@ -122,7 +122,8 @@
     }
 
     pub(crate) fn form(&self, id: JobId, spec: JobSpec) -> Form {
-        let member = BatchMember { id, record: JobRecord { accepted: self.clock.wall, pieces: None, spec } };
+        let member =
+            BatchMember { id, record: JobRecord { accepted_at: self.clock.wall, dependency_list_parts: None, spec } };
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
         if size <= self.platform.deployment.store.value_bytes() {
             Form::Entry(member)
@@ -173,7 +174,8 @@
             size += more;
             lists.last_mut().into_iter().for_each(|list| list.push(id.clone()));
         }
-        member.record.pieces = Some((name.clone(), lists.len() as u32));
+        let count = lists.len() as u32;
+        member.record.dependency_list_parts = Some(DependencyListParts { name: name.clone(), count });
         let numbered: Vec<(u32, Vec<JobId>)> = (0..).zip(lists).collect();
         let parts = numbered.chunks(ops);
         self.api.submissions.partial.insert(name.clone(), Partial { left: parts.len(), member });
@@ -214,14 +216,15 @@
         let mut txn = ProposedTxn::default();
         txn.unchanged(&self.store.replica, name.clone());
         for member in &members {
-            txn.unchanged(&self.store.replica, Key::End(member.id.clone()));
-            if let Some((name, _)) = &member.record.pieces {
-                txn.unchanged(&self.store.replica, Key::DependencyListPart(name.clone(), 0));
+            txn.unchanged(&self.store.replica, Key::Outcome(member.id.clone()));
+            if let Some(parts) = &member.record.dependency_list_parts {
+                txn.unchanged(&self.store.replica, Key::DependencyListPart(parts.name.clone(), 0));
             }
         }
         txn.put(name, to_value(&members));
         let submitted = |member: BatchMember| {
-            let has_dependencies = member.record.pieces.is_some() || !member.record.spec.depends_on.is_empty();
+            let has_dependencies =
+                member.record.dependency_list_parts.is_some() || !member.record.spec.depends_on.is_empty();
             Submitted { id: member.id, has_dependencies }
         };
         self.send_txn(txn, Purpose::Submit(members.into_iter().map(submitted).collect()));
@@ -237,10 +240,10 @@
         let (mut size, mut named) = (0, 0);
         while let Some(Queued { member, .. }) = self.api.submissions.queue.front() {
             let mut member = member.clone();
-            member.record.accepted = accepted;
+            member.record.accepted_at = accepted;
             let more = serde_json::to_string(&member).map_or(value_bytes, |text| text.len() + 1);
             // Its outcome, and perhaps its first piece.
-            let preconditions = 1 + usize::from(member.record.pieces.is_some());
+            let preconditions = 1 + usize::from(member.record.dependency_list_parts.is_some());
             if !members.is_empty() && (size + more > value_bytes || named + preconditions > most) {
                 break;
             }
@@ -271,7 +274,7 @@
     pub(crate) fn submit_over(&mut self, submitted: &Submitted, end: &TxnEnd) {
         let id = &submitted.id;
         if let TxnEnd::Committed(evidence) = end
-            && evidence.revision() > self.store.replica.applied
+            && evidence.revision() > self.store.replica.applied_revision
         {
             self.api.submissions.committed.insert(id.clone(), evidence.revision());
         }
--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -4,7 +4,7 @@
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
 use crate::protocol::user::{JobSpec, Kind, Priority};
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros, Resources};
 use std::collections::{BTreeMap, HashMap};
 
@@ -87,7 +87,7 @@
             .replica
             .machines
             .iter()
-            .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
+            .filter(|(_, r)| r.value.shard == shard && r.value.cordon.is_none())
             .filter(|(_, r)| self.zone_takes_work(&r.value.zone))
             .map(|(id, r)| {
                 let free = self.free_resources(id);
@@ -272,7 +272,7 @@
         for (id, from, to) in moves {
             if let Some(id) = id {
                 tracing::debug!(machine = %id, from, to, "shifting");
-                self.set_hold_of(&id, Hold::Move(to));
+                self.set_hold_of(&id, CordonReason::MoveToShard(to));
             }
         }
     }
@@ -280,8 +280,13 @@
     /// How many more machines may be on their way to other shards. Each move costs two changes, which starts and
     /// submissions need more.
     pub(crate) fn moves_left(&self) -> usize {
-        let moving =
-            self.store.replica.machines.values().filter(|m| matches!(m.value.hold, Some(Hold::Move(_)))).count();
+        let moving = self
+            .store
+            .replica
+            .machines
+            .values()
+            .filter(|m| matches!(m.value.cordon, Some(CordonReason::MoveToShard(_))))
+            .count();
         let most = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
         most.saturating_sub(moving)
     }
@@ -308,7 +313,7 @@
             .take((self.store.replica.machines.len() / RETURN_PART).max(2))
             .collect();
         for id in ids {
-            self.set_hold_of(&id, Hold::Retire);
+            self.set_hold_of(&id, CordonReason::Retire);
         }
     }
 }
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -6,7 +6,7 @@
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
-use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
+use crate::storage::schema::{CordonReason, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -206,7 +206,7 @@
     /// on them.
     pub(crate) fn strike_out(&mut self, ids: Vec<MachineId>) {
         let returned = |id: &MachineId| {
-            self.store.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire))
+            self.store.replica.machines.get(id).is_some_and(|held| held.value.cordon == Some(CordonReason::Retire))
         };
         let (returned, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(returned);
         self.strike_out_as(MachineChange::Return, returned);
@@ -223,7 +223,7 @@
                 // As long as a fleet names it, a note must say that it is gone.
                 match (self.store.replica.fleet_of(id), self.store.replica.machines.get(id)) {
                     (Some(_), Some(held)) => {
-                        let record = MachineRecord { hold: Some(Hold::Gone), ..held.value.clone() };
+                        let record = MachineRecord { cordon: Some(CordonReason::Deleted), ..held.value.clone() };
                         proposal.put(key, to_value(&record));
                     }
                     _ => proposal.delete(key),
@@ -247,14 +247,14 @@
             let id = machine.id.clone();
             if machine.state == ListedState::Failed {
                 if self.store.replica.machines.contains_key(&id) {
-                    self.set_hold_of(&id, Hold::Doomed);
+                    self.set_hold_of(&id, CordonReason::ForceDelete);
                 } else if !self.autoscaling.leader.deleted.contains_key(&id) {
                     // The list lags: one that was deleted stays on it as failed for a while.
                     failed.push(id);
                 }
                 continue;
             }
-            let gone = self.autoscaling.leader.deleted.contains_key(&id) || self.store.replica.is_gone(&id);
+            let gone = self.autoscaling.leader.deleted.contains_key(&id) || self.store.replica.is_machine_deleted(&id);
             if self.store.replica.machines.contains_key(&id) || gone {
                 continue;
             }
@@ -270,7 +270,7 @@
         self.delete(failed);
     }
 
-    pub(crate) fn set_hold_of(&mut self, id: &MachineId, hold: Hold) {
+    pub(crate) fn set_hold_of(&mut self, id: &MachineId, hold: CordonReason) {
         self.fleet.machines.entry(id.clone()).or_default();
         self.set_hold(id, hold);
     }
@@ -326,10 +326,10 @@
             }
             // The hold is seen by whoever records starts. One that crosses with it is lost with the machine, and
             // starts again elsewhere.
-            let empty = self.store.replica.applied.0 >= held.version && self.jobs.usage.is_empty(id);
-            match held.value.hold {
-                Some(Hold::Doomed) => ids.push(id.clone()),
-                Some(Hold::Retire) if empty => ids.push(id.clone()),
+            let empty = self.store.replica.applied_revision.0 >= held.version && self.jobs.usage.is_empty(id);
+            match held.value.cordon {
+                Some(CordonReason::ForceDelete) => ids.push(id.clone()),
+                Some(CordonReason::Retire) if empty => ids.push(id.clone()),
                 _ => {}
             }
         }
--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -86,7 +86,7 @@
     fn write_node_record(&mut self, session: u64) {
         let record = NodeRecord {
             incarnation: self.incarnation,
-            unfit: self.control.isolation.is_isolated(),
+            is_isolated: self.control.isolation.is_isolated(),
             version: self.record_version(),
         };
         let stored = self.store.replica.nodes.get(&self.label).map(|node| &node.value);
@@ -216,7 +216,7 @@
         if after == before {
             return;
         }
-        let revision = self.store.replica.applied.0;
+        let revision = self.store.replica.applied_revision.0;
         let Some(fencing_token) = after else {
             self.control.leases.held.remove(&role);
             tracing::info!(?role, revision, cause = "deleted or acquired by another controller", "role lease lost");
--- a/src/coordination/control/rebalancing.rs
+++ b/src/coordination/control/rebalancing.rs
@@ -18,7 +18,7 @@
     pub(super) fn observe_siblings(&mut self) {
         let now = self.now();
         let nodes = &self.store.replica.nodes;
-        let is_connected = |label: &String| nodes.get(label).is_some_and(|node| !node.value.unfit);
+        let is_connected = |label: &String| nodes.get(label).is_some_and(|node| !node.value.is_isolated);
         let connected_since = &mut self.control.siblings.connected_since;
         connected_since.retain(|label, _| is_connected(label));
         for label in nodes.keys().filter(|label| **label != self.label && is_connected(label)) {
@@ -28,7 +28,7 @@
 
     /// Whether any other controller can reach its machines.
     pub(super) fn has_connected_sibling(&self) -> bool {
-        self.store.replica.nodes.iter().any(|(label, node)| *label != self.label && !node.value.unfit)
+        self.store.replica.nodes.iter().any(|(label, node)| *label != self.label && !node.value.is_isolated)
     }
 
     /// Releases one shard if this controller holds several and a sibling that has been back for a while holds none.
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -7,7 +7,7 @@
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
 use crate::protocol::worker::{AgentCommand, DirectCommands};
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 use std::net::SocketAddr;
 
@@ -81,7 +81,8 @@
     /// heartbeat's number.
     pub(crate) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
         let Some(machine) = self.fleet.machines.get(id) else { return Vec::new() };
-        let doomed = self.store.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
+        let doomed =
+            self.store.replica.machines.get(id).is_none_or(|m| m.value.cordon == Some(CordonReason::ForceDelete));
         let incarnation = machine.incarnation;
         let mut commands = commands_for_unrecorded(machine);
         let mut never_sent = Vec::new();
@@ -199,7 +200,7 @@
                 let regressed = (heartbeat.incarnation, heartbeat.seq) <= machine.direct_after;
                 if regressed {
                     tracing::warn!(machine = %id, "agent has forgotten its incarnation");
-                    self.set_hold(id, Hold::Doomed);
+                    self.set_hold(id, CordonReason::ForceDelete);
                     return;
                 }
                 let wrong_incarnation = heartbeat.incarnation != machine.incarnation;
--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -67,7 +67,7 @@
     /// Notes by when a cancelled job's tasks have to be proven gone. Counted from what the stored records say, so it
     /// holds for a successor as well.
     pub(crate) fn note_deadline(&mut self, id: &JobId) {
-        let Some(end) = self.store.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
+        let Some(end) = self.store.replica.outcomes.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
             return;
         };
         if !self.jobs.by_id.contains_key(id) {
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::machines::{Failures, Machine};
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::protocol::user::Kind;
-use crate::storage::schema::{Hold, Outcome};
+use crate::storage::schema::{CordonReason, Outcome};
 use crate::types::{JobId, MachineId};
 
 /// A job that failed so often on one machine, and on no other, was tried there again after a pause.
@@ -20,10 +20,10 @@
             if !self.is_faulty(id, machine) {
                 continue;
             }
-            let hold = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
+            let hold = self.store.replica.machines.get(id).and_then(|m| m.value.cordon);
             if hold.is_none() {
                 tracing::warn!(machine = %id, "tasks of several jobs fail there");
-                self.set_hold(id, Hold::Retire);
+                self.set_hold(id, CordonReason::Retire);
             }
         }
     }
@@ -52,9 +52,9 @@
     /// longer on another machine than any that failed.
     fn gets_on_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &Failures) -> bool {
         let Some(job) = self.jobs.by_id.get(job_id) else {
-            return self.store.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
+            return self.store.replica.outcomes.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
         };
-        let chunks = self.store.replica.runs.get(job_id);
+        let chunks = self.store.replica.run_chunks.get(job_id);
         let chunk = chunks.and_then(|chunks| chunks.get(&(failures.task / self.store.chunk_tasks))).map(|c| &c.value);
         let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
         job.is_task_done(failures.task, chunk) || job.live.get(failures.task).is_some_and(runs_on)
@@ -63,7 +63,7 @@
     /// A machine to be returned is emptied first.
     pub(crate) fn drain_retired(&mut self, ours: &[MachineId]) {
         for id in ours {
-            if self.store.replica.machines.get(id).is_some_and(|m| m.value.hold == Some(Hold::Retire)) {
+            if self.store.replica.machines.get(id).is_some_and(|m| m.value.cordon == Some(CordonReason::Retire)) {
                 self.stop_where(id, |_| true);
             }
         }
--- a/src/coordination/fleet/failure_detector.rs
+++ b/src/coordination/fleet/failure_detector.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::Phase;
 use crate::protocol::worker::DirectCommands;
-use crate::storage::schema::{Hold, Role};
+use crate::storage::schema::{CordonReason, Role};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -234,7 +234,7 @@
         }
         for verdict in verdicts {
             if let Silence::Lost(id) = verdict {
-                self.set_hold(&id, Hold::Doomed);
+                self.set_hold(&id, CordonReason::ForceDelete);
             }
         }
     }
@@ -254,7 +254,7 @@
         for id in silent {
             let never = self.fleet.machines.get(id).is_some_and(|m| !m.token_confirmed && now.since(m.heard) >= lease);
             if never {
-                self.set_hold(id, Hold::Doomed);
+                self.set_hold(id, CordonReason::ForceDelete);
             }
         }
     }
@@ -355,7 +355,7 @@
         let many = self.fleet.many_unreachable_at.is_some_and(|at| now.since(at) < span);
         if !many && unreachable as f64 <= most && known > unreachable {
             for id in &unreachable_long {
-                self.set_hold(id, Hold::Doomed);
+                self.set_hold(id, CordonReason::ForceDelete);
             }
         }
     }
@@ -389,7 +389,7 @@
             return;
         }
         for id in &unreported {
-            self.set_hold(id, Hold::Doomed);
+            self.set_hold(id, CordonReason::ForceDelete);
         }
     }
 }
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -3,7 +3,7 @@
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect, WorkerAnswer};
-use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
+use crate::storage::schema::{CordonReason, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, MachineId, Micros, Resources};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -410,17 +410,17 @@
         self.submit_txn(proposal, Purpose::Machines(what, vec![id.clone()]));
     }
 
-    pub(crate) fn set_hold(&mut self, id: &MachineId, hold: Hold) {
-        let before = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
+    pub(crate) fn set_hold(&mut self, id: &MachineId, hold: CordonReason) {
+        let before = self.store.replica.machines.get(id).and_then(|m| m.value.cordon);
         let writing = self.fleet.machines.get(id).is_none_or(|m| m.writing);
-        if before != Some(Hold::Doomed) && before != Some(hold) && !writing {
+        if before != Some(CordonReason::ForceDelete) && before != Some(hold) && !writing {
             tracing::info!(machine = %id, ?hold, "machine put on hold");
             let what = match hold {
-                Hold::Move(_) => MachineChange::Move,
-                Hold::Retire => MachineChange::Return,
-                Hold::Doomed | Hold::Gone => MachineChange::Replace,
+                CordonReason::MoveToShard(_) => MachineChange::Move,
+                CordonReason::Retire => MachineChange::Return,
+                CordonReason::ForceDelete | CordonReason::Deleted => MachineChange::Replace,
             };
-            self.write_machine(id, what, |record| record.hold = Some(hold));
+            self.write_machine(id, what, |record| record.cordon = Some(hold));
         }
     }
 }
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -12,7 +12,7 @@
 use crate::coordination::Controller;
 use crate::coordination::control::versions::{Mover, mover};
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
-use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
+use crate::storage::schema::{CordonReason, Key, MachineRecord, RecordVersion, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
 
@@ -38,7 +38,7 @@
                 if self.holds(Role::Shard(shard)) && self.should_vacate(&id, to) {
                     self.vacate(&id);
                 } else {
-                    self.write_machine(&id, MachineChange::Move, |record| record.hold = None);
+                    self.write_machine(&id, MachineChange::Move, |record| record.cordon = None);
                 }
             }
         }
@@ -78,9 +78,9 @@
     fn machines_to_move(&self) -> BTreeMap<u32, Leaving> {
         let mut leaving: BTreeMap<u32, Leaving> = BTreeMap::new();
         for (id, held) in &self.store.replica.machines {
-            let Some(Hold::Move(to)) = held.value.hold else { continue };
+            let Some(CordonReason::MoveToShard(to)) = held.value.cordon else { continue };
             // From the hold's revision on the replica shows every start that others recorded there.
-            let visible = self.store.replica.applied.0 >= held.version;
+            let visible = self.store.replica.applied_revision.0 >= held.version;
             let writing = self.fleet.machines.get(id).is_some_and(|m| m.writing);
             if !visible || writing || self.autoscaling.leader.deleting.contains(id) {
                 continue;
@@ -108,7 +108,7 @@
         let mut ids = Vec::new();
         for (id, to) in moves {
             let Some(held) = self.store.replica.machines.get(&id) else { continue };
-            let record = MachineRecord { shard: to, fencing_token, hold: None, ..held.value.clone() };
+            let record = MachineRecord { shard: to, fencing_token, cordon: None, ..held.value.clone() };
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
             self.fleet.machines.entry(id.clone()).or_default().writing = true;
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -66,7 +66,7 @@
             return Registration::Known;
         }
         let deleted = self.autoscaling.leader.deleting.contains(id) || self.autoscaling.leader.deleted.contains_key(id);
-        if deleted || self.store.replica.is_gone(id) {
+        if deleted || self.store.replica.is_machine_deleted(id) {
             return Registration::Deleted;
         }
         if self.fleet.machines.get(id).is_some_and(|m| m.registering) {
@@ -83,7 +83,7 @@
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             addr: heartbeat.addr.clone().unwrap_or_default(),
-            hold: None,
+            cordon: None,
         };
         FleetMember { id: heartbeat.machine.clone(), record }
     }
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -100,8 +100,8 @@
         if !self.jobs.audit.admits(now) {
             return;
         }
-        let revision = self.store.replica.applied.0;
-        let cancelled_at = self.store.replica.ends.get(job).map_or(0, |end| end.version);
+        let revision = self.store.replica.applied_revision.0;
+        let cancelled_at = self.store.replica.outcomes.get(job).map_or(0, |end| end.version);
         tracing::info!(%job, ?by, revision, cancelled_at, left, store_silence_ms = self.store_silence_ms(), "cancelled, told");
     }
 
@@ -111,7 +111,7 @@
         if self.outcome(job) != Some(Outcome::Cancelled) || !self.jobs.audit.admits(now) {
             return;
         }
-        let revision = self.store.replica.applied.0;
+        let revision = self.store.replica.applied_revision.0;
         tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task proven gone");
     }
 
@@ -127,7 +127,8 @@
             let Some(job) = self.jobs.by_id.get(id).filter(|job| job.live.occupying() > 0) else { continue };
             tasks += job.live.occupying();
             stops_waiting += job.live.values().filter(|start| start.phase() == Phase::Recorded && start.sent).count();
-            let age = self.store.replica.ends.get(id).map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
+            let age =
+                self.store.replica.outcomes.get(id).map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
             oldest = oldest.max(age);
         }
         let left_out = std::mem::take(&mut self.jobs.audit.left_out);
@@ -143,7 +144,7 @@
             late_deletions = self.jobs.audit.late_deletions,
             added_stops = self.jobs.audit.added_stops,
             left_out,
-            revision = self.store.replica.applied.0,
+            revision = self.store.replica.applied_revision.0,
             store_silence_ms = self.store_silence_ms(),
             "cancelled tasks not proven gone"
         );
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -14,7 +14,7 @@
 use crate::coordination::{Controller, Effect, UserAnswer, Waiter};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
-use crate::storage::schema::{EndRecord, Key, Role, to_value};
+use crate::storage::schema::{Key, OutcomeRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -58,7 +58,7 @@
 
 impl Controller {
     fn acknowledgement(&self, id: &JobId) -> Acknowledgement {
-        let Some(end) = self.store.replica.ends.get(id) else {
+        let Some(end) = self.store.replica.outcomes.get(id) else {
             // Over because a job that it needs was cancelled: nothing of it was ever started.
             return match self.jobs.cascaded.contains(id) {
                 true => Acknowledgement::Sure(AcknowledgedBy::Cascade),
@@ -70,12 +70,12 @@
         }
         // Who holds the shard is only known as of what was read. A holder from before the cancellation
         // may have a successor by now, and a start may be in the stored records that is not seen here yet.
-        if self.store.replica.applied.0 < end.version {
+        if self.store.replica.applied_revision.0 < end.version {
             return Acknowledgement::Stale;
         }
         // Starts are recorded under the condition that the job isn't over, and leave the stored records only when
         // proven gone: without any nothing runs, nor will.
-        if !self.store.replica.has_starts(id) {
+        if !self.store.replica.has_recorded_attempts(id) {
             return Acknowledgement::Sure(AcknowledgedBy::NoStarts);
         }
         let Some(job) = self.jobs.by_id.get(id) else { return Acknowledgement::Stale };
@@ -172,7 +172,7 @@
 
     fn notify_holder(&mut self, shard: u32, holder: String, fencing_token: FencingToken, ids: Vec<JobId>) {
         let told = |id: &JobId| {
-            let end = self.store.replica.ends.get(id)?;
+            let end = self.store.replica.outcomes.get(id)?;
             Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
         };
         let jobs: Vec<CancelledJob> = ids.iter().filter_map(told).collect();
@@ -192,7 +192,7 @@
             self.jobs.cancellations.confirmed.extend(ids);
             if self.jobs.cancellations.confirmed.len() > PRUNE_AT {
                 let replica = &self.store.replica;
-                self.jobs.cancellations.confirmed.retain(|id| replica.has_starts(id));
+                self.jobs.cancellations.confirmed.retain(|id| replica.has_recorded_attempts(id));
             }
             return;
         }
@@ -219,9 +219,9 @@
         let mut changes = Vec::new();
         for job in message.jobs.iter().filter(|job| valid_id(&job.id)) {
             let id = JobId::new(&job.id);
-            if !self.store.replica.ends.contains_key(&id) {
-                let end = to_value(&EndRecord::cancelled(Micros(job.at)));
-                changes.push(self.store.replica.apply(&Key::End(id).to_string(), Some(&end), job.revision));
+            if !self.store.replica.outcomes.contains_key(&id) {
+                let end = to_value(&OutcomeRecord::cancelled(Micros(job.at)));
+                changes.push(self.store.replica.apply(&Key::Outcome(id).to_string(), Some(&end), job.revision));
             }
         }
         self.changed(changes);
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -10,7 +10,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{JobSpec, Priority};
-use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
+use crate::storage::schema::{JobRecord, Key, Outcome, OutcomeRecord, Role, to_value};
 use crate::types::{JobId, Micros};
 
 /// Bytes of a run chunk besides its starts and ranges: field names, attempts so far, and the write's number.
@@ -29,7 +29,7 @@
 impl Controller {
     /// What became of a job, whether its own key says so or that of one it needs.
     pub(crate) fn outcome(&self, id: &JobId) -> Option<Outcome> {
-        let written = self.store.replica.ends.get(id).map(|e| e.value.outcome);
+        let written = self.store.replica.outcomes.get(id).map(|e| e.value.outcome);
         written.or_else(|| self.jobs.cascaded.contains(id).then_some(Outcome::Cancelled))
     }
 
@@ -37,7 +37,7 @@
     pub(crate) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
         spec.depends_on
             .iter()
-            .all(|id| self.store.replica.jobs.contains_key(id) || self.store.replica.ends.contains_key(id))
+            .all(|id| self.store.replica.jobs.contains_key(id) || self.store.replica.outcomes.contains_key(id))
     }
 
     /// How long a job takes once it is ready, for those that have to be done before it. Estimates are often wrong by
@@ -98,7 +98,7 @@
 
     /// A job that waits for a cancelled one is over.
     fn cascade(&mut self, id: &JobId) {
-        if self.store.replica.ends.contains_key(id) {
+        if self.store.replica.outcomes.contains_key(id) {
             return;
         }
         if let Some(job) = self.jobs.by_id.get_mut(id) {
@@ -111,7 +111,7 @@
     pub(crate) fn job_over(&mut self, id: &JobId) {
         let mut open = vec![id.clone()];
         while let Some(id) = open.pop() {
-            if self.store.replica.ends.contains_key(&id) {
+            if self.store.replica.outcomes.contains_key(&id) {
                 self.jobs.cascaded.remove(&id);
             }
             let Some(outcome) = self.outcome(&id) else { continue };
@@ -151,8 +151,8 @@
         }
         let mut proposal = ProposedTxn::default();
         for id in &ids {
-            proposal.unchanged(&self.store.replica, Key::End(id.clone()));
-            proposal.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
+            proposal.unchanged(&self.store.replica, Key::Outcome(id.clone()));
+            proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
         }
         self.submit_txn(proposal, Purpose::Cascade);
     }
@@ -161,10 +161,10 @@
     /// ends leaves a range at most, which is shorter.
     pub(crate) fn chunk_has_room(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
         let tasks = chunk * self.store.chunk_tasks..(chunk + 1).saturating_mul(self.store.chunk_tasks);
-        let stored = self.store.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
+        let stored = self.store.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
         let (mut starts, mut longest_start) = (0, 0);
         // One that is decided gets one of the next attempts.
-        let attempts = stored.map_or(0, |c| c.value.attempts) + u64::from(self.store.chunk_tasks);
+        let attempts = stored.map_or(0, |c| c.value.last_attempt) + u64::from(self.store.chunk_tasks);
         for (task, live) in job.live.range(tasks) {
             let numbers = digits(u64::from(task)) + digits(live.attempt.max(attempts)) + digits(live.incarnation);
             let size = START_BYTES + numbers + live.machine().as_str().len();
@@ -173,7 +173,7 @@
         }
         let index_digits = digits(u64::from(job.spec.tasks));
         let next_start = longest_start.max(START_BYTES + index_digits + digits(attempts) + MACHINE_BYTES);
-        let ranges = stored.map_or(0, |c| c.value.done.len());
+        let ranges = stored.map_or(0, |c| c.value.done_ranges.len());
         let size = CHUNK_BYTES + starts + next_start + ranges * (RANGE_BYTES + 2 * index_digits);
         size <= self.platform.deployment.store.value_bytes()
     }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -57,7 +57,7 @@
     fn new(id: &JobId, record: &JobRecord, shard: u32) -> Job {
         Job {
             spec: Arc::new(record.spec.clone()),
-            accepted: record.accepted,
+            accepted: record.accepted_at,
             resources: record.spec.resources(),
             shard,
             live: JobStarts::new(id.clone(), &record.spec),
@@ -74,7 +74,7 @@
             recorded: true,
             preempting_until: Micros::ZERO,
             held: false,
-            ready: record.accepted,
+            ready: record.accepted_at,
             urgency: record.urgency(),
             blocked: false,
             too_large_until: Micros::ZERO,
@@ -161,7 +161,7 @@
 
     /// Starts of some tasks that are gone from their chunk, or never got there, vanish; says on which machines.
     fn drop_vanished_starts(&mut self, chunk: &RunChunk, tasks: Range<u32>, usage: &mut Usage) -> Vec<MachineId> {
-        let recorded = chunk.starts_by_task();
+        let recorded = chunk.attempts_by_task();
         let on_its_way = |live: &Start| self.locked && live.phase() == Phase::Decided;
         let vanished = |task: u32, live: &Start| match recorded.get(&task) {
             Some(start) => start.attempt != live.attempt || start.machine != *live.machine(),
@@ -182,17 +182,17 @@
     /// Brings what is to be started in line with a chunk. `known`: whether the records name a task.
     fn follow_progress(&mut self, chunk: &RunChunk, tasks: Range<u32>, known: impl Fn(u32) -> bool) {
         self.done_unrecorded.retain(|t| !tasks.contains(t) || !chunk.is_done(*t));
-        let highest = self.fresh_from.max(chunk.next_fresh());
+        let highest = self.fresh_from.max(chunk.first_unstarted_task());
         self.redo.extend((self.fresh_from..highest).filter(|task| !known(*task)));
         self.fresh_from = highest;
-        let started = chunk.starts_by_task();
+        let started = chunk.attempts_by_task();
         self.redo.retain(|t| !tasks.contains(t) || !(started.contains_key(t) || chunk.is_done(*t)));
     }
 
     /// Starts that a chunk names are recorded; says on which machines that is news.
     fn take_recorded_starts(&mut self, chunk: &RunChunk, usage: &mut Usage) -> Vec<MachineId> {
         let mut machines = Vec::new();
-        for start in &chunk.starts {
+        for start in &chunk.task_attempts {
             match self.live.get(start.task).map(Start::phase) {
                 Some(Phase::Decided) => self.live.set_phase(start.task, Phase::Recorded, usage),
                 Some(_) => continue,
@@ -234,7 +234,7 @@
         if !self.job_known(id) {
             return;
         }
-        let chunks: BTreeSet<u32> = match (self.jobs.by_id.get(id), self.store.replica.runs.get(id)) {
+        let chunks: BTreeSet<u32> = match (self.jobs.by_id.get(id), self.store.replica.run_chunks.get(id)) {
             (Some(job), runs) => {
                 let live = job.live.iter().map(|(task, _)| task / self.store.chunk_tasks);
                 live.chain(runs.into_iter().flat_map(|r| r.keys().copied())).collect()
@@ -257,10 +257,10 @@
 
     /// Whether there is such a job; notes what became of it.
     fn job_known(&mut self, id: &JobId) -> bool {
-        let over = self.store.replica.ends.get(id).map(|e| e.value.outcome);
+        let over = self.store.replica.outcomes.get(id).map(|e| e.value.outcome);
         if !self.jobs.by_id.contains_key(id) {
             // Over with nothing left of it: its batch alone still names it.
-            if over.is_some() && !self.store.replica.runs.contains_key(id) {
+            if over.is_some() && !self.store.replica.run_chunks.contains_key(id) {
                 return false;
             }
             let Some(known) = self.store.replica.jobs.get(id) else { return false };
@@ -295,9 +295,9 @@
     }
 
     fn forget_if_over(&mut self, id: &JobId) {
-        let recorded = self.store.replica.runs.contains_key(id);
+        let recorded = self.store.replica.run_chunks.contains_key(id);
         // One that is over because another was cancelled is known by its entry here until that is written down.
-        let ended = self.store.replica.ends.contains_key(id);
+        let ended = self.store.replica.outcomes.contains_key(id);
         let done_with = |job: &Job| (ended && job.over.is_some() || !job.recorded) && !recorded;
         if self.jobs.by_id.get(id).is_some_and(|job| done_with(job) && job.live.is_empty() && !job.locked) {
             self.jobs.by_id.remove(id);
@@ -311,13 +311,13 @@
         let size = self.store.chunk_tasks;
         let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let empty = BTreeMap::new();
-        let chunks = self.store.replica.runs.get(id).unwrap_or(&empty);
+        let chunks = self.store.replica.run_chunks.get(id).unwrap_or(&empty);
         let none = RunChunk::default();
         let chunk = chunks.get(&number).map_or(&none, |c| &c.value);
         let tasks = number * size..(number + 1).saturating_mul(size);
         job.done = chunks.values().map(|c| c.value.done_count()).sum();
         let mut touched = job.drop_vanished_starts(chunk, tasks.clone(), &mut self.jobs.usage);
-        let known = |task: u32| chunks.get(&(task / size)).is_some_and(|c| c.value.names(task));
+        let known = |task: u32| chunks.get(&(task / size)).is_some_and(|c| c.value.mentions(task));
         job.follow_progress(chunk, tasks.clone(), known);
         touched.extend(job.take_recorded_starts(chunk, &mut self.jobs.usage));
         // A machine without a record was deleted: nothing is on it.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -196,8 +196,8 @@
                 }
                 Change::Machines(ids) => ids.iter().for_each(|id| self.machine_changed(id)),
                 Change::Jobs(ids) => ids.iter().for_each(|id| self.job_changed(id)),
-                Change::Run(id, chunk) => self.run_changed(&id, chunk),
-                Change::End(id) => {
+                Change::RunChunk(id, chunk) => self.run_changed(&id, chunk),
+                Change::Outcome(id) => {
                     self.job_changed(&id);
                     self.job_over(&id);
                 }
--- a/src/coordination/scheduling/reclaim.rs
+++ b/src/coordination/scheduling/reclaim.rs
@@ -8,7 +8,7 @@
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::capacity::{Slot, Unmet, fit};
 use crate::protocol::user::Priority;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
         for (id, to) in asked {
             tracing::debug!(machine = %id, to, "asked back for more urgent work");
             self.autoscaling.leader.reclaimed.insert(id.clone(), now);
-            self.set_hold_of(&id, Hold::Move(to));
+            self.set_hold_of(&id, CordonReason::MoveToShard(to));
         }
     }
 
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -137,7 +137,7 @@
             .replica
             .machines
             .iter()
-            .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
+            .filter(|(_, r)| r.value.shard == shard && r.value.cordon.is_none())
             .filter(|(id, r)| !self.is_cleared(id) && self.zone_takes_work(&r.value.zone))
             .filter_map(|(id, record)| {
                 let machine = self.fleet.machines.get(id)?;
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -22,19 +22,19 @@
         self.note_unnamed();
         let most = self.platform.deployment.store.ops();
         let replica = &self.store.replica;
-        let over = |id: &JobId| replica.ends.contains_key(id) && !replica.runs.contains_key(id);
+        let over = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
         let batches = replica.batches.iter().filter(|(_, b)| b.value.iter().all(over));
-        let fleets = replica.fleets.iter().filter(|(_, f)| f.value.iter().all(|m| replica.is_gone(&m.id)));
+        let fleets = replica.fleets.iter().filter(|(_, f)| f.value.iter().all(|m| replica.is_machine_deleted(&m.id)));
         let unnamed = self.autoscaling.leader.unnamed.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
         let pieces = unnamed.flat_map(|(name, _)| {
-            let numbers = replica.pieces.get(name).into_iter().flat_map(|p| p.keys());
+            let numbers = replica.dependency_list_parts.get(name).into_iter().flat_map(|p| p.keys());
             numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
         });
         // A note about a machine may go only once no fleet brings the machine back.
         let keys: Vec<Key> = batches
             .map(|(name, _)| Key::Batch(name.clone()))
             .chain(fleets.map(|(name, _)| Key::Fleet(name.clone())))
-            .chain(replica.needless_notes().map(|id| Key::Machine(id.clone())))
+            .chain(replica.unreferenced_deleted_machines().map(|id| Key::Machine(id.clone())))
             .chain(pieces)
             .take(most)
             .collect();
@@ -52,13 +52,15 @@
 
     /// Lists whose submission came to nothing, or whose job is over and gone.
     fn note_unnamed(&mut self) {
-        if self.store.replica.pieces.is_empty() {
+        if self.store.replica.dependency_list_parts.is_empty() {
             return self.autoscaling.leader.unnamed.clear();
         }
         let now = self.now();
         let jobs = self.store.replica.jobs.values();
-        let named: BTreeSet<&String> = jobs.filter_map(|j| j.record.pieces.as_ref().map(|(name, _)| name)).collect();
-        let unnamed: Vec<String> = self.store.replica.pieces.keys().filter(|n| !named.contains(n)).cloned().collect();
+        let named: BTreeSet<&String> =
+            jobs.filter_map(|j| j.record.dependency_list_parts.as_ref().map(|parts| &parts.name)).collect();
+        let unnamed: Vec<String> =
+            self.store.replica.dependency_list_parts.keys().filter(|n| !named.contains(n)).cloned().collect();
         self.autoscaling.leader.unnamed.retain(|name, _| unnamed.contains(name));
         for name in unnamed {
             self.autoscaling.leader.unnamed.entry(name).or_insert(now);
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -65,7 +65,7 @@
         let ticket = self.next_ticket();
         self.store.sync.in_flight = Some(ticket);
         let call = if self.store.sync.catching_up {
-            let after = self.store.replica.applied.0;
+            let after = self.store.replica.applied_revision.0;
             StoreCall::Changes { ticket, kind: ReadKind::Fresh, after, wait_ms: 0 }
         } else {
             StoreCall::Page { ticket, after: self.store.sync.after.clone() }
@@ -75,7 +75,7 @@
 
     fn begin_read(&mut self, kind: ReadKind, wait_ms: u64) -> InFlight {
         let (ticket, begun) = (self.next_ticket(), self.store.order.tick());
-        let after = self.store.replica.applied.0;
+        let after = self.store.replica.applied_revision.0;
         self.out.push(Effect::Store(StoreCall::Changes { ticket, kind, after, wait_ms }));
         InFlight { ticket, begun }
     }
@@ -114,7 +114,7 @@
             self.store.sync.after = Some(last.key.clone());
         } else {
             // Later pages may be newer than the first.
-            self.store.replica.applied = first;
+            self.store.replica.applied_revision = first;
             self.store.sync.catching_up = true;
         }
         self.read_on();
@@ -137,7 +137,7 @@
         self.store.sync.done = true;
         self.store.synced_at = self.now();
         tracing::info!(
-            revision = self.store.replica.applied.0,
+            revision = self.store.replica.applied_revision.0,
             jobs = self.store.replica.jobs.len(),
             "stored records read"
         );
@@ -145,7 +145,8 @@
         for id in machines {
             self.machine_changed(&id);
         }
-        let mut jobs: Vec<_> = self.store.replica.jobs.keys().chain(self.store.replica.runs.keys()).cloned().collect();
+        let mut jobs: Vec<_> =
+            self.store.replica.jobs.keys().chain(self.store.replica.run_chunks.keys()).cloned().collect();
         jobs.sort_unstable();
         jobs.dedup();
         for id in jobs {
@@ -212,7 +213,7 @@
     fn take_changes(&mut self, begun: LogicalTime, changes: &Changes) {
         let revision = Revision(changes.revision);
         let changed = self.store.replica.advance(&changes.events, revision);
-        self.api.submissions.reached(self.store.replica.applied);
+        self.api.submissions.reached(self.store.replica.applied_revision);
         self.changed(changed);
         self.txns_read();
         self.read_proves(&Evidence::new(begun, revision));
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -11,7 +11,7 @@
 use crate::protocol::user::Kind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
-use crate::storage::schema::{EndRecord, Key, Role, RunChunk, StartRecord, to_value};
+use crate::storage::schema::{Key, OutcomeRecord, Role, RunChunk, TaskAttemptRecord, to_value};
 use crate::storage::{Replica, Versioned};
 use crate::types::{JobId, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -102,16 +102,16 @@
     fn add_start(&mut self, task: u32, live: &Start, gang_attempt: Option<u64>) -> u64 {
         self.machines.insert(live.machine().clone());
         let chunk = self.chunk_of(task);
-        let attempt = gang_attempt.unwrap_or(chunk.attempts + 1);
-        chunk.attempts = attempt;
+        let attempt = gang_attempt.unwrap_or(chunk.last_attempt + 1);
+        chunk.last_attempt = attempt;
         let machine = live.machine().clone();
-        chunk.starts.push(StartRecord { task, attempt, machine, incarnation: live.incarnation });
+        chunk.task_attempts.push(TaskAttemptRecord { task, attempt, machine, incarnation: live.incarnation });
         attempt
     }
 
     fn remove_start(&mut self, task: u32, done: bool) {
         let chunk = self.chunk_of(task);
-        chunk.starts.retain(|start| start.task != task);
+        chunk.task_attempts.retain(|start| start.task != task);
         if done {
             chunk.mark_done(task);
         }
@@ -127,8 +127,8 @@
         self.after().map(RunChunk::done_count).sum()
     }
 
-    fn has_starts(&self) -> bool {
-        self.after().any(|chunk| !chunk.starts.is_empty())
+    fn has_recorded_attempts(&self) -> bool {
+        self.after().any(|chunk| !chunk.task_attempts.is_empty())
     }
 
     /// Leaves out chunks that are larger than may be written: those from under a larger limit, or with more done in
@@ -144,12 +144,12 @@
     fn clear(&self, replica: &Replica, id: &JobId, proposal: &mut ProposedTxn) {
         let writes_left = self.limits.writes - proposal.txn.writes.len();
         for number in self.stored.keys().take(writes_left) {
-            proposal.unchanged(replica, Key::Run(id.clone(), *number));
-            proposal.delete(Key::Run(id.clone(), *number));
+            proposal.unchanged(replica, Key::RunChunk(id.clone(), *number));
+            proposal.delete(Key::RunChunk(id.clone(), *number));
         }
     }
 
-    fn write(self, replica: &Replica, id: &JobId, writer: u64, proposal: &mut ProposedTxn) {
+    fn write(self, replica: &Replica, id: &JobId, write_id: u64, proposal: &mut ProposedTxn) {
         match self.guard {
             MachineGuard::Leadership if !self.machines.is_empty() => {
                 proposal.unchanged(replica, Key::Role(Role::Leader));
@@ -162,9 +162,9 @@
             }
         }
         for (number, mut chunk) in self.chunks {
-            chunk.writer = writer;
-            proposal.unchanged(replica, Key::Run(id.clone(), number));
-            proposal.put(Key::Run(id.clone(), number), to_value(&chunk));
+            chunk.write_id = write_id;
+            proposal.unchanged(replica, Key::RunChunk(id.clone(), number));
+            proposal.put(Key::RunChunk(id.clone(), number), to_value(&chunk));
         }
     }
 }
@@ -191,7 +191,7 @@
     /// Puts changes of these tasks into words. Says which starts can't be recorded: their machines have been put on
     /// hold or have left the shard since, the job is over, or no more machines fit.
     fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
-        let highest = changes.stored.values().map(|c| c.value.attempts).max().unwrap_or(0);
+        let highest = changes.stored.values().map(|c| c.value.last_attempt).max().unwrap_or(0);
         let gang_attempt = (self.spec.kind == Kind::Gang).then_some(highest + 1);
         let gang_done = self.gang_done();
         let mut dropped = Vec::new();
@@ -205,7 +205,7 @@
                 continue;
             }
             let machine = replica.machines.get(live.machine());
-            let usable = machine.is_some_and(|m| m.value.hold.is_none() && m.value.shard == self.shard);
+            let usable = machine.is_some_and(|m| m.value.cordon.is_none() && m.value.shard == self.shard);
             if !usable || self.over.is_some() || !changes.admits_machine(task, live.machine()) {
                 dropped.push(task);
                 continue;
@@ -332,7 +332,7 @@
 
     /// The part of a transaction that brings one job's records up to date. Locks the job.
     fn job_part(&mut self, id: &JobId, role: Role, limits: TxnLimits) -> ProposedTxn {
-        let writer = self.nonce();
+        let write_id = self.nonce();
         let now = self.now();
         let progress_patience = Micros::from_millis(self.policy.progress_patience_ms);
         let leaves_moves = leader_delegates_moves(&self.store.replica, self.record_version());
@@ -342,7 +342,7 @@
         job.locked = true;
         job.dirty_since = None;
         let none = BTreeMap::new();
-        let stored = self.store.replica.runs.get(id).unwrap_or(&none);
+        let stored = self.store.replica.run_chunks.get(id).unwrap_or(&none);
         let mut changes = ChunkChanges::new(stored, self.store.chunk_tasks, limits, guard);
         let tasks = job.tasks_to_record(now, self.store.chunk_tasks, progress_patience);
         for task in job.change_chunks(tasks, &self.store.replica, &mut changes) {
@@ -353,15 +353,15 @@
             job.dirty_since = Some(Micros::ZERO);
         }
         proposal.unchanged(&self.store.replica, Key::Role(role));
-        let end = Key::End(id.clone());
+        let end = Key::Outcome(id.clone());
         if job.over.is_none() {
             proposal.unchanged(&self.store.replica, end.clone());
         }
         let finishes = job.over.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
         if finishes {
-            proposal.put(end, to_value(&EndRecord::done()));
+            proposal.put(end, to_value(&OutcomeRecord::done()));
         }
-        if (finishes || job.over.is_some()) && !changes.has_starts() && !changes.left_over {
+        if (finishes || job.over.is_some()) && !changes.has_recorded_attempts() && !changes.left_over {
             // Over and nothing left of it: clear away. The outcome stays, and so does the job's
             // entry in its batch until all of that are over.
             changes.clear(&self.store.replica, id, &mut proposal);
@@ -376,7 +376,7 @@
                 return ProposedTxn::default();
             }
         }
-        changes.write(&self.store.replica, id, writer, &mut proposal);
+        changes.write(&self.store.replica, id, write_id, &mut proposal);
         proposal
     }
 }
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -320,7 +320,7 @@
 
     /// Settles conflicts that the replica has caught up with.
     pub(crate) fn txns_read(&mut self) {
-        let applied = self.store.replica.applied.0;
+        let applied = self.store.replica.applied_revision.0;
         let reached = |pending: &Pending| match pending.stage {
             Stage::Reading(revision) if revision <= applied => Some(Revision(revision)),
             _ => None,
@@ -340,10 +340,10 @@
     /// earlier counts. A commit that the replica has passed already is in it, with
     /// whatever happened to its keys since.
     fn apply_own(&mut self, txn: &Txn, revision: u64) {
-        if revision <= self.store.replica.applied.0 {
+        if revision <= self.store.replica.applied_revision.0 {
             return;
         }
-        let is_next = revision == self.store.replica.applied.0 + 1;
+        let is_next = revision == self.store.replica.applied_revision.0 + 1;
         let mut changes = Vec::new();
         for write in &txn.writes {
             let (key, value) = match write {
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -9,7 +9,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::protocol::user::Kind;
-use crate::storage::schema::{Hold, Role};
+use crate::storage::schema::{CordonReason, Role};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
@@ -133,7 +133,7 @@
             let services = self.services_on(&id);
             if take_places(&mut places, &services) {
                 tracing::info!(machine = %id, replicas = services.len(), "evacuated: its zone is lost");
-                self.set_hold(&id, Hold::Doomed);
+                self.set_hold(&id, CordonReason::ForceDelete);
                 on_their_way.push(id);
             }
         }
@@ -156,7 +156,8 @@
         let machines = zones.in_condition(Condition::Lost).filter(lost_long).flat_map(|zone| zones.machines(zone));
         let is_due = |id: &&MachineId| {
             let in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
-                record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
+                record.value.shard == shard
+                    && !matches!(record.value.cordon, Some(CordonReason::ForceDelete | CordonReason::Deleted))
             });
             let idle = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
             in_shard && idle && zones.is_silent(id) && self.jobs.usage.serves(id)
@@ -168,12 +169,9 @@
         let zones = &self.zones.zones;
         let machines = zones.in_condition(Condition::Lost).flat_map(|zone| zones.machines(zone));
         let is_on_its_way = |id: &&MachineId| {
-            let doomed = self
-                .store
-                .replica
-                .machines
-                .get(*id)
-                .is_some_and(|record| record.value.shard == shard && record.value.hold == Some(Hold::Doomed));
+            let doomed = self.store.replica.machines.get(*id).is_some_and(|record| {
+                record.value.shard == shard && record.value.cordon == Some(CordonReason::ForceDelete)
+            });
             doomed
                 || self.fleet.machines.get(*id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
         };
--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,8 +1,7 @@
-//! What is kept in the store, how its keys and values look, and the replica every
-//! controller holds of it.
+//! What is kept in the store: the form of its keys and values, and the replica that every controller holds of it.
 
 pub mod replica;
 pub mod schema;
 
 pub use replica::{Change, Replica, Versioned};
-pub use schema::{Key, MachineRecord, Outcome, Role, RoleRecord, RunChunk, StartRecord};
+pub use schema::{Key, MachineRecord, Outcome, Role, RoleRecord, RunChunk, TaskAttemptRecord};
--- /dev/null
+++ b/src/storage/replica/apply.rs
@@ -0,0 +1,205 @@
+//! Changes of the store, applied to the replica.
+
+use super::{Change, KnownJob, Replica, Versioned, is_deleted};
+use crate::protocol::store::Event;
+use crate::storage::schema::{BatchMember, FleetMember, JobRecord, Key, from_value};
+use crate::types::{JobId, MachineId, Revision};
+use ciborium::Value;
+use std::collections::BTreeMap;
+
+/// Puts or removes one entry of a map.
+fn replace<K: Ord, T>(map: &mut BTreeMap<K, Versioned<T>>, key: K, value: Option<T>, version: u64) {
+    match value {
+        Some(value) => {
+            map.insert(key, Versioned { value, version });
+        }
+        None => {
+            map.remove(&key);
+        }
+    }
+}
+
+impl Replica {
+    /// Applies what the store said happened after some revision at or before `applied_revision`.
+    pub fn advance(&mut self, events: &[Event], revision: Revision) -> Vec<Change> {
+        let mut changes = Vec::new();
+        let applied = self.applied_revision.0;
+        for event in events.iter().filter(|event| event.version > applied) {
+            let change = match (&event.put, &event.delete) {
+                (Some(key), _) => self.apply(key, event.value.as_ref(), event.version),
+                (None, Some(key)) => self.apply(key, None, event.version),
+                (None, None) => Change::Nothing,
+            };
+            if change != Change::Nothing {
+                changes.push(change);
+            }
+        }
+        if revision > self.applied_revision {
+            self.applied_revision = revision;
+            self.deleted_ahead.retain(|_, version| *version > revision.0);
+        }
+        changes
+    }
+
+    /// Puts or removes one key as of `version`; a change older than what is held is ignored.
+    pub fn apply(&mut self, key: &str, value: Option<&Value>, version: u64) -> Change {
+        let Some(key) = Key::parse(key) else { return Change::Nothing };
+        let deleted_at = self.deleted_ahead.get(&key).copied().unwrap_or(0);
+        if version <= self.version(&key).max(deleted_at) {
+            return Change::Nothing;
+        }
+        if value.is_none() && version > self.applied_revision.0 {
+            self.deleted_ahead.insert(key.clone(), version);
+        }
+        self.apply_to_key(key, value, version)
+    }
+
+    fn apply_to_key(&mut self, key: Key, value: Option<&Value>, version: u64) -> Change {
+        match key {
+            Key::FencingToken => {
+                self.fencing_token = value.and_then(from_value).map(|value| Versioned { value, version });
+                Change::Nothing
+            }
+            Key::Role(role) => {
+                replace(&mut self.roles, role, value.and_then(from_value), version);
+                Change::Role(role)
+            }
+            Key::Node(label) => {
+                replace(&mut self.nodes, label.clone(), value.and_then(from_value), version);
+                Change::Node(label)
+            }
+            Key::Fleet(name) => self.apply_fleet(name, value, version),
+            Key::Machine(id) => self.apply_machine(id, value, version),
+            Key::Batch(name) => self.apply_batch(name, value, version),
+            Key::RunChunk(id, chunk) => self.apply_run_chunk(id, chunk, value, version),
+            Key::DependencyListPart(name, number) => self.apply_dependency_list_part(name, number, value, version),
+            Key::Zone(zone, shard) => {
+                replace(&mut self.zones, (zone.clone(), shard), value.map(from_value), version);
+                Change::Zone(zone, shard)
+            }
+            Key::ZoneHold(zone) => {
+                replace(&mut self.zone_holds, zone.clone(), value.map(from_value), version);
+                Change::ZoneHold(zone)
+            }
+            Key::Outcome(id) => self.apply_outcome(id, value, version),
+        }
+    }
+
+    fn apply_machine(&mut self, id: MachineId, value: Option<&Value>, version: u64) -> Change {
+        replace(&mut self.own_machines, id.clone(), value.and_then(from_value), version);
+        self.resolve_machine(&id);
+        Change::Machines(vec![id])
+    }
+
+    fn apply_fleet(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
+        let before = self.fleets.get(&name).map(|fleet| fleet.value.clone()).unwrap_or_default();
+        let now: Option<Vec<FleetMember>> = value.and_then(from_value);
+        let members = before.into_iter().chain(now.iter().flatten().cloned());
+        let mut ids: Vec<MachineId> = members.map(|member| member.id).collect();
+        ids.dedup();
+        self.fleet_of.retain(|_, fleet| *fleet != name);
+        for member in now.iter().flatten() {
+            self.fleet_of.insert(member.id.clone(), name.clone());
+        }
+        replace(&mut self.fleets, name, now, version);
+        for id in &ids {
+            self.resolve_machine(id);
+        }
+        Change::Machines(ids)
+    }
+
+    /// Works out how a machine stands: its own key precedes its fleet's.
+    fn resolve_machine(&mut self, id: &MachineId) {
+        let of_fleet = || {
+            let fleet = self.fleets.get(self.fleet_of.get(id)?)?;
+            let member = fleet.value.iter().find(|member| member.id == *id)?;
+            Some(Versioned { value: member.record.clone(), version: 0 })
+        };
+        match self.own_machines.get(id).cloned().or_else(of_fleet) {
+            Some(machine) if !is_deleted(&machine.value) => {
+                self.machines.insert(id.clone(), machine);
+            }
+            _ => {
+                self.machines.remove(id);
+            }
+        }
+    }
+
+    fn apply_batch(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
+        let now: Option<Vec<BatchMember>> = value.and_then(from_value);
+        let mut touched = self.remove_jobs_of_batch(&name);
+        let mut member_ids = Vec::new();
+        for member in now.iter().flatten() {
+            member_ids.push(member.id.clone());
+            // Two controllers may take the same submission at once: the first counts, in whatever order the two are
+            // read.
+            let known = self.jobs.get(&member.id);
+            if known.is_some_and(|known| (known.version, &known.batch) < (version, &name)) {
+                continue;
+            }
+            let record = self.with_listed_dependencies(&member.record);
+            self.jobs.insert(member.id.clone(), KnownJob { record, batch: name.clone(), version });
+            touched.push(member.id.clone());
+        }
+        replace(&mut self.batches, name, now.map(|_| member_ids), version);
+        Change::Jobs(touched)
+    }
+
+    /// Forgets the jobs that are known from a batch; says which.
+    fn remove_jobs_of_batch(&mut self, name: &str) -> Vec<JobId> {
+        let mut ids = self.batches.get(name).map(|batch| batch.value.clone()).unwrap_or_default();
+        ids.retain(|id| self.jobs.get(id).is_some_and(|known| known.batch == name));
+        for id in &ids {
+            self.jobs.remove(id);
+        }
+        ids
+    }
+
+    /// A job's record with all that it depends on. The parts of the list were stored before it.
+    fn with_listed_dependencies(&self, record: &JobRecord) -> JobRecord {
+        let mut record = record.clone();
+        if let Some(parts) = &record.dependency_list_parts {
+            record.spec.depends_on.extend(self.listed_dependencies(&parts.name));
+        }
+        record
+    }
+
+    /// Gives jobs those parts of their lists that were read after their batches: pages are read at different times.
+    pub fn complete_dependency_lists(&mut self) {
+        let list_of = |known: &KnownJob| known.record.dependency_list_parts.as_ref().map(|parts| parts.name.clone());
+        let jobs: Vec<(JobId, String)> =
+            self.jobs.iter().filter_map(|(id, known)| Some((id.clone(), list_of(known)?))).collect();
+        for (id, list) in jobs {
+            let depends_on = self.listed_dependencies(&list).collect();
+            if let Some(known) = self.jobs.get_mut(&id) {
+                known.record.spec.depends_on = depends_on;
+            }
+        }
+    }
+
+    fn apply_run_chunk(&mut self, id: JobId, chunk: u32, value: Option<&Value>, version: u64) -> Change {
+        let chunks = self.run_chunks.entry(id.clone()).or_default();
+        replace(chunks, chunk, value.and_then(from_value), version);
+        if chunks.is_empty() {
+            self.run_chunks.remove(&id);
+        }
+        Change::RunChunk(id, chunk)
+    }
+
+    fn apply_dependency_list_part(&mut self, name: String, number: u32, value: Option<&Value>, version: u64) -> Change {
+        let parts = self.dependency_list_parts.entry(name.clone()).or_default();
+        replace(parts, number, value.and_then(from_value), version);
+        if parts.is_empty() {
+            self.dependency_list_parts.remove(&name);
+        }
+        Change::Nothing
+    }
+
+    /// An outcome is written once and never removed.
+    fn apply_outcome(&mut self, id: JobId, value: Option<&Value>, version: u64) -> Change {
+        if let Some(value) = value.and_then(from_value) {
+            self.outcomes.insert(id.clone(), Versioned { value, version });
+        }
+        Change::Outcome(id)
+    }
+}
--- /dev/null
+++ b/src/storage/schema/keys.rs
@@ -0,0 +1,87 @@
+//! Keys in the store, and their text forms.
+
+use super::Role;
+use crate::types::{JobId, MachineId};
+use std::fmt;
+
+/// Prefix of all keys, so that one watch sees all changes in one order.
+pub const ROOT: &str = "bh/";
+
+/// A key in the store.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Key {
+    /// The counter of fencing tokens.
+    FencingToken,
+    /// Who holds a role.
+    Role(Role),
+    /// That a controller is alive, by its label.
+    Node(String),
+    /// Machines registered together. Written once; what changes about one of them goes to its own key, which precedes
+    /// this.
+    Fleet(String),
+    /// One machine, as far as it differs from its fleet's entry.
+    Machine(MachineId),
+    /// Jobs accepted together. Written once, removed when all of them are over.
+    Batch(String),
+    /// Task attempts and progress of a job: one chunk of its tasks, by number.
+    RunChunk(JobId, u32),
+    /// What became of a job.
+    Outcome(JobId),
+    /// Jobs that one job depends on, as far as its entry in a batch has no space for them: part of a list, by the
+    /// list's name and the part's number.
+    DependencyListPart(String, u32),
+    /// How a shard's holder finds a zone, by zone and shard. Versions that do not judge zones ignore it.
+    Zone(String, u32),
+    /// Operators hold a zone.
+    ZoneHold(String),
+}
+
+impl fmt::Display for Key {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Key::FencingToken => write!(f, "{ROOT}term"),
+            Key::Role(Role::Leader) => write!(f, "{ROOT}leader"),
+            Key::Role(Role::Shard(k)) => write!(f, "{ROOT}share/{k}"),
+            Key::Node(label) => write!(f, "{ROOT}node/{label}"),
+            Key::Fleet(name) => write!(f, "{ROOT}fleet/{name}"),
+            Key::Machine(id) => write!(f, "{ROOT}machine/{id}"),
+            Key::Batch(name) => write!(f, "{ROOT}batch/{name}"),
+            Key::RunChunk(id, chunk) => write!(f, "{ROOT}run/{id}/{chunk}"),
+            Key::Outcome(id) => write!(f, "{ROOT}end/{id}"),
+            Key::DependencyListPart(name, number) => write!(f, "{ROOT}awaits/{name}/{number}"),
+            Key::Zone(zone, shard) => write!(f, "{ROOT}zone/{zone}/{shard}"),
+            Key::ZoneHold(zone) => write!(f, "{ROOT}zone-hold/{zone}"),
+        }
+    }
+}
+
+impl Key {
+    /// Reads a key as the store has it; nothing if it is none of ours.
+    pub fn parse(text: &str) -> Option<Key> {
+        let rest = text.strip_prefix(ROOT)?;
+        match rest.split_once('/') {
+            None if rest == "term" => Some(Key::FencingToken),
+            None if rest == "leader" => Some(Key::Role(Role::Leader)),
+            Some(("share", k)) => Some(Key::Role(Role::Shard(k.parse().ok()?))),
+            Some(("node", label)) => Some(Key::Node(label.to_string())),
+            Some(("fleet", name)) => Some(Key::Fleet(name.to_string())),
+            Some(("machine", id)) => Some(Key::Machine(MachineId::new(id))),
+            Some(("batch", name)) => Some(Key::Batch(name.to_string())),
+            Some(("end", id)) => Some(Key::Outcome(JobId::new(id))),
+            Some(("awaits", rest)) => {
+                let (name, number) = rest.rsplit_once('/')?;
+                Some(Key::DependencyListPart(name.to_string(), number.parse().ok()?))
+            }
+            Some(("zone", rest)) => {
+                let (zone, shard) = rest.rsplit_once('/')?;
+                Some(Key::Zone(zone.to_string(), shard.parse().ok()?))
+            }
+            Some(("zone-hold", zone)) => Some(Key::ZoneHold(zone.to_string())),
+            Some(("run", rest)) => {
+                let (id, chunk) = rest.rsplit_once('/')?;
+                Some(Key::RunChunk(JobId::new(id), chunk.parse().ok()?))
+            }
+            _ => None,
+        }
+    }
+}
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -8,7 +8,7 @@
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority, Submission};
 use burlhatch::settings::{Platform, Policy};
-use burlhatch::storage::schema::{BatchMember, EndRecord, JobRecord, Key, to_value};
+use burlhatch::storage::schema::{BatchMember, JobRecord, Key, OutcomeRecord, to_value};
 use burlhatch::types::{JobId, Micros};
 use ciborium::Value;
 use std::sync::Arc;
@@ -220,7 +220,7 @@
 
 pub fn batch(jobs: &[(JobId, JobSpec)]) -> Value {
     let member = |(id, spec): &(JobId, JobSpec)| {
-        let record = JobRecord { accepted: Micros(1), pieces: None, spec: spec.clone() };
+        let record = JobRecord { accepted_at: Micros(1), dependency_list_parts: None, spec: spec.clone() };
         BatchMember { id: id.clone(), record }
     };
     to_value(&jobs.iter().map(member).collect::<Vec<_>>())
@@ -235,7 +235,7 @@
 }
 
 pub fn cancelled(id: &JobId, version: u64) -> Event {
-    put(Key::End(id.clone()), to_value(&EndRecord::cancelled(Micros(1))), version)
+    put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(Micros(1))), version)
 }
 
 /// The first put of a transaction, as reads show it once it is carried out.
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -10,7 +10,7 @@
 use burlhatch::protocol::peer::{Cancelled, CancelledJob};
 use burlhatch::protocol::store::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
-use burlhatch::storage::schema::{EndRecord, Key, Outcome, to_value};
+use burlhatch::storage::schema::{Key, Outcome, OutcomeRecord, to_value};
 use burlhatch::types::{JobId, Micros};
 use ciborium::Value;
 use proptest::prelude::*;
@@ -154,8 +154,8 @@
     }
 
     fn end(&mut self, job: u64, outcome: Outcome) {
-        let record = if outcome == Outcome::Done { EndRecord::done() } else { EndRecord::cancelled(Micros(1)) };
-        self.write(Key::End(id(job)), Some(to_value(&record)));
+        let record = if outcome == Outcome::Done { OutcomeRecord::done() } else { OutcomeRecord::cancelled(Micros(1)) };
+        self.write(Key::Outcome(id(job)), Some(to_value(&record)));
         self.ends.insert(job, outcome);
     }
 
@@ -168,7 +168,7 @@
     fn cancellations(&self) -> Vec<CancelledJob> {
         let cancelled = self.ends.iter().filter(|(_, outcome)| **outcome == Outcome::Cancelled);
         let told = cancelled.map(|(job, _)| {
-            let key = Key::End(id(*job)).to_string();
+            let key = Key::Outcome(id(*job)).to_string();
             CancelledJob { id: id(*job).to_string(), at: 1, revision: self.keys[&key].1 }
         });
         told.collect()
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -9,7 +9,7 @@
 use burlhatch::coordination::{Input, ReadOutcome, UserAnswer, UserRequest};
 use burlhatch::protocol::store::{Changes, Event};
 use burlhatch::protocol::user::{JobSpec, JobState};
-use burlhatch::storage::schema::{BatchMember, JobRecord, Key, to_value};
+use burlhatch::storage::schema::{BatchMember, DependencyListParts, JobRecord, Key, to_value};
 use burlhatch::types::{JobId, Micros};
 use controller::{ControllerHarness, FIRST, batch, cancelled, id, item, put, spec, written};
 
@@ -123,7 +123,11 @@
 #[test]
 fn nothing_is_known_before_the_changes_since_the_first_page_are_read() {
     let mut controller = ControllerHarness::new();
-    let mut record = JobRecord { accepted: Micros(1), pieces: Some(("7".into(), 1)), spec: spec(&[]) };
+    let mut record = JobRecord {
+        accepted_at: Micros(1),
+        dependency_list_parts: Some(DependencyListParts { name: "7".into(), count: 1 }),
+        spec: spec(&[]),
+    };
     record.spec.depends_on.clear();
     let member = BatchMember { id: id(2), record };
     controller.answer_page(vec![item(Key::Batch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
@@ -151,5 +155,5 @@
     let cleared = Event { put: None, delete: put.put.clone(), value: None, version: 13 };
     controller.answer_changes(|fresh| !fresh, 13, vec![put, cleared]);
     controller.commit(ticket, 11);
-    assert!(controller.controller.replica().pieces.is_empty(), "it is in the replica again");
+    assert!(controller.controller.replica().dependency_list_parts.is_empty(), "it is in the replica again");
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -8,7 +8,7 @@
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
 use burlhatch::protocol::worker::ExitCause;
 use burlhatch::storage::Replica;
-use burlhatch::storage::schema::{Key, Outcome, RunChunk, StartRecord, to_value};
+use burlhatch::storage::schema::{Key, Outcome, RunChunk, TaskAttemptRecord, to_value};
 use burlhatch::transport::limits::{Bucket, Class};
 use burlhatch::types::{JobId, MachineId, Micros, Resources, Revision};
 use proptest::prelude::*;
@@ -57,12 +57,12 @@
 }
 
 fn key(k: u8) -> Key {
-    Key::Run(JobId::new(&format!("wk-{}", k % 3)), u32::from(k / 3))
+    Key::RunChunk(JobId::new(&format!("wk-{}", k % 3)), u32::from(k / 3))
 }
 
-fn chunk(writer: u64) -> RunChunk {
-    let starts = vec![StartRecord { task: 1, attempt: 2, machine: MachineId::new("m-1"), incarnation: 3 }];
-    RunChunk { attempts: 2, done: vec![(4, 5)], starts, writer }
+fn chunk(write_id: u64) -> RunChunk {
+    let task_attempts = vec![TaskAttemptRecord { task: 1, attempt: 2, machine: MachineId::new("m-1"), incarnation: 3 }];
+    RunChunk { last_attempt: 2, done_ranges: vec![(4, 5)], task_attempts, write_id }
 }
 
 fn event(change: &Change, version: u64) -> Event {
@@ -100,7 +100,7 @@
             prop_assert_eq!(real.is_done(task), plain.done.contains(&task));
         }
         // Ranges are as few as can be.
-        prop_assert!(real.done.windows(2).all(|w| w[0].1 + 1 < w[1].0));
+        prop_assert!(real.done_ranges.windows(2).all(|w| w[0].1 + 1 < w[1].0));
     }
 
     /// The replica ends up as a sequential store does, whatever own commits it knew early and in
@@ -136,15 +136,15 @@
                 }
                 own += 1;
             }
-            let from = from.min(replica.applied.0 as usize);
+            let from = from.min(replica.applied_revision.0 as usize);
             let to = to.min(log.len()).max(from);
             let _ = replica.advance(&log[from..to], Revision(to as u64));
         }
         for k in 0..6 {
             let expected = plain.get(&key(k).to_string());
             prop_assert_eq!(replica.version(&key(k)), expected.map_or(0, |(_, version)| *version));
-            let Key::Run(id, number) = key(k) else { unreachable!() };
-            let held = replica.runs.get(&id).and_then(|r| r.get(&number)).map(|c| c.value.writer);
+            let Key::RunChunk(id, number) = key(k) else { unreachable!() };
+            let held = replica.run_chunks.get(&id).and_then(|r| r.get(&number)).map(|c| c.value.write_id);
             prop_assert_eq!(held, expected.map(|(writer, _)| *writer));
         }
     }
@@ -308,11 +308,11 @@
 fn an_outcome_once_known_stays() {
     let mut replica = Replica::default();
     let id = JobId::new("wk-1");
-    let name = Key::End(id.clone()).to_string();
+    let name = Key::Outcome(id.clone()).to_string();
     replica.apply(&name, Some(&to_value(&Outcome::Done)), 5);
     replica.apply(&name, Some(&to_value(&Outcome::Cancelled)), 4);
     replica.apply(&name, None, 6);
-    assert_eq!(replica.ends.get(&id).map(|e| e.value.outcome), Some(Outcome::Done));
+    assert_eq!(replica.outcomes.get(&id).map(|e| e.value.outcome), Some(Outcome::Done));
 }
 
 #[test]
@@ -326,8 +326,8 @@
         Key::Fleet("5f".into()),
         Key::Machine(MachineId::new("m-000001")),
         Key::Batch("3a".into()),
-        Key::Run(JobId::new("wk-1"), 7),
-        Key::End(JobId::new("wk-1")),
+        Key::RunChunk(JobId::new("wk-1"), 7),
+        Key::Outcome(JobId::new("wk-1")),
     ];
     for key in keys {
         let text = key.to_string();
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -7,8 +7,8 @@
 use burlhatch::protocol::{decode, encode};
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{
-    BatchMember, EndRecord, FleetMember, Hold, JobRecord, Key, MachineRecord, NodeRecord, Outcome, RecordVersion, Role,
-    RoleRecord, RunChunk, StartRecord, from_value, to_value,
+    BatchMember, CordonReason, DependencyListParts, FleetMember, JobRecord, Key, MachineRecord, NodeRecord, Outcome,
+    OutcomeRecord, RecordVersion, Role, RoleRecord, RunChunk, TaskAttemptRecord, from_value, to_value,
 };
 use burlhatch::types::{FencingToken, JobId, MachineId, Micros};
 use ciborium::Value;
@@ -68,7 +68,7 @@
     assert_eq!(encode(&to_value(&value)), bytes(hex));
 }
 
-fn machine(hold: Option<Hold>) -> MachineRecord {
+fn machine(cordon: Option<CordonReason>) -> MachineRecord {
     MachineRecord {
         shard: 2,
         fencing_token: FencingToken(41),
@@ -76,7 +76,7 @@
         zone: "a".into(),
         spot: true,
         addr: "10.1.0.232:9000".into(),
-        hold,
+        cordon,
     }
 }
 
@@ -106,7 +106,10 @@
 }
 
 fn member(spec: JobSpec) -> BatchMember {
-    BatchMember { id: JobId::new("wk-000412"), record: JobRecord { accepted: AT, pieces: None, spec } }
+    BatchMember {
+        id: JobId::new("wk-000412"),
+        record: JobRecord { accepted_at: AT, dependency_list_parts: None, spec },
+    }
 }
 
 #[test]
@@ -116,15 +119,16 @@
         SEAT,
         RoleRecord { owner: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version: FIRST },
     );
-    both_ways(NODE, NodeRecord { incarnation: 77, unfit: true, version: FIRST });
-    both_ways(MACHINE, machine(Some(Hold::Move(1))));
-    let fleet_member = |id, hold| FleetMember { id: MachineId::new(id), record: machine(hold) };
-    both_ways(FLEET, vec![fleet_member("m-000231", None), fleet_member("m-000232", Some(Hold::Doomed))]);
+    both_ways(NODE, NodeRecord { incarnation: 77, is_isolated: true, version: FIRST });
+    both_ways(MACHINE, machine(Some(CordonReason::MoveToShard(1))));
+    let fleet_member = |id, cordon| FleetMember { id: MachineId::new(id), record: machine(cordon) };
+    both_ways(FLEET, vec![fleet_member("m-000231", None), fleet_member("m-000232", Some(CordonReason::ForceDelete))]);
     both_ways(BATCH, vec![member(spec())]);
-    let starts = vec![StartRecord { task: 4, attempt: 9, machine: MachineId::new("m-000231"), incarnation: 2 }];
-    both_ways(RUN, RunChunk { attempts: 9, done: vec![(0, 3), (7, 7)], starts, writer: 5 });
-    both_ways(DONE, EndRecord::done());
-    both_ways(CANCELLED, EndRecord::cancelled(AT));
+    let task_attempts =
+        vec![TaskAttemptRecord { task: 4, attempt: 9, machine: MachineId::new("m-000231"), incarnation: 2 }];
+    both_ways(RUN, RunChunk { last_attempt: 9, done_ranges: vec![(0, 3), (7, 7)], task_attempts, write_id: 5 });
+    both_ways(DONE, OutcomeRecord::done());
+    both_ways(CANCELLED, OutcomeRecord::cancelled(AT));
 }
 
 fn dependencies() -> Vec<JobId> {
@@ -133,7 +137,13 @@
 
 fn split_member() -> BatchMember {
     let whole = member(spec());
-    BatchMember { record: JobRecord { pieces: Some(("4d2".into(), 2)), ..whole.record }, ..whole }
+    BatchMember {
+        record: JobRecord {
+            dependency_list_parts: Some(DependencyListParts { name: "4d2".into(), count: 2 }),
+            ..whole.record
+        },
+        ..whole
+    }
 }
 
 #[test]
@@ -157,7 +167,7 @@
         ANNOUNCED_SEAT,
         RoleRecord { owner: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version },
     );
-    both_ways(ANNOUNCED_NODE, NodeRecord { incarnation: 77, unfit: false, version });
+    both_ways(ANNOUNCED_NODE, NodeRecord { incarnation: 77, is_isolated: false, version });
     let stored: Value = decode(&bytes(ANNOUNCED_SEAT)).expect("CBOR");
     let earlier: EarlierRole = from_value(&stored).expect("readable");
     assert_eq!((earlier.o.as_str(), earlier.i, earlier.t), ("hatchling-0", 77, FencingToken(41)));
@@ -233,9 +243,9 @@
         (Key::Fleet("f1".into()), FLEET),
         (Key::Machine(MachineId::new("m-000231")), MACHINE),
         (Key::Batch("b1".into()), BATCH),
-        (Key::Run(id.clone(), 0), RUN),
-        (Key::End(JobId::new("wk-000398")), DONE),
-        (Key::End(JobId::new("wk-000399")), CANCELLED),
+        (Key::RunChunk(id.clone(), 0), RUN),
+        (Key::Outcome(JobId::new("wk-000398")), DONE),
+        (Key::Outcome(JobId::new("wk-000399")), CANCELLED),
     ];
     for (n, (key, hex)) in keys.into_iter().enumerate() {
         let value: Value = decode(&bytes(hex)).expect("CBOR");
@@ -243,10 +253,10 @@
     }
     assert_eq!(replica.latest_fencing_token(), FencingToken(41));
     assert_eq!(replica.roles[&Role::Shard(2)].value.owner, "hatchling-0");
-    assert_eq!(replica.machines[&MachineId::new("m-000231")].value.hold, Some(Hold::Move(1)));
-    assert_eq!(replica.machines[&MachineId::new("m-000232")].value.hold, Some(Hold::Doomed));
+    assert_eq!(replica.machines[&MachineId::new("m-000231")].value.cordon, Some(CordonReason::MoveToShard(1)));
+    assert_eq!(replica.machines[&MachineId::new("m-000232")].value.cordon, Some(CordonReason::ForceDelete));
     assert_eq!(replica.jobs[&id].record.spec, spec());
-    assert!(replica.has_starts(&id));
-    let outcome = |id: &str| replica.ends[&JobId::new(id)].value.outcome;
+    assert!(replica.has_recorded_attempts(&id));
+    let outcome = |id: &str| replica.outcomes[&JobId::new(id)].value.outcome;
     assert_eq!((outcome("wk-000398"), outcome("wk-000399")), (Outcome::Done, Outcome::Cancelled));
 }
--- a/tests/rules/world/records.rs
+++ b/tests/rules/world/records.rs
@@ -1,7 +1,7 @@
 //! What controllers write to the store, checked record by record.
 
 use burlhatch::protocol::store::{Txn, Write};
-use burlhatch::storage::schema::{Key, MachineRecord, RunChunk, StartRecord, from_value};
+use burlhatch::storage::schema::{Key, MachineRecord, RunChunk, TaskAttemptRecord, from_value};
 use burlhatch::storage::{Replica, Versioned};
 use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeMap;
@@ -30,7 +30,7 @@
                 Write::Delete { key } => (key, None),
             };
             match (Key::parse(key), value) {
-                (Some(Key::Run(id, chunk)), Some(value)) => {
+                (Some(Key::RunChunk(id, chunk)), Some(value)) => {
                     let chunk_now: RunChunk = from_value(value).expect("a run chunk");
                     wrong.extend(self.misplaced(&id, chunk, &chunk_now));
                 }
@@ -51,13 +51,14 @@
     /// Starts recorded on machines of other shards than their job's: whoever commands these tells nothing of them to
     /// the job's shard. One on a machine that is not in the stored records any more is harmless, as it was deleted.
     fn misplaced(&self, id: &JobId, chunk: u32, now: &RunChunk) -> Vec<String> {
-        let before: Option<&Versioned<RunChunk>> = self.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
-        let known = |start: &StartRecord| before.is_some_and(|b| b.value.starts.contains(start));
+        let before: Option<&Versioned<RunChunk>> =
+            self.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
+        let known = |start: &TaskAttemptRecord| before.is_some_and(|b| b.value.task_attempts.contains(start));
         let job = &self.replica.jobs[id].record.spec;
         let team = TEAMS.iter().position(|team| job.team.as_deref() == Some(team)).expect("a team of the world");
         let shard = team as u32 % self.shards;
         let placed: BTreeMap<&MachineId, u32> = now
-            .starts
+            .task_attempts
             .iter()
             .filter(|start| !known(start))
             .filter_map(|start| Some((&start.machine, self.replica.machines.get(&start.machine)?.value.shard)))
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -192,7 +192,7 @@
             return;
         };
         let Some(controller) = &self.nodes[node].controller else { return };
-        let ends = &controller.replica().ends;
+        let ends = &controller.replica().outcomes;
         let cancelled = |task: &TaskStatus| {
             let job = TaskId::parse(&task.task).map(|task| task.job);
             job.and_then(|job| ends.get(&job)).is_some_and(|end| end.value.outcome == Outcome::Cancelled)
