--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::api::submissions::{Form, Submissions};
 use crate::coordination::store_sync::evidence::{Evidence, Fresh, LogicalTime, reached};
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect, UserAnswer, UserRequest, Waiter};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
 use crate::storage::schema::{Key, Outcome, OutcomeRecord, to_value};
@@ -105,12 +105,12 @@
     }
 
     pub(crate) fn user_request(&mut self, waiter: Waiter, request: UserRequest) {
-        let asked = Asked { waiter, at: self.store.order.tick() };
+        let asked = Asked { waiter, at: self.store.next_logical_time() };
         let known = match &request {
             UserRequest::Get(id) | UserRequest::Cancel(id) => Some(id),
             UserRequest::Submit(submission) => submission.id.as_ref(),
         };
-        if !self.store.sync.done {
+        if !self.store.is_synced() {
             return self.answer(waiter, BUSY);
         }
         if let Some(status) = known.and_then(|id| self.final_status(id)) {
@@ -141,7 +141,7 @@
         }
         txn.unchanged(&self.store.replica, Key::Outcome(id.clone()));
         txn.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
-        self.submit_txn(txn, Purpose::Cancel(id));
+        self.submit_txn(txn, TxnPurpose::Cancel(id));
     }
 
     pub(crate) fn cancel_over(&mut self, id: &JobId) {
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -9,7 +9,7 @@
 
 use crate::coordination::api::requests::{Asked, BUSY, Question};
 use crate::coordination::store_sync::evidence::Fresh;
-use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose, TxnEnd};
+use crate::coordination::store_sync::{PRECONDITIONS_PER_WRITE, ProposedTxn, TxnEnd, TxnPurpose};
 use crate::coordination::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobSpec, Kind, Submission};
 use crate::storage::schema::{BatchMember, DependencyListParts, JobRecord, Key, to_value};
@@ -185,7 +185,7 @@
                 proposal.unchanged(&self.store.replica, Key::DependencyListPart(name.clone(), *number));
                 proposal.put(Key::DependencyListPart(name.clone(), *number), to_value(list));
             }
-            self.submit_txn(proposal, Purpose::DependencyListParts(name.clone()));
+            self.submit_txn(proposal, TxnPurpose::DependencyListParts(name.clone()));
         }
     }
 
@@ -227,7 +227,7 @@
                 member.record.dependency_list_parts.is_some() || !member.record.spec.depends_on.is_empty();
             Submitted { id: member.id, has_dependencies }
         };
-        self.send_txn(txn, Purpose::Submit(members.into_iter().map(submitted).collect()));
+        self.send_txn(txn, TxnPurpose::Submit(members.into_iter().map(submitted).collect()));
     }
 
     /// As many queued submissions as one value and one transaction's preconditions have resources for.
--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -298,7 +298,7 @@
             return;
         }
         // Each machine returned costs a few changes, and one rented again another.
-        let plenty = self.store.budget.is_idle(now);
+        let plenty = self.store.has_spare_write_budget(now);
         let idle_ms = if plenty { self.policy.idle_return_ms } else { self.policy.idle_return_short_ms };
         let idle = Micros::from_millis(idle_ms);
         let ids: Vec<MachineId> = slots
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -3,7 +3,7 @@
 use crate::coordination::autoscaling::TypeInfo;
 use crate::coordination::autoscaling::capacity::Unmet;
 use crate::coordination::autoscaling::provisioning::BootHistory;
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect};
 use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, to_value};
@@ -56,7 +56,6 @@
     /// Machines whose deletion was confirmed; late heartbeats of theirs count for nothing.
     pub deleted: BTreeMap<MachineId, Micros>,
     pub next_plan: Micros,
-    pub next_tidy: Micros,
     /// Machines not in the stored records that answered when they were asked.
     pub alive: BTreeMap<MachineId, Micros>,
     /// Busy machines asked for on behalf of more urgent work, and when.
@@ -64,8 +63,6 @@
     /// What the shards lacked in the last plan, most urgent first.
     pub need: Vec<Unmet>,
     pub rental_requests: u64,
-    /// Since when lists of submissions were seen that no job names.
-    pub unnamed: HashMap<String, Micros>,
 }
 
 /// Tries to learn what became of a rental without an answer, and the pause between them.
@@ -209,7 +206,7 @@
             self.store.replica.machines.get(id).is_some_and(|held| held.value.cordon == Some(CordonReason::Retire))
         };
         let (returned, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(returned);
-        self.strike_out_as(MachineChange::Return, returned);
+        self.strike_out_as(MachineChange::Retire, returned);
         self.strike_out_as(MachineChange::Replace, lost);
     }
 
@@ -229,7 +226,7 @@
                     _ => proposal.delete(key),
                 }
             }
-            self.submit_txn(proposal, Purpose::Machines(change, ids.to_vec()));
+            self.submit_txn(proposal, TxnPurpose::Machines(change, ids.to_vec()));
         }
     }
 
@@ -307,7 +304,7 @@
         self.register_machines();
         self.delete_held();
         self.give_up_boots();
-        self.tidy();
+        self.collect_garbage();
         if now >= self.autoscaling.leader.next_plan
             && self.autoscaling.leader.listed_once
             && !self.autoscaling.types.is_empty()
--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -5,7 +5,7 @@
 //! watch has shown it the key: then its replica also has every start recorded before.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
 use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
 use crate::types::{FencingToken, Micros};
 use std::collections::BTreeMap;
@@ -56,7 +56,7 @@
     /// Keeps this controller's entry up to date, takes over roles without a holder, and releases shards that others
     /// should have. One transaction about a role at a time.
     pub(crate) fn tick_leases(&mut self) {
-        if !self.store.sync.done {
+        if !self.store.is_synced() {
             return;
         }
         let Some(session) = self.control.session.lease() else { return };
@@ -96,7 +96,7 @@
         self.control.leases.is_node_write_in_flight = true;
         let mut txn = ProposedTxn::default();
         txn.put_bound(Key::Node(self.label.clone()), to_value(&record), session);
-        self.submit_txn(txn, Purpose::Node);
+        self.submit_txn(txn, TxnPurpose::Node);
     }
 
     fn all_roles(&self) -> Vec<Role> {
@@ -121,7 +121,8 @@
         let rank = u64::from(self.failover_rank(role));
         // When all begin at once, some have read the stored records a moment before the others: a shard taken from one
         // of these would be given back, and all its machines asked anew twice.
-        let is_settling = now.since(self.store.synced_at) < Micros::from_millis(self.policy.settle_ms);
+        let settle_span = Micros::from_millis(self.policy.settle_ms);
+        let is_settling = self.store.time_since_sync(now).is_some_and(|elapsed| elapsed < settle_span);
         if is_settling && rank > 0 {
             return false;
         }
@@ -186,7 +187,7 @@
 
     fn submit_role_txn(&mut self, txn: ProposedTxn) {
         self.control.leases.is_role_write_in_flight = true;
-        self.submit_txn(txn, Purpose::Role);
+        self.submit_txn(txn, TxnPurpose::Role);
     }
 
     /// The transaction that writes this controller's own entry has ended.
@@ -205,7 +206,7 @@
         if !is_committed {
             self.control.leases.retry_at = self.now() + RETRY_PAUSE;
         }
-        self.store.reads.wanted = true;
+        self.store.request_fresh_read();
     }
 
     /// A role's record has changed: this process holds it from now on, no longer, or under another fencing token.
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -2,7 +2,7 @@
 //! effect any more.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::storage::schema::{Key, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use rand::Rng;
@@ -87,7 +87,7 @@
                 machine.writing = true;
             }
         }
-        self.submit_txn(proposal, Purpose::Machines(MachineChange::FencingToken, ids));
+        self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::FencingToken, ids));
     }
 
     /// Agents report exited tasks in every heartbeat until these may be forgotten, which takes a new fencing token. Where
--- a/src/coordination/control/session.rs
+++ b/src/coordination/control/session.rs
@@ -77,7 +77,7 @@
         if !self.control.session.is_call_due(now) {
             return;
         }
-        let ticket = self.next_ticket();
+        let ticket = self.store.next_ticket();
         let call = self.control.session.start_call(ticket, now, self.policy.session_ms);
         self.out.push(Effect::Store(call));
     }
@@ -115,7 +115,7 @@
             tracing::info!(?role, cause = "session expired", "role lease lost");
             self.notify_role_changed(role);
         }
-        self.store.reads.wanted = true;
+        self.store.request_fresh_read();
     }
 
     /// Tells the parts that act by a role that it was acquired or lost.
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -192,7 +192,7 @@
             DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
                 if heartbeat.machine != *id || fencing_token.is_none_or(|t| heartbeat.fencing_token > t) {
                     machine.outranked |= heartbeat.machine == *id;
-                    self.store.reads.wanted = true;
+                    self.store.request_fresh_read();
                     return;
                 }
                 // It answered what was sent after its newest message, and yet shows a smaller number: its
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -55,7 +55,8 @@
             return self.store.replica.outcomes.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
         };
         let chunks = self.store.replica.run_chunks.get(job_id);
-        let chunk = chunks.and_then(|chunks| chunks.get(&(failures.task / self.store.chunk_tasks))).map(|c| &c.value);
+        let chunk =
+            chunks.and_then(|chunks| chunks.get(&(failures.task / self.store.tasks_per_chunk()))).map(|c| &c.value);
         let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
         job.is_task_done(failures.task, chunk) || job.live.get(failures.task).is_some_and(runs_on)
     }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -26,7 +26,7 @@
 
 impl Controller {
     pub(crate) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
-        let answer = match self.store.sync.done {
+        let answer = match self.store.is_synced() {
             true => self.heartbeat_answer(waiter, heartbeat, relayed),
             false => Some(WorkerAnswer::Unavailable),
         };
@@ -69,7 +69,7 @@
     /// Somebody has a later fencing token than we know of, or this is news from the future of another shard: learn which, and
     /// draw a higher one if the machine is ours after all.
     fn later_token_shown(&mut self, id: &MachineId, fencing_token: FencingToken) {
-        self.store.reads.wanted = true;
+        self.store.request_fresh_read();
         let now = self.now();
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             machine.unacknowledged = Some(fencing_token);
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: what their workers report, what they are told, and when they count as lost.
 
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect, WorkerAnswer};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, MachineId, Micros, Resources};
@@ -407,7 +407,7 @@
         proposal.unchanged(&self.store.replica, Key::Role(role));
         proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         proposal.put(Key::Machine(id.clone()), to_value(&record));
-        self.submit_txn(proposal, Purpose::Machines(what, vec![id.clone()]));
+        self.submit_txn(proposal, TxnPurpose::Machines(what, vec![id.clone()]));
     }
 
     pub(crate) fn set_hold(&mut self, id: &MachineId, hold: CordonReason) {
@@ -417,7 +417,7 @@
             tracing::info!(machine = %id, ?hold, "machine put on hold");
             let what = match hold {
                 CordonReason::MoveToShard(_) => MachineChange::Move,
-                CordonReason::Retire => MachineChange::Return,
+                CordonReason::Retire => MachineChange::Retire,
                 CordonReason::ForceDelete | CordonReason::Deleted => MachineChange::Replace,
             };
             self.write_machine(id, what, |record| record.cordon = Some(hold));
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -11,7 +11,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::control::versions::{Mover, mover};
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, RecordVersion, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -114,6 +114,6 @@
             self.fleet.machines.entry(id.clone()).or_default().writing = true;
             ids.push(id);
         }
-        self.send_txn(proposal, Purpose::Machines(MachineChange::Move, ids));
+        self.send_txn(proposal, TxnPurpose::Machines(MachineChange::Move, ids));
     }
 }
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::api::submissions::VALUE_FILL;
 use crate::coordination::autoscaling::capacity::{Slot, fit};
-use crate::coordination::store_sync::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
@@ -116,7 +116,7 @@
                 proposal.put(name, to_value(&members));
             }
         }
-        self.submit_txn(proposal, Purpose::Machines(MachineChange::Register, ids));
+        self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::Register, ids));
     }
 
     /// A machine that was rented has come up.
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -89,7 +89,7 @@
 
 impl Controller {
     fn store_silence_ms(&self) -> u64 {
-        self.now().since(self.store.last_answered_at).millis()
+        self.store.time_since_answer(self.now()).millis()
     }
 
     /// A user is about to be told that a job is cancelled.
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -133,7 +133,7 @@
                 }
                 Acknowledgement::Stale if !self.reaches_store() => BUSY,
                 Acknowledgement::Stale => {
-                    self.store.reads.wanted = true;
+                    self.store.request_fresh_read();
                     self.keep_waiting(id, waiters, now, patience);
                     continue;
                 }
@@ -213,7 +213,7 @@
     /// A sibling saw jobs cancelled and wants to know whether we see to it. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
     pub(crate) fn cancellation_notified(&mut self, waiter: Waiter, message: &Cancelled) {
-        if !self.store.sync.done {
+        if !self.store.is_synced() {
             return self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds: false }));
         }
         let mut changes = Vec::new();
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -8,7 +8,7 @@
 use crate::coordination::Controller;
 use crate::coordination::jobs::dependency_graph::Urgency;
 use crate::coordination::jobs::job::Job;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
 use crate::protocol::user::{JobSpec, Priority};
 use crate::storage::schema::{JobRecord, Key, Outcome, OutcomeRecord, Role, to_value};
 use crate::types::{JobId, Micros};
@@ -140,7 +140,7 @@
 
     /// Writes down, in the shards held here, that swept jobs are over. Nobody waits for it.
     pub(crate) fn write_cascaded(&mut self) {
-        if self.jobs.cascaded.is_empty() || self.store.txns.cascading() {
+        if self.jobs.cascaded.is_empty() || self.store.is_cascade_pending() {
             return;
         }
         let most = self.platform.deployment.store.ops();
@@ -154,17 +154,17 @@
             proposal.unchanged(&self.store.replica, Key::Outcome(id.clone()));
             proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
         }
-        self.submit_txn(proposal, Purpose::Cascade);
+        self.submit_txn(proposal, TxnPurpose::CascadedCancellations);
     }
 
     /// Whether a chunk of a job's records can name one more start and stay within what may be written. A start that
     /// ends leaves a range at most, which is shorter.
     pub(crate) fn chunk_has_room(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
-        let tasks = chunk * self.store.chunk_tasks..(chunk + 1).saturating_mul(self.store.chunk_tasks);
+        let tasks = chunk * self.store.tasks_per_chunk()..(chunk + 1).saturating_mul(self.store.tasks_per_chunk());
         let stored = self.store.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
         let (mut starts, mut longest_start) = (0, 0);
         // One that is decided gets one of the next attempts.
-        let attempts = stored.map_or(0, |c| c.value.last_attempt) + u64::from(self.store.chunk_tasks);
+        let attempts = stored.map_or(0, |c| c.value.last_attempt) + u64::from(self.store.tasks_per_chunk());
         for (task, live) in job.live.range(tasks) {
             let numbers = digits(u64::from(task)) + digits(live.attempt.max(attempts)) + digits(live.incarnation);
             let size = START_BYTES + numbers + live.machine().as_str().len();
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -236,7 +236,7 @@
         }
         let chunks: BTreeSet<u32> = match (self.jobs.by_id.get(id), self.store.replica.run_chunks.get(id)) {
             (Some(job), runs) => {
-                let live = job.live.iter().map(|(task, _)| task / self.store.chunk_tasks);
+                let live = job.live.iter().map(|(task, _)| task / self.store.tasks_per_chunk());
                 live.chain(runs.into_iter().flat_map(|r| r.keys().copied())).collect()
             }
             (None, _) => BTreeSet::new(),
@@ -308,7 +308,7 @@
     /// Starts in the stored records but not known here appear, those taken out vanish.
     fn sync_chunk(&mut self, id: &JobId, number: u32) {
         let now = self.now();
-        let size = self.store.chunk_tasks;
+        let size = self.store.tasks_per_chunk();
         let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let empty = BTreeMap::new();
         let chunks = self.store.replica.run_chunks.get(id).unwrap_or(&empty);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -78,7 +78,7 @@
 
     /// Whether this controller can take requests: it has read the stored records once.
     pub fn is_ready(&self) -> bool {
-        self.store.sync.done
+        self.store.is_synced()
     }
 
     /// The stored records as this controller knows them.
@@ -90,18 +90,18 @@
     /// be an outage for all or a cut that leaves this one alone.
     pub fn reaches_store(&self) -> bool {
         let patience = Micros::from_millis(self.policy.state_patience_ms);
-        self.now().since(self.store.last_answered_at) < patience
+        self.store.time_since_answer(self.now()) < patience
     }
 
     /// Takes in one input. What it leads to comes with the next [`Controller::round`].
     pub fn handle(&mut self, clock: Clock, input: Input) {
         let pause = clock.steady.since(self.clock.steady);
         self.clock = clock;
-        if self.store.sync.done && pause >= STANDSTILL {
+        if self.store.is_synced() && pause >= STANDSTILL {
             self.stood_still(pause);
         }
         if input.is_store_answer() {
-            self.store.last_answered_at = clock.steady;
+            self.store.record_answer(clock.steady);
         }
         match input {
             Input::User(waiter, request) => self.user_request(waiter, request),
@@ -130,17 +130,17 @@
         self.fleet.many_unreachable_at = self.fleet.many_unreachable_at.map(|_| now);
         self.fleet.many_unreported_at = self.fleet.many_unreported_at.map(|_| now);
         self.renew_session_at_once();
-        self.store.reads.wanted = true;
+        self.store.request_fresh_read();
     }
 
     fn tick(&mut self) {
         self.tick_reads();
         self.tick_session();
-        if !self.store.sync.done {
+        if !self.store.is_synced() {
             return;
         }
         self.tick_txns();
-        self.store.budget.account(self.clock.steady);
+        self.store.log_write_usage(self.clock.steady);
         self.tick_leases();
         self.tick_machines();
         self.tick_types();
@@ -155,10 +155,10 @@
     /// looked at first in the next round.
     pub fn round(&mut self, clock: Clock, time_left: &mut dyn FnMut() -> bool) -> Vec<Effect> {
         self.clock = clock;
-        if self.store.sync.done {
+        if self.store.is_synced() {
             self.answer_open_questions();
             self.place(time_left);
-            self.spend();
+            self.dispatch_writes();
             self.send_pending_direct_commands();
             self.confirm_cancellations();
         }
@@ -175,12 +175,6 @@
         self.clock.steady
     }
 
-    /// Names a call to the store, so that its answer is not taken for another's.
-    fn next_ticket(&mut self) -> u64 {
-        self.store.last_ticket += 1;
-        self.store.last_ticket
-    }
-
     fn nonce(&mut self) -> u64 {
         self.next_nonce += 1;
         // Unique among processes by the incarnation's upper bits, within one by the count.
@@ -228,7 +222,7 @@
             fresh.out.push(Effect::AnswerWorker(held.waiter, WorkerAnswer::Unavailable));
         }
         // Tickets go on counting, so that answers to old calls match nothing.
-        fresh.store.last_ticket = self.store.last_ticket;
+        fresh.store.continue_tickets_of(&self.store);
         *self = fresh;
     }
 }
--- /dev/null
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -0,0 +1,82 @@
+//! Which writes are sent when: the write budget goes to what can wait least.
+
+use crate::coordination::store_sync::pending_txns::{PendingTxn, TxnPurpose, TxnStage};
+use crate::coordination::store_sync::proposed_txn::ProposedTxn;
+use crate::coordination::{Controller, Effect, StoreCall};
+use crate::types::Micros;
+use std::collections::VecDeque;
+
+/// What the write budget can be spent on next.
+enum NextWrite {
+    /// A transaction that waits, by its ticket.
+    Queued(u64),
+    /// Machines that go to other shards.
+    ShardMoves,
+    /// Jobs whose records lack something.
+    JobRecords,
+}
+
+impl Controller {
+    /// Queues a transaction for the write budget. Those about roles are sent at once: everything else depends on them.
+    pub(crate) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
+        let max_delay_ms = match purpose {
+            TxnPurpose::Node | TxnPurpose::Role => return self.send_txn(proposal, purpose),
+            TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) | TxnPurpose::Cancel(_) => {
+                self.policy.user_patience_ms
+            }
+            TxnPurpose::Machines(..) | TxnPurpose::ZoneView(_) => self.policy.machine_patience_ms,
+            TxnPurpose::Jobs(_) => self.policy.batch_patience_ms,
+            TxnPurpose::GarbageCollection | TxnPurpose::CascadedCancellations => self.policy.tidy_patience_ms,
+        };
+        let send_by = self.now() + Micros::from_millis(max_delay_ms);
+        let ticket = self.store.next_ticket();
+        let pending = PendingTxn::new(proposal.into_txn(), purpose, TxnStage::Queued { send_by });
+        self.store.txns.insert(ticket, pending);
+    }
+
+    /// Sends a transaction at once.
+    pub(crate) fn send_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
+        let ticket = self.store.next_ticket();
+        self.store.txns.insert(ticket, PendingTxn::new(proposal.into_txn(), purpose, TxnStage::InFlight));
+        self.send_pending_txn(ticket);
+    }
+
+    /// Sends a transaction, for the first time or again.
+    pub(super) fn send_pending_txn(&mut self, ticket: u64) {
+        let now = self.now();
+        let Some(pending) = self.store.txns.get_mut(ticket) else { return };
+        pending.stage = TxnStage::InFlight;
+        pending.sent_at = self.store.logical_clock.tick();
+        pending.attempt_count += 1;
+        let write_count = pending.txn.writes.len();
+        self.store.write_budget.spend(now, write_count);
+        self.store.write_budget.count_writes(pending.purpose.name(), write_count);
+        let (txn, urgent) = (pending.txn.clone(), pending.purpose.is_urgent());
+        self.out.push(Effect::Store(StoreCall::Txn { ticket, txn, urgent }));
+    }
+
+    /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are put
+    /// together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
+    pub(crate) fn dispatch_writes(&mut self) {
+        let now = self.now();
+        if self.api.submissions.batch_due(now, self.store.write_budget.batch_interval()) {
+            self.send_submissions();
+        }
+        if !self.store.write_budget.allows(now) {
+            return;
+        }
+        let mut due: VecDeque<_> = self.due_records().into();
+        while self.store.write_budget.allows(now) {
+            let queued = self.store.txns.first_queued().map(|(send_by, ticket)| (send_by, NextWrite::Queued(ticket)));
+            let moves = self.fleet.moves_due.map(|send_by| (send_by, NextWrite::ShardMoves));
+            let records = due.front().map(|first| (first.send_by, NextWrite::JobRecords));
+            // Of equals the first: what is queued is ready to be sent.
+            match [queued, moves, records].into_iter().flatten().min_by_key(|(send_by, _)| *send_by) {
+                Some((_, NextWrite::Queued(ticket))) => self.send_pending_txn(ticket),
+                Some((_, NextWrite::ShardMoves)) => self.send_moves(),
+                Some((_, NextWrite::JobRecords)) => self.send_job_records(&mut due),
+                None => break,
+            }
+        }
+    }
+}
--- a/src/coordination/store_sync/evidence.rs
+++ b/src/coordination/store_sync/evidence.rs
@@ -1,15 +1,15 @@
 //! Which answer of the store allows which answer to a user: the one rule of linearizable reads.
 //!
-//! An outcome is written once, so it may be told at any time by whoever knows it. Every other answer (accepted, queued,
-//! running, never accepted, refused) says that something had not happened yet, and must not be older than what any
-//! controller told anybody before the question came. So it needs a call to the store that left this controller
-//! after the question had come, and a replica that has reached the revision which that call was answered with.
+//! An outcome is written once, so any controller that knows it may answer with it at any time. Every other answer
+//! (accepted, queued, running, never accepted, refused) says that something had not happened yet, and must not be older
+//! than what any controller answered anybody before the request came. So it needs a call to the store that was sent
+//! after the request had come, and a replica that has reached the revision which that call was answered with.
 //!
 //! [`Fresh`] stands for both. Nothing but [`Evidence`] makes one, and nothing but a call's answer makes evidence.
 
 use crate::types::Revision;
 
-/// A point in the order in which questions reach this controller and calls leave it.
+/// A point in the order in which requests reach this controller and calls are sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LogicalTime(u64);
 
@@ -25,21 +25,21 @@
     }
 }
 
-/// What an answered call proves: the stored records had this revision at some moment after the call began.
+/// What an answered call proves: the stored records had this revision at some moment after the call was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Evidence {
-    begun: LogicalTime,
+    sent_at: LogicalTime,
     revision: Revision,
 }
 
-/// Permission to answer one question from the replica as it stands.
+/// Permission to answer one request from the replica as it stands.
 #[derive(Debug)]
 pub(crate) struct Fresh(());
 
 impl Evidence {
     /// From a read, a commit or a refused condition, each with the revision that its answer names.
-    pub fn new(begun: LogicalTime, revision: Revision) -> Evidence {
-        Evidence { begun, revision }
+    pub fn new(sent_at: LogicalTime, revision: Revision) -> Evidence {
+        Evidence { sent_at, revision }
     }
 
     /// The revision that the call was answered with.
@@ -47,19 +47,19 @@
         self.revision
     }
 
-    /// The revision that the stored records had after the question came, if the call left after it.
+    /// The revision that the stored records had after the request came, if the call was sent after it.
     pub fn revision_after(&self, asked: LogicalTime) -> Option<Revision> {
-        (asked < self.begun).then_some(self.revision)
+        (asked < self.sent_at).then_some(self.revision)
     }
 
-    /// About a job that the call itself took in under the condition that it has no outcome. That holds at the commit's
+    /// About a job that the call itself accepted under the precondition that it has no outcome. That holds at the commit's
     /// revision whether or not the replica has reached it, unless other jobs' outcomes decide as well.
     pub fn of_taken_in(&self, asked: LogicalTime) -> Option<Fresh> {
         self.revision_after(asked).map(|_| Fresh(()))
     }
 }
 
-/// About any job, once the replica has reached a revision that the stored records had after the question came.
+/// About any job, once the replica has reached a revision that the stored records had after the request came.
 pub(crate) fn reached(known: Option<Revision>, applied: Revision) -> Option<Fresh> {
     known.is_some_and(|revision| revision <= applied).then_some(Fresh(()))
 }
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -1,43 +1,78 @@
-//! Clearing away records that nothing needs any more, a little at a time.
+//! Garbage collection: the leader deletes records that nothing needs any more, a few at a time.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::pending_txns::TxnPurpose;
+use crate::coordination::store_sync::proposed_txn::ProposedTxn;
+use crate::storage::Replica;
 use crate::storage::schema::{Key, Role};
 use crate::types::{JobId, Micros};
-use std::collections::BTreeSet;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// A submission's lists are written down some time before the job that names them, but not so long.
-const UNNAMED_SPAN: Micros = Micros::from_millis(60_000);
-const TIDY_EVERY: Micros = Micros::from_millis(2000);
+/// A list of dependencies is stored some time before the job that names it, but not as long as this.
+const UNREFERENCED_LIST_SPAN: Micros = Micros::from_millis(60_000);
+/// Pause between two collections.
+const COLLECTION_INTERVAL: Micros = Micros::from_millis(2000);
+
+/// The leader's progress with garbage collection.
+#[derive(Default)]
+pub(super) struct GarbageCollection {
+    next_at: Micros,
+    /// Since when lists of dependencies were seen that no job names.
+    unreferenced_since: BTreeMap<String, Micros>,
+}
+
+impl GarbageCollection {
+    /// Notes lists of dependencies whose submission came to nothing, or whose job is over and deleted.
+    fn observe_lists(&mut self, replica: &Replica, now: Micros) {
+        if replica.dependency_list_parts.is_empty() {
+            return self.unreferenced_since.clear();
+        }
+        let parts = replica.jobs.values().filter_map(|known| known.record.dependency_list_parts.as_ref());
+        let referenced: BTreeSet<&String> = parts.map(|parts| &parts.name).collect();
+        let lists = replica.dependency_list_parts.keys();
+        let unreferenced: BTreeSet<&String> = lists.filter(|name| !referenced.contains(name)).collect();
+        self.unreferenced_since.retain(|name, _| unreferenced.contains(name));
+        for name in unreferenced {
+            self.unreferenced_since.entry(name.clone()).or_insert(now);
+        }
+    }
+
+    /// Keys of parts of lists that no job has named for long.
+    fn unreferenced_list_parts(&self, replica: &Replica, now: Micros) -> impl Iterator<Item = Key> {
+        let old = self.unreferenced_since.iter().filter(move |(_, at)| now.since(**at) >= UNREFERENCED_LIST_SPAN);
+        old.flat_map(|(name, _)| {
+            let numbers = replica.dependency_list_parts.get(name).into_iter().flat_map(BTreeMap::keys);
+            numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
+        })
+    }
+}
+
+/// Batches whose jobs are all over, with nothing of them left to run.
+fn finished_batches(replica: &Replica) -> impl Iterator<Item = Key> {
+    let is_over = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
+    let finished = replica.batches.iter().filter(move |(_, batch)| batch.value.iter().all(is_over));
+    finished.map(|(name, _)| Key::Batch(name.clone()))
+}
+
+/// Fleets whose machines are all deleted.
+fn deleted_fleets(replica: &Replica) -> impl Iterator<Item = Key> {
+    let fleets = replica.fleets.iter();
+    let deleted = fleets.filter(|(_, fleet)| fleet.value.iter().all(|member| replica.is_machine_deleted(&member.id)));
+    deleted.map(|(name, _)| Key::Fleet(name.clone()))
+}
 
 impl Controller {
-    /// Clears away, a little at a time, fleets and notes of machines long gone, and batches whose
-    /// jobs are over.
-    pub(crate) fn tidy(&mut self) {
+    /// Deletes a few records: batches whose jobs are over, fleets and machines long deleted, and lists of dependencies
+    /// that no job names. For the leader.
+    pub(crate) fn collect_garbage(&mut self) {
         let now = self.now();
-        if self.store.txns.tidying() || now < self.autoscaling.leader.next_tidy {
+        let is_pending = self.store.txns.has_purpose(&TxnPurpose::GarbageCollection);
+        if is_pending || now < self.store.garbage_collection.next_at {
             return;
         }
-        self.autoscaling.leader.next_tidy = now + TIDY_EVERY;
-        self.note_unnamed();
-        let most = self.platform.deployment.store.ops();
-        let replica = &self.store.replica;
-        let over = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
-        let batches = replica.batches.iter().filter(|(_, b)| b.value.iter().all(over));
-        let fleets = replica.fleets.iter().filter(|(_, f)| f.value.iter().all(|m| replica.is_machine_deleted(&m.id)));
-        let unnamed = self.autoscaling.leader.unnamed.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
-        let pieces = unnamed.flat_map(|(name, _)| {
-            let numbers = replica.dependency_list_parts.get(name).into_iter().flat_map(|p| p.keys());
-            numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
-        });
-        // A note about a machine may go only once no fleet brings the machine back.
-        let keys: Vec<Key> = batches
-            .map(|(name, _)| Key::Batch(name.clone()))
-            .chain(fleets.map(|(name, _)| Key::Fleet(name.clone())))
-            .chain(replica.unreferenced_deleted_machines().map(|id| Key::Machine(id.clone())))
-            .chain(pieces)
-            .take(most)
-            .collect();
+        self.store.garbage_collection.next_at = now + COLLECTION_INTERVAL;
+        self.store.garbage_collection.observe_lists(&self.store.replica, now);
+        let keys = self.garbage(self.platform.deployment.store.ops());
         if keys.is_empty() {
             return;
         }
@@ -47,23 +82,19 @@
             proposal.unchanged(&self.store.replica, key.clone());
             proposal.delete(key);
         }
-        self.submit_txn(proposal, Purpose::Tidy);
+        self.submit_txn(proposal, TxnPurpose::GarbageCollection);
     }
 
-    /// Lists whose submission came to nothing, or whose job is over and gone.
-    fn note_unnamed(&mut self) {
-        if self.store.replica.dependency_list_parts.is_empty() {
-            return self.autoscaling.leader.unnamed.clear();
-        }
-        let now = self.now();
-        let jobs = self.store.replica.jobs.values();
-        let named: BTreeSet<&String> =
-            jobs.filter_map(|j| j.record.dependency_list_parts.as_ref().map(|parts| &parts.name)).collect();
-        let unnamed: Vec<String> =
-            self.store.replica.dependency_list_parts.keys().filter(|n| !named.contains(n)).cloned().collect();
-        self.autoscaling.leader.unnamed.retain(|name, _| unnamed.contains(name));
-        for name in unnamed {
-            self.autoscaling.leader.unnamed.entry(name).or_insert(now);
-        }
+    /// Up to so many keys that may be deleted.
+    fn garbage(&self, max_count: usize) -> Vec<Key> {
+        let replica = &self.store.replica;
+        // The record of a deleted machine may go only once no fleet brings the machine back.
+        let machines = replica.unreferenced_deleted_machines().map(|id| Key::Machine(id.clone()));
+        finished_batches(replica)
+            .chain(deleted_fleets(replica))
+            .chain(machines)
+            .chain(self.store.garbage_collection.unreferenced_list_parts(replica, self.now()))
+            .take(max_count)
+            .collect()
     }
 }
--- /dev/null
+++ b/src/coordination/store_sync/pending_txns.rs
@@ -0,0 +1,196 @@
+//! Transactions that have not ended yet: what each is for, and whether it waits, is in flight or is to be sent again.
+
+use crate::coordination::api::submissions::Submitted;
+use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
+use crate::protocol::store::Txn;
+use crate::types::{JobId, MachineId, Micros, Revision};
+use std::collections::BTreeMap;
+
+/// What is written about machines.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum MachineChange {
+    /// They have come up.
+    Register,
+    /// They go to another shard, or stay after all.
+    Move,
+    /// Nobody needs them any more.
+    Retire,
+    /// They are lost.
+    Replace,
+    /// Commands to them carry a later fencing token.
+    FencingToken,
+}
+
+/// What a transaction is for.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) enum TxnPurpose {
+    /// To accept jobs.
+    Submit(Vec<Submitted>),
+    /// To store parts of the list of dependencies of that name.
+    DependencyListParts(String),
+    /// To cancel a job.
+    Cancel(JobId),
+    /// To write this controller's own entry.
+    Node,
+    /// To acquire, renew or release a role.
+    Role,
+    /// To change machines' records.
+    Machines(MachineChange, Vec<MachineId>),
+    /// To record task attempts, progress and outcomes of jobs.
+    Jobs(Vec<JobId>),
+    /// To record how a shard's holder finds a zone, by zone and shard.
+    ZoneView((String, u32)),
+    /// To delete records that nothing needs any more.
+    GarbageCollection,
+    /// To record the cancellation of jobs that depend on a cancelled one.
+    CascadedCancellations,
+}
+
+impl TxnPurpose {
+    /// The name under which its writes are counted.
+    pub(super) fn name(&self) -> &'static str {
+        match self {
+            TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) => "submissions",
+            TxnPurpose::Cancel(_) => "cancellations",
+            TxnPurpose::Node | TxnPurpose::Role => "role leases",
+            TxnPurpose::Machines(MachineChange::Register, _) => "machines registered",
+            TxnPurpose::Machines(MachineChange::Move, _) => "machines moved",
+            TxnPurpose::Machines(MachineChange::Retire, _) => "machines retired",
+            TxnPurpose::Machines(MachineChange::Replace, _) => "machines replaced",
+            TxnPurpose::Machines(MachineChange::FencingToken, _) => "machine fencing tokens",
+            TxnPurpose::Jobs(_) => "jobs",
+            TxnPurpose::ZoneView(_) => "zones",
+            TxnPurpose::GarbageCollection => "garbage collection",
+            TxnPurpose::CascadedCancellations => "cascaded cancellations",
+        }
+    }
+
+    /// Whether a user waits for it.
+    pub(super) fn is_urgent(&self) -> bool {
+        match self {
+            TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) | TxnPurpose::Cancel(_) => true,
+            TxnPurpose::Node
+            | TxnPurpose::Role
+            | TxnPurpose::Machines(..)
+            | TxnPurpose::Jobs(_)
+            | TxnPurpose::ZoneView(_)
+            | TxnPurpose::GarbageCollection
+            | TxnPurpose::CascadedCancellations => false,
+        }
+    }
+}
+
+/// How far a transaction has got.
+#[derive(Clone, Copy)]
+pub(super) enum TxnStage {
+    /// Waits for the write budget; the one that should be sent earliest goes first.
+    Queued { send_by: Micros },
+    /// Sent, and not answered yet.
+    InFlight,
+    /// Refused, or without an answer: to be sent again at that time.
+    RetryAt(Micros),
+    /// A precondition did not hold at this revision; waits for the replica to reach it.
+    AwaitingReplica(Revision),
+}
+
+/// A transaction that has not ended.
+pub(super) struct PendingTxn {
+    pub(super) txn: Txn,
+    pub(super) purpose: TxnPurpose,
+    pub(super) stage: TxnStage,
+    pub(super) attempt_count: u32,
+    /// When it was last sent.
+    pub(super) sent_at: LogicalTime,
+}
+
+impl PendingTxn {
+    pub(super) fn new(txn: Txn, purpose: TxnPurpose, stage: TxnStage) -> PendingTxn {
+        PendingTxn { txn, purpose, stage, attempt_count: 0, sent_at: LogicalTime::default() }
+    }
+
+    fn is_retry_due(&self, now: Micros) -> bool {
+        matches!(self.stage, TxnStage::RetryAt(at) if at <= now)
+    }
+
+    /// The revision at which a precondition did not hold, once the replica has reached it.
+    fn reached_conflict(&self, applied: Revision) -> Option<Revision> {
+        match self.stage {
+            TxnStage::AwaitingReplica(revision) => (revision <= applied).then_some(revision),
+            TxnStage::Queued { .. } | TxnStage::InFlight | TxnStage::RetryAt(_) => None,
+        }
+    }
+}
+
+/// How a transaction has ended, and what that proves.
+pub(crate) enum TxnEnd {
+    /// It was committed.
+    Committed(Evidence),
+    /// A precondition did not hold, and the replica has reached the revision at which it did not.
+    Refused(Evidence),
+    /// It may have been committed or not: its answer tells nothing.
+    Unknown,
+}
+
+impl TxnEnd {
+    /// Whether it was committed for certain.
+    pub(crate) fn is_committed(&self) -> bool {
+        matches!(self, TxnEnd::Committed(_))
+    }
+
+    /// What its answer proves about the stored records.
+    pub(crate) fn evidence(&self) -> Option<&Evidence> {
+        match self {
+            TxnEnd::Committed(evidence) | TxnEnd::Refused(evidence) => Some(evidence),
+            TxnEnd::Unknown => None,
+        }
+    }
+}
+
+/// The transactions that have not ended, by ticket.
+#[derive(Default)]
+pub(super) struct PendingTxns {
+    by_ticket: BTreeMap<u64, PendingTxn>,
+}
+
+impl PendingTxns {
+    pub(super) fn insert(&mut self, ticket: u64, pending: PendingTxn) {
+        self.by_ticket.insert(ticket, pending);
+    }
+
+    pub(super) fn get_mut(&mut self, ticket: u64) -> Option<&mut PendingTxn> {
+        self.by_ticket.get_mut(&ticket)
+    }
+
+    pub(super) fn remove(&mut self, ticket: u64) -> Option<PendingTxn> {
+        self.by_ticket.remove(&ticket)
+    }
+
+    pub(super) fn has_purpose(&self, purpose: &TxnPurpose) -> bool {
+        self.by_ticket.values().any(|pending| pending.purpose == *purpose)
+    }
+
+    /// Of those that wait for the write budget the one that should be sent earliest: when, and its ticket.
+    pub(super) fn first_queued(&self) -> Option<(Micros, u64)> {
+        let queued = self.by_ticket.iter().filter_map(|(ticket, pending)| match pending.stage {
+            TxnStage::Queued { send_by } => Some((send_by, *ticket)),
+            TxnStage::InFlight | TxnStage::RetryAt(_) | TxnStage::AwaitingReplica(_) => None,
+        });
+        queued.min()
+    }
+
+    /// Whether any has conflicted with a change that the replica does not have yet.
+    pub(super) fn is_any_awaiting_replica(&self) -> bool {
+        self.by_ticket.values().any(|pending| matches!(pending.stage, TxnStage::AwaitingReplica(_)))
+    }
+
+    pub(super) fn due_for_retry(&self, now: Micros) -> Vec<u64> {
+        let due = self.by_ticket.iter().filter(|(_, pending)| pending.is_retry_due(now));
+        due.map(|(ticket, _)| *ticket).collect()
+    }
+
+    /// Conflicts that the replica has caught up with: tickets and revisions.
+    pub(super) fn settled_conflicts(&self, applied: Revision) -> Vec<(u64, Revision)> {
+        let pending = self.by_ticket.iter();
+        pending.filter_map(|(ticket, pending)| Some((*ticket, pending.reached_conflict(applied)?))).collect()
+    }
+}
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -1,222 +1,149 @@
-//! Reading the store: the first scan, the watch, and fresh reads.
+//! Reads after the initial sync: the watch and fresh reads.
 //!
-//! A fresh read is one `/changes` call that returns at once; whoever asked before it was sent may
-//! rely on the replica afterwards. One is in flight at a time, shared by all who wait. An answer counts only for the
-//! call that its ticket names.
+//! A fresh read is one `/changes` call that returns at once; whoever asked before it was sent may rely on the replica
+//! afterwards. One is in flight at a time, shared by all who wait. An answer counts only for the call that its ticket
+//! names.
 
 use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
+use crate::coordination::store_sync::initial_sync::PAUSE_AFTER_FAILURE;
 use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
-use crate::protocol::store::{Changes, Page};
+use crate::protocol::store::Changes;
 use crate::types::{Micros, Revision};
 
-/// The first reading of all records: pages one after the other, then what changed since the first of them. Only then
-/// is the replica what the store held at one moment, and anything decided or told by it.
-#[derive(Default)]
-pub(crate) struct Sync {
-    pub done: bool,
-    /// The call on its way.
-    in_flight: Option<u64>,
-    after: Option<String>,
-    first_revision: Option<Revision>,
-    /// All pages are read.
-    catching_up: bool,
-    not_before: Micros,
-}
+/// Part of the store's request limit that all controllers' watches together may take.
+const WATCH_PART: f64 = 0.35;
+/// The same for fresh reads. What is left is for renewals and transactions.
+const FRESH_READ_PART: f64 = 0.08;
 
-/// A read on its way.
+/// A read in flight.
 #[derive(Clone, Copy)]
-struct InFlight {
+struct InFlightRead {
     ticket: u64,
-    begun: LogicalTime,
+    sent_at: LogicalTime,
 }
 
+/// The watch and the fresh read.
 #[derive(Default)]
-pub(crate) struct Reads {
-    watch: Option<InFlight>,
-    watch_not_before: Micros,
-    fresh: Option<InFlight>,
-    last_read: Micros,
-    not_before: Micros,
+pub(super) struct Reads {
+    watch: Option<InFlightRead>,
+    next_watch_at: Micros,
+    fresh: Option<InFlightRead>,
+    last_fresh_at: Micros,
+    fresh_retry_at: Micros,
     /// Somebody besides users wants the replica brought up to date.
-    pub wanted: bool,
+    is_fresh_wanted: bool,
 }
 
-/// Parts of the store's request limit that all controllers' watches and fresh reads together
-/// may take: what is left is for renewals and transactions.
-const WATCH_PART: f64 = 0.35;
-const FRESH_PART: f64 = 0.08;
+impl Reads {
+    /// Has a fresh read sent as soon as possible.
+    pub(super) fn request_fresh(&mut self) {
+        self.is_fresh_wanted = true;
+    }
 
-const PAUSE_AFTER_FAILURE: Micros = Micros::from_millis(300);
+    fn is_watch_due(&self, now: Micros) -> bool {
+        self.watch.is_none() && now >= self.next_watch_at
+    }
 
-impl Controller {
-    pub(crate) fn tick_reads(&mut self) {
-        let now = self.now();
-        if !self.store.sync.done {
-            if self.store.sync.in_flight.is_none() && now >= self.store.sync.not_before {
-                self.read_on();
-            }
-            return;
-        }
-        self.watch();
+    fn may_send_fresh(&self, now: Micros, min_interval: Micros) -> bool {
+        self.fresh.is_none() && now >= self.fresh_retry_at && now.since(self.last_fresh_at) >= min_interval
     }
+}
+
+/// Whether a read in flight is the one of that ticket.
+fn is_read(read: Option<InFlightRead>, ticket: u64) -> bool {
+    read.is_some_and(|read| read.ticket == ticket)
+}
 
-    /// The next step of the first reading.
-    fn read_on(&mut self) {
-        let ticket = self.next_ticket();
-        self.store.sync.in_flight = Some(ticket);
-        let call = if self.store.sync.catching_up {
-            let after = self.store.replica.applied_revision.0;
-            StoreCall::Changes { ticket, kind: ReadKind::Fresh, after, wait_ms: 0 }
+impl Controller {
+    /// Goes on with the initial sync, or else with the watch.
+    pub(crate) fn tick_reads(&mut self) {
+        if self.store.is_synced() {
+            self.start_watch_if_due();
         } else {
-            StoreCall::Page { ticket, after: self.store.sync.after.clone() }
-        };
-        self.out.push(Effect::Store(call));
+            self.tick_initial_sync();
+        }
     }
 
-    fn begin_read(&mut self, kind: ReadKind, wait_ms: u64) -> InFlight {
-        let (ticket, begun) = (self.next_ticket(), self.store.order.tick());
+    fn send_read(&mut self, kind: ReadKind, wait_ms: u64) -> InFlightRead {
+        let (ticket, sent_at) = (self.store.next_ticket(), self.store.logical_clock.tick());
         let after = self.store.replica.applied_revision.0;
         self.out.push(Effect::Store(StoreCall::Changes { ticket, kind, after, wait_ms }));
-        InFlight { ticket, begun }
+        InFlightRead { ticket, sent_at }
     }
 
-    /// Shortest pause between two reads, so that those of all controllers stay within a part of
-    /// the limit.
-    fn read_gap(&self, part: f64) -> Micros {
+    /// Shortest pause between two reads, so that those of all controllers stay within a part of the limit.
+    fn min_read_interval(&self, part: f64) -> Micros {
         let limits = &self.platform.deployment;
-        let equal = f64::from(limits.nodes) / (limits.store.rps * part);
-        Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(equal))
+        let equal_share = f64::from(limits.nodes) / (limits.store.rps * part);
+        Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(equal_share))
     }
 
-    fn watch(&mut self) {
-        if self.store.sync.done && self.store.reads.watch.is_none() && self.now() >= self.store.reads.watch_not_before {
+    /// Sends the next call of the watch.
+    pub(super) fn start_watch_if_due(&mut self) {
+        if self.store.is_synced() && self.store.reads.is_watch_due(self.now()) {
             let wait_ms = self.policy.watch_ms;
-            self.store.reads.watch = Some(self.begin_read(ReadKind::Watch, wait_ms));
+            self.store.reads.watch = Some(self.send_read(ReadKind::Watch, wait_ms));
         }
     }
 
-    pub(crate) fn page_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Page>) {
-        if self.store.sync.in_flight != Some(ticket) {
-            return;
-        }
-        self.store.sync.in_flight = None;
-        let ReadOutcome::Got(page) = outcome else {
-            self.store.sync.not_before = self.now() + PAUSE_AFTER_FAILURE;
-            return;
-        };
-        let first = *self.store.sync.first_revision.get_or_insert(Revision(page.revision));
-        for item in &page.items {
-            self.store.replica.apply(&item.key, Some(&item.value), item.version);
-        }
-        if page.more
-            && let Some(last) = page.items.last()
-        {
-            self.store.sync.after = Some(last.key.clone());
-        } else {
-            // Later pages may be newer than the first.
-            self.store.replica.applied_revision = first;
-            self.store.sync.catching_up = true;
-        }
-        self.read_on();
-    }
-
-    fn caught_up(&mut self, outcome: ReadOutcome<Changes>) {
-        self.store.sync.in_flight = None;
-        match outcome {
-            ReadOutcome::Got(changes) => {
-                self.store.replica.advance(&changes.events, Revision(changes.revision));
-                self.store.replica.complete_dependency_lists();
-                self.all_records_read();
-            }
-            ReadOutcome::TooOld => self.start_over(),
-            ReadOutcome::Failed => self.store.sync.not_before = self.now() + PAUSE_AFTER_FAILURE,
-        }
-    }
-
-    fn all_records_read(&mut self) {
-        self.store.sync.done = true;
-        self.store.synced_at = self.now();
-        tracing::info!(
-            revision = self.store.replica.applied_revision.0,
-            jobs = self.store.replica.jobs.len(),
-            "stored records read"
-        );
-        let machines: Vec<_> = self.store.replica.machines.keys().cloned().collect();
-        for id in machines {
-            self.machine_changed(&id);
-        }
-        let mut jobs: Vec<_> =
-            self.store.replica.jobs.keys().chain(self.store.replica.run_chunks.keys()).cloned().collect();
-        jobs.sort_unstable();
-        jobs.dedup();
-        for id in jobs {
-            self.job_changed(&id);
-        }
-        self.zones_read();
-        self.watch();
-        self.tick_leases();
-    }
-
     /// Sends a fresh read if anybody waits for one.
     pub(crate) fn start_fresh_read(&mut self) {
         let now = self.now();
-        let gap = self.read_gap(FRESH_PART);
-        let wanted = self.store.reads.wanted || self.api.wants_read();
-        if !wanted || !self.store.sync.done || self.store.reads.fresh.is_some() {
-            return;
-        }
-        if now < self.store.reads.not_before || now.since(self.store.reads.last_read) < gap {
+        let min_interval = self.min_read_interval(FRESH_READ_PART);
+        let is_wanted = self.store.reads.is_fresh_wanted || self.api.wants_read();
+        if !is_wanted || !self.store.is_synced() || !self.store.reads.may_send_fresh(now, min_interval) {
             return;
         }
-        self.store.reads.last_read = now;
-        self.store.reads.wanted = false;
-        self.store.reads.fresh = Some(self.begin_read(ReadKind::Fresh, 0));
+        self.store.reads.last_fresh_at = now;
+        self.store.reads.is_fresh_wanted = false;
+        self.store.reads.fresh = Some(self.send_read(ReadKind::Fresh, 0));
     }
 
+    /// A read of changes has been answered, or has failed.
     pub(crate) fn changes_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Changes>) {
-        let names = |call: &Option<InFlight>| call.is_some_and(|call| call.ticket == ticket);
-        if names(&self.store.reads.watch) {
+        if is_read(self.store.reads.watch, ticket) {
             self.watch_outcome(outcome);
-        } else if names(&self.store.reads.fresh) {
-            self.fresh_outcome(outcome);
-        } else if self.store.sync.in_flight == Some(ticket) {
-            self.caught_up(outcome);
+        } else if is_read(self.store.reads.fresh, ticket) {
+            self.fresh_read_outcome(outcome);
+        } else if self.store.initial_sync.is_in_flight(ticket) {
+            self.catch_up_outcome(outcome);
         }
     }
 
     fn watch_outcome(&mut self, outcome: ReadOutcome<Changes>) {
-        let Some(InFlight { begun, .. }) = self.store.reads.watch.take() else { return };
+        let Some(read) = self.store.reads.watch.take() else { return };
         match outcome {
             ReadOutcome::Got(changes) => {
-                self.take_changes(begun, &changes);
-                self.store.reads.watch_not_before = self.now() + self.read_gap(WATCH_PART);
-                self.watch();
+                self.apply_changes(read.sent_at, &changes);
+                self.store.reads.next_watch_at = self.now() + self.min_read_interval(WATCH_PART);
+                self.start_watch_if_due();
             }
             ReadOutcome::TooOld => self.start_over(),
-            ReadOutcome::Failed => self.store.reads.watch_not_before = self.now() + PAUSE_AFTER_FAILURE,
+            ReadOutcome::Failed => self.store.reads.next_watch_at = self.now() + PAUSE_AFTER_FAILURE,
         }
     }
 
-    fn fresh_outcome(&mut self, outcome: ReadOutcome<Changes>) {
-        let Some(InFlight { begun, .. }) = self.store.reads.fresh.take() else { return };
+    fn fresh_read_outcome(&mut self, outcome: ReadOutcome<Changes>) {
+        let Some(read) = self.store.reads.fresh.take() else { return };
         match outcome {
-            ReadOutcome::Got(changes) => self.take_changes(begun, &changes),
+            ReadOutcome::Got(changes) => self.apply_changes(read.sent_at, &changes),
             ReadOutcome::TooOld => self.start_over(),
             ReadOutcome::Failed => {
-                self.store.reads.not_before = self.now() + PAUSE_AFTER_FAILURE;
-                self.store.reads.wanted |= self.store.txns.awaiting_read();
-                self.read_failed(begun);
+                self.store.reads.fresh_retry_at = self.now() + PAUSE_AFTER_FAILURE;
+                self.store.reads.is_fresh_wanted |= self.store.txns.is_any_awaiting_replica();
+                self.read_failed(read.sent_at);
             }
         }
     }
 
-    fn take_changes(&mut self, begun: LogicalTime, changes: &Changes) {
+    /// Brings the replica up to date, and then all that waits for it.
+    fn apply_changes(&mut self, sent_at: LogicalTime, changes: &Changes) {
         let revision = Revision(changes.revision);
         let changed = self.store.replica.advance(&changes.events, revision);
         self.api.submissions.reached(self.store.replica.applied_revision);
         self.changed(changed);
-        self.txns_read();
-        self.read_proves(&Evidence::new(begun, revision));
+        self.settle_conflicts();
+        self.read_proves(&Evidence::new(sent_at, revision));
         self.answer_open_questions();
         self.scheduling.cycle_wanted = true;
     }
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -7,7 +7,7 @@
 use crate::coordination::control::versions::leader_delegates_moves;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::{Phase, Start};
-use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
@@ -21,8 +21,8 @@
 /// A job whose records are to be brought up to date.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueRecord {
-    /// Until then it may wait for others when the change budget is short.
-    pub latest: Micros,
+    /// Until then it may wait for others when the write budget is short.
+    pub send_by: Micros,
     shard: u32,
     id: JobId,
 }
@@ -142,7 +142,7 @@
 
     /// Takes all stored chunks out, as many as there is room for.
     fn clear(&self, replica: &Replica, id: &JobId, proposal: &mut ProposedTxn) {
-        let writes_left = self.limits.writes - proposal.txn.writes.len();
+        let writes_left = self.limits.writes - proposal.write_count();
         for number in self.stored.keys().take(writes_left) {
             proposal.unchanged(replica, Key::RunChunk(id.clone(), *number));
             proposal.delete(Key::RunChunk(id.clone(), *number));
@@ -230,12 +230,12 @@
 
 impl Controller {
     /// Jobs whose records are to be brought up to date, those that can wait least first, and until
-    /// when each may wait for others when the change budget is short.
+    /// when each may wait for others when the write budget is short.
     pub(crate) fn due_records(&mut self) -> Vec<DueRecord> {
         let now = self.now();
         let delay = Micros::from_millis(self.policy.record_delay_ms);
         let batch_delay = Micros::from_millis(self.policy.batch_delay_ms);
-        let idle = self.store.budget.is_idle(now);
+        let idle = self.store.has_spare_write_budget(now);
         let mut due = Vec::new();
         let mut settled = Vec::new();
         for id in &self.jobs.usage.touched {
@@ -263,18 +263,18 @@
                 Need::ChunkSpace if job.is_urgent() => Need::Outcome,
                 need => need,
             };
-            let latest = since + Micros::from_millis(need_soon.patience_ms(&self.policy));
+            let send_by = since + Micros::from_millis(need_soon.patience_ms(&self.policy));
             // What can wait goes when there is nothing better to do, or with company. Where machines are
             // full batch tasks start one by one as others end; each alone would cost a change.
             let waits = match need {
-                Need::Progress => now.since(since) < delay || (!idle && now < latest),
+                Need::Progress => now.since(since) < delay || (!idle && now < send_by),
                 Need::Batch | Need::ChunkSpace => !idle && now.since(since) < batch_delay,
                 Need::Urgent | Need::Outcome => false,
             };
             if waits {
                 continue;
             }
-            due.push(DueRecord { latest, shard: job.shard, id: id.clone() });
+            due.push(DueRecord { send_by, shard: job.shard, id: id.clone() });
         }
         for id in settled {
             self.jobs.usage.touched.remove(&id);
@@ -285,7 +285,7 @@
 
     /// Writes down what was decided and seen about the first job of `due`, and about as many of the
     /// next ones as fit the same transaction.
-    pub(crate) fn record(&mut self, due: &mut VecDeque<DueRecord>) {
+    pub(crate) fn send_job_records(&mut self, due: &mut VecDeque<DueRecord>) {
         let limits = self.txn_limits();
         // Near the limit the service rather refuses large transactions than small ones.
         let rate = self.platform.deployment.store.write_rps;
@@ -298,29 +298,24 @@
             let Some(DueRecord { id, .. }) = due.pop_front() else { break };
             let what = self.jobs.by_id.get(&id).and_then(Need::of).map_or("nothing", Need::name);
             let part = self.job_part(&id, role, limits);
-            self.store.budget.count(what, part.txn.writes.len());
-            if part.txn.writes.is_empty() {
+            self.store.write_budget.count_writes(what, part.write_count());
+            if part.write_count() == 0 {
                 self.job_txn_over(&id);
                 continue;
             }
-            let writes = proposal.txn.writes.len() + part.txn.writes.len();
-            let preconditions = proposal.txn.preconditions.len() + part.txn.preconditions.len();
+            let writes = proposal.write_count() + part.write_count();
+            let preconditions = proposal.precondition_count() + part.precondition_count();
             if !ids.is_empty() && (writes > limits.writes || preconditions > limits.preconditions) {
-                self.send_txn(std::mem::take(&mut proposal), Purpose::Jobs(std::mem::take(&mut ids)));
+                self.send_txn(std::mem::take(&mut proposal), TxnPurpose::Jobs(std::mem::take(&mut ids)));
             }
-            for precondition in part.txn.preconditions {
-                if !proposal.txn.preconditions.contains(&precondition) {
-                    proposal.txn.preconditions.push(precondition);
-                }
-            }
-            proposal.txn.writes.extend(part.txn.writes);
+            proposal.append(part);
             ids.push(id);
-            if proposal.txn.writes.len() >= enough {
+            if proposal.write_count() >= enough {
                 break;
             }
         }
         if !ids.is_empty() {
-            self.send_txn(proposal, Purpose::Jobs(ids));
+            self.send_txn(proposal, TxnPurpose::Jobs(ids));
         }
     }
 
@@ -343,8 +338,8 @@
         job.dirty_since = None;
         let none = BTreeMap::new();
         let stored = self.store.replica.run_chunks.get(id).unwrap_or(&none);
-        let mut changes = ChunkChanges::new(stored, self.store.chunk_tasks, limits, guard);
-        let tasks = job.tasks_to_record(now, self.store.chunk_tasks, progress_patience);
+        let mut changes = ChunkChanges::new(stored, self.store.tasks_per_chunk(), limits, guard);
+        let tasks = job.tasks_to_record(now, self.store.tasks_per_chunk(), progress_patience);
         for task in job.change_chunks(tasks, &self.store.replica, &mut changes) {
             job.live.remove(task, &mut self.jobs.usage);
             job.redo.insert(task);
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -8,7 +8,7 @@
 use crate::coordination::Controller;
 use crate::coordination::jobs::usage::Start;
 use crate::coordination::scheduling::shard_view::Spot;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
 use crate::protocol::user::{Kind, Priority};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
 use crate::types::{JobId, MachineId, Micros};
@@ -175,7 +175,7 @@
                 Some(record) => proposal.put(key, to_value(&record)),
                 None => proposal.delete(key),
             }
-            self.submit_txn(proposal, Purpose::ZoneView(name));
+            self.submit_txn(proposal, TxnPurpose::ZoneView(name));
         }
     }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -3,7 +3,7 @@
 use burlhatch::coordination::jobs::dependency_graph::{DependencyGraph, Urgency};
 use burlhatch::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
 use burlhatch::coordination::scheduling::placement::{Candidate, choose};
-use burlhatch::coordination::store_sync::budget::Budget;
+use burlhatch::coordination::store_sync::write_budget::WriteBudget;
 use burlhatch::protocol::store::Event;
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
 use burlhatch::protocol::worker::ExitCause;
@@ -274,7 +274,7 @@
 /// spends much more than its rate.
 #[test]
 fn the_change_budget_slows_down_and_keeps_an_equal_part() {
-    let mut budget = Budget::new(50.0, 50.0, 5, 1.8);
+    let mut budget = WriteBudget::new(50.0, 50.0, 5, 1.8);
     let mut spent = 0;
     for ms in 0..20_000 {
         let now = Micros::from_millis(ms);
@@ -282,7 +282,7 @@
             budget.spend(now, 3);
             spent += 3;
             if ms % 500 < 20 {
-                budget.refused(now);
+                budget.record_refusal(now);
             }
         }
     }
@@ -294,10 +294,10 @@
 /// all that is heard of them.
 #[test]
 fn changes_are_not_plenty_for_a_while_after_a_refusal() {
-    let mut budget = Budget::new(50.0, 50.0, 5, 1.8);
+    let mut budget = WriteBudget::new(50.0, 50.0, 5, 1.8);
     let at = |s: u64| Micros::from_millis(s * 1000);
     assert!(budget.is_idle(at(10)));
-    budget.refused(at(10));
+    budget.record_refusal(at(10));
     assert!(!budget.is_idle(at(15)), "its own burst is full again, but others were short a moment ago");
     assert!(budget.is_idle(at(21)));
     budget.spend(at(21), 15);
