--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -47,7 +47,7 @@
 /// Five controllers and four machines a zone. The lease is longer than services may be away in the cut variants, so that
 /// waiting for it would not do.
 pub fn plan(program: PathBuf, directory: PathBuf, policy: &str) -> ClusterPlan {
-    let names = |names: &[&str]| names.iter().map(|name| name.to_string()).collect();
+    let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
     ClusterPlan {
         program,
         directory,
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -219,7 +219,7 @@
 
     /// Judges all zones; says which conditions changed.
     pub fn round(&mut self, now: Micros, settings: &ZoneSettings) -> Vec<Transition> {
-        let with_machines = self.census.zones().map(|zone| zone.to_string());
+        let with_machines = self.census.zones().map(std::string::ToString::to_string);
         let names: BTreeSet<String> = with_machines.chain(self.states.keys().cloned()).collect();
         let mut transitions = Vec::new();
         for zone in names {
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -99,7 +99,7 @@
         if !self.store.replica.jobs.contains_key(id) && !self.api.submissions.is_committed(id) {
             return None;
         }
-        let (done, running) = self.jobs.by_id.get(id).map_or((0, 0), |job| job.counts());
+        let (done, running) = self.jobs.by_id.get(id).map_or((0, 0), super::super::jobs::job::Job::counts);
         let state = if running > 0 { JobState::Running } else { JobState::Queued };
         Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
     }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -278,7 +278,7 @@
     fn exit_seen(&mut self, id: &MachineId, task: &TaskId, why: ExitCause) {
         let now = self.now();
         let Some(job) = self.jobs.by_id.get(&task.job) else { return };
-        if !job.live.get(task.index).is_some_and(|l| l.occupies()) {
+        if !job.live.get(task.index).is_some_and(super::super::jobs::usage::Start::occupies) {
             return;
         }
         let elsewhere = |live: &Start| live.machine() != id && live.phase().on_machine();
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -3,7 +3,7 @@
 //! Each holder of a shard judges zones by its own machines and stores its view under its lease on the shard; from all
 //! views every controller derives the same condition (see `docs/zones.md`). What follows from it is decided where such
 //! work is decided already: [`crate::coordination::scheduling::placement`] asks which zones take work and in which order jobs are looked at,
-//! [`crate::coordination::autoscaling::capacity`] and [`crate::coordination::autoscaling::scale_out`] plan around lost zones, [`crate::coordination::zones::zone_control::evacuation`] proves tasks gone.
+//! [`crate::coordination::autoscaling::capacity`] and [`crate::coordination::autoscaling::scale_out`] plan around lost zones, [`crate::coordination::zones::evacuation`] proves tasks gone.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::usage::Start;
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -42,7 +42,7 @@
 fn what_may_be_null_may_be_left_out_and_unknown_fields_are_ignored() {
     let mut message = example();
     for field in ["crew", "hulls", "berth", "due_s"] {
-        message.as_object_mut().unwrap().remove(field);
+        message.as_object_mut().expect("an object").remove(field);
     }
     message["colour"] = json!("red");
     message["cores"] = json!(8);
@@ -53,10 +53,10 @@
 #[test]
 fn every_needed_field_is_needed_and_typed() {
     let optional = ["id", "crew", "hulls", "berth", "due_s"];
-    let fields: Vec<String> = example().as_object().unwrap().keys().cloned().collect();
+    let fields: Vec<String> = example().as_object().expect("an object").keys().cloned().collect();
     for field in fields.iter().filter(|f| !optional.contains(&f.as_str())) {
         let mut missing = example();
-        missing.as_object_mut().unwrap().remove(field);
+        missing.as_object_mut().expect("an object").remove(field);
         assert!(submission(&cbor(missing)).spec.is_none(), "{field} missing");
     }
     for field in &fields {
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -87,7 +87,7 @@
     pub(super) fn cloud_request(&mut self, request: CloudCall) -> CloudOutcome {
         match request {
             CloudCall::Types => {
-                let zones: Vec<String> = self.size.zones.iter().map(|z| z.to_string()).collect();
+                let zones: Vec<String> = self.size.zones.iter().map(std::string::ToString::to_string).collect();
                 let kind = |name: &str, cpus: f64, price: f64| MachineType {
                     name: name.into(),
                     cpus,
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -180,7 +180,7 @@
             if items.len() == self.limits.page_items || (!items.is_empty() && bytes > self.limits.page_bytes) {
                 break;
             }
-            items.push(Item { key: key.to_string(), value: value.clone(), version: *version });
+            items.push(Item { key: (*key).clone(), value: value.clone(), version: *version });
             rows.next();
         }
         Page { items, more: rows.peek().is_some(), revision: self.revision }
