--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -137,7 +137,7 @@
         }
         avoided.extend(self.zones.moving.get(id).map(|moving| moving.from.clone()));
         let elsewhere = |zone: &str| !distrusted.contains(zone) && self.zone_takes_work(zone);
-        let machines = job.live.values().filter(|live| live.occupies()).map(|live| live.machine());
+        let machines = job.live.values().filter(|live| live.occupies()).map(super::super::jobs::usage::Start::machine);
         let mut zones = machines.filter_map(|id| self.store.replica.machines.get(id)).map(|m| m.value.zone.as_str());
         if !distrusted.is_empty() && !zones.any(elsewhere) {
             avoided.extend(distrusted.iter().cloned());
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -261,7 +261,7 @@
             return;
         }
         let Some(record) = self.store.replica.machines.get(start.machine()) else { return };
-        let returned = self.zones.zones.state(&record.value.zone).map(|state| state.since());
+        let returned = self.zones.zones.state(&record.value.zone).map(burlhatch_zones::condition::ZoneState::since);
         let since_return = |at: Micros| returned.is_some_and(|returned| at >= returned);
         if start.running_since.is_some_and(since_return) {
             self.note_zone_start(start.machine(), ZoneStart::Lost);
