--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -2,7 +2,9 @@
 
 use super::{Event, S, World};
 use burlhatch::coordination::{CloudCall, CloudOutcome};
-use burlhatch::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes};
+use burlhatch::protocol::cloud::{
+    ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes, Rental,
+};
 use burlhatch::types::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -86,79 +88,91 @@
 
     pub(super) fn cloud_request(&mut self, request: CloudCall) -> CloudOutcome {
         match request {
-            CloudCall::Types => {
-                let zones: Vec<String> = self.size.zones.iter().map(std::string::ToString::to_string).collect();
-                let kind = |name: &str, cpus: f64, price: f64| MachineType {
-                    name: name.into(),
-                    cpus,
-                    gpus: 0.0,
-                    memory_gb: 32.0,
-                    cache_gb: 10.0,
-                    fetch_gb_per_s: 0.2,
-                    price,
-                    spot_price: Some(price / 3.0),
-                    boot_s: 10.0,
-                    zones: zones.clone(),
-                };
-                CloudOutcome::Types(MachineTypes { types: vec![kind("small", 4.0, 0.2), kind("large", 8.0, 0.4)] })
-            }
-            CloudCall::Rent(rental) => {
-                if let Some(names) = self.cloud.charters.get(&rental.request) {
-                    return CloudOutcome::Rented(MachineNames { machines: names.clone() });
-                }
-                let room = self.cloud.capacity.saturating_sub(self.cloud.used());
-                if room == 0 {
-                    return CloudOutcome::NoCapacity;
-                }
-                let mut names = Vec::new();
-                for _ in 0..room.min(rental.count as usize) {
-                    let stuck = self.cloud.never_up > 0 && self.chance(self.cloud.never_up);
-                    let dead = self.cloud.dead_zones.contains(&rental.zone);
-                    let never = stuck || dead || (rental.spot && self.cloud.spot_is_dead);
-                    let ordinary = (6 * S + self.pick(9 * S)) * self.cloud.boot_percent / 100;
-                    let delay = if never { 1_000_000 * S } else { ordinary };
-                    self.cloud.rented[usize::from(rental.spot)] += 1;
-                    names.push(self.boot(&rental.machine_type, &rental.zone, rental.spot, delay));
-                }
-                self.cloud.charters.insert(rental.request, names.clone());
-                CloudOutcome::Rented(MachineNames { machines: names })
-            }
-            CloudCall::Delete(ids) => {
-                for id in ids {
-                    if let Some(machine) = self.cloud.machines.get_mut(&id) {
-                        machine.gone_at.get_or_insert(self.now);
-                        self.workers.remove(&id);
-                    }
-                }
-                CloudOutcome::Deleted
-            }
-            CloudCall::List { after } => {
-                let lag = LAG + self.pick(LAG);
-                let then = self.now.saturating_sub(lag);
-                let machines = self
-                    .cloud
-                    .machines
-                    .iter()
-                    .filter(|(id, m)| {
-                        after.as_ref().is_none_or(|a| *id > a)
-                            && m.since <= then
-                            && m.gone_at.is_none_or(|at| at > then)
-                    })
-                    .take(PAGE + 1)
-                    .map(|(id, m)| ListedMachine {
-                        id: id.clone(),
-                        addr: None,
-                        machine_type: m.machine_type.clone(),
-                        zone: m.zone.clone(),
-                        spot: m.spot,
-                        state: m.state,
-                        age_s: (then - m.since) as f64 / 1e6,
-                    })
-                    .collect::<Vec<_>>();
-                let more = machines.len() > PAGE;
-                CloudOutcome::List(MachineList { machines: machines.into_iter().take(PAGE).collect(), more })
+            CloudCall::Types => CloudOutcome::Types(self.machine_types()),
+            CloudCall::Rent(rental) => self.rent(rental),
+            CloudCall::Delete(ids) => self.delete_machines(&ids),
+            CloudCall::List { after } => CloudOutcome::List(self.list_machines(after.as_ref())),
+        }
+    }
+
+    fn machine_types(&self) -> MachineTypes {
+        let zones: Vec<String> = self.size.zones.iter().map(ToString::to_string).collect();
+        let kind = |name: &str, cpus: f64, price: f64| MachineType {
+            name: name.into(),
+            cpus,
+            gpus: 0.0,
+            memory_gb: 32.0,
+            cache_gb: 10.0,
+            fetch_gb_per_s: 0.2,
+            price,
+            spot_price: Some(price / 3.0),
+            boot_s: 10.0,
+            zones: zones.clone(),
+        };
+        MachineTypes { types: vec![kind("small", 4.0, 0.2), kind("large", 8.0, 0.4)] }
+    }
+
+    /// A repeated request brings what the first one brought.
+    fn rent(&mut self, rental: Rental) -> CloudOutcome {
+        if let Some(names) = self.cloud.charters.get(&rental.request) {
+            return CloudOutcome::Rented(MachineNames { machines: names.clone() });
+        }
+        let available = self.cloud.capacity.saturating_sub(self.cloud.used());
+        if available == 0 {
+            return CloudOutcome::NoCapacity;
+        }
+        let mut names = Vec::new();
+        for _ in 0..available.min(rental.count as usize) {
+            let stuck = self.cloud.never_up > 0 && self.chance(self.cloud.never_up);
+            let dead = self.cloud.dead_zones.contains(&rental.zone);
+            let never = stuck || dead || (rental.spot && self.cloud.spot_is_dead);
+            let ordinary = (6 * S + self.pick(9 * S)) * self.cloud.boot_percent / 100;
+            let delay = if never { 1_000_000 * S } else { ordinary };
+            self.cloud.rented[usize::from(rental.spot)] += 1;
+            names.push(self.boot(&rental.machine_type, &rental.zone, rental.spot, delay));
+        }
+        self.cloud.charters.insert(rental.request, names.clone());
+        CloudOutcome::Rented(MachineNames { machines: names })
+    }
+
+    fn delete_machines(&mut self, ids: &[MachineId]) -> CloudOutcome {
+        for id in ids {
+            if let Some(machine) = self.cloud.machines.get_mut(id) {
+                machine.gone_at.get_or_insert(self.now);
+                self.workers.remove(id);
             }
         }
+        CloudOutcome::Deleted
+    }
+
+    /// A page of the list as it was a while ago.
+    fn list_machines(&mut self, after: Option<&MachineId>) -> MachineList {
+        let lag = LAG + self.pick(LAG);
+        let then = self.now.saturating_sub(lag);
+        let is_listed = |id: &MachineId, machine: &Rented| {
+            after.is_none_or(|after| id > after)
+                && machine.since <= then
+                && machine.gone_at.is_none_or(|gone_at| gone_at > then)
+        };
+        let mut machines: Vec<ListedMachine> = self
+            .cloud
+            .machines
+            .iter()
+            .filter(|(id, machine)| is_listed(id, machine))
+            .take(PAGE + 1)
+            .map(|(id, machine)| ListedMachine {
+                id: id.clone(),
+                addr: None,
+                machine_type: machine.machine_type.clone(),
+                zone: machine.zone.clone(),
+                spot: machine.spot,
+                state: machine.state,
+                age_s: (then - machine.since) as f64 / 1e6,
+            })
+            .collect();
+        let more = machines.len() > PAGE;
+        machines.truncate(PAGE);
+        MachineList { machines, more }
     }
 
     pub(super) fn machine_up(&mut self, machine: MachineId) {
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -3,9 +3,19 @@
 use super::network::Fate;
 use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
-    Clock, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, StoreCall, UserAnswer, UserRequest,
+    Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, StoreCall, UserAnswer, UserRequest,
+    Waiter, WorkerAnswer,
 };
-use burlhatch::types::{JobId, Micros};
+use burlhatch::protocol::peer::{CancellationAck, Cancelled};
+use burlhatch::protocol::worker::DirectCommands;
+use burlhatch::types::{JobId, MachineId, Micros};
+
+/// How long a controller waits for a sibling's answer.
+const PEER_TIMEOUT: u64 = 700 * MS;
+/// How long a controller waits for the cloud's answer.
+const CLOUD_TIMEOUT: u64 = 5 * S;
+/// How long a controller waits for a worker's answer to direct commands.
+const DIRECT_COMMANDS_TIMEOUT: u64 = 2500 * MS;
 
 impl World {
     pub(super) fn clock(&self, node: usize) -> Clock {
@@ -40,99 +50,110 @@
 
     pub(super) fn carry_out(&mut self, node: usize, effect: Effect) {
         self.fingerprint.add(self.now, node, &effect);
-        let life = self.nodes[node].life;
         match effect {
             Effect::AnswerUser(waiter, answer) => self.user_answer(node, waiter, answer),
-            Effect::AnswerWorker(waiter, answer) => {
-                if let Some((machine, serial)) = self.nodes[node].workers.remove(&waiter) {
-                    self.check_renewal(node, &machine, serial, &answer);
-                    let fate = self.fate(&Place::Node(node), &Place::Worker(machine.clone()));
-                    match fate {
-                        Fate::Arrives(delay) | Fate::Held(delay) => {
-                            self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
-                        }
-                        Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
-                    }
-                }
-            }
-            Effect::AnswerPeer(waiter, answer) => {
-                if let Some((to, life, call, number)) = self.nodes[node].peers.remove(&waiter) {
-                    let input = Input::PeerAnswer { call: number, answer: Some(answer) };
-                    self.reply(Place::Node(node), to, life, call, input);
-                }
-            }
-            Effect::Peer { call: number, to, message } => {
-                let Some(to) = to.strip_prefix("node-").and_then(|n| n.parse().ok()) else { return };
-                self.call(
-                    node,
-                    Place::Node(to),
-                    700 * MS,
-                    |call| Event::Peer { node, life, call, to, number, message: message.clone() },
-                    |_| Input::PeerAnswer { call: number, answer: None },
-                );
-            }
-            Effect::Store(request) => {
-                let limit = match &request {
-                    StoreCall::Changes { wait_ms, .. } => wait_ms * MS + STORE_TIMEOUT,
-                    _ => STORE_TIMEOUT,
-                };
-                let shape = request.clone();
-                let is_txn = matches!(request, StoreCall::Txn { .. });
-                let may_be_late = self.now < self.late_writes.0 && self.late_writer.is_none_or(|late| late == node);
-                if is_txn && may_be_late && self.chance(self.late_writes.1) {
-                    self.next_call += 1;
-                    let call = self.next_call;
-                    let late = 2 * S + self.pick(10 * S);
-                    self.open_calls.insert(call, ());
-                    self.at(late, Event::Store { node, life, call, request });
-                    let input = store::failed(&shape, Failure::Unknown);
-                    return self.at(limit, Event::Outcome { node, life, call, input });
-                }
-                self.call(
-                    node,
-                    Place::Store,
-                    limit,
-                    |call| Event::Store { node, life, call, request: request.clone() },
-                    |failure| store::failed(&shape, failure),
-                );
-            }
-            Effect::Cloud { call: number, request } => self.call(
-                node,
-                Place::Cloud,
-                5 * S,
-                |call| Event::Cloud { node, life, call, number, request: request.clone() },
-                |_| Input::Cloud { call: number, outcome: CloudOutcome::Failed },
-            ),
-            Effect::DirectCommands { machine, commands, .. } => {
-                let id = machine.clone();
-                let empty = commands.commands.is_empty();
-                if let Some(late) = self.command_delay() {
-                    self.next_call += 1;
-                    let call = self.next_call;
-                    self.open_calls.insert(call, ());
-                    self.at(late, Event::DirectCommands { node, life, call, machine, commands });
-                    let failure = if empty { Failure::NotDone } else { Failure::Unknown };
-                    let input = Input::DirectCommands { machine: id, outcome: DirectCommandsOutcome::Failed(failure) };
-                    return self.at(2500 * MS, Event::Outcome { node, life, call, input });
-                }
-                self.call(
-                    node,
-                    Place::Worker(machine.clone()),
-                    2500 * MS,
-                    |call| Event::DirectCommands {
-                        node,
-                        life,
-                        call,
-                        machine: machine.clone(),
-                        commands: commands.clone(),
-                    },
-                    |failure| {
-                        let failure = if empty { Failure::NotDone } else { failure };
-                        Input::DirectCommands { machine: id.clone(), outcome: DirectCommandsOutcome::Failed(failure) }
-                    },
-                );
+            Effect::AnswerWorker(waiter, answer) => self.answer_worker(node, waiter, answer),
+            Effect::AnswerPeer(waiter, answer) => self.answer_peer(node, waiter, answer),
+            Effect::Peer { call, to, message } => self.call_peer(node, call, &to, &message),
+            Effect::Store(request) => self.call_store(node, request),
+            Effect::Cloud { call, request } => self.call_cloud(node, call, &request),
+            Effect::DirectCommands { machine, commands, .. } => self.call_worker(node, machine, commands),
+        }
+    }
+
+    fn answer_worker(&mut self, node: usize, waiter: Waiter, answer: WorkerAnswer) {
+        let Some((machine, serial)) = self.nodes[node].workers.remove(&waiter) else { return };
+        self.check_renewal(node, &machine, serial, &answer);
+        match self.fate(&Place::Node(node), &Place::Worker(machine.clone())) {
+            Fate::Arrives(delay) | Fate::Held(delay) => {
+                self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
             }
+            Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
+        }
+    }
+
+    fn answer_peer(&mut self, node: usize, waiter: Waiter, answer: CancellationAck) {
+        if let Some(caller) = self.nodes[node].peers.remove(&waiter) {
+            let input = Input::PeerAnswer { call: caller.number, answer: Some(answer) };
+            self.reply(Place::Node(node), caller.node, caller.life, caller.call, input);
+        }
+    }
+
+    fn call_peer(&mut self, node: usize, number: u64, to: &str, message: &Cancelled) {
+        let life = self.nodes[node].life;
+        let Some(to) = to.strip_prefix("node-").and_then(|n| n.parse().ok()) else { return };
+        self.call(
+            node,
+            Place::Node(to),
+            PEER_TIMEOUT,
+            |call| Event::Peer { node, life, call, to, number, message: message.clone() },
+            |_| Input::PeerAnswer { call: number, answer: None },
+        );
+    }
+
+    fn call_store(&mut self, node: usize, request: StoreCall) {
+        let life = self.nodes[node].life;
+        let timeout = match &request {
+            StoreCall::Changes { wait_ms, .. } => wait_ms * MS + STORE_TIMEOUT,
+            _ => STORE_TIMEOUT,
+        };
+        let is_txn = matches!(request, StoreCall::Txn { .. });
+        let may_be_late = self.now < self.late_writes.0 && self.late_writer.is_none_or(|late| late == node);
+        if is_txn && may_be_late && self.chance(self.late_writes.1) {
+            let call = self.open_call();
+            let late = 2 * S + self.pick(10 * S);
+            let input = store::failed(&request, Failure::Unknown);
+            self.at(late, Event::Store { node, life, call, request });
+            return self.at(timeout, Event::Outcome { node, life, call, input });
+        }
+        self.call(
+            node,
+            Place::Store,
+            timeout,
+            |call| Event::Store { node, life, call, request: request.clone() },
+            |failure| store::failed(&request, failure),
+        );
+    }
+
+    fn call_cloud(&mut self, node: usize, number: u64, request: &CloudCall) {
+        let life = self.nodes[node].life;
+        self.call(
+            node,
+            Place::Cloud,
+            CLOUD_TIMEOUT,
+            |call| Event::Cloud { node, life, call, number, request: request.clone() },
+            |_| Input::Cloud { call: number, outcome: CloudOutcome::Failed },
+        );
+    }
+
+    fn call_worker(&mut self, node: usize, machine: MachineId, commands: DirectCommands) {
+        let life = self.nodes[node].life;
+        // Without commands nothing can be carried out late.
+        let is_empty = commands.commands.is_empty();
+        let failed = |machine: &MachineId, failure: Failure| {
+            let failure = if is_empty { Failure::NotDone } else { failure };
+            Input::DirectCommands { machine: machine.clone(), outcome: DirectCommandsOutcome::Failed(failure) }
+        };
+        if let Some(late) = self.command_delay() {
+            let call = self.open_call();
+            let input = failed(&machine, Failure::Unknown);
+            self.at(late, Event::DirectCommands { node, life, call, machine, commands });
+            return self.at(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, life, call, input });
         }
+        self.call(
+            node,
+            Place::Worker(machine.clone()),
+            DIRECT_COMMANDS_TIMEOUT,
+            |call| Event::DirectCommands { node, life, call, machine: machine.clone(), commands: commands.clone() },
+            |failure| failed(&machine, failure),
+        );
+    }
+
+    /// Names a call whose answer, or the end of waiting for it, is still to come.
+    fn open_call(&mut self) -> u64 {
+        self.next_call += 1;
+        self.open_calls.insert(self.next_call, ());
+        self.next_call
     }
 
     /// One controller's answer to a question about a job, if it comes at once.
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -9,7 +9,9 @@
 mod fingerprint;
 mod network;
 mod records;
+mod start_rules;
 mod store;
+mod task_lifecycle;
 mod users;
 mod worker;
 
@@ -169,6 +171,14 @@
     Thaw(usize, u64),
 }
 
+/// A sibling's call: whose, in which of its lives, the call, and its own number for it.
+struct PeerCall {
+    node: usize,
+    life: u64,
+    call: u64,
+    number: u64,
+}
+
 struct Node {
     controller: Option<Controller>,
     life: u64,
@@ -177,8 +187,8 @@
     next_waiter: u64,
     users: BTreeMap<u64, (u64, Asked)>,
     workers: BTreeMap<u64, (MachineId, u64)>,
-    /// Siblings that wait for an answer: which, its life, its call, and its own number for it.
-    peers: BTreeMap<u64, (usize, u64, u64, u64)>,
+    /// Siblings that wait for an answer.
+    peers: BTreeMap<u64, PeerCall>,
     /// It stands still until then while its clocks run on.
     frozen_until: u64,
     /// What reached it meanwhile.
@@ -361,41 +371,9 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Restart(i) => {
-                let seed = self.rng.random();
-                let old = self.old.contains(&i);
-                let next = if old { "" } else { &self.next_limits };
-                let mut policy = self.policy.clone();
-                policy.zones.enabled &= !old;
-                policy.record_version = if old { RecordVersion::FIRST.0 } else { policy.record_version };
-                let platform = Platform::parse(&(settings(i, self.size) + next)).expect("valid settings");
-                let node = &mut self.nodes[i];
-                if node.controller.is_some() {
-                    return;
-                }
-                node.life += 1;
-                node.began = self.now;
-                node.controller = Some(Controller::new(Arc::new(platform), Arc::new(policy), seed));
-                let life = node.life;
-                self.at(0, Event::Tick(i, life));
-            }
-            Event::Tick(i, life) => {
-                if self.nodes[i].life == life && self.nodes[i].controller.is_some() {
-                    self.feed(i, Input::Tick);
-                    self.at(50 * MS, Event::Tick(i, life));
-                }
-            }
-            Event::Thaw(node, life) => {
-                if self.nodes[node].life == life && self.nodes[node].frozen_until <= self.now {
-                    // Timers may fire before or after the sockets are read.
-                    if self.chance(2) {
-                        self.feed(node, Input::Tick);
-                    }
-                    for input in std::mem::take(&mut self.nodes[node].backlog) {
-                        self.feed(node, input);
-                    }
-                }
-            }
+            Event::Restart(node) => self.restart(node),
+            Event::Tick(node, life) => self.tick(node, life),
+            Event::Thaw(node, life) => self.thaw(node, life),
             Event::Outcome { node, life, call, input } => {
                 if self.open_calls.remove(&call).is_some() && self.nodes[node].life == life {
                     self.feed(node, input);
@@ -403,13 +381,8 @@
             }
             Event::Store { node, life, call, request } => self.store_request(node, life, call, request),
             Event::Peer { node, life, call, to, number, message } => {
-                if self.nodes[to].controller.is_none() {
-                    return;
-                }
-                self.nodes[to].next_waiter += 1;
-                let waiter = self.nodes[to].next_waiter;
-                self.nodes[to].peers.insert(waiter, (node, life, call, number));
-                self.feed(to, Input::Peer(waiter, message));
+                let caller = PeerCall { node, life, call, number };
+                self.peer_message_arrives(to, caller, message);
             }
             Event::WatchEnds { call } => {
                 if let Some(watch) = self.store.watches.remove(&call) {
@@ -425,17 +398,7 @@
             Event::DirectCommands { node, life, call, machine, commands } => {
                 self.worker_commands(node, life, call, machine, commands);
             }
-            Event::Heartbeat { node, heartbeat, serial } => {
-                let machine = heartbeat.machine.clone();
-                if self.nodes[node].controller.is_none() {
-                    self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
-                    return;
-                }
-                self.nodes[node].next_waiter += 1;
-                let waiter = self.nodes[node].next_waiter;
-                self.nodes[node].workers.insert(waiter, (machine, serial));
-                self.feed(node, Input::Heartbeat { waiter, heartbeat, relayed: false });
-            }
+            Event::Heartbeat { node, heartbeat, serial } => self.heartbeat_arrives(node, heartbeat, serial),
             Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
             Event::WorkerHeartbeat { machine, wake } => self.worker_heartbeat(machine, wake),
             Event::WorkerStep { machine } => self.worker_step(machine),
@@ -443,4 +406,64 @@
             Event::Look { node, id, look } => self.look(node, id, look),
         }
     }
+    fn restart(&mut self, node: usize) {
+        let seed = self.rng.random();
+        let is_old = self.old.contains(&node);
+        let next_limits = if is_old { "" } else { &self.next_limits };
+        let mut policy = self.policy.clone();
+        policy.zones.enabled &= !is_old;
+        policy.record_version = if is_old { RecordVersion::FIRST.0 } else { policy.record_version };
+        let platform = Platform::parse(&(settings(node, self.size) + next_limits)).expect("valid settings");
+        let process = &mut self.nodes[node];
+        if process.controller.is_some() {
+            return;
+        }
+        process.life += 1;
+        process.began = self.now;
+        process.controller = Some(Controller::new(Arc::new(platform), Arc::new(policy), seed));
+        let life = process.life;
+        self.at(0, Event::Tick(node, life));
+    }
+
+    fn tick(&mut self, node: usize, life: u64) {
+        if self.nodes[node].life == life && self.nodes[node].controller.is_some() {
+            self.feed(node, Input::Tick);
+            self.at(50 * MS, Event::Tick(node, life));
+        }
+    }
+
+    fn thaw(&mut self, node: usize, life: u64) {
+        if self.nodes[node].life != life || self.nodes[node].frozen_until > self.now {
+            return;
+        }
+        // Timers may fire before or after the sockets are read.
+        if self.chance(2) {
+            self.feed(node, Input::Tick);
+        }
+        for input in std::mem::take(&mut self.nodes[node].backlog) {
+            self.feed(node, input);
+        }
+    }
+
+    fn peer_message_arrives(&mut self, to: usize, caller: PeerCall, message: Cancelled) {
+        if self.nodes[to].controller.is_none() {
+            return;
+        }
+        self.nodes[to].next_waiter += 1;
+        let waiter = self.nodes[to].next_waiter;
+        self.nodes[to].peers.insert(waiter, caller);
+        self.feed(to, Input::Peer(waiter, message));
+    }
+
+    fn heartbeat_arrives(&mut self, node: usize, heartbeat: Heartbeat, serial: u64) {
+        let machine = heartbeat.machine.clone();
+        if self.nodes[node].controller.is_none() {
+            self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
+            return;
+        }
+        self.nodes[node].next_waiter += 1;
+        let waiter = self.nodes[node].next_waiter;
+        self.nodes[node].workers.insert(waiter, (machine, serial));
+        self.feed(node, Input::Heartbeat { waiter, heartbeat, relayed: false });
+    }
 }
--- /dev/null
+++ b/tests/rules/world/start_rules.rs
@@ -0,0 +1,139 @@
+//! The protocol's rules about a task that starts, checked with the knowledge of all machines that no controller has.
+
+use super::World;
+use super::cloud::cpus_of;
+use super::worker::Worker;
+use burlhatch::protocol::user::JobSpec;
+use burlhatch::types::{JobId, MachineId};
+use std::collections::BTreeMap;
+
+/// Amounts of CPUs are compared with this tolerance.
+const ROUNDING: f64 = 1e-9;
+
+/// CPUs that a team may use at a time.
+fn quota_of(team: &str) -> f64 {
+    match team {
+        "red" => 12.0,
+        "blue" => 10.0,
+        _ => f64::INFINITY,
+    }
+}
+
+/// Whether the job may run on that machine, wherever its other tasks are.
+fn allows(spec: &JobSpec, worker: &Worker) -> bool {
+    spec.types.as_ref().is_none_or(|types| types.contains(&worker.machine_type))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
+        && (spec.spot || !worker.spot)
+}
+
+impl World {
+    /// Checks every rule about a task's start at the moment of the start.
+    pub(super) fn check_start(&mut self, id: &MachineId, key: &(JobId, u32)) {
+        let Some(job) = self.jobs.get(&key.0) else {
+            return self.broken(format!("a task of no job starts: {}/{}", key.0, key.1));
+        };
+        let spec = job.spec.clone();
+        let mut found = Vec::new();
+        found.extend(self.runs_twice(id, key));
+        found.extend(self.starts_too_early(&spec, key));
+        found.extend(self.starts_after_cancellation(id, key));
+        let Some(worker) = self.workers.get(id) else { return };
+        found.extend(self.is_in_wrong_place(&spec, worker, id, key));
+        found.extend(self.exceeds_quota(&spec, key));
+        for violation in found {
+            self.broken(violation);
+        }
+    }
+
+    fn runs_twice(&self, id: &MachineId, key: &(JobId, u32)) -> Option<String> {
+        let (other, _) = self.workers.iter().find(|(other, worker)| *other != id && worker.on_machine(key))?;
+        Some(format!("ran_twice: {}/{} runs on {other} and is started on {id}", key.0, key.1))
+    }
+
+    fn starts_too_early(&self, spec: &JobSpec, key: &(JobId, u32)) -> Option<String> {
+        let undone = |before: &&JobId| self.jobs.get(*before).is_none_or(|job| job.done_tasks.iter().any(|done| !done));
+        let before = spec.depends_on.iter().find(undone)?;
+        Some(format!("too_early: {}/{} starts before {before} is done", key.0, key.1))
+    }
+
+    fn starts_after_cancellation(&self, id: &MachineId, key: &(JobId, u32)) -> Option<String> {
+        let cancelled = self.jobs.get(&key.0)?.cancelled?;
+        let is_late = self.now > cancelled + self.size.times.cancel;
+        is_late.then(|| format!("ran_cancelled: {}/{} starts on {id}", key.0, key.1))
+    }
+
+    fn is_in_wrong_place(&self, spec: &JobSpec, worker: &Worker, id: &MachineId, key: &(JobId, u32)) -> Option<String> {
+        let zones = self.tasks_by_zone(spec, id, key);
+        let max_in_zone = spec.tasks.div_ceil(2);
+        let is_spread = !spec.spread || zones.get(worker.zone.as_str()).copied().unwrap_or(0) <= max_in_zone;
+        let is_together = !spec.one_zone || zones.len() <= 1;
+        let is_right = allows(spec, worker) && is_spread && is_together;
+        (!is_right).then(|| format!("wrong_place: {}/{} on {id} in {}: {zones:?}", key.0, key.1, worker.zone))
+    }
+
+    /// In which zones the job's tasks are at this moment, if that binds it: with thousands of machines a walk for each
+    /// start would take most of the run.
+    fn tasks_by_zone(&self, spec: &JobSpec, id: &MachineId, key: &(JobId, u32)) -> BTreeMap<&str, u32> {
+        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
+        let is_bound = spec.spread || spec.one_zone;
+        for (other, worker) in self.workers.iter().filter(|_| is_bound) {
+            for task in worker.tasks.keys().filter(|task| task.0 == key.0 && (*task != key || other == id)) {
+                if worker.on_machine(task) || (other == id && task == key) {
+                    *zones.entry(&worker.zone).or_default() += 1;
+                }
+            }
+        }
+        zones
+    }
+
+    fn exceeds_quota(&self, spec: &JobSpec, key: &(JobId, u32)) -> Option<String> {
+        let team = spec.team.as_ref()?;
+        let quota = quota_of(team);
+        if !quota.is_finite() {
+            return None;
+        }
+        let mut used = 0.0;
+        for worker in self.workers.values() {
+            for task in worker.tasks.keys().filter(|task| worker.on_machine(task) || *task == key) {
+                if let Some(job) = self.jobs.get(&task.0).filter(|job| job.spec.team.as_ref() == Some(team)) {
+                    used += job.spec.cpus;
+                }
+            }
+        }
+        (used > quota + ROUNDING).then(|| format!("quota: team {team} uses {used}"))
+    }
+
+    /// Whether one more task of that kind could run somewhere at this moment.
+    pub(super) fn could_run(&self, spec: &JobSpec) -> bool {
+        let cpus_used_on = |worker: &Worker| -> f64 {
+            worker.tasks.keys().filter_map(|task| self.jobs.get(&task.0)).map(|job| job.spec.cpus).sum()
+        };
+        let team = spec.team.as_deref().unwrap_or("");
+        let used_by_team: f64 = self
+            .workers
+            .values()
+            .flat_map(|worker| worker.tasks.keys())
+            .filter_map(|task| self.jobs.get(&task.0))
+            .filter(|job| job.spec.team.as_deref() == Some(team))
+            .map(|job| job.spec.cpus)
+            .sum();
+        let fits = |worker: &Worker| cpus_used_on(worker) + spec.cpus <= cpus_of(&worker.machine_type) + ROUNDING;
+        used_by_team + spec.cpus <= quota_of(team) + ROUNDING
+            && self.workers.values().any(|worker| allows(spec, worker) && !worker.sick && fits(worker))
+    }
+
+    /// Tasks of cancelled jobs that are still on a machine after the time allowed for a cancellation.
+    pub(super) fn check_cancelled_tasks(&mut self, id: &MachineId) {
+        let is_overdue = |task: &&(JobId, u32)| {
+            let cancelled = self.jobs.get(&task.0).and_then(|job| job.cancelled);
+            cancelled.is_some_and(|at| self.now > at + self.size.times.cancel)
+        };
+        let Some(worker) = self.workers.get(id) else { return };
+        let overdue = worker.tasks.keys().filter(|task| worker.on_machine(task)).filter(is_overdue);
+        let found: Vec<String> =
+            overdue.map(|task| format!("ran_cancelled: {}/{} is still on {id}", task.0, task.1)).collect();
+        for violation in found {
+            self.broken(violation);
+        }
+    }
+}
--- /dev/null
+++ b/tests/rules/world/task_lifecycle.rs
@@ -0,0 +1,196 @@
+//! What becomes of a task on a worker: it fetches its image, waits for its gang, runs, and ends.
+
+use super::cloud::cpus_of;
+use super::worker::Task;
+use super::{Event, MS, S, World};
+use burlhatch::protocol::user::Kind;
+use burlhatch::protocol::worker::{ExitCause, TaskState};
+use burlhatch::types::{JobId, MachineId, TaskId};
+use std::collections::BTreeMap;
+
+const GANG_WAIT: u64 = 30 * S;
+
+impl World {
+    pub(super) fn obey_start(&mut self, id: &MachineId, task: &str, attempt: u64) {
+        let now = self.now;
+        let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { return };
+        let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { return };
+        let cpus: f64 = match self.workers.get(id) {
+            Some(w) => w.tasks.keys().filter_map(|k| self.jobs.get(&k.0)).map(|j| j.spec.cpus).sum(),
+            None => return,
+        };
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        let known = worker.exited.contains_key(&(key.0.clone(), key.1, attempt))
+            || worker.tasks.get(&key).is_some_and(|t| t.attempt == attempt);
+        if known {
+            return;
+        }
+        worker.changed = true;
+        if worker.tasks.contains_key(&key) {
+            worker.exited.insert((key.0, key.1, attempt), ExitCause::Busy);
+        } else if cpus + spec.cpus > cpus_of(&worker.machine_type) + 1e-9 {
+            worker.exited.insert((key.0, key.1, attempt), ExitCause::InsufficientResources);
+        } else {
+            let cached = worker.cache.contains(&spec.image);
+            let due = now + if cached { 0 } else { S };
+            let task = Task { attempt, state: TaskState::Fetching, due, since: now };
+            worker.tasks.insert(key.clone(), task);
+            if cached {
+                self.arrives(id, &key);
+            }
+        }
+    }
+
+    pub(super) fn exit(&mut self, id: &MachineId, key: &(JobId, u32), why: ExitCause) {
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        if let Some(task) = worker.tasks.remove(key) {
+            worker.exited.insert((key.0.clone(), key.1, task.attempt), why);
+            worker.changed = true;
+            if worker.flight.is_none() {
+                self.wake_in(id, 100 * MS);
+            }
+        }
+    }
+
+    /// The task has its image: from here on it is on its machine.
+    fn arrives(&mut self, id: &MachineId, key: &(JobId, u32)) {
+        let now = self.now;
+        self.check_start(id, key);
+        self.started += 1;
+        if let Some(job) = self.jobs.get_mut(&key.0) {
+            job.begun.get_or_insert(now);
+            job.starts += 1;
+        }
+        let Some(job) = self.jobs.get(&key.0) else { return };
+        let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimate_s);
+        let fails_after = job.fails_after;
+        let run = (run * 1e6) as u64 / 2 + self.rng_run((run * 1e6) as u64);
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        if !worker.cache.contains(&image) {
+            worker.cache.push(image);
+        }
+        worker.changed = true;
+        let sick = worker.sick;
+        let finished = worker.done.contains(key);
+        if let Some(task) = worker.tasks.get_mut(key) {
+            task.since = now;
+            (task.state, task.due) = match kind {
+                Kind::Gang => (TaskState::Waiting, now + GANG_WAIT),
+                Kind::Service => (TaskState::Running, fails_after.map_or(u64::MAX, |after| now + after)),
+                Kind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
+            };
+        }
+        if sick {
+            self.exit(id, key, ExitCause::Error);
+        } else if finished {
+            self.exit(id, key, ExitCause::Done);
+        } else if kind == Kind::Gang {
+            self.gang_may_start(&key.0);
+        }
+    }
+
+    fn rng_run(&mut self, span: u64) -> u64 {
+        if span == 0 { 0 } else { self.pick(span) }
+    }
+
+    fn gang_may_start(&mut self, job: &JobId) {
+        let now = self.now;
+        let Some(spec) = self.jobs.get(job).map(|j| j.spec.clone()) else { return };
+        let mut waiting: BTreeMap<u64, Vec<(MachineId, u32)>> = BTreeMap::new();
+        for (id, w) in &self.workers {
+            for ((j, index), t) in &w.tasks {
+                if j == job && t.state == TaskState::Waiting {
+                    waiting.entry(t.attempt).or_default().push((id.clone(), *index));
+                }
+            }
+        }
+        let Some((_, members)) = waiting.into_iter().find(|(_, m)| m.len() == spec.tasks as usize) else { return };
+        let fails_after = self.jobs.get(job).and_then(|j| j.fails_after);
+        let due = now + fails_after.unwrap_or((spec.estimate_s * 1e6) as u64);
+        for (id, index) in members {
+            if let Some(t) = self.workers.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
+                t.state = TaskState::Running;
+                t.due = due;
+            }
+        }
+    }
+
+    /// Whether all of a gang's attempt is still there.
+    fn gang_whole(&self, job: &JobId, attempt: u64, tasks: u32) -> bool {
+        let n = self
+            .workers
+            .values()
+            .flat_map(|w| w.tasks.iter())
+            .filter(|((j, _), t)| j == job && t.attempt == attempt && t.state == TaskState::Running)
+            .count();
+        n == tasks as usize
+    }
+
+    pub(super) fn worker_step(&mut self, id: MachineId) {
+        let (now, lease) = (self.now, self.size.times.lease);
+        if !self.workers.contains_key(&id) {
+            return;
+        }
+        self.at(100 * MS, Event::WorkerStep { machine: id.clone() });
+        let Some(worker) = self.workers.get_mut(&id) else { return };
+        // Also one that hangs: it may go on with its tasks at any moment within its lease, and not after.
+        if now > worker.renewed + lease {
+            worker.tasks.clear();
+            worker.exited.clear();
+            worker.incarnation += 1;
+            worker.renewed = now;
+            worker.changed = true;
+            return;
+        }
+        if worker.hung_until > now {
+            return;
+        }
+        let due: Vec<((JobId, u32), Task)> =
+            worker.tasks.iter().filter(|(_, t)| t.due <= now).map(|(k, t)| (k.clone(), t.clone())).collect();
+        for (key, task) in due {
+            let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { continue };
+            let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
+            match task.state {
+                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Error),
+                TaskState::Fetching => self.arrives(&id, &key),
+                TaskState::Waiting => self.exit(&id, &key, ExitCause::Alone),
+                TaskState::Running if spec.kind == Kind::Gang => {
+                    self.gang_task_completes(&id, &key, task.attempt, spec.tasks);
+                }
+                TaskState::Running => self.complete(&id, &key),
+                TaskState::Saving | TaskState::Exited => {}
+            }
+        }
+        self.check_cancelled_tasks(&id);
+    }
+
+    /// A gang completes as a whole, if all of its attempt is still there.
+    fn gang_task_completes(&mut self, id: &MachineId, key: &(JobId, u32), attempt: u64, tasks: u32) {
+        if !self.gang_whole(&key.0, attempt, tasks) {
+            return self.exit(id, key, ExitCause::Peers);
+        }
+        let members: Vec<(MachineId, (JobId, u32))> = self
+            .workers
+            .iter()
+            .flat_map(|(machine, worker)| worker.tasks.keys().map(move |task| (machine.clone(), task.clone())))
+            .filter(|(_, task)| task.0 == key.0)
+            .collect();
+        for (machine, member) in members {
+            self.complete(&machine, &member);
+        }
+    }
+
+    fn complete(&mut self, id: &MachineId, key: &(JobId, u32)) {
+        if let Some(done) = self.jobs.get_mut(&key.0).and_then(|j| j.done_tasks.get_mut(key.1 as usize)) {
+            *done = true;
+        }
+        let whole = self.jobs.get(&key.0).is_some_and(|j| j.done_tasks.iter().all(|d| *d));
+        if whole && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
+            self.call_off(&key.0);
+        }
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.done.push(key.clone());
+        }
+        self.exit(id, key, ExitCause::Done);
+    }
+}
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, MS, S, World};
 use burlhatch::coordination::{Controller, Input, UserAnswer, UserRequest};
-use burlhatch::protocol::user::{JobSpec, JobState, JobStatus, Kind, Priority, Submission};
+use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority, Submission};
 use burlhatch::types::JobId;
 use rand::Rng;
 
@@ -51,6 +51,62 @@
     pub(super) stranded_since: Option<u64>,
 }
 
+/// What matters of a question for the rules about its answer.
+struct Question {
+    asked_at: u64,
+    /// It was a cancellation.
+    cancels: bool,
+    /// A job that it needs was confirmed as cancelled too long ago for it to go on.
+    orphaned: bool,
+    /// Its user, or that of a job that it needs, has called it off.
+    called_off: bool,
+}
+
+impl UserJob {
+    /// Takes in an answer; says which rules it breaks.
+    fn take_answer(&mut self, id: &JobId, answer: UserAnswer, question: &Question, now: u64) -> Vec<String> {
+        match answer {
+            // Whoever is told that a job was taken is told that it is queued.
+            UserAnswer::Accepted(_) => self.take_state(id, JobState::Queued, question, now),
+            UserAnswer::Status(status) => self.take_state(id, status.state, question, now),
+            UserAnswer::NotFound | UserAnswer::Malformed | UserAnswer::CanNeverRun(_) if self.accepted => {
+                vec![format!("forgotten: {id} is answered {answer:?}")]
+            }
+            UserAnswer::NotFound | UserAnswer::Malformed | UserAnswer::CanNeverRun(_) => Vec::new(),
+            UserAnswer::Unavailable { .. } => Vec::new(),
+        }
+    }
+
+    fn take_state(&mut self, id: &JobId, state: JobState, question: &Question, now: u64) -> Vec<String> {
+        let mut broken = Vec::new();
+        let is_final = matches!(state, JobState::Done | JobState::Cancelled);
+        self.accepted = true;
+        self.answered = now;
+        if state == JobState::Done && self.done_tasks.iter().any(|done| !done) {
+            broken.push(format!("not_done: {id} is called done"));
+        }
+        if question.orphaned && !is_final {
+            broken.push(format!("orphaned: {id} is still called {state:?}"));
+        }
+        if state == JobState::Cancelled && !question.called_off {
+            broken.push(format!("went_back: {id} was not cancelled by its user"));
+        }
+        if question.asked_at >= self.told_at && self.told.is_some_and(|told| told != state) {
+            broken.push(format!("went_back: {id} was {:?}, is {state:?}", self.told));
+        }
+        if is_final && self.told.is_none() {
+            (self.told, self.told_at) = (Some(state), now);
+        }
+        if state == JobState::Cancelled && self.cancelled.is_none() {
+            self.cancelled = Some(now);
+        }
+        if question.cancels && !is_final {
+            broken.push(format!("a cancellation of {id} was answered {state:?}"));
+        }
+        broken
+    }
+}
+
 impl World {
     pub fn submit(&mut self, number: u64, spec: JobSpec) -> JobId {
         let id = JobId::new(&format!("wk-{number:06}"));
@@ -300,48 +356,8 @@
         let cancel_at_once = self.cancel_at_once > 0 && self.chance(self.cancel_at_once);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let before = (job.accepted, job.told);
-        let mut broken = Vec::new();
-        // Whoever is told that a job was taken is told that it is queued.
-        let answer = match answer {
-            UserAnswer::Accepted(id) => {
-                UserAnswer::Status(JobStatus { id, state: JobState::Queued, done: None, running: None })
-            }
-            answer => answer,
-        };
-        match answer {
-            UserAnswer::Status(status) => {
-                job.accepted = true;
-                job.answered = now;
-                if status.state == JobState::Done && job.done_tasks.iter().any(|d| !d) {
-                    broken.push(format!("not_done: {id} is called done"));
-                }
-                if orphaned && matches!(status.state, JobState::Queued | JobState::Running) {
-                    broken.push(format!("orphaned: {id} is still called {:?}", status.state));
-                }
-                if status.state == JobState::Cancelled && called_off.is_none() {
-                    broken.push(format!("went_back: {id} was not cancelled by its user"));
-                }
-                if asked_at >= job.told_at && job.told.is_some_and(|told| told != status.state) {
-                    broken.push(format!("went_back: {id} was {:?}, is {:?}", job.told, status.state));
-                }
-                let is_final = matches!(status.state, JobState::Done | JobState::Cancelled);
-                if is_final && job.told.is_none() {
-                    (job.told, job.told_at) = (Some(status.state), now);
-                }
-                if status.state == JobState::Cancelled && job.cancelled.is_none() {
-                    job.cancelled = Some(now);
-                }
-                if cancels && !matches!(status.state, JobState::Done | JobState::Cancelled) {
-                    broken.push(format!("a cancellation of {id} was answered {:?}", status.state));
-                }
-            }
-            UserAnswer::NotFound | UserAnswer::Malformed | UserAnswer::CanNeverRun(_) => {
-                if job.accepted {
-                    broken.push(format!("forgotten: {id} is answered {answer:?}"));
-                }
-            }
-            UserAnswer::Accepted(_) | UserAnswer::Unavailable { .. } => {}
-        }
+        let question = Question { asked_at, cancels, orphaned, called_off: called_off.is_some() };
+        let broken = job.take_answer(&id, answer, &question, now);
         let cancels_now = !before.0 && job.accepted && cancel_at_once && job.told.is_none();
         if cancels_now {
             job.cancel_at = Some(now);
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -1,32 +1,19 @@
-//! Workers: obey the highest fencing token, keep a lease, run tasks. Here the rules about starts are
-//! checked, with the knowledge of all machines that no controller has.
+//! Workers: obey the highest fencing token, keep a lease, and send heartbeats.
 
-use super::cloud::cpus_of;
 use super::{Event, Fate, MS, Place, S, World};
 use burlhatch::coordination::{DirectCommandsOutcome, Input, WorkerAnswer};
-use burlhatch::protocol::user::{JobSpec, Kind};
 use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
-const GANG_WAIT: u64 = 30 * S;
-
-fn limit_of(team: &str) -> f64 {
-    match team {
-        "red" => 12.0,
-        "blue" => 10.0,
-        _ => f64::INFINITY,
-    }
-}
-
 #[derive(Clone, Debug)]
 pub struct Task {
-    attempt: u64,
-    state: TaskState,
+    pub(super) attempt: u64,
+    pub(super) state: TaskState,
     /// When its next step is due.
-    due: u64,
-    since: u64,
+    pub(super) due: u64,
+    pub(super) since: u64,
 }
 
 impl Task {
@@ -36,25 +23,25 @@
 }
 
 pub struct Worker {
-    machine_type: String,
+    pub(super) machine_type: String,
     pub zone: String,
     pub spot: bool,
-    incarnation: u64,
+    pub(super) incarnation: u64,
     seq: u64,
     fencing_token: FencingToken,
     /// When the last answered heartbeat was sent, or the incarnation began.
-    renewed: u64,
+    pub(super) renewed: u64,
     pub tasks: BTreeMap<(JobId, u32), Task>,
-    exited: BTreeMap<(JobId, u32, u64), ExitCause>,
-    cache: Vec<String>,
-    done: Vec<(JobId, u32)>,
+    pub(super) exited: BTreeMap<(JobId, u32, u64), ExitCause>,
+    pub(super) cache: Vec<String>,
+    pub(super) done: Vec<(JobId, u32)>,
     node: usize,
     /// The heartbeat in flight and when it was sent.
-    flight: Option<(u64, u64, u64)>,
+    pub(super) flight: Option<(u64, u64, u64)>,
     /// What it says is on the machine, not ended.
     reported: Vec<TaskStatus>,
     wake: u64,
-    changed: bool,
+    pub(super) changed: bool,
     /// When a higher fencing token last counted as a change.
     token_change: Option<u64>,
     pub hung_until: u64,
@@ -107,7 +94,7 @@
         }
     }
 
-    fn on_machine(&self, key: &(JobId, u32)) -> bool {
+    pub(super) fn on_machine(&self, key: &(JobId, u32)) -> bool {
         self.tasks.get(key).is_some_and(|t| t.state != TaskState::Fetching)
     }
 }
@@ -141,7 +128,7 @@
         self.at(10 * MS, Event::WorkerHeartbeat { machine: id, wake: 0 });
     }
 
-    fn wake_in(&mut self, id: &MachineId, delay: u64) {
+    pub(super) fn wake_in(&mut self, id: &MachineId, delay: u64) {
         if let Some(worker) = self.workers.get_mut(id) {
             worker.wake += 1;
             let wake = worker.wake;
@@ -199,7 +186,7 @@
         };
         let stopped = |task: &TaskStatus| {
             given.commands.iter().any(
-                |order| matches!(order, AgentCommand::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
+                |command| matches!(command, AgentCommand::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
             )
         };
         let missing = worker.reported.iter().find(|task| cancelled(task) && !stopped(task));
@@ -285,8 +272,8 @@
     }
 
     fn obey(&mut self, id: &MachineId, commands: &[AgentCommand]) {
-        for order in commands {
-            match order {
+        for command in commands {
+            match command {
                 AgentCommand::Start { task, attempt } => self.obey_start(id, task, *attempt),
                 AgentCommand::Stop { task, attempt, .. } => {
                     let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { continue };
@@ -304,280 +291,4 @@
             }
         }
     }
-
-    fn obey_start(&mut self, id: &MachineId, task: &str, attempt: u64) {
-        let now = self.now;
-        let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { return };
-        let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { return };
-        let cpus: f64 = match self.workers.get(id) {
-            Some(w) => w.tasks.keys().filter_map(|k| self.jobs.get(&k.0)).map(|j| j.spec.cpus).sum(),
-            None => return,
-        };
-        let Some(worker) = self.workers.get_mut(id) else { return };
-        let known = worker.exited.contains_key(&(key.0.clone(), key.1, attempt))
-            || worker.tasks.get(&key).is_some_and(|t| t.attempt == attempt);
-        if known {
-            return;
-        }
-        worker.changed = true;
-        if worker.tasks.contains_key(&key) {
-            worker.exited.insert((key.0, key.1, attempt), ExitCause::Busy);
-        } else if cpus + spec.cpus > cpus_of(&worker.machine_type) + 1e-9 {
-            worker.exited.insert((key.0, key.1, attempt), ExitCause::InsufficientResources);
-        } else {
-            let cached = worker.cache.contains(&spec.image);
-            let due = now + if cached { 0 } else { S };
-            let task = Task { attempt, state: TaskState::Fetching, due, since: now };
-            worker.tasks.insert(key.clone(), task);
-            if cached {
-                self.arrives(id, &key);
-            }
-        }
-    }
-
-    fn exit(&mut self, id: &MachineId, key: &(JobId, u32), why: ExitCause) {
-        let Some(worker) = self.workers.get_mut(id) else { return };
-        if let Some(task) = worker.tasks.remove(key) {
-            worker.exited.insert((key.0.clone(), key.1, task.attempt), why);
-            worker.changed = true;
-            if worker.flight.is_none() {
-                self.wake_in(id, 100 * MS);
-            }
-        }
-    }
-
-    /// The task has its image: from here on it is on its machine.
-    fn arrives(&mut self, id: &MachineId, key: &(JobId, u32)) {
-        let now = self.now;
-        self.check_start(id, key);
-        self.started += 1;
-        if let Some(job) = self.jobs.get_mut(&key.0) {
-            job.begun.get_or_insert(now);
-            job.starts += 1;
-        }
-        let Some(job) = self.jobs.get(&key.0) else { return };
-        let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimate_s);
-        let fails_after = job.fails_after;
-        let run = (run * 1e6) as u64 / 2 + self.rng_run((run * 1e6) as u64);
-        let Some(worker) = self.workers.get_mut(id) else { return };
-        if !worker.cache.contains(&image) {
-            worker.cache.push(image);
-        }
-        worker.changed = true;
-        let sick = worker.sick;
-        let finished = worker.done.contains(key);
-        if let Some(task) = worker.tasks.get_mut(key) {
-            task.since = now;
-            (task.state, task.due) = match kind {
-                Kind::Gang => (TaskState::Waiting, now + GANG_WAIT),
-                Kind::Service => (TaskState::Running, fails_after.map_or(u64::MAX, |after| now + after)),
-                Kind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
-            };
-        }
-        if sick {
-            self.exit(id, key, ExitCause::Error);
-        } else if finished {
-            self.exit(id, key, ExitCause::Done);
-        } else if kind == Kind::Gang {
-            self.gang_may_start(&key.0);
-        }
-    }
-
-    fn rng_run(&mut self, span: u64) -> u64 {
-        if span == 0 { 0 } else { self.pick(span) }
-    }
-
-    fn check_start(&mut self, id: &MachineId, key: &(JobId, u32)) {
-        let now = self.now;
-        let Some(job) = self.jobs.get(&key.0) else {
-            return self.broken(format!("a task of no job starts: {}/{}", key.0, key.1));
-        };
-        let spec = job.spec.clone();
-        let cancelled = job.cancelled;
-        let mut found = Vec::new();
-        let elsewhere = self.workers.iter().find(|(other, w)| *other != id && w.on_machine(key));
-        if let Some((other, _)) = elsewhere {
-            found.push(format!("ran_twice: {}/{} runs on {other} and is started on {id}", key.0, key.1));
-        }
-        let undone = |before: &&JobId| self.jobs.get(*before).is_none_or(|b| b.done_tasks.iter().any(|d| !d));
-        if let Some(before) = spec.depends_on.iter().find(undone) {
-            found.push(format!("too_early: {}/{} starts before {before} is done", key.0, key.1));
-        }
-        if cancelled.is_some_and(|at| now > at + self.size.times.cancel) {
-            found.push(format!("ran_cancelled: {}/{} starts on {id}", key.0, key.1));
-        }
-        let Some(worker) = self.workers.get(id) else { return };
-        let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&worker.machine_type))
-            && spec.zone.as_ref().is_none_or(|z| *z == worker.zone)
-            && (spec.spot || !worker.spot);
-        // Where the job's other tasks are at this moment, if that binds it: with thousands of machines a walk for each
-        // start would take most of the run.
-        let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        let bound = spec.spread || spec.one_zone;
-        for (other, w) in self.workers.iter().filter(|_| bound) {
-            for k in w.tasks.keys().filter(|k| k.0 == key.0 && (*k != key || other == id)) {
-                if w.on_machine(k) || (other == id && k == key) {
-                    *zones.entry(&w.zone).or_default() += 1;
-                }
-            }
-        }
-        let most = spec.tasks.div_ceil(2);
-        let spread = !spec.spread || zones.get(worker.zone.as_str()).copied().unwrap_or(0) <= most;
-        let together = !spec.one_zone || zones.len() <= 1;
-        if !(allowed && spread && together) {
-            found.push(format!("wrong_place: {}/{} on {id} in {}: {zones:?}", key.0, key.1, worker.zone));
-        }
-        if let Some(team) = &spec.team
-            && limit_of(team).is_finite()
-        {
-            let limit = limit_of(team);
-            let mut used = 0.0;
-            for w in self.workers.values() {
-                for k in w.tasks.keys().filter(|k| w.on_machine(k) || *k == key) {
-                    if let Some(j) = self.jobs.get(&k.0).filter(|j| j.spec.team.as_ref() == Some(team)) {
-                        used += j.spec.cpus;
-                    }
-                }
-            }
-            if used > limit + 1e-9 {
-                found.push(format!("quota: team {team} uses {used}"));
-            }
-        }
-        for what in found {
-            self.broken(what);
-        }
-    }
-
-    /// Whether one more task of that kind could run somewhere at this moment.
-    pub(super) fn could_run(&self, spec: &JobSpec) -> bool {
-        let used_of =
-            |w: &Worker| -> f64 { w.tasks.keys().filter_map(|k| self.jobs.get(&k.0)).map(|j| j.spec.cpus).sum() };
-        let team = spec.team.as_deref().unwrap_or("");
-        let by_team: f64 = self
-            .workers
-            .values()
-            .flat_map(|w| w.tasks.keys())
-            .filter_map(|k| self.jobs.get(&k.0))
-            .filter(|j| j.spec.team.as_deref() == Some(team))
-            .map(|j| j.spec.cpus)
-            .sum();
-        let within = by_team + spec.cpus <= limit_of(team) + 1e-9;
-        within
-            && self.workers.values().any(|w| {
-                let allowed = spec.types.as_ref().is_none_or(|t| t.contains(&w.machine_type))
-                    && spec.zone.as_ref().is_none_or(|z| *z == w.zone)
-                    && (spec.spot || !w.spot);
-                allowed && !w.sick && used_of(w) + spec.cpus <= cpus_of(&w.machine_type) + 1e-9
-            })
-    }
-
-    fn gang_may_start(&mut self, job: &JobId) {
-        let now = self.now;
-        let Some(spec) = self.jobs.get(job).map(|j| j.spec.clone()) else { return };
-        let mut waiting: BTreeMap<u64, Vec<(MachineId, u32)>> = BTreeMap::new();
-        for (id, w) in &self.workers {
-            for ((j, index), t) in &w.tasks {
-                if j == job && t.state == TaskState::Waiting {
-                    waiting.entry(t.attempt).or_default().push((id.clone(), *index));
-                }
-            }
-        }
-        let Some((_, members)) = waiting.into_iter().find(|(_, m)| m.len() == spec.tasks as usize) else { return };
-        let fails_after = self.jobs.get(job).and_then(|j| j.fails_after);
-        let due = now + fails_after.unwrap_or((spec.estimate_s * 1e6) as u64);
-        for (id, index) in members {
-            if let Some(t) = self.workers.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
-                t.state = TaskState::Running;
-                t.due = due;
-            }
-        }
-    }
-
-    /// Whether all of a gang's attempt is still there.
-    fn gang_whole(&self, job: &JobId, attempt: u64, tasks: u32) -> bool {
-        let n = self
-            .workers
-            .values()
-            .flat_map(|w| w.tasks.iter())
-            .filter(|((j, _), t)| j == job && t.attempt == attempt && t.state == TaskState::Running)
-            .count();
-        n == tasks as usize
-    }
-
-    pub(super) fn worker_step(&mut self, id: MachineId) {
-        let (now, lease) = (self.now, self.size.times.lease);
-        if !self.workers.contains_key(&id) {
-            return;
-        }
-        self.at(100 * MS, Event::WorkerStep { machine: id.clone() });
-        let Some(worker) = self.workers.get_mut(&id) else { return };
-        // Also one that hangs: it may go on with its tasks at any moment within its lease, and not after.
-        if now > worker.renewed + lease {
-            worker.tasks.clear();
-            worker.exited.clear();
-            worker.incarnation += 1;
-            worker.renewed = now;
-            worker.changed = true;
-            return;
-        }
-        if worker.hung_until > now {
-            return;
-        }
-        let due: Vec<((JobId, u32), Task)> =
-            worker.tasks.iter().filter(|(_, t)| t.due <= now).map(|(k, t)| (k.clone(), t.clone())).collect();
-        for (key, task) in due {
-            let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { continue };
-            let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
-            match task.state {
-                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Error),
-                TaskState::Fetching => self.arrives(&id, &key),
-                TaskState::Waiting => self.exit(&id, &key, ExitCause::Alone),
-                TaskState::Running if spec.kind == Kind::Gang => {
-                    if self.gang_whole(&key.0, task.attempt, spec.tasks) {
-                        let members: Vec<(MachineId, (JobId, u32))> = self
-                            .workers
-                            .iter()
-                            .flat_map(|(m, w)| w.tasks.keys().map(move |k| (m.clone(), k.clone())))
-                            .filter(|(_, k)| k.0 == key.0)
-                            .collect();
-                        for (machine, member) in members {
-                            self.complete(&machine, &member);
-                        }
-                    } else {
-                        self.exit(&id, &key, ExitCause::Peers);
-                    }
-                }
-                TaskState::Running => self.complete(&id, &key),
-                TaskState::Saving | TaskState::Exited => {}
-            }
-        }
-        let cancelled: Vec<String> = self
-            .workers
-            .get(&id)
-            .into_iter()
-            .flat_map(|w| w.tasks.keys().filter(|k| w.on_machine(k)))
-            .filter(|k| {
-                let at = self.jobs.get(&k.0).and_then(|j| j.cancelled);
-                at.is_some_and(|at| now > at + self.size.times.cancel)
-            })
-            .map(|k| format!("ran_cancelled: {}/{} is still on {id}", k.0, k.1))
-            .collect();
-        for what in cancelled {
-            self.broken(what);
-        }
-    }
-
-    fn complete(&mut self, id: &MachineId, key: &(JobId, u32)) {
-        if let Some(done) = self.jobs.get_mut(&key.0).and_then(|j| j.done_tasks.get_mut(key.1 as usize)) {
-            *done = true;
-        }
-        let whole = self.jobs.get(&key.0).is_some_and(|j| j.done_tasks.iter().all(|d| *d));
-        if whole && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
-            self.call_off(&key.0);
-        }
-        if let Some(worker) = self.workers.get_mut(id) {
-            worker.done.push(key.clone());
-        }
-        self.exit(id, key, ExitCause::Done);
-    }
 }
