--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -67,7 +67,7 @@
     /// Notes by when a cancelled job's tasks have to be proven gone. Counted from what the stored records say, so it
     /// holds for a successor as well.
     pub(crate) fn note_deadline(&mut self, id: &JobId) {
-        let Some(end) = self.store.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
+        let Some(end) = self.store.replica.outcomes.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
             return;
         };
         if !self.jobs.by_id.contains_key(id) {
@@ -150,7 +150,7 @@
     /// does, and as long as the store is away nobody can take it.
     fn clears_shard(&self, shard: u32) -> bool {
         let role = Role::Shard(shard);
-        self.held(role).is_some() || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
+        self.holds(role) || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
     }
 
     /// Whether it was deleted here, though the stored records don't say so yet.
