--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -251,8 +251,8 @@
             }
             let urgent = u.spec.priority > Priority::Normal;
             let free_enough = |s: &Slot| {
-                let machine = s.id.as_ref().and_then(|id| self.fleet.machines.get(id));
-                urgent || machine.and_then(|m| m.free_since).is_some_and(|since| now.since(since) >= patience)
+                let machine = s.id.as_ref().and_then(|id| self.fleet.machine(id));
+                urgent || machine.and_then(|m| m.idle_since).is_some_and(|since| now.since(since) >= patience)
             };
             for (from, own) in slots.iter_mut().filter(|(s, _)| **s != u.shard) {
                 for slot in own.iter_mut().filter(|s| s.untouched && free_enough(s)) {
@@ -272,7 +272,7 @@
         for (id, from, to) in moves {
             if let Some(id) = id {
                 tracing::debug!(machine = %id, from, to, "shifting");
-                self.set_hold_of(&id, Hold::Move(to));
+                self.cordon_as_leader(&id, Hold::Move(to));
             }
         }
     }
@@ -302,13 +302,13 @@
             .filter(|s| s.untouched)
             .filter_map(|s| s.id.clone())
             .filter(|id| {
-                let free = self.fleet.machines.get(id).and_then(|m| m.free_since);
+                let free = self.fleet.machine(id).and_then(|m| m.idle_since);
                 free.is_some_and(|since| now.since(since) >= idle)
             })
             .take((self.store.replica.machines.len() / RETURN_PART).max(2))
             .collect();
         for id in ids {
-            self.set_hold_of(&id, Hold::Retire);
+            self.cordon_as_leader(&id, Hold::Retire);
         }
     }
 }
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -136,8 +136,8 @@
                 }
             }
             (Call::Delete(ids), CloudOutcome::Deleted) => self.deleted(ids),
-            (Call::Clear(ids), CloudOutcome::Deleted) => self.machines_cleared(ids),
-            (Call::Clear(ids), _) => self.clearing_failed(&ids),
+            (Call::Clear(ids), CloudOutcome::Deleted) => self.cancellation_deletion_confirmed(ids),
+            (Call::Clear(ids), _) => self.cancellation_deletion_failed(&ids),
             (Call::Delete(ids), _) => self.autoscaling.leader.again.push((now + DELETE_AGAIN, Call::Delete(ids))),
         }
     }
@@ -199,21 +199,21 @@
                 self.autoscaling.leader.deleting.remove(&id);
             }
         }
-        self.strike_out(recorded);
+        self.delete_machine_records(recorded);
     }
 
     /// Takes deleted machines out of the stored records, which proves to their shards that nothing is left
     /// on them.
-    pub(crate) fn strike_out(&mut self, ids: Vec<MachineId>) {
+    pub(crate) fn delete_machine_records(&mut self, ids: Vec<MachineId>) {
         let returned = |id: &MachineId| {
             self.store.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire))
         };
         let (returned, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(returned);
-        self.strike_out_as(MachineChange::Return, returned);
-        self.strike_out_as(MachineChange::Replace, lost);
+        self.delete_machine_records_as(MachineChange::Return, returned);
+        self.delete_machine_records_as(MachineChange::Replace, lost);
     }
 
-    fn strike_out_as(&mut self, change: MachineChange, ids: Vec<MachineId>) {
+    fn delete_machine_records_as(&mut self, change: MachineChange, ids: Vec<MachineId>) {
         let most = self.platform.deployment.store.ops();
         for ids in ids.chunks(most) {
             let mut proposal = ProposedTxn::default();
@@ -247,7 +247,7 @@
             let id = machine.id.clone();
             if machine.state == ListedState::Failed {
                 if self.store.replica.machines.contains_key(&id) {
-                    self.set_hold_of(&id, Hold::Doomed);
+                    self.cordon_as_leader(&id, Hold::Doomed);
                 } else if !self.autoscaling.leader.deleted.contains_key(&id) {
                     // The list lags: one that was deleted stays on it as failed for a while.
                     failed.push(id);
@@ -270,9 +270,9 @@
         self.delete(failed);
     }
 
-    pub(crate) fn set_hold_of(&mut self, id: &MachineId, hold: Hold) {
-        self.fleet.machines.entry(id.clone()).or_default();
-        self.set_hold(id, hold);
+    pub(crate) fn cordon_as_leader(&mut self, id: &MachineId, hold: Hold) {
+        self.fleet.machine_or_insert(id);
+        self.cordon(id, hold);
     }
 
     pub(crate) fn delete(&mut self, ids: Vec<MachineId>) {
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -25,10 +25,14 @@
         let mut unacknowledged: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in ours {
             let fencing_token = self.fencing_token(id).unwrap_or_default();
-            let Some(machine) = self.fleet.machines.get(id) else { continue };
-            let Some(shard) = machine.shard else { continue };
-            let in_doubt = machine.unacknowledged.is_some_and(|d| d >= fencing_token);
-            if in_doubt && !machine.writing && !machine.direct && now.since(machine.heard) < recent {
+            let Some(machine) = self.fleet.machine(id) else { continue };
+            let Some(shard) = machine.ownership.shard() else { continue };
+            let in_doubt = machine.commands.may_execute_under(fencing_token);
+            if in_doubt
+                && !machine.is_record_changing()
+                && !machine.commands.is_in_flight()
+                && machine.contact.silence(now) < recent
+            {
                 unacknowledged.entry(shard).or_default().push(id.clone());
             }
         }
@@ -38,7 +42,11 @@
         // All controllers draw from one counter: at random times they rarely meet.
         let pause = self.rng.random_range(RENEW_EVERY.0 / 2..RENEW_EVERY.0 * 3 / 2);
         self.control.next_token_renewal_at = now + Micros(pause);
-        let worst = ids.iter().filter_map(|id| self.fleet.machines.get(id)?.unacknowledged).max().unwrap_or_default();
+        let worst = ids
+            .iter()
+            .filter_map(|id| self.fleet.machine(id)?.commands.unacknowledged_token())
+            .max()
+            .unwrap_or_default();
         let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0.max(worst.0) + 1);
         if ids.len() > OWN_TERMS_MOST {
             self.renew_shard(shard, fencing_token);
@@ -54,8 +62,8 @@
             record.fencing_token = fencing_token;
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
-            if let Some(machine) = self.fleet.machines.get_mut(id) {
-                machine.writing = true;
+            if let Some(machine) = self.fleet.machine_mut(id) {
+                machine.record_change_started();
             }
         }
         self.submit_txn(proposal, Purpose::Machines(MachineChange::FencingToken, ids));
@@ -65,10 +73,10 @@
     /// that makes up most of the messages, reading them costs more than the fencing token.
     fn clear_exited(&mut self, ours: &[MachineId]) {
         let mut kept: BTreeMap<u32, (usize, usize)> = BTreeMap::new();
-        for machine in ours.iter().filter_map(|id| self.fleet.machines.get(id)) {
-            if let Some(shard) = machine.shard {
+        for machine in ours.iter().filter_map(|id| self.fleet.machine(id)) {
+            if let Some(shard) = machine.ownership.shard() {
                 let usage = kept.entry(shard).or_default();
-                *usage = (usage.0 + machine.kept, usage.1 + 1);
+                *usage = (usage.0 + machine.unrecorded.retained_exited_count(), usage.1 + 1);
             }
         }
         let mean = |(exited, machines): (usize, usize)| exited as f64 / machines.max(1) as f64;
--- a/src/coordination/control/roles.rs
+++ b/src/coordination/control/roles.rs
@@ -4,7 +4,7 @@
 //! next fencing token from the one counter in the same transaction. A controller holds a role only once
 //! the watch has shown it the key: then its replica also has every start recorded before.
 
-use crate::coordination::fleet::machines::Machine;
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect, LeaseOutcome, StoreCall};
 use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
@@ -138,7 +138,7 @@
             tracing::info!(?role, "lost: the session has ended");
             match role {
                 Role::Leader => self.leader_changed(),
-                Role::Shard(shard) => self.shard_changed(shard),
+                Role::Shard(shard) => self.shard_holder_changed(shard),
             }
         }
         self.store.reads.wanted = true;
@@ -318,15 +318,17 @@
                 self.control.roles.unfit = false;
             } else if now >= self.control.roles.next_look {
                 self.control.roles.next_look = now + LOOK_EVERY;
-                self.look_for_machines();
+                self.probe_sample();
             }
             return;
         }
         let patience = self.contact_patience();
-        let unreachable = |m: &Machine| m.is_unreachable(now, self.policy.unreachable_probes, patience);
+        let unreachable = |m: &Machine| m.contact.is_unreachable(now, self.policy.unreachable_probes, patience);
         let silent = |id: &&MachineId| {
-            let lost = |m: &Machine| (m.probes_failed >= 2 && now.since(m.heard) >= patience) || unreachable(m);
-            self.fleet.machines.get(*id).is_some_and(lost)
+            let lost = |m: &Machine| {
+                (m.contact.failed_probe_count() >= 2 && m.contact.silence(now) >= patience) || unreachable(m)
+            };
+            self.fleet.machine(*id).is_some_and(lost)
         };
         let lost = ours.iter().filter(silent).count();
         if ours.is_empty() || lost * 3 < ours.len() * 2 {
@@ -359,7 +361,7 @@
         };
         if now >= self.control.roles.next_look {
             self.control.roles.next_look = now + LOOK_EVERY;
-            self.look_for_machines();
+            self.probe_sample();
         }
         self.control.roles.answered == 0 && now.since(since) >= LOOK_SPAN
     }
@@ -412,7 +414,7 @@
                 self.control.roles.held.insert(role, fencing_token);
                 if let (Role::Shard(shard), Some(_)) = (role, before) {
                     tracing::debug!(?role, fencing_token = fencing_token.0, revision, "role has a new fencing token");
-                    return self.shard_renewed(shard);
+                    return self.shard_token_renewed(shard);
                 }
                 tracing::info!(?role, fencing_token = fencing_token.0, revision, "took over");
             }
@@ -423,7 +425,7 @@
         }
         match role {
             Role::Leader => self.leader_changed(),
-            Role::Shard(shard) => self.shard_changed(shard),
+            Role::Shard(shard) => self.shard_holder_changed(shard),
         }
     }
 }
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -1,20 +1,17 @@
-//! Commands to workers: what a machine is to be told, in the answer to its heartbeat or in a direct message, and what the
-//! answer to such a message proves.
+//! Commands that a machine's agent is to be given, in the answer to its heartbeat or in a direct message.
 
-use crate::coordination::fleet::heartbeats::Source;
-use crate::coordination::fleet::machines::{Machine, UnrecordedTask};
+use crate::coordination::Controller;
+use crate::coordination::fleet::machine::{Machine, UnrecordedTask};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::{Phase, Start};
-use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
-use crate::protocol::worker::{AgentCommand, DirectCommands};
+use crate::protocol::worker::AgentCommand;
 use crate::storage::schema::Hold;
-use crate::types::{MachineId, Micros};
-use std::net::SocketAddr;
+use crate::types::{JobId, MachineId};
 
 /// Commands in one message at most, so that it stays below the size limit.
 pub(crate) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
-/// What a recorded start's machine is to be told of it.
+/// What the agent is to be told of a recorded attempt.
 enum NextStep {
     /// Nothing: it goes on, or has ended.
     Nothing,
@@ -27,15 +24,15 @@
 }
 
 impl NextStep {
-    /// `doomed`: its machine is to be deleted, and nothing more starts there.
-    fn of(start: &Start, doomed: bool) -> NextStep {
+    /// `is_doomed`: its machine is to be deleted, and nothing more starts there.
+    fn of(start: &Start, is_doomed: bool) -> NextStep {
         match (start.phase(), start.stop) {
-            (Phase::Recorded, None) if !doomed => NextStep::Start,
+            (Phase::Recorded, None) if !is_doomed => NextStep::Start,
             (Phase::Recorded, Some(_)) if !start.sent => NextStep::Drop,
             (Phase::Recorded | Phase::Fetching | Phase::Waiting | Phase::Running, Some(grace_s)) => {
                 NextStep::Stop { grace_s }
             }
-            // Told to stop while it saves: it ends at once.
+            // Told to stop while it saves a checkpoint: it ends at once.
             (Phase::Saving, Some(0.0)) => NextStep::Stop { grace_s: 0.0 },
             _ => NextStep::Nothing,
         }
@@ -44,56 +41,33 @@
 
 /// Tasks in no record are stopped, and forgotten once no copy of their start can be on its way: it would start them again.
 fn commands_for_unrecorded(machine: &Machine) -> Vec<AgentCommand> {
-    let may_forget = machine.unacknowledged.is_none() && !machine.direct;
-    let order = |unrecorded: &UnrecordedTask| {
+    let may_forget = machine.commands.is_quiet();
+    let command = |unrecorded: &UnrecordedTask| {
         let (task, attempt) = (unrecorded.task.clone(), unrecorded.attempt);
-        match unrecorded.exited {
+        match unrecorded.has_exited {
             false => Some(AgentCommand::Stop { task, attempt, grace_s: 0.0 }),
-            true => (may_forget && unrecorded.forgettable()).then_some(AgentCommand::Forget { task, attempt }),
+            true => (may_forget && unrecorded.may_be_forgotten()).then_some(AgentCommand::Forget { task, attempt }),
         }
     };
-    machine.unrecorded.iter().filter_map(order).collect()
+    machine.unrecorded.iter().filter_map(command).collect()
 }
 
 impl Controller {
-    pub(crate) fn want_push(&mut self, id: &MachineId) {
-        if let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.push = true;
-            machine.push_after = Micros::ZERO;
-            self.fleet.pending_commands.insert(id.clone());
-        }
-    }
-
-    /// The machine is to be told something that can wait a moment for its next heartbeat: machines with
-    /// work heartbeat often, and each direct message costs as much as a heartbeat.
-    pub(crate) fn want_push_soon(&mut self, id: &MachineId) {
-        let after = self.now() + Micros::from_millis(self.policy.batch_push_ms);
-        if let Some(machine) = self.fleet.machines.get_mut(id)
-            && !machine.push
-        {
-            machine.push = true;
-            machine.push_after = after;
-            self.fleet.delayed_commands.insert((after, id.clone()));
-        }
-    }
-
-    /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the
-    /// heartbeat's number.
+    /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the heartbeat's number.
     pub(crate) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
-        let Some(machine) = self.fleet.machines.get(id) else { return Vec::new() };
-        let doomed = self.store.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
-        let incarnation = machine.incarnation;
+        let Some(machine) = self.fleet.machine(id) else { return Vec::new() };
+        let incarnation = machine.incarnation();
         let mut commands = commands_for_unrecorded(machine);
-        let mut never_sent = Vec::new();
+        let is_doomed = self.store.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
+        let mut never_sent: Vec<(JobId, u32)> = Vec::new();
         for (job_id, index) in self.jobs.usage.starts_on(id) {
-            let Some(start) = self.jobs.by_id.get_mut(&job_id).and_then(|job| job.live.get_mut(index)) else {
-                continue;
-            };
+            let job = self.jobs.by_id.get_mut(&job_id);
+            let Some(start) = job.and_then(|job| job.live.get_mut(index)) else { continue };
             if start.incarnation != incarnation {
                 continue;
             }
             let (task, attempt) = (format!("{job_id}/{index}"), start.attempt);
-            match NextStep::of(start, doomed) {
+            match NextStep::of(start, is_doomed) {
                 NextStep::Nothing => continue,
                 NextStep::Drop => {
                     never_sent.push((job_id, index));
@@ -117,103 +91,4 @@
         }
         commands
     }
-
-    /// Sends what can't wait for the next heartbeat.
-    pub(crate) fn send_pending_direct_commands(&mut self) {
-        let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
-        while self.fleet.delayed_commands.first().is_some_and(|(at, _)| *at <= now) {
-            self.fleet.pending_commands.extend(self.fleet.delayed_commands.pop_first().map(|(_, id)| id));
-        }
-        for id in std::mem::take(&mut self.fleet.pending_commands) {
-            let Some(machine) = self.fleet.machines.get(&id).filter(|m| m.push && m.push_after <= now) else {
-                continue;
-            };
-            if machine.direct || self.fleet.direct_open >= self.fleet.direct_most {
-                // Once the message on its way is answered, or there is room for one more.
-                self.fleet.pending_commands.insert(id);
-                continue;
-            }
-            let Some(fencing_token) = self.fencing_token(&id) else {
-                if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                    machine.push = false;
-                }
-                continue;
-            };
-            let Some(machine) = self.fleet.machines.get_mut(&id) else { continue };
-            machine.push = false;
-            let Some(addr) = machine.addr else { continue };
-            // Nothing is said to a machine that did not answer last time: it would only be in doubt.
-            let alive = now.since(machine.heard) < recent && machine.unanswered == 0;
-            let token_confirmed = machine.token_confirmed;
-            let incarnation = machine.incarnation.max(1);
-            // Without a heartbeat under our fencing token an empty message makes the worker show it.
-            let commands = if token_confirmed && alive { self.commands_for(&id, None) } else { Vec::new() };
-            if token_confirmed && commands.is_empty() {
-                continue;
-            }
-            self.send_direct(&id, addr, DirectCommands { fencing_token, incarnation, commands });
-        }
-    }
-
-    pub(crate) fn send_direct(&mut self, id: &MachineId, addr: SocketAddr, commands: DirectCommands) {
-        if let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.direct = true;
-            machine.direct_token = commands.fencing_token;
-            machine.direct_after = (machine.incarnation, machine.seq);
-            machine.ask = false;
-        }
-        self.fleet.direct_open += 1;
-        self.out.push(Effect::DirectCommands { machine: id.clone(), addr, commands });
-    }
-
-    pub(crate) fn direct_commands_outcome(&mut self, id: &MachineId, outcome: DirectCommandsOutcome) {
-        self.fleet.direct_open = self.fleet.direct_open.saturating_sub(1);
-        let fencing_token = self.fencing_token(id);
-        let now = self.now();
-        let recorded = self.store.replica.machines.contains_key(id);
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        machine.direct = false;
-        if let DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) = &outcome
-            && heartbeat.machine == *id
-        {
-            machine.hears(now);
-            if !recorded && self.is_leader() {
-                self.autoscaling.leader.alive.insert(id.clone(), now);
-                return;
-            }
-        }
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        let looking = self.control.roles.unfit || self.control.roles.looking_since.is_some();
-        if looking && matches!(outcome, DirectCommandsOutcome::Done(_) | DirectCommandsOutcome::Rejected(_)) {
-            self.control.roles.answered += 1;
-        }
-        match outcome {
-            DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
-                if heartbeat.machine != *id || fencing_token.is_none_or(|t| heartbeat.fencing_token > t) {
-                    machine.outranked |= heartbeat.machine == *id;
-                    self.store.reads.wanted = true;
-                    return;
-                }
-                // It answered what was sent after its newest message, and yet shows a smaller number: its
-                // worker began anew and what was on it is gone. Sessions can't tell, a deletion can.
-                let regressed = (heartbeat.incarnation, heartbeat.seq) <= machine.direct_after;
-                if regressed {
-                    tracing::warn!(machine = %id, "agent has forgotten its incarnation");
-                    self.set_hold(id, Hold::Doomed);
-                    return;
-                }
-                let wrong_incarnation = heartbeat.incarnation != machine.incarnation;
-                self.take_heartbeat(&heartbeat, Source::DirectAnswer);
-                if wrong_incarnation {
-                    self.want_push(id);
-                }
-            }
-            DirectCommandsOutcome::Failed(Failure::NotDone) => machine.message_failed(now),
-            DirectCommandsOutcome::Failed(Failure::Unknown) => {
-                machine.message_failed(now);
-                machine.unacknowledged = machine.unacknowledged.max(Some(machine.direct_token));
-            }
-        }
-    }
 }
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -1,112 +1,54 @@
-//! Machines that tasks have to leave: faulty ones, those to be returned, and those about to be taken.
+//! Machines that tasks have to leave: those to be returned, those to move to another shard, and those about to be taken
+//! back.
 
 use crate::coordination::Controller;
-use crate::coordination::fleet::machines::{Failures, Machine};
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::protocol::user::Kind;
-use crate::storage::schema::{Hold, Outcome};
-use crate::types::{JobId, MachineId};
-
-/// A job that failed so often on one machine, and on no other, was tried there again after a pause.
-const FAILED_AGAIN: u32 = 2;
+use crate::storage::schema::Hold;
+use crate::types::MachineId;
 
 impl Controller {
-    /// Tasks of different jobs that fail on one machine and get on elsewhere speak against the machine.
-    pub(crate) fn retire_faulty(&mut self, ours: &[MachineId]) {
-        for id in ours {
-            let Some(machine) = self.fleet.machines.get(id).filter(|machine| !machine.failed_jobs.is_empty()) else {
-                continue;
-            };
-            if !self.is_faulty(id, machine) {
-                continue;
-            }
-            let hold = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
-            if hold.is_none() {
-                tracing::warn!(machine = %id, "tasks of several jobs fail there");
-                self.set_hold(id, Hold::Retire);
-            }
-        }
-    }
-
-    fn is_faulty(&self, id: &MachineId, machine: &Machine) -> bool {
-        let several = self.policy.faulty_after as usize;
-        let failed = || machine.failed_jobs.iter();
-        let proven = || failed().filter(|(job, failures)| self.gets_on_elsewhere(id, job, failures));
-        // One job alone does if it fails again and again there, and on no other machine.
-        let elsewhere =
-            |job: &JobId| self.fleet.machines.iter().any(|(other, m)| other != id && m.failed_jobs.contains_key(job));
-        let again_and_again = |f: &Failures| f.count > self.policy.faulty_after * 2;
-        if proven().count() >= several || proven().any(|(job, f)| again_and_again(f) && !elsewhere(job)) {
-            return true;
-        }
-        // A gang that can't do without this machine never gets further. Its other tasks fail nowhere else.
-        let only_here = |job: &JobId| self.jobs.by_id.get(job).is_some_and(|job| job.failures.failed_only_on(id));
-        if failed().any(|(job, f)| f.alone_in_gang > self.policy.faulty_after * 2 && only_here(job)) {
-            return true;
-        }
-        // Jobs that were tried here again, as they can't run anywhere else.
-        failed().filter(|(job, f)| f.count >= FAILED_AGAIN && only_here(job)).count() >= several
-    }
-
-    /// Whether a job that failed on a machine is not itself at fault: the same task is done by now, or has run for
-    /// longer on another machine than any that failed.
-    fn gets_on_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &Failures) -> bool {
-        let Some(job) = self.jobs.by_id.get(job_id) else {
-            return self.store.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
-        };
-        let chunks = self.store.replica.runs.get(job_id);
-        let chunk = chunks.and_then(|chunks| chunks.get(&(failures.task / self.store.chunk_tasks))).map(|c| &c.value);
-        let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
-        job.is_task_done(failures.task, chunk) || job.live.get(failures.task).is_some_and(runs_on)
-    }
-
     /// A machine to be returned is emptied first.
-    pub(crate) fn drain_retired(&mut self, ours: &[MachineId]) {
+    pub(super) fn drain_retired(&mut self, ours: &[MachineId]) {
         for id in ours {
-            if self.store.replica.machines.get(id).is_some_and(|m| m.value.hold == Some(Hold::Retire)) {
-                self.stop_where(id, |_| true);
+            if self.store.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire)) {
+                self.drain(id);
             }
         }
     }
 
-    /// Services leave a machine that is about to be taken while there is time; other work runs
-    /// on, it may finish.
-    pub(crate) fn leave_noticed(&mut self, ours: &[MachineId]) {
+    /// Services leave a machine with a termination notice while there is time; other work runs on, it may finish.
+    pub(super) fn drain_services_before_termination(&mut self, ours: &[MachineId]) {
         for id in ours {
-            if self.fleet.machines.get(id).is_some_and(|m| m.notice) {
-                self.stop_services(id);
+            if self.fleet.machine(id).is_some_and(|machine| machine.has_termination_notice) {
+                self.stop_tasks(id, |kind| kind == Kind::Service);
             }
         }
     }
 
-    /// Everything leaves a machine that another shard needs more urgently.
-    pub(crate) fn vacate(&mut self, id: &MachineId) {
-        self.stop_where(id, |_| true);
-    }
-
-    fn stop_services(&mut self, id: &MachineId) {
-        self.stop_where(id, |kind| kind == Kind::Service);
+    /// Everything leaves a machine.
+    pub(super) fn drain(&mut self, id: &MachineId) {
+        self.stop_tasks(id, |_| true);
     }
 
-    fn stop_where(&mut self, id: &MachineId, wanted: impl Fn(Kind) -> bool) {
-        let grace = self.policy.stop_grace_s;
-        let mut push = false;
+    /// Stops the tasks of those kinds of jobs on a machine, with time for a checkpoint where they save one.
+    fn stop_tasks(&mut self, id: &MachineId, is_to_stop: impl Fn(Kind) -> bool) {
+        let stop_grace_s = self.policy.stop_grace_s;
+        let mut has_stopped = false;
         for (job, task) in self.jobs.usage.starts_on(id) {
             let Some(job) = self.jobs.by_id.get_mut(&job) else { continue };
-            if !wanted(job.spec.kind) {
+            if !is_to_stop(job.spec.kind) {
                 continue;
             }
-            if let Some(live) = job.live.get_mut(task)
-                && live.occupies()
-                && live.phase() != Phase::Decided
-                && live.stop.is_none()
+            if let Some(start) = job.live.get_mut(task)
+                && start.may_be_on_machine()
+                && start.stop.is_none()
             {
-                live.stop = Some(if job.spec.checkpoint_s > 0.0 { grace } else { 0.0 });
-                push = true;
+                start.stop = Some(if job.spec.checkpoint_s > 0.0 { stop_grace_s } else { 0.0 });
+                has_stopped = true;
             }
         }
-        if push {
-            self.want_push(id);
+        if has_stopped {
+            self.fleet.queue_direct_message(id);
         }
     }
 }
--- /dev/null
+++ b/src/coordination/fleet/failure_detection/missing_heartbeats.rs
@@ -0,0 +1,46 @@
+//! Machines whose heartbeats reach no controller, though they answer direct messages.
+
+use crate::coordination::Controller;
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros};
+
+/// Heartbeat intervals after which the next heartbeat is overdue.
+const OVERDUE_HEARTBEAT_INTERVALS: f64 = 1.25;
+
+impl Controller {
+    /// Without a heartbeat for so long a machine's heartbeats are taken not to get through: the next is due, and a few
+    /// controllers may have to be tried in vain.
+    pub(crate) fn missing_heartbeats_span(&self) -> Micros {
+        let overdue = self.platform.deployment.workers.heartbeat_s * OVERDUE_HEARTBEAT_INTERVALS;
+        Micros::from_secs_f64(overdue) + Micros::from_millis(self.policy.unreported_ms)
+    }
+
+    /// A machine whose heartbeats reach no controller is replaced while its lease lasts, unless many are so: then the
+    /// fault is elsewhere.
+    pub(in crate::coordination::fleet) fn replace_missing_heartbeats(&mut self, ours: &[MachineId]) {
+        let now = self.now();
+        let span = self.missing_heartbeats_span();
+        let missing = self.machines_missing_heartbeats(ours, span);
+        // Their last heartbeats came at different moments: those on their way there count as well.
+        let half_span = span - Micros(Micros::from_millis(self.policy.unreported_ms).0 / 2);
+        let late_count = self.machines_missing_heartbeats(ours, half_span).len();
+        if late_count as f64 > (ours.len() as f64 * self.policy.replace_max_part).max(1.0) {
+            self.fleet.correlated_failures.many_missing_heartbeats(now);
+        }
+        // When such a time ends their heartbeats arrive again one by one.
+        if missing.is_empty() || self.fleet.correlated_failures.were_many_missing_heartbeats(now, span) {
+            return;
+        }
+        for id in &missing {
+            self.cordon(id, Hold::Doomed);
+        }
+    }
+
+    fn machines_missing_heartbeats(&self, ours: &[MachineId], span: Micros) -> Vec<MachineId> {
+        let now = self.now();
+        let is_missing = |id: &&MachineId| {
+            self.fleet.machine(id).is_some_and(|machine| machine.contact.is_missing_heartbeats(now, span))
+        };
+        ours.iter().filter(is_missing).cloned().collect()
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -0,0 +1,188 @@
+//! Machines that give no sign of life.
+
+use crate::coordination::Controller;
+use crate::coordination::fleet::failure_detection::ExpiryMargin;
+use crate::coordination::fleet::machine::Machine;
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros};
+use std::collections::BTreeMap;
+
+/// With fewer silent machines in a zone nothing is concluded about the zone.
+const MIN_SILENT_IN_ZONE: usize = 3;
+/// With fewer others to compare with, a machine's silence has to last longer.
+const MIN_COMPARED: usize = 2;
+/// So many times longer.
+const UNCOMPARED_PATIENCE: u64 = 3;
+
+/// Machines at a moment, as far as something can be said about them.
+#[derive(Clone, Copy)]
+struct SilenceCounts {
+    /// Failed to answer, and were not seen since.
+    silent: usize,
+    /// Were seen since.
+    seen: usize,
+}
+
+impl SilenceCounts {
+    /// How many a machine that is itself silent can be compared with.
+    fn compared_count(self) -> usize {
+        (self.silent + self.seen).saturating_sub(1)
+    }
+}
+
+/// When machines were last seen: those that failed to answer since, and all. Those that were not probed since and whose
+/// heartbeat isn't due tell nothing. Sorted once: with hundreds silent a walk over all for each would take all the time
+/// of a check.
+struct LastSeenTimes {
+    failing: Vec<Micros>,
+    all: Vec<Micros>,
+}
+
+impl LastSeenTimes {
+    fn of<'a>(machines: impl Iterator<Item = &'a Machine>) -> LastSeenTimes {
+        let (mut failing, mut all) = (Vec::new(), Vec::new());
+        for machine in machines {
+            // Those of a shard just taken were not seen yet, though their silence counts from then.
+            let is_confirmed = machine.ownership.is_token_confirmed();
+            let last_seen_at = if is_confirmed { machine.contact.last_seen_at() } else { Micros::ZERO };
+            all.push(last_seen_at);
+            if machine.contact.failed_probe_count() > 0 {
+                failing.push(last_seen_at);
+            }
+        }
+        failing.sort_unstable();
+        all.sort_unstable();
+        LastSeenTimes { failing, all }
+    }
+
+    fn since(&self, moment: Micros) -> SilenceCounts {
+        let silent = self.failing.partition_point(|at| *at <= moment);
+        SilenceCounts { silent, seen: self.all.len() - self.all.partition_point(|at| *at <= moment) }
+    }
+}
+
+/// What a machine's silence is taken to say.
+#[derive(PartialEq)]
+enum Verdict {
+    /// It alone has failed: it is replaced.
+    Failed(MachineId),
+    /// Its whole zone is cut off.
+    ZoneCutOff(String),
+    /// So many are silent that the fault is taken to be our own network.
+    ManySilent,
+    Undecided,
+}
+
+impl Controller {
+    /// A single machine that is silent is deleted, which proves its tasks gone sooner than the expiry of its lease would.
+    /// If many are silent the fault is ours or a partition's, and they may come back.
+    pub(in crate::coordination::fleet) fn replace_silent(&mut self, ours: &[MachineId]) {
+        let now = self.now();
+        let after = Micros::from_millis(self.policy.replace_after_ms);
+        let silent = self.silent_machines(ours, after);
+        self.replace_never_seen(&silent);
+        if silent.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, after) {
+            return;
+        }
+        let verdicts = self.judge_silence(ours, silent, after);
+        for verdict in &verdicts {
+            if let Verdict::ZoneCutOff(zone) = verdict {
+                self.fleet.correlated_failures.zone_cut_off(zone.clone(), now);
+            }
+        }
+        if verdicts.contains(&Verdict::ManySilent) {
+            self.fleet.correlated_failures.many_unreachable(now);
+            return;
+        }
+        for verdict in verdicts {
+            if let Verdict::Failed(id) = verdict {
+                self.cordon(&id, Hold::Doomed);
+            }
+        }
+    }
+
+    /// Machines that have been silent for so long, with enough failed probes.
+    fn silent_machines(&self, ours: &[MachineId], after: Micros) -> Vec<MachineId> {
+        let now = self.now();
+        let is_silent = |machine: &Machine| {
+            let is_probed = machine.contact.failed_probe_count() >= self.policy.probes_failed;
+            is_probed && machine.contact.silence(now) >= after
+        };
+        ours.iter().filter(|id| self.fleet.machine(id).is_some_and(is_silent)).cloned().collect()
+    }
+
+    /// Not seen since we took the shard, for longer than a lease: nothing but a deletion can prove their tasks gone,
+    /// however many are silent.
+    fn replace_never_seen(&mut self, silent: &[MachineId]) {
+        let now = self.now();
+        let bound = self.lease_expiry_bound(ExpiryMargin::RenewedByFormerHolder);
+        for id in silent {
+            let is_never_seen = self.fleet.machine(id).is_some_and(|machine| {
+                !machine.ownership.is_token_confirmed() && machine.contact.silence(now) >= bound
+            });
+            if is_never_seen {
+                self.cordon(id, Hold::Doomed);
+            }
+        }
+    }
+
+    /// What the silence of each machine says, compared with the shard's others and those of its zone.
+    fn judge_silence(&self, ours: &[MachineId], silent: Vec<MachineId>, after: Micros) -> Vec<Verdict> {
+        // Machines fall silent one by one even if all are cut off at once, as each was last seen at a moment of its own.
+        // So the others must have been seen well after this one fell silent.
+        let gap = Micros::from_millis(self.policy.probe_after_ms + self.policy.probe_ms);
+        let shard_times = LastSeenTimes::of(ours.iter().filter_map(|id| self.fleet.machine(id)));
+        let mut zone_times: BTreeMap<&str, LastSeenTimes> = BTreeMap::new();
+        let mut verdicts = Vec::new();
+        for id in silent {
+            let Some(last_seen_at) = self.fleet.machine(&id).map(|m| m.contact.last_seen_at()) else { continue };
+            let Some(zone) = self.zone_of(&id) else { continue };
+            let in_zone = zone_times.entry(zone).or_insert_with(|| self.last_seen_times_in(zone, ours));
+            let moment = last_seen_at + gap;
+            let in_shard = shard_times.since(moment);
+            verdicts.push(if self.are_many_silent(in_shard) {
+                Verdict::ManySilent
+            } else if self.is_zone_cut_off(in_zone.since(moment)) {
+                Verdict::ZoneCutOff(zone.to_string())
+            } else if self.may_recover(in_shard, last_seen_at, zone, after) {
+                Verdict::Undecided
+            } else {
+                Verdict::Failed(id)
+            });
+        }
+        verdicts
+    }
+
+    fn zone_of(&self, id: &MachineId) -> Option<&str> {
+        self.store.replica.machines.get(id).map(|held| held.value.zone.as_str())
+    }
+
+    fn last_seen_times_in(&self, zone: &str, ours: &[MachineId]) -> LastSeenTimes {
+        let in_zone = ours.iter().filter(|id| self.zone_of(id) == Some(zone));
+        LastSeenTimes::of(in_zone.filter_map(|id| self.fleet.machine(id)))
+    }
+
+    /// In a small shard one other may well be lost too, but if none at all was seen the fault is ours.
+    fn are_many_silent(&self, counts: SilenceCounts) -> bool {
+        // The one that is judged is itself among the silent.
+        let others_silent = counts.silent.saturating_sub(1) as f64;
+        let compared = counts.compared_count();
+        let max_silent = (compared as f64 * self.policy.replace_max_part).max(1.0);
+        others_silent > max_silent || (compared >= MIN_COMPARED && counts.seen == 0)
+    }
+
+    /// Most of a zone and hardly anything else: the zone is cut off, its machines work on.
+    fn is_zone_cut_off(&self, counts: SilenceCounts) -> bool {
+        let max_silent = (counts.silent + counts.seen) as f64 * self.policy.zone_max_part;
+        counts.silent >= MIN_SILENT_IN_ZONE && counts.silent as f64 > max_silent
+    }
+
+    /// With hardly any other to compare with, more patience. And when a partition ends, its machines are seen again one by
+    /// one, and the last need a while.
+    fn may_recover(&self, counts: SilenceCounts, last_seen_at: Micros, zone: &str, after: Micros) -> bool {
+        let now = self.now();
+        let patience = Micros(after.0 * UNCOMPARED_PATIENCE);
+        let is_uncompared = counts.compared_count() < MIN_COMPARED && now.since(last_seen_at) < patience;
+        is_uncompared || self.fleet.correlated_failures.was_zone_cut_off(zone, now, after)
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/failure_detection/unreachable_machines.rs
@@ -0,0 +1,70 @@
+//! Machines that receive nothing, though their heartbeats arrive.
+
+use crate::coordination::Controller;
+use crate::coordination::fleet::machine::Machine;
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros};
+
+/// Machines by whether they answer direct messages.
+struct Reachability {
+    unreachable_count: usize,
+    /// Machines of which it can be said, the unreachable ones among them.
+    known_count: usize,
+}
+
+impl Reachability {
+    /// More than so large a part of the machines is unreachable, and more than that number.
+    fn exceeds(&self, max_part: f64, max_count: f64) -> bool {
+        self.unreachable_count as f64 > (self.known_count as f64 * max_part).max(max_count)
+    }
+}
+
+impl Controller {
+    /// How many machines fail to answer, and of how many that can be said: of those that received something since the first
+    /// of them fell silent, too. The rest were sent nothing.
+    fn reachability(&self, ours: &[MachineId]) -> Reachability {
+        let machines = || ours.iter().filter_map(|id| self.fleet.machine(id));
+        let unreachable = || machines().filter(|machine| machine.contact.is_suspected_unreachable());
+        let Some(since) = unreachable().map(|machine| machine.contact.unanswered_since()).min() else {
+            return Reachability { unreachable_count: 0, known_count: ours.len() };
+        };
+        let is_reached = |machine: &&Machine| {
+            !machine.contact.is_suspected_unreachable() && machine.contact.last_delivered_at() > since
+        };
+        let unreachable_count = unreachable().count();
+        Reachability { unreachable_count, known_count: unreachable_count + machines().filter(is_reached).count() }
+    }
+
+    /// Machines that can send but not receive look alive in turns, and when such a time ends they answer again one by one.
+    /// While many fail to answer, and a while after, none is judged by that.
+    pub(in crate::coordination::fleet) fn note_many_unreachable(&mut self, ours: &[MachineId]) {
+        if self.reachability(ours).exceeds(self.policy.replace_max_part, 2.0) {
+            let now = self.now();
+            self.fleet.correlated_failures.many_unreachable(now);
+        }
+    }
+
+    /// A machine whose heartbeats arrive though nothing reaches it: its lease expires again and again, and whatever it is
+    /// given is lost. Replaced like a silent one, unless many are so at once: then the fault is our own network.
+    pub(in crate::coordination::fleet) fn replace_unreachable(&mut self, ours: &[MachineId]) {
+        let now = self.now();
+        let span = Micros::from_millis(self.policy.unreachable_after_ms);
+        let is_unreachable =
+            |machine: &Machine| machine.contact.is_unreachable(now, self.policy.unreachable_probes, span);
+        let unreachable: Vec<MachineId> =
+            ours.iter().filter(|id| self.fleet.machine(id).is_some_and(is_unreachable)).cloned().collect();
+        if unreachable.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, span) {
+            return;
+        }
+        // Some fall silent a little later than others: those on their way there count as well, and at least one other must
+        // have received something.
+        let reachability = self.reachability(ours);
+        let none_is_reached = reachability.known_count == reachability.unreachable_count;
+        if none_is_reached || reachability.exceeds(self.policy.replace_max_part, 1.0) {
+            return;
+        }
+        for id in &unreachable {
+            self.cordon(id, Hold::Doomed);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/faulty_machines.rs
@@ -0,0 +1,80 @@
+//! Machines on which tasks fail that succeed elsewhere: they are cordoned, drained and returned.
+
+use crate::coordination::Controller;
+use crate::coordination::fleet::machine::{JobFailures, TaskFailures};
+use crate::coordination::jobs::usage::Start;
+use crate::storage::schema::{Hold, Outcome};
+use crate::types::{JobId, MachineId};
+
+/// A job that failed so often on one machine, and on no other, was tried there again after a pause.
+const RETRIED_FAILURE_COUNT: u32 = 2;
+/// So many times the failures that would do for different jobs speak against a machine if they are of one job.
+const SINGLE_JOB_FACTOR: u32 = 2;
+
+impl Controller {
+    /// Tasks of different jobs that fail on one machine and succeed elsewhere speak against the machine.
+    pub(super) fn cordon_faulty(&mut self, ours: &[MachineId]) {
+        for id in ours {
+            let Some(machine) = self.fleet.machine(id).filter(|machine| !machine.task_failures.is_empty()) else {
+                continue;
+            };
+            if !self.is_faulty(id, &machine.task_failures) {
+                continue;
+            }
+            let hold = self.store.replica.machines.get(id).and_then(|held| held.value.hold);
+            if hold.is_none() {
+                tracing::warn!(machine = %id, "machine faulty: tasks of several jobs fail there");
+                self.cordon(id, Hold::Retire);
+            }
+        }
+    }
+
+    fn is_faulty(&self, id: &MachineId, failures: &TaskFailures) -> bool {
+        self.fails_proven_jobs(id, failures)
+            || self.fails_only_gang_here(id, failures)
+            || self.fails_retried_jobs(id, failures)
+    }
+
+    /// Jobs fail there that succeed elsewhere: several, or a single one again and again that fails on no other machine.
+    fn fails_proven_jobs(&self, id: &MachineId, failures: &TaskFailures) -> bool {
+        let proven = || failures.iter().filter(|(job, failures)| self.succeeds_elsewhere(id, job, failures));
+        let fails_elsewhere =
+            |job: &JobId| self.fleet.machines().any(|(other, m)| other != id && m.task_failures.contains(job));
+        proven().count() >= self.policy.faulty_after as usize
+            || proven().any(|(job, failures)| failures.count > self.max_failures_of_one_job() && !fails_elsewhere(job))
+    }
+
+    /// A gang that can't do without this machine never gets further. Its other tasks fail nowhere else.
+    fn fails_only_gang_here(&self, id: &MachineId, failures: &TaskFailures) -> bool {
+        let is_often_alone = |failures: &JobFailures| failures.alone_in_gang_count > self.max_failures_of_one_job();
+        failures.iter().any(|(job, failures)| is_often_alone(failures) && self.fails_only_on(job, id))
+    }
+
+    /// Several jobs were tried here again, as they can't run anywhere else, and failed again.
+    fn fails_retried_jobs(&self, id: &MachineId, failures: &TaskFailures) -> bool {
+        let is_retried = |failures: &JobFailures| failures.count >= RETRIED_FAILURE_COUNT;
+        let retried = failures.iter().filter(|(job, failures)| is_retried(failures) && self.fails_only_on(job, id));
+        retried.count() >= self.policy.faulty_after as usize
+    }
+
+    fn max_failures_of_one_job(&self) -> u32 {
+        self.policy.faulty_after * SINGLE_JOB_FACTOR
+    }
+
+    fn fails_only_on(&self, job: &JobId, id: &MachineId) -> bool {
+        self.jobs.by_id.get(job).is_some_and(|job| job.failures.failed_only_on(id))
+    }
+
+    /// Whether a job that failed on a machine is not itself at fault: the same task is done by now, or has run for longer
+    /// on another machine than any that failed.
+    fn succeeds_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &JobFailures) -> bool {
+        let Some(job) = self.jobs.by_id.get(job_id) else {
+            return self.store.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
+        };
+        let task = failures.last_task;
+        let chunks = self.store.replica.runs.get(job_id);
+        let chunk = chunks.and_then(|chunks| chunks.get(&(task / self.store.chunk_tasks))).map(|c| &c.value);
+        let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
+        job.is_task_done(task, chunk) || job.live.get(task).is_some_and(runs_on)
+    }
+}
--- /dev/null
+++ b/src/coordination/fleet/fleet_checks.rs
@@ -0,0 +1,56 @@
+//! The checks of all machines of the shards held here, in the order in which they build on each other.
+
+use crate::coordination::{Controller, Effect, WorkerAnswer};
+use crate::storage::schema::Role;
+use crate::types::{MachineId, Micros};
+
+/// Interval between checks of all machines.
+const CHECK_INTERVAL: Micros = Micros::from_millis(100);
+/// So long a heartbeat waits for its machine's registration; then the agent had better try again.
+const MAX_REGISTRATION_WAIT: Micros = Micros::from_millis(1000);
+
+impl Controller {
+    /// Checks all machines of the shards held here, if it is time.
+    pub(crate) fn tick_machines(&mut self) {
+        let now = self.now();
+        self.refuse_late_registrations();
+        if now < self.fleet.next_check_at {
+            return;
+        }
+        self.fleet.next_check_at = now + CHECK_INTERVAL;
+        let ours = self.machines_of_held_shards();
+        let recorded = &self.store.replica.machines;
+        self.fleet.machines.retain(|id, machine| recorded.contains_key(id) || machine.awaits_outcome());
+        self.judge_contact(&ours);
+        self.expire_leases(&ours);
+        self.enforce_cancellation_deadlines();
+        self.probe(&ours);
+        self.note_many_unreachable(&ours);
+        self.tick_zones(&ours);
+        self.replace_silent(&ours);
+        self.replace_unreachable(&ours);
+        self.replace_missing_heartbeats(&ours);
+        self.renew_fencing_tokens(&ours);
+        self.cordon_faulty(&ours);
+        self.drain_retired(&ours);
+        self.drain_services_before_termination(&ours);
+        self.plan_shard_moves();
+    }
+
+    fn machines_of_held_shards(&self) -> Vec<MachineId> {
+        let machines = self.store.replica.machines.iter();
+        let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
+        machines.filter(|(_, record)| is_ours(record.value.shard)).map(|(id, _)| id.clone()).collect()
+    }
+
+    fn refuse_late_registrations(&mut self) {
+        let now = self.now();
+        for unregistered in self.fleet.take_unregistered() {
+            if now.since(unregistered.received_at) > MAX_REGISTRATION_WAIT {
+                self.out.push(Effect::AnswerWorker(unregistered.waiter, WorkerAnswer::Unavailable));
+            } else {
+                self.fleet.unregistered.push(unregistered);
+            }
+        }
+    }
+}
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -1,33 +1,26 @@
-//! Heartbeats of workers: which are new, what they prove about tasks, and what is answered.
+//! Heartbeats of agents: which are new, what they prove of the machine, and what is answered.
 
-use crate::coordination::fleet::Unregistered;
-use crate::coordination::fleet::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
-use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::jobs::usage::{Phase, Start};
-use crate::coordination::zones::zone_control::ZoneStart;
+use crate::coordination::fleet::UnregisteredHeartbeat;
+use crate::coordination::fleet::machine::{MessagePosition, TokenEvidence};
 use crate::coordination::{Controller, Effect, Waiter, WorkerAnswer};
-use crate::protocol::user::Kind;
-use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
+use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::Role;
-use crate::types::{FencingToken, JobId, MachineId, TaskId};
-use std::collections::BTreeSet;
+use crate::types::{FencingToken, MachineId};
 
-/// Exited tasks a worker is left with before its machine gets a new fencing token so that it may forget them.
-const EXITED_KEPT: usize = 60;
-
-/// How a worker's account of itself came.
+/// How an agent's account of itself came.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Source {
-    /// As a heartbeat, which the worker sends only after it is through with the answer to the one before.
+pub(crate) enum HeartbeatSource {
+    /// As a heartbeat, which the agent sends only after it is through with the answer to the one before.
     Heartbeat,
     /// As the answer to a direct message.
     DirectAnswer,
 }
 
 impl Controller {
-    pub(crate) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
+    /// Answers a heartbeat, or keeps it until its machine is registered. `is_relayed`: it came through a sibling.
+    pub(crate) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, is_relayed: bool) {
         let answer = match self.store.sync.done {
-            true => self.heartbeat_answer(waiter, heartbeat, relayed),
+            true => self.heartbeat_answer(waiter, heartbeat, is_relayed),
             false => Some(WorkerAnswer::Unavailable),
         };
         if let Some(answer) = answer {
@@ -35,7 +28,7 @@
         }
     }
 
-    fn heartbeat_answer(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) -> Option<WorkerAnswer> {
+    fn heartbeat_answer(&mut self, waiter: Waiter, heartbeat: Heartbeat, is_relayed: bool) -> Option<WorkerAnswer> {
         let id = heartbeat.machine.clone();
         let Some(role) = self.role_of_machine(&id) else { return self.unregistered_heartbeat(waiter, heartbeat) };
         let Some(fencing_token) = self.fencing_token(&id) else { return Some(self.redirect_to_holder(role)) };
@@ -43,17 +36,18 @@
             self.later_token_shown(&id, heartbeat.fencing_token);
             return Some(WorkerAnswer::Redirect(None));
         }
-        if !self.note_heartbeat(&heartbeat, relayed) {
+        if !self.note_heartbeat(&heartbeat, is_relayed) {
             return Some(WorkerAnswer::Unavailable);
         }
-        self.take_heartbeat(&heartbeat, Source::Heartbeat);
+        self.accept_heartbeat(&heartbeat, HeartbeatSource::Heartbeat);
         Some(self.renewing_answer(&heartbeat, fencing_token))
     }
 
-    /// A machine without a record: the leader may register it, others send its worker there.
+    /// A machine without a record: the leader may register it, others send its agent there.
     fn unregistered_heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat) -> Option<WorkerAnswer> {
         if self.is_leader() {
-            self.fleet.unregistered.push(Unregistered { since: self.now(), waiter, heartbeat });
+            let received_at = self.now();
+            self.fleet.unregistered.push(UnregisteredHeartbeat { received_at, waiter, heartbeat });
             return None;
         }
         Some(self.redirect_to_holder(Role::Leader))
@@ -66,240 +60,93 @@
         }
     }
 
-    /// Somebody has a later fencing token than we know of, or this is news from the future of another shard: learn which, and
-    /// draw a higher one if the machine is ours after all.
+    /// Another controller has a later fencing token than we know of, or the heartbeat comes from the machine's later time
+    /// in another shard: read which, and draw a higher token if the machine is ours after all.
     fn later_token_shown(&mut self, id: &MachineId, fencing_token: FencingToken) {
         self.store.reads.wanted = true;
         let now = self.now();
-        if let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.unacknowledged = Some(fencing_token);
-            machine.outranked = true;
-            machine.token_confirmed = false;
-            machine.heard = now;
+        if let Some(machine) = self.fleet.machine_mut(id) {
+            machine.commands.set_unacknowledged(fencing_token);
+            machine.ownership.later_token_shown();
+            machine.contact.seen(now);
         }
     }
 
-    /// Whether a heartbeat is newer than the one before, and what its number tells of what the worker has heard.
-    fn note_heartbeat(&mut self, heartbeat: &Heartbeat, relayed: bool) -> bool {
+    /// Notes a heartbeat's number, and what it tells of what the agent has received. False for one that is not newer than
+    /// all before.
+    fn note_heartbeat(&mut self, heartbeat: &Heartbeat, is_relayed: bool) -> bool {
         let now = self.now();
-        let machine = self.fleet.machines.entry(heartbeat.machine.clone()).or_default();
-        let last = machine.last_heartbeat;
-        if (heartbeat.incarnation, heartbeat.seq) <= (last.incarnation, last.number) {
-            // A copy of a heartbeat we have seen, for which nobody waits any more. Or a worker that began
-            // anew and counts from the start: an answer would renew a lease that we then take for run
-            // out. Asked directly it can't show less than it did before, unless it has begun anew.
-            machine.ask = true;
+        let machine = self.fleet.machine_or_insert(&heartbeat.machine);
+        let order = machine.messages.order_heartbeat(MessagePosition::from(heartbeat), is_relayed);
+        if !order.is_new {
+            // A copy of a heartbeat that we have seen, for which nobody waits any more. Or an agent that lost its state and
+            // counts from the start: an answer would renew a lease that we then take for expired. Asked
+            // directly it can't show less than it did before, unless it did lose its state.
+            machine.commands.want_probe();
             return false;
         }
-        // A worker that did not hear our last answer would have gone to another controller first.
-        if last.direct && !relayed && last.incarnation == heartbeat.incarnation && heartbeat.seq == last.number + 1 {
-            machine.hears(machine.answered);
+        if order.confirms_last_answer {
+            machine.contact.last_answer_delivered();
+        }
+        if order.has_gap {
+            // Perhaps the agent did not receive our last answer, and it may be that nothing reaches it. What waits for its
+            // next heartbeat would never tell.
+            machine.commands.want_probe();
         }
-        // It said something since that did not reach us: perhaps it did not hear our last answer, and it may be that
-        // nothing reaches it. What waits for its next heartbeat would never tell.
-        machine.ask |= heartbeat.incarnation == machine.incarnation && heartbeat.seq > machine.seq + 1;
-        machine.last_heartbeat =
-            LastHeartbeat { incarnation: heartbeat.incarnation, number: heartbeat.seq, direct: !relayed };
-        // What is older than its answers to direct messages may be a late copy, which shows no heartbeat to get through now.
-        if (heartbeat.incarnation, heartbeat.seq) > (machine.incarnation, machine.seq) {
-            machine.last_heartbeat_at = now;
+        if order.is_newest_message {
+            machine.contact.heartbeat_received(now);
         }
         true
     }
 
-    /// Takes in a worker's account of itself.
-    pub(crate) fn take_heartbeat(&mut self, heartbeat: &Heartbeat, source: Source) {
-        let now = self.now();
-        let id = &heartbeat.machine;
-        let Some(fencing_token) = self.fencing_token(id) else { return };
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        if (heartbeat.incarnation, heartbeat.seq) <= (machine.incarnation, machine.seq) {
-            return;
-        }
-        let token_confirmed = heartbeat.fencing_token >= fencing_token;
-        machine.outranked = heartbeat.fencing_token > fencing_token;
-        // A heartbeat without our fencing token may be a copy from before our time: no sign of life.
-        if token_confirmed || source == Source::DirectAnswer {
-            machine.heard = now;
-            machine.probes_failed = 0;
-        }
-        if heartbeat.incarnation > machine.incarnation {
-            // A new incarnation comes with a lease of its own.
-            machine.answered = now;
-            machine.unrecorded.clear();
-            machine.fetches.clear();
-        }
-        machine.incarnation = heartbeat.incarnation;
-        machine.seq = heartbeat.seq;
-        machine.highest_token_seen = heartbeat.fencing_token;
-        machine.notice = heartbeat.notice_s.is_some();
-        if let Some(addr) = heartbeat.addr.as_ref().and_then(|a| a.parse().ok()) {
-            machine.addr = Some(addr);
-        }
-        let first = !machine.token_confirmed;
-        machine.token_confirmed = token_confirmed;
-        if !machine.token_confirmed {
+    /// Takes in an agent's account of itself, if it is newer than all before.
+    pub(crate) fn accept_heartbeat(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource) {
+        let Some(fencing_token) = self.fencing_token(&heartbeat.machine) else { return };
+        let Some(evidence) = self.accept_machine_state(heartbeat, fencing_token, source) else { return };
+        if evidence == TokenEvidence::Outdated {
             return;
         }
-        machine.obeys_holder = true;
-        if machine.unacknowledged.is_some_and(|d| heartbeat.fencing_token > d) {
-            machine.unacknowledged = None;
-        }
-        if first {
-            // Until it showed our fencing token a former owner may have gone on renewing its lease.
-            machine.answered = now;
-        }
-        self.scheduling.cycle_wanted |= first;
-        self.take_tasks(heartbeat, source, first);
-    }
-
-    /// `first`: this is the first message that shows the machine's present fencing token.
-    fn take_tasks(&mut self, heartbeat: &Heartbeat, source: Source, first: bool) {
-        let id = &heartbeat.machine;
-        let mut unrecorded = Vec::new();
-        let mut seen: BTreeSet<(JobId, u32)> = BTreeSet::new();
-        for reported in &heartbeat.tasks {
-            let exited = (reported.state == TaskState::Exited).then(|| reported.why.unwrap_or(ExitCause::Unknown));
-            let known = TaskId::parse(&reported.task).filter(|t| {
-                self.jobs.by_id.get(&t.job).and_then(|j| j.live.get(t.index)).is_some_and(|l| {
-                    *l.machine() == *id && l.attempt == reported.attempt && l.phase() != Phase::Decided
-                })
-            });
-            let Some(task) = known else {
-                let (task, attempt) = (reported.task.clone(), reported.attempt);
-                let void = first || self.fleet.machines.get(id).is_some_and(|m| m.is_void(&task, attempt));
-                unrecorded.push(UnrecordedTask { task, attempt, exited: exited.is_some(), void });
-                continue;
-            };
-            seen.insert((task.job.clone(), task.index));
-            match exited {
-                Some(why) => self.exit_seen(id, &task, why),
-                None => self.task_seen(id, &task, reported.state, heartbeat.seq),
-            }
-        }
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        let kept = unrecorded.iter().filter(|s| s.exited && !s.forgettable()).count();
-        machine.unrecorded = unrecorded;
-        machine.kept = kept;
-        if kept > EXITED_KEPT && machine.unacknowledged.is_none() {
-            // A new fencing token makes them forgettable.
-            machine.unacknowledged = Some(heartbeat.fencing_token);
-        }
-        let quiet = !machine.direct && machine.unacknowledged.is_none();
-        let mut starts = self.jobs.usage.starts_on(id);
-        starts.retain(|s| !seen.contains(s));
-        for (job, task) in starts {
-            let Some(live) = self.jobs.by_id.get(&job).and_then(|j| j.live.get(task)) else { continue };
-            if live.phase() == Phase::Decided || !live.occupies() {
-                continue;
-            }
-            let earlier_incarnation = live.incarnation < heartbeat.incarnation;
-            // Not there, and no command of ours is on its way that could still start it.
-            let absent = source == Source::Heartbeat
-                && quiet
-                && live.incarnation == heartbeat.incarnation
-                && heartbeat.seq > live.seq;
-            let unwanted = live.stop.is_some() || live.phase().on_machine();
-            if earlier_incarnation {
-                self.start_gone(&job, task, AbsenceProof::LaterIncarnation);
-            } else if absent && unwanted {
-                self.start_gone(&job, task, AbsenceProof::Heartbeat);
-            }
-        }
+        let is_first = evidence == TokenEvidence::FirstConfirmation;
+        self.scheduling.cycle_wanted |= is_first;
+        self.reconcile_tasks(heartbeat, source, is_first);
     }
 
-    fn task_seen(&mut self, id: &MachineId, task: &TaskId, state: TaskState, seq: u64) {
+    /// Takes in what a message says of the machine itself. None if it is not newer than all before.
+    fn accept_machine_state(
+        &mut self,
+        heartbeat: &Heartbeat,
+        fencing_token: FencingToken,
+        source: HeartbeatSource,
+    ) -> Option<TokenEvidence> {
         let now = self.now();
-        let Some(job) = self.jobs.by_id.get_mut(&task.job) else { return };
-        let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
-        let Some(live) = job.live.get_mut(task.index) else { return };
-        if !live.occupies() {
-            return;
-        }
-        live.sent = true;
-        live.seq = live.seq.max(seq);
-        let phase = match state {
-            TaskState::Fetching => Phase::Fetching,
-            TaskState::Waiting => Phase::Waiting,
-            TaskState::Running => Phase::Running,
-            TaskState::Saving => Phase::Saving,
-            TaskState::Exited => return,
-        };
-        let before = live.phase();
-        if before == phase {
-            return;
-        }
-        if phase == Phase::Running {
-            live.running_since.get_or_insert(now);
-        }
-        job.live.set_phase(task.index, phase, &mut self.jobs.usage);
-        if phase == Phase::Fetching {
-            if let Some(machine) = self.fleet.machines.get_mut(id)
-                && !machine.fetches.iter().any(|f| f.image == image)
-            {
-                machine.fetches.push(Fetch { image, megabytes, since: now });
-            }
-            return;
-        }
-        if phase == Phase::Running || phase == Phase::Waiting {
-            self.note_zone_start(id, ZoneStart::AtWork);
+        let machine = self.fleet.machine_mut(&heartbeat.machine)?;
+        let position = MessagePosition::from(heartbeat);
+        if position <= machine.messages.newest() {
+            return None;
         }
-        if phase == Phase::Running
-            && let Some(job) = self.jobs.by_id.get(&task.job)
-        {
-            let age_ms = self.clock.wall.since(job.accepted).millis();
-            tracing::debug!(task = %task, machine = %id, age_ms, kind = ?job.spec.kind, "runs");
+        let evidence = machine.ownership.token_shown(heartbeat.fencing_token, fencing_token);
+        // A heartbeat without our fencing token may be a copy from before our time: no sign of life.
+        if evidence != TokenEvidence::Outdated || source == HeartbeatSource::DirectAnswer {
+            machine.contact.proven_alive(now);
         }
-        self.image_seen(id, &image, megabytes);
-    }
-
-    /// A task that is past fetching shows that its image is there.
-    fn image_seen(&mut self, id: &MachineId, image: &str, megabytes: f64) {
-        let now = self.now();
-        let capacity_mb = self
-            .store
-            .replica
-            .machines
-            .get(id)
-            .and_then(|m| self.autoscaling.types.get(&m.value.machine_type))
-            .map_or(f64::INFINITY, |t| t.wire.cache_gb * 1000.0);
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        if let Some(at) = machine.fetches.iter().position(|f| f.image == image) {
-            let fetch = machine.fetches.remove(at);
-            let seconds = now.since(fetch.since).secs();
-            if seconds > 0.2 && fetch.megabytes > 1.0 {
-                let rate = fetch.megabytes / seconds;
-                machine.rate = Some(machine.rate.map_or(rate, |old| 0.5 * (old + rate)));
-            }
+        if position.incarnation > machine.incarnation() {
+            // A new incarnation comes with a lease of its own.
+            machine.contact.lease_renewed(now);
+            machine.unrecorded.clear();
+            machine.images.clear_fetches();
         }
-        machine.image_used(image, megabytes, capacity_mb);
-    }
-
-    fn exit_seen(&mut self, id: &MachineId, task: &TaskId, why: ExitCause) {
-        let now = self.now();
-        let Some(job) = self.jobs.by_id.get(&task.job) else { return };
-        if !job.live.get(task.index).is_some_and(|l| l.occupies()) {
-            return;
+        machine.messages.advance(position);
+        machine.has_termination_notice = heartbeat.notice_s.is_some();
+        if let Some(addr) = heartbeat.addr.as_ref().and_then(|addr| addr.parse().ok()) {
+            machine.addr = Some(addr);
         }
-        let elsewhere = |live: &Start| live.machine() != id && live.phase().on_machine();
-        let alone_in_gang = job.spec.kind == Kind::Gang && job.live.values().any(elsewhere);
-        if matches!(why, ExitCause::Done) {
-            let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
-            self.image_seen(id, &image, megabytes);
+        if evidence != TokenEvidence::Outdated {
+            machine.commands.token_shown(heartbeat.fencing_token);
         }
-        if let Some(machine) = self.fleet.machines.get_mut(id) {
-            match why {
-                ExitCause::Done => machine.failed_jobs.clear(),
-                ExitCause::Error => {
-                    let none = Failures { count: 0, last: now, task: task.index, alone_in_gang: 0 };
-                    let failures = machine.failed_jobs.entry(task.job.clone()).or_insert(none);
-                    failures.count += 1;
-                    failures.alone_in_gang += u32::from(alone_in_gang);
-                    (failures.last, failures.task) = (now, task.index);
-                }
-                _ => {}
-            }
+        if evidence == TokenEvidence::FirstConfirmation {
+            // Until it showed our fencing token a former holder may have gone on renewing its lease.
+            machine.contact.lease_renewed(now);
         }
-        self.start_ended(&task.job, task.index, why);
+        Some(evidence)
     }
 }
--- a/src/coordination/fleet/lease_renewal.rs
+++ b/src/coordination/fleet/lease_renewal.rs
@@ -1,14 +1,14 @@
-//! Answers that renew a worker's lease: the one place where they are made.
+//! Answers that renew an agent's lease: the one place where they are made.
 //!
-//! A worker whose lease nobody renews kills its tasks in a time that is well below the one allowed for a cancellation.
+//! An agent whose lease nobody renews kills its tasks in a time that is well below the one allowed for a cancellation.
 //! So a cancelled task can run on only if an answer renewed the lease and did not stop it, or if a start that is still on
-//! its way reaches a incarnation that was kept alive. Hence two rules, which hold without the store and the cloud:
+//! its way reaches an incarnation that was kept alive. Hence two rules, which hold without the store and the cloud:
 //!
 //! - Every answer that renews a lease stops what the machine has of cancelled jobs, whatever else is known of the machine
 //!   or its fencing token: stopping a task whose job has its outcome is always right.
-//! - Where a command under the present fencing token may still be carried out, and something of a cancelled job is not proven
-//!   gone, the lease is not renewed beyond the time in which it would run out before the cancellation is due. Its end
-//!   makes the command void. Under a later fencing token the answer does so by itself.
+//! - Where a command under the present fencing token may still be carried out, and something of a cancelled job is not
+//!   proven gone, the lease is not renewed beyond the time in which it would expire before the cancellation is due. Its
+//!   expiry supersedes the command. Under a later fencing token the answer does so by itself.
 
 use crate::coordination::fleet::agent_commands::MAX_COMMANDS_PER_MESSAGE;
 use crate::coordination::{Controller, WorkerAnswer};
@@ -21,42 +21,43 @@
     pub(crate) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> WorkerAnswer {
         let now = self.now();
         let id = &heartbeat.machine;
-        if self.is_renewal_withheld(id, fencing_token) {
+        if self.update_renewal_withheld(id, fencing_token) {
             return WorkerAnswer::Unavailable;
         }
-        let Some(machine) = self.fleet.machines.get_mut(id) else { return WorkerAnswer::Unavailable };
-        machine.answered = now;
-        // Before the worker has shown our fencing token its heartbeat proves nothing; the answer's fencing token makes it report again.
-        let reliable = machine.token_confirmed && machine.incarnation == heartbeat.incarnation;
-        let mut commands = if reliable { self.commands_for(id, Some(heartbeat.seq)) } else { Vec::new() };
-        let complete = reliable && commands.len() < MAX_COMMANDS_PER_MESSAGE;
+        let Some(machine) = self.fleet.machine_mut(id) else { return WorkerAnswer::Unavailable };
+        machine.contact.lease_renewed(now);
+        // Before the agent has shown our fencing token its heartbeat proves nothing; the answer's token makes it send
+        // another.
+        let is_reliable = machine.ownership.is_token_confirmed() && machine.incarnation() == heartbeat.incarnation;
+        let mut commands = if is_reliable { self.commands_for(id, Some(heartbeat.seq)) } else { Vec::new() };
+        let is_complete = is_reliable && commands.len() < MAX_COMMANDS_PER_MESSAGE;
         for stop in self.stops_of_cancelled(heartbeat) {
             if !commands.contains(&stop) {
                 commands.push(stop);
                 self.jobs.audit.added_stops += 1;
             }
         }
-        if complete && let Some(machine) = self.fleet.machines.get_mut(id) {
-            machine.push = false;
+        if is_complete && let Some(machine) = self.fleet.machine_mut(id) {
+            machine.commands.clear_request();
         }
         WorkerAnswer::Response(HeartbeatResponse { fencing_token, commands })
     }
 
-    /// Whether a lapse of the lease is what makes a late start of a cancelled task void.
-    fn is_renewal_withheld(&mut self, id: &MachineId, fencing_token: FencingToken) -> bool {
-        let in_doubt =
-            self.fleet.machines.get(id).is_some_and(|m| m.unacknowledged.is_some_and(|doubt| doubt >= fencing_token));
-        let withheld = in_doubt && self.is_overdue_on(id);
-        if let Some(machine) = self.fleet.machines.get_mut(id) {
-            if withheld && !machine.renewal_withheld {
-                tracing::warn!(machine = %id, "lease not renewed: a cancelled task may still be started there");
+    /// Decides whether the lease has to expire, as only that supersedes a late start of a cancelled task.
+    fn update_renewal_withheld(&mut self, id: &MachineId, fencing_token: FencingToken) -> bool {
+        let may_start_late =
+            self.fleet.machine(id).is_some_and(|machine| machine.commands.may_execute_under(fencing_token));
+        let is_withheld = may_start_late && self.has_overdue_cancellation(id);
+        if let Some(machine) = self.fleet.machine_mut(id) {
+            if is_withheld && !machine.is_renewal_withheld {
+                tracing::warn!(machine = %id, "lease renewal withheld: a cancelled task may still be started there");
             }
-            machine.renewal_withheld = withheld;
+            machine.is_renewal_withheld = is_withheld;
         }
-        withheld
+        is_withheld
     }
 
-    /// Stops for all that the worker says it has of cancelled jobs.
+    /// Stops for all that the agent says it has of cancelled jobs.
     fn stops_of_cancelled(&self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
         let is_cancelled = |task: &TaskId| self.outcome(&task.job) == Some(Outcome::Cancelled);
         let reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited);
--- /dev/null
+++ b/src/coordination/fleet/machine_records.rs
@@ -0,0 +1,174 @@
+//! Stored records of machines: what follows from their changes, and how this controller changes them.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
+use crate::types::{FencingToken, MachineId, Resources};
+
+impl Controller {
+    pub(crate) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
+        self.store.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
+    }
+
+    /// The fencing token for commands to a machine of a shard we hold.
+    pub(crate) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
+        let record = &self.store.replica.machines.get(id)?.value;
+        let fencing_token = self.held(Role::Shard(record.shard))?;
+        Some(fencing_token.max(record.fencing_token))
+    }
+
+    pub(crate) fn machine_resources(&self, id: &MachineId) -> Resources {
+        let Some(record) = self.store.replica.machines.get(id) else { return Resources::default() };
+        self.autoscaling.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
+    }
+
+    /// What is left on a machine after all starts not proven gone.
+    pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
+        self.machine_resources(id).minus(&self.jobs.usage.used_on(id))
+    }
+
+    /// Machines of a shard, by the stored records.
+    fn machines_of_shard(&self, shard: u32) -> Vec<MachineId> {
+        let machines = self.store.replica.machines.iter();
+        machines.filter(|(_, record)| record.value.shard == shard).map(|(id, _)| id.clone()).collect()
+    }
+
+    /// Notes since when no task takes resources on a machine.
+    pub(crate) fn update_idle_since(&mut self, id: &MachineId) {
+        let now = self.now();
+        let is_busy = self.jobs.usage.is_busy(id);
+        if let Some(machine) = self.fleet.machine_mut(id) {
+            if is_busy {
+                machine.idle_since = None;
+            } else {
+                machine.idle_since.get_or_insert(now);
+            }
+        }
+    }
+
+    /// A machine's stored record was written or deleted.
+    pub(crate) fn machine_record_changed(&mut self, id: &MachineId) {
+        self.zone_of_machine_changed(id);
+        match self.store.replica.machines.get(id).map(|held| held.value.clone()) {
+            None => self.machine_record_deleted(id),
+            Some(record) => self.machine_record_written(id, &record),
+        }
+    }
+
+    /// The machine was deleted, with whatever was on it.
+    fn machine_record_deleted(&mut self, id: &MachineId) {
+        for (job, task) in self.jobs.usage.starts_on(id) {
+            self.start_gone(&job, task, AbsenceProof::MachineStruckOut);
+        }
+        self.fleet.machines.remove(id);
+    }
+
+    fn machine_record_written(&mut self, id: &MachineId, record: &MachineRecord) {
+        let now = self.now();
+        let fencing_token = self.fencing_token(id);
+        let is_empty = self.jobs.usage.is_empty(id);
+        let machine = self.fleet.machine_or_insert(id);
+        machine.addr = record.addr.parse().ok().or(machine.addr);
+        if machine.ownership.set_shard(record.shard) {
+            machine.owner_changed(now);
+        }
+        if is_empty {
+            machine.idle_since.get_or_insert(now);
+        }
+        machine.ownership.record_changed(fencing_token);
+        if machine.commands.is_pending() || !machine.ownership.is_token_confirmed() {
+            self.fleet.queue_direct_message(id);
+        }
+        self.accept_heartbeats_of_registered(id);
+    }
+
+    /// Takes in the heartbeats that a machine sent before it had a record.
+    fn accept_heartbeats_of_registered(&mut self, id: &MachineId) {
+        for unregistered in self.fleet.take_unregistered() {
+            if unregistered.heartbeat.machine == *id {
+                self.heartbeat(unregistered.waiter, unregistered.heartbeat, true);
+            } else {
+                self.fleet.unregistered.push(unregistered);
+            }
+        }
+    }
+
+    /// A shard was taken or lost.
+    pub(crate) fn shard_holder_changed(&mut self, shard: u32) {
+        let now = self.now();
+        for id in self.machines_of_shard(shard) {
+            self.fleet.machine_or_insert(&id).owner_changed(now);
+            self.fleet.queue_direct_message(&id);
+        }
+        self.jobs_of_shard_reset(shard);
+        self.scheduling.cycle_wanted = true;
+    }
+
+    /// The shard has a new fencing token under the same holder: what is known stays, but from here on only messages that
+    /// carry the fencing token prove anything.
+    pub(crate) fn shard_token_renewed(&mut self, shard: u32) {
+        for id in self.machines_of_shard(shard) {
+            let fencing_token = self.fencing_token(&id);
+            let Some(machine) = self.fleet.machine_mut(&id) else { continue };
+            machine.ownership.token_renewed(fencing_token);
+            if machine.commands.is_pending() || !machine.ownership.is_token_confirmed() {
+                self.fleet.queue_direct_message(&id);
+            }
+        }
+    }
+
+    /// A transaction on the records of these machines has an outcome.
+    pub(crate) fn machine_txn_finished(&mut self, ids: &[MachineId]) {
+        for id in ids {
+            if let Some(machine) = self.fleet.machine_mut(id) {
+                machine.record_write_finished();
+            }
+            self.autoscaling.leader.deleting.remove(id);
+        }
+    }
+
+    /// Changes a machine's record under the conditions that it is as we know it, and that we still hold the role by which
+    /// we decide about it: what a controller without contact concludes from silence may be carried out long after its
+    /// successor has found the machine well.
+    pub(crate) fn write_machine(
+        &mut self,
+        id: &MachineId,
+        what: MachineChange,
+        change: impl FnOnce(&mut MachineRecord),
+    ) {
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
+        let Some(held) = self.store.replica.machines.get(id) else { return };
+        let shard = Role::Shard(held.value.shard);
+        let role = [shard, Role::Leader].into_iter().find(|role| self.control.roles.held.contains_key(role));
+        let Some(role) = role.filter(|_| !machine.is_record_changing()) else { return };
+        let mut record = held.value.clone();
+        change(&mut record);
+        if record == held.value {
+            return;
+        }
+        machine.record_change_started();
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.store.replica, Key::Role(role));
+        proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
+        proposal.put(Key::Machine(id.clone()), to_value(&record));
+        self.submit_txn(proposal, Purpose::Machines(what, vec![id.clone()]));
+    }
+
+    /// Cordons a machine, so that nothing more starts there, unless its record is just being changed or it is already to
+    /// be deleted.
+    pub(crate) fn cordon(&mut self, id: &MachineId, reason: Hold) {
+        let before = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
+        let is_changing = self.fleet.machine(id).is_none_or(|machine| machine.is_record_changing());
+        if before == Some(Hold::Doomed) || before == Some(reason) || is_changing {
+            return;
+        }
+        tracing::info!(machine = %id, ?reason, "machine cordoned");
+        let what = match reason {
+            Hold::Move(_) => MachineChange::Move,
+            Hold::Retire => MachineChange::Return,
+            Hold::Doomed | Hold::Gone => MachineChange::Replace,
+        };
+        self.write_machine(id, what, |record| record.hold = Some(reason));
+    }
+}
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -1,56 +1,60 @@
-//! Registering machines: those that report and have no record yet, which have come up or come back.
+//! Registration of machines: those that send heartbeats and have no record yet, which have come up or come back.
 
 use crate::coordination::api::submissions::VALUE_FILL;
 use crate::coordination::autoscaling::capacity::{Slot, fit};
 use crate::coordination::store_sync::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
-use crate::coordination::{Controller, Effect};
+use crate::coordination::{Controller, Effect, WorkerAnswer};
 use crate::protocol::worker::Heartbeat;
 use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 
 /// So long a machine's answer counts as a sign that it exists.
 const ALIVE_SPAN: Micros = Micros::from_millis(5000);
+/// CPUs of a machine whose type is not known, in thousandths.
+const CPUS_OF_UNKNOWN_TYPE: u64 = 1_000_000;
 
-/// How a machine stands that reports.
+/// How a machine stands that sends heartbeats.
 enum Registration {
-    /// It has a record, or one is on its way.
+    /// It has a record, or one is being written.
     Known,
-    /// It heartbeats after its deletion: an old heartbeat, or the deletion missed it.
+    /// It sends heartbeats after its deletion: an old heartbeat, or the deletion missed it.
     Deleted,
     /// A heartbeat may be a late copy, and its machine long gone: it has to answer first.
     Unproven,
-    /// It answered when it was asked a moment ago.
+    /// It answered a probe a moment ago.
     Alive,
 }
 
 impl Controller {
-    /// Machines that report and have no record get one, in the shard that needs them most.
+    /// Machines that send heartbeats and have no record get one, in the shard that needs them most.
     pub(crate) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
-        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
-        let heartbeats: Vec<_> = self.fleet.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
+        let max_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
+        // The preconditions on the role and on the fleet's own record leave that many.
+        let max_members = limits.ops() * PRECONDITIONS_PER_WRITE - 2;
+        let heartbeats: Vec<Heartbeat> =
+            self.fleet.unregistered.iter().map(|unregistered| unregistered.heartbeat.clone()).collect();
         let now = self.now();
         self.autoscaling.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
         let mut members: Vec<FleetMember> = Vec::new();
         let mut refused = Vec::new();
-        let mut size = 0;
+        let mut bytes = 0;
         for heartbeat in heartbeats {
             let id = &heartbeat.machine;
-            if members.iter().any(|m| m.id == *id) {
+            if members.iter().any(|member| member.id == *id) {
                 continue;
             }
             match self.registration(id) {
                 Registration::Known => continue,
                 Registration::Deleted => refused.push(id.clone()),
-                Registration::Unproven => self.ask_for_life(id, heartbeat.addr.as_deref()),
+                Registration::Unproven => self.probe_unregistered(id, heartbeat.addr.as_deref()),
                 Registration::Alive => {
                     let member = self.new_member(&heartbeat, &members);
-                    let more = serde_json::to_string(&member).map_or(value_bytes, |text| text.len() + 1);
-                    // The role's condition and the fleet's own leave room for so many machines'.
-                    if size + more > value_bytes || members.len() + 2 == limits.ops() * PRECONDITIONS_PER_WRITE {
+                    let more = serde_json::to_string(&member).map_or(max_bytes, |text| text.len() + 1);
+                    if bytes + more > max_bytes || members.len() == max_members {
                         break;
                     }
-                    size += more;
+                    bytes += more;
                     members.push(member);
                 }
             }
@@ -65,14 +69,15 @@
         if self.store.replica.machines.contains_key(id) {
             return Registration::Known;
         }
-        let deleted = self.autoscaling.leader.deleting.contains(id) || self.autoscaling.leader.deleted.contains_key(id);
-        if deleted || self.store.replica.is_gone(id) {
+        let leader = &self.autoscaling.leader;
+        let is_deleted = leader.deleting.contains(id) || leader.deleted.contains_key(id);
+        if is_deleted || self.store.replica.is_gone(id) {
             return Registration::Deleted;
         }
-        if self.fleet.machines.get(id).is_some_and(|m| m.registering) {
+        if self.fleet.machine(id).is_some_and(|machine| machine.is_registering()) {
             return Registration::Known;
         }
-        if self.autoscaling.leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
+        if leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
     fn new_member(&mut self, heartbeat: &Heartbeat, members: &[FleetMember]) -> FleetMember {
@@ -89,22 +94,22 @@
     }
 
     fn refuse_heartbeats_of(&mut self, refused: &[MachineId]) {
-        self.fleet.unregistered.retain(|held| {
-            let keep = !refused.contains(&held.heartbeat.machine);
-            if !keep {
-                self.out.push(Effect::AnswerWorker(held.waiter, crate::coordination::WorkerAnswer::Unavailable));
+        self.fleet.unregistered.retain(|unregistered| {
+            let is_kept = !refused.contains(&unregistered.heartbeat.machine);
+            if !is_kept {
+                self.out.push(Effect::AnswerWorker(unregistered.waiter, WorkerAnswer::Unavailable));
             }
-            keep
+            is_kept
         });
     }
 
-    /// Writes down machines that are not in the stored records, all in one value unless it is a single one.
+    /// Records machines that are not in the stored records, all in one value unless it is a single one.
     fn record_registrations(&mut self, members: Vec<FleetMember>) {
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::Role(Role::Leader));
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
         for id in &ids {
-            self.fleet.machines.entry(id.clone()).or_default().registering = true;
+            self.fleet.machine_or_insert(id).registration_started();
             self.boot_over(id);
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         }
@@ -127,10 +132,17 @@
         }
     }
 
-    /// The shard with the most unmet need, else the one with the least room for its teams.
+    /// The shard with the most urgent tasks that the machine can take, else the one with the fewest CPUs for its teams.
     fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
-        let cpus = self.autoscaling.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
-        // The most urgent tasks that it can really take decide, wherever else room is lacking.
+        match self.reserve_for_unmet_need(heartbeat) {
+            Some(shard) => shard,
+            None => self.shard_with_fewest_cpus(heartbeat, registered),
+        }
+    }
+
+    /// Takes what fits on the machine off the most urgent shard's need. The most urgent tasks that it can really take
+    /// decide, wherever else resources are lacking.
+    fn reserve_for_unmet_need(&mut self, heartbeat: &Heartbeat) -> Option<u32> {
         let mut slot = Slot {
             id: None,
             machine_type: heartbeat.machine_type.clone(),
@@ -149,32 +161,51 @@
                 }
             }
         }
-        if let Some(shard) = chosen {
-            return shard;
-        }
+        chosen
+    }
+
+    /// The shard that would have the fewest CPUs for its teams with the machine.
+    fn shard_with_fewest_cpus(&self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
+        let more = self.cpus_of_type(&heartbeat.machine_type);
+        let weights = self.team_weights();
+        let cpus = self.cpus_of_shards(registered);
+        let is_weighted = |shard: &usize| weights[*shard] > 0;
+        let cpus_per_weight = |shard: &usize| (cpus[*shard] + more) / weights[*shard];
+        (0..weights.len()).filter(is_weighted).min_by_key(cpus_per_weight).unwrap_or(0) as u32
+    }
+
+    fn cpus_of_type(&self, machine_type: &str) -> u64 {
+        self.autoscaling.types.get(machine_type).map_or(CPUS_OF_UNKNOWN_TYPE, |t| t.resources.cpus)
+    }
+
+    /// How many teams each shard has, times the number of shards.
+    fn team_weights(&self) -> Vec<u64> {
         let shards = self.shard_count();
-        let mut teams = vec![0u64; shards as usize];
-        for (i, team) in self.platform.deployment.teams.iter().enumerate() {
-            // One without limit or guarantee may be parted over all of them.
-            if team.is_bounded() || !self.platform.deployment.parts_by_job() {
-                teams[i % shards as usize] += u64::from(shards);
+        let deployment = &self.platform.deployment;
+        let mut weights = vec![0u64; shards as usize];
+        for (i, team) in deployment.teams.iter().enumerate() {
+            // One without a quota or a guarantee may be spread over all of them.
+            if team.is_bounded() || !deployment.parts_by_job() {
+                weights[i % shards as usize] += u64::from(shards);
             } else {
-                teams.iter_mut().for_each(|weight| *weight += 1);
+                weights.iter_mut().for_each(|weight| *weight += 1);
             }
         }
-        if teams.iter().all(|n| *n == 0) {
-            teams.fill(1);
+        if weights.iter().all(|weight| *weight == 0) {
+            weights.fill(1);
         }
-        let mut have = vec![0u64; shards as usize];
+        weights
+    }
+
+    /// CPUs of each shard's machines, those with a record and those that are just being registered.
+    fn cpus_of_shards(&self, registered: &[FleetMember]) -> Vec<u64> {
+        let mut cpus = vec![0u64; self.shard_count() as usize];
         let recorded = self.store.replica.machines.values().map(|held| &held.value);
-        for record in recorded.chain(registered.iter().map(|m| &m.record)) {
-            if let Some(sum) = have.get_mut(record.shard as usize) {
-                *sum += self.autoscaling.types.get(&record.machine_type).map_or(1_000_000, |t| t.resources.cpus);
+        for record in recorded.chain(registered.iter().map(|member| &member.record)) {
+            if let Some(sum) = cpus.get_mut(record.shard as usize) {
+                *sum += self.cpus_of_type(&record.machine_type);
             }
         }
-        (0..shards)
-            .filter(|s| teams[*s as usize] > 0)
-            .min_by_key(|s| (have[*s as usize] + cpus) / teams[*s as usize])
-            .unwrap_or(0)
+        cpus
     }
 }
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -1,6 +1,6 @@
 //! Machines moving from one shard to another.
 //!
-//! A machine moves in two writes. In the first the leader asks for it: the machine is put on hold, so that nothing more
+//! A machine moves in two writes. In the first the leader asks for it: the machine is cordoned, so that nothing more
 //! starts there. The second gives it to the other shard under a new fencing token, above any that its last commands carried, and
 //! is safe only if no start can be recorded there any more. Only the holder of a shard records starts on its machines,
 //! so the holder makes the second write, once it knows of no start there, not even one on its way to the store.
@@ -16,50 +16,55 @@
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
 
+/// A machine and the shard that it goes to.
+struct ShardMove {
+    machine: MachineId,
+    to: u32,
+}
+
 /// Machines that are to leave a shard.
 #[derive(Default)]
-struct Leaving {
-    /// No start is recorded or decided on them: each with the shard it goes to.
-    empty: Vec<(MachineId, u32)>,
-    occupied: Vec<(MachineId, u32)>,
+struct DepartingMachines {
+    /// No start is recorded or decided on them.
+    empty: Vec<ShardMove>,
+    occupied: Vec<ShardMove>,
 }
 
 impl Controller {
-    /// Keeps machines that were to go to other shards and have something on them, unless that has to make way for more
-    /// urgent work there, and notes by when the others should move.
-    pub(crate) fn plan_moves(&mut self) {
-        let mut wanted = false;
-        for (shard, machines) in self.machines_to_move() {
+    /// Keeps machines that were to go to other shards and have something on them, unless that is preempted by more urgent
+    /// work there, and notes by when the others should move.
+    pub(super) fn plan_shard_moves(&mut self) {
+        let mut has_moves = false;
+        for (shard, departing) in self.departing_machines() {
             if self.roles_for_moves(shard).is_empty() {
                 continue;
             }
-            wanted |= !machines.empty.is_empty();
-            for (id, to) in machines.occupied {
-                if self.held(Role::Shard(shard)).is_some() && self.should_vacate(&id, to) {
-                    self.vacate(&id);
+            has_moves |= !departing.empty.is_empty();
+            for ShardMove { machine, to } in departing.occupied {
+                if self.held(Role::Shard(shard)).is_some() && self.should_drain_for(&machine, to) {
+                    self.drain(&machine);
                 } else {
-                    self.write_machine(&id, MachineChange::Move, |record| record.hold = None);
+                    self.write_machine(&machine, MachineChange::Move, |record| record.hold = None);
                 }
             }
         }
         let latest = self.now() + Micros::from_millis(self.policy.machine_patience_ms);
-        self.fleet.moves_due = wanted.then(|| self.fleet.moves_due.unwrap_or(latest));
+        self.fleet.shard_moves_due_at = has_moves.then(|| self.fleet.shard_moves_due_at.unwrap_or(latest));
     }
 
-    /// Moves machines, those of one shard. Put into words only when it is sent: all controllers draw fencing tokens from one
-    /// counter, so what waited for the change budget would mostly be refused, and a refusal costs as much.
-    pub(crate) fn send_moves(&mut self) {
-        self.fleet.moves_due = None;
-        for (shard, machines) in self.machines_to_move() {
+    /// Moves machines, those of one shard. The transaction is made only when it is sent: all controllers draw fencing tokens
+    /// from one counter, so one that waited for the write budget would mostly be refused, and a refusal costs as much.
+    pub(crate) fn send_shard_moves(&mut self) {
+        self.fleet.shard_moves_due_at = None;
+        for (shard, departing) in self.departing_machines() {
             let roles = self.roles_for_moves(shard);
-            if !roles.is_empty() && !machines.empty.is_empty() {
-                return self.send_moves_of(&roles, machines.empty);
+            if !roles.is_empty() && !departing.empty.is_empty() {
+                return self.send_moves_under(&roles, departing.empty);
             }
         }
     }
 
-    /// The roles by which this controller may move machines out of a shard, which must last; none if it is not for
-    /// it to do.
+    /// The roles by which this controller may move machines out of a shard, which must last; none if it is not for it to do.
     fn roles_for_moves(&self, shard: u32) -> Vec<Role> {
         let holder = Role::Shard(shard);
         let leads = self.is_leader() && self.surely_leads();
@@ -74,29 +79,30 @@
         }
     }
 
-    /// Machines on hold to be moved, by the shard that they are to leave.
-    fn machines_to_move(&self) -> BTreeMap<u32, Leaving> {
-        let mut leaving: BTreeMap<u32, Leaving> = BTreeMap::new();
+    /// Machines cordoned to be moved, by the shard that they are to leave.
+    fn departing_machines(&self) -> BTreeMap<u32, DepartingMachines> {
+        let mut by_shard: BTreeMap<u32, DepartingMachines> = BTreeMap::new();
         for (id, held) in &self.store.replica.machines {
             let Some(Hold::Move(to)) = held.value.hold else { continue };
-            // From the hold's revision on the replica shows every start that others recorded there.
-            let visible = self.store.replica.applied.0 >= held.version;
-            let writing = self.fleet.machines.get(id).is_some_and(|m| m.writing);
-            if !visible || writing || self.autoscaling.leader.deleting.contains(id) {
+            // From the revision of the cordon on the replica shows every start that others recorded there.
+            let is_visible = self.store.replica.applied.0 >= held.version;
+            let is_changing = self.fleet.machine(id).is_some_and(|machine| machine.is_record_changing());
+            if !is_visible || is_changing || self.autoscaling.leader.deleting.contains(id) {
                 continue;
             }
-            let machines = leaving.entry(held.value.shard).or_default();
+            let departing = by_shard.entry(held.value.shard).or_default();
+            let shard_move = ShardMove { machine: id.clone(), to };
             if self.jobs.usage.is_empty(id) {
-                machines.empty.push((id.clone(), to));
+                departing.empty.push(shard_move);
             } else {
-                machines.occupied.push((id.clone(), to));
+                departing.occupied.push(shard_move);
             }
         }
-        leaving
+        by_shard
     }
 
-    /// Gives machines to their new shards, as many as one transaction takes.
-    fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
+    /// Gives machines to their new shards, as many as one transaction takes, provided that we still have those roles.
+    fn send_moves_under(&mut self, roles: &[Role], mut moves: Vec<ShardMove>) {
         moves.truncate(self.platform.deployment.store.ops() - 1);
         let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
         let mut proposal = ProposedTxn::default();
@@ -106,12 +112,12 @@
         }
         proposal.put(Key::FencingToken, to_value(&fencing_token));
         let mut ids = Vec::new();
-        for (id, to) in moves {
+        for ShardMove { machine: id, to } in moves {
             let Some(held) = self.store.replica.machines.get(&id) else { continue };
             let record = MachineRecord { shard: to, fencing_token, hold: None, ..held.value.clone() };
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
-            self.fleet.machines.entry(id.clone()).or_default().writing = true;
+            self.fleet.machine_or_insert(&id).record_change_started();
             ids.push(id);
         }
         self.send_txn(proposal, Purpose::Machines(MachineChange::Move, ids));
--- /dev/null
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -0,0 +1,191 @@
+//! Reconciliation of the tasks that an agent names with the task attempts that are recorded on its machine.
+
+use crate::coordination::Controller;
+use crate::coordination::fleet::heartbeats::HeartbeatSource;
+use crate::coordination::fleet::machine::UnrecordedTask;
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::zones::zone_control::ZoneStart;
+use crate::protocol::user::Kind;
+use crate::protocol::worker::{ExitCause, Heartbeat, TaskState, TaskStatus};
+use crate::types::{JobId, MachineId, TaskId};
+use std::collections::BTreeSet;
+
+/// Exited tasks that an agent may be left with before its machine gets a new fencing token so that it may forget them.
+const MAX_RETAINED_EXITED: usize = 60;
+
+/// How far a task has come, by its agent. None if it has exited.
+fn phase_of(state: TaskState) -> Option<Phase> {
+    match state {
+        TaskState::Fetching => Some(Phase::Fetching),
+        TaskState::Waiting => Some(Phase::Waiting),
+        TaskState::Running => Some(Phase::Running),
+        TaskState::Saving => Some(Phase::Saving),
+        TaskState::Exited => None,
+    }
+}
+
+impl Controller {
+    /// Takes in the tasks that a message names, and proves absent what it would have to name. `is_first`: this is the first
+    /// message that shows the machine's present fencing token.
+    pub(super) fn reconcile_tasks(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource, is_first: bool) {
+        let id = &heartbeat.machine;
+        let mut unrecorded = Vec::new();
+        let mut seen: BTreeSet<(JobId, u32)> = BTreeSet::new();
+        for reported in &heartbeat.tasks {
+            let Some(task) = self.recorded_task(id, reported) else {
+                unrecorded.push(self.unrecorded_task(id, reported, is_first));
+                continue;
+            };
+            seen.insert((task.job.clone(), task.index));
+            match phase_of(reported.state) {
+                None => self.exit_seen(id, &task, reported.why.unwrap_or(ExitCause::Unknown)),
+                Some(phase) => self.phase_seen(id, &task, phase, heartbeat.seq),
+            }
+        }
+        let Some(is_quiet) = self.replace_unrecorded(id, unrecorded, heartbeat) else { return };
+        let may_prove_absence = is_quiet && source == HeartbeatSource::Heartbeat;
+        self.prove_unnamed_absent(heartbeat, &seen, may_prove_absence);
+    }
+
+    /// The task that an agent names, if that attempt of it is recorded on its machine.
+    fn recorded_task(&self, id: &MachineId, reported: &TaskStatus) -> Option<TaskId> {
+        let task = TaskId::parse(&reported.task)?;
+        let start = self.jobs.by_id.get(&task.job)?.live.get(task.index)?;
+        let is_same = start.machine() == id && start.attempt == reported.attempt && start.phase() != Phase::Decided;
+        is_same.then_some(task)
+    }
+
+    fn unrecorded_task(&self, id: &MachineId, reported: &TaskStatus, is_first: bool) -> UnrecordedTask {
+        let (task, attempt) = (reported.task.clone(), reported.attempt);
+        let was_superseded =
+            || self.fleet.machine(id).is_some_and(|machine| machine.unrecorded.is_superseded(&task, attempt));
+        let is_superseded = is_first || was_superseded();
+        UnrecordedTask { task, attempt, has_exited: reported.state == TaskState::Exited, is_superseded }
+    }
+
+    /// Keeps the unrecorded tasks of a message. Says whether no command sent before can be carried out any more.
+    fn replace_unrecorded(
+        &mut self,
+        id: &MachineId,
+        unrecorded: Vec<UnrecordedTask>,
+        heartbeat: &Heartbeat,
+    ) -> Option<bool> {
+        let machine = self.fleet.machine_mut(id)?;
+        machine.unrecorded.replace(unrecorded);
+        let is_crowded = machine.unrecorded.retained_exited_count() > MAX_RETAINED_EXITED;
+        if is_crowded && !machine.commands.has_unacknowledged() {
+            // Leads to a new fencing token, under which the agent may forget them.
+            machine.commands.set_unacknowledged(heartbeat.fencing_token);
+        }
+        Some(machine.commands.is_quiet())
+    }
+
+    /// Attempts recorded on the machine that a message does not name: those of earlier incarnations are gone, others if no
+    /// command can be on its way that would still start them.
+    fn prove_unnamed_absent(&mut self, heartbeat: &Heartbeat, seen: &BTreeSet<(JobId, u32)>, may_prove_absence: bool) {
+        for (job, task) in self.jobs.usage.starts_on(&heartbeat.machine) {
+            if seen.contains(&(job.clone(), task)) {
+                continue;
+            }
+            let Some(start) = self.jobs.by_id.get(&job).and_then(|job| job.live.get(task)) else { continue };
+            if !start.may_be_on_machine() {
+                continue;
+            }
+            let is_absent =
+                may_prove_absence && start.incarnation == heartbeat.incarnation && heartbeat.seq > start.seq;
+            // One that is wanted and was never seen is told to start again.
+            let is_over = start.stop.is_some() || start.phase().on_machine();
+            if start.incarnation < heartbeat.incarnation {
+                self.start_gone(&job, task, AbsenceProof::LaterIncarnation);
+            } else if is_absent && is_over {
+                self.start_gone(&job, task, AbsenceProof::Heartbeat);
+            }
+        }
+    }
+
+    /// A message names a task that has not exited.
+    fn phase_seen(&mut self, id: &MachineId, task: &TaskId, phase: Phase, seq: u64) {
+        let now = self.now();
+        let Some(job) = self.jobs.by_id.get_mut(&task.job) else { return };
+        let Some(start) = job.live.get_mut(task.index) else { return };
+        if !start.occupies() {
+            return;
+        }
+        start.sent = true;
+        start.seq = start.seq.max(seq);
+        if start.phase() == phase {
+            return;
+        }
+        if phase == Phase::Running {
+            start.running_since.get_or_insert(now);
+        }
+        job.live.set_phase(task.index, phase, &mut self.jobs.usage);
+        self.phase_changed(id, task, phase);
+    }
+
+    /// What a task that has come further shows of its machine and zone.
+    fn phase_changed(&mut self, id: &MachineId, task: &TaskId, phase: Phase) {
+        let now = self.now();
+        let Some(job) = self.jobs.by_id.get(&task.job) else { return };
+        let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
+        if phase == Phase::Fetching {
+            if let Some(machine) = self.fleet.machine_mut(id) {
+                machine.images.fetch_seen(image, megabytes, now);
+            }
+            return;
+        }
+        if phase == Phase::Running {
+            let age_ms = self.clock.wall.since(job.accepted).millis();
+            tracing::debug!(task = %task, machine = %id, age_ms, kind = ?job.spec.kind, "task running");
+        }
+        if phase == Phase::Running || phase == Phase::Waiting {
+            self.note_zone_start(id, ZoneStart::AtWork);
+        }
+        self.image_seen(id, &image, megabytes);
+    }
+
+    /// A task that is past fetching shows that its image is there.
+    fn image_seen(&mut self, id: &MachineId, image: &str, megabytes: f64) {
+        let now = self.now();
+        let record = self.store.replica.machines.get(id);
+        let machine_type = record.and_then(|record| self.autoscaling.types.get(&record.value.machine_type));
+        let capacity_mb = machine_type.map_or(f64::INFINITY, |machine_type| machine_type.wire.cache_gb * 1000.0);
+        if let Some(machine) = self.fleet.machine_mut(id) {
+            machine.images.image_used(image, megabytes, capacity_mb, now);
+        }
+    }
+
+    /// A message names a task that has exited.
+    fn exit_seen(&mut self, id: &MachineId, task: &TaskId, cause: ExitCause) {
+        let now = self.now();
+        let Some(job) = self.jobs.by_id.get(&task.job) else { return };
+        if !job.live.get(task.index).is_some_and(|start| start.occupies()) {
+            return;
+        }
+        match cause {
+            ExitCause::Done => {
+                let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
+                self.image_seen(id, &image, megabytes);
+                if let Some(machine) = self.fleet.machine_mut(id) {
+                    machine.task_failures.clear();
+                }
+            }
+            ExitCause::Error => {
+                let is_elsewhere = |start: &Start| start.machine() != id && start.phase().on_machine();
+                let is_alone_in_gang = job.spec.kind == Kind::Gang && job.live.values().any(is_elsewhere);
+                if let Some(machine) = self.fleet.machine_mut(id) {
+                    machine.task_failures.record(&task.job, task.index, is_alone_in_gang, now);
+                }
+            }
+            // Ended on account of something else than its own work or this machine.
+            ExitCause::Stopped
+            | ExitCause::Peers
+            | ExitCause::Alone
+            | ExitCause::InsufficientResources
+            | ExitCause::Busy
+            | ExitCause::Unknown => {}
+        }
+        self.start_ended(&task.job, task.index, cause);
+    }
+}
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -123,7 +123,7 @@
         }
         self.jobs.audit.summed_up_at = now;
         let (mut tasks, mut stops_waiting, mut oldest) = (0, 0, Micros::ZERO);
-        for id in self.jobs.cancellations.clearing.jobs() {
+        for id in self.fleet.unfinished_cancellations() {
             let Some(job) = self.jobs.by_id.get(id).filter(|job| job.live.occupying() > 0) else { continue };
             tasks += job.live.occupying();
             stops_waiting += job.live.values().filter(|start| start.phase() == Phase::Recorded && start.sent).count();
@@ -134,7 +134,7 @@
         if tasks == 0 && left_out == 0 {
             return;
         }
-        let withheld = self.fleet.machines.values().filter(|machine| machine.renewal_withheld).count();
+        let withheld = self.fleet.renewals_withheld_count();
         tracing::info!(
             tasks,
             oldest_ms = oldest.millis(),
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -5,10 +5,9 @@
 //! tasks, as of a moment at or after the cancellation, and once the machines with tasks of the job obey that one:
 //! until then a deposed holder that knows of nothing could go on renewing their leases. From here on every answer that
 //! renews a lease carries the stops (see [`crate::coordination::fleet::lease_renewal`]). If nothing proves in time that the tasks are gone,
-//! their machines are deleted (see [`crate::coordination::fleet::clearing`]).
+//! their machines are deleted (see [`crate::coordination::fleet::cancellation_enforcement`]).
 
 use crate::coordination::api::requests::BUSY;
-use crate::coordination::fleet::clearing::Clearing;
 use crate::coordination::jobs::cancellation_log::AcknowledgedBy;
 use crate::coordination::jobs::usage::Phase;
 use crate::coordination::{Controller, Effect, UserAnswer, Waiter};
@@ -29,8 +28,6 @@
     pub next_call: u64,
     /// Jobs that a holder did not acknowledge together with others: each is asked about alone.
     ask_alone: BTreeSet<JobId>,
-    /// What is left of cancelled jobs, and the deletion of the machines that it is on.
-    pub clearing: Clearing,
 }
 
 impl Cancellations {
@@ -102,7 +99,8 @@
         let mut starts = job.live.values().filter(|start| start.occupies() && start.phase() != Phase::Decided);
         starts.all(|start| {
             let machine = start.machine();
-            self.is_cleared(machine) || self.fleet.machines.get(machine).is_some_and(|m| m.obeys_holder)
+            self.is_deleted_for_cancellation(machine)
+                || self.fleet.machine(machine).is_some_and(|m| m.ownership.is_holder_confirmed())
         })
     }
 
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -287,9 +287,9 @@
                 machines.push(live.machine().clone());
             }
             for machine in machines {
-                self.want_push(&machine);
+                self.fleet.queue_direct_message(&machine);
             }
-            self.note_deadline(id);
+            self.note_cancellation_deadline(id);
         }
         true
     }
@@ -333,11 +333,11 @@
         }
         let patient = job.over.is_none() && job.spec.kind == Kind::Array && !job.is_urgent();
         for machine in touched {
-            self.machine_freed(&machine);
+            self.update_idle_since(&machine);
             if patient {
-                self.want_push_soon(&machine);
+                self.queue_direct_message_soon(&machine);
             } else {
-                self.want_push(&machine);
+                self.fleet.queue_direct_message(&machine);
             }
         }
     }
@@ -382,7 +382,7 @@
         if came_to_work {
             self.note_zone_start(&machine, ZoneStart::AtWork);
         }
-        self.machine_freed(&machine);
+        self.update_idle_since(&machine);
         self.scheduling.cycle_wanted = true;
     }
 
@@ -402,7 +402,7 @@
         job.live.set_phase(task, Phase::Gone, &mut self.jobs.usage);
         job.dirty(now);
         self.note_zone_loss(&start);
-        self.machine_freed(&machine);
+        self.update_idle_since(&machine);
         self.scheduling.cycle_wanted = true;
     }
 
@@ -442,7 +442,7 @@
         self.jobs.usage.touched.extend(ids.iter().cloned());
         for id in ids {
             self.job_changed(&id);
-            self.note_deadline(&id);
+            self.note_cancellation_deadline(&id);
         }
     }
 }
--- a/src/coordination/jobs/usage.rs
+++ b/src/coordination/jobs/usage.rs
@@ -78,6 +78,11 @@
     pub fn occupies(&self) -> bool {
         self.phase.occupies()
     }
+
+    /// Whether a command may have brought it to its machine, and nothing proves it gone: it is recorded and occupies.
+    pub fn may_be_on_machine(&self) -> bool {
+        self.occupies() && self.phase != Phase::Decided
+    }
 }
 
 /// What is on one machine by the stored records and by what was decided since.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -125,11 +125,7 @@
     fn stood_still(&mut self, pause: Micros) {
         tracing::warn!(ms = pause.millis(), "stood still");
         let now = self.now();
-        for machine in self.fleet.machines.values_mut() {
-            machine.excuse(now, pause);
-        }
-        self.fleet.many_unreachable_at = self.fleet.many_unreachable_at.map(|_| now);
-        self.fleet.many_unreported_at = self.fleet.many_unreported_at.map(|_| now);
+        self.fleet.discount_stall(now, pause);
         self.renew_session_at_once();
         self.store.reads.wanted = true;
     }
@@ -216,7 +212,7 @@
                     self.role_changed(role);
                     self.zone_views_of_role_changed(role);
                 }
-                Change::Machines(ids) => ids.iter().for_each(|id| self.machine_changed(id)),
+                Change::Machines(ids) => ids.iter().for_each(|id| self.machine_record_changed(id)),
                 Change::Jobs(ids) => ids.iter().for_each(|id| self.job_changed(id)),
                 Change::Run(id, chunk) => self.run_changed(&id, chunk),
                 Change::End(id) => {
@@ -240,14 +236,14 @@
         fresh.out = std::mem::take(&mut self.out);
         fresh.autoscaling.types = std::mem::take(&mut self.autoscaling.types);
         fresh.autoscaling.next_call = self.autoscaling.next_call;
-        fresh.fleet.direct_open = self.fleet.direct_open;
+        fresh.fleet.adopt_open_direct_messages(&self.fleet);
         fresh.jobs.cancellations.next_call = self.jobs.cancellations.next_call;
         let waiters = self.api.all_waiters().into_iter().chain(self.jobs.cancellations.all_waiters());
         for waiter in waiters {
             fresh.out.push(Effect::AnswerUser(waiter, UserAnswer::Unavailable { retry_after_s: 1 }));
         }
-        for held in self.fleet.unregistered.drain(..) {
-            fresh.out.push(Effect::AnswerWorker(held.waiter, WorkerAnswer::Unavailable));
+        for unregistered in self.fleet.take_unregistered() {
+            fresh.out.push(Effect::AnswerWorker(unregistered.waiter, WorkerAnswer::Unavailable));
         }
         // Tickets go on counting, so that answers to old calls match nothing.
         fresh.store.last_ticket = self.store.last_ticket;
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -2,7 +2,7 @@
 //! placement with image caches standing in for its locality.
 
 use crate::coordination::Controller;
-use crate::coordination::fleet::machines::Machine;
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::scheduling::shard_view::{ShardView, Spot};
@@ -282,13 +282,13 @@
         let image = job.spec.image.as_str();
         // Among equals the tightest fit, so that machines fall free as a whole.
         let tie = (spot.free.cpus, spot.free.memory);
-        let Some(machine) = self.fleet.machines.get(&spot.id) else {
+        let Some(machine) = self.fleet.machine(&spot.id) else {
             return Candidate { ready: Micros(u64::MAX), holds: false, tie };
         };
-        if machine.holds(image) {
+        if machine.has_image(image) {
             return Candidate { ready: Micros::ZERO, holds: true, tie };
         }
-        let rate = machine.rate.unwrap_or(self.policy.start_fetch_mb_per_s).max(0.001);
+        let rate = machine.images.fetch_mb_per_s().unwrap_or(self.policy.start_fetch_mb_per_s).max(0.001);
         let mut pending = self.pending_fetches(&spot.id, machine, rate);
         if !pending.iter().any(|fetch| fetch.image == image) {
             pending.push(PendingFetch { image, megabytes: job.spec.image_gb * 1000.0 });
@@ -312,8 +312,8 @@
     ) -> Vec<PendingFetch<'a>> {
         let now = self.now();
         let mut pending: Vec<PendingFetch> = Vec::new();
-        for fetch in &machine.fetches {
-            let left = fetch.megabytes - now.since(fetch.since).secs() * rate;
+        for fetch in machine.images.fetches() {
+            let left = fetch.megabytes - now.since(fetch.started_at).secs() * rate;
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
         // Starts decided or told, whose fetch has not shown up in a heartbeat yet.
@@ -321,7 +321,7 @@
             let Some(other) = self.jobs.by_id.get(id) else { continue };
             let waits = other.live.get(*task).is_some_and(|l| matches!(l.phase(), Phase::Decided | Phase::Recorded));
             let image = other.spec.image.as_str();
-            if waits && !machine.holds(image) && !pending.iter().any(|fetch| fetch.image == image) {
+            if waits && !machine.has_image(image) && !pending.iter().any(|fetch| fetch.image == image) {
                 pending.push(PendingFetch { image, megabytes: other.spec.image_gb * 1000.0 });
             }
         }
@@ -342,8 +342,8 @@
         let live = Start::new(0, spot.id.clone(), spot.incarnation, Phase::Decided);
         job.live.insert(task, live, &mut self.jobs.usage);
         spot.free = spot.free.minus(&job.resources);
-        if let Some(machine) = self.fleet.machines.get_mut(&spot.id) {
-            machine.free_since = None;
+        if let Some(machine) = self.fleet.machine_mut(&spot.id) {
+            machine.idle_since = None;
         }
         self.zones.avoiding_since.remove(id);
         self.note_zone_start(&view.spots[at].id, ZoneStart::Decided);
@@ -353,7 +353,7 @@
         let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         if let Some(live) = job.live.remove(task, &mut self.jobs.usage) {
             job.redo.insert(task);
-            self.machine_freed(live.machine());
+            self.update_idle_since(live.machine());
             self.note_zone_start(live.machine(), ZoneStart::Withdrawn);
         }
     }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -63,7 +63,7 @@
                 live.stop = Some(stop);
                 let machine = live.machine().clone();
                 tracing::debug!(job = %other, task, %machine, "makes room");
-                self.want_push(&machine);
+                self.fleet.queue_direct_message(&machine);
             }
         }
     }
@@ -108,7 +108,7 @@
     /// first, and what that costs. None if it would not help.
     fn victims(&self, job: &Job, spot: &Spot) -> Option<(Loss, Victims)> {
         let now = self.now();
-        let machine = self.fleet.machines.get(&spot.id)?;
+        let machine = self.fleet.machine(&spot.id)?;
         let mut lower: Vec<(Micros, JobId, u32, Resources)> = self
             .jobs
             .usage
@@ -141,6 +141,6 @@
             chosen.push((other, task));
         }
         (job.resources.fits_in(&free) && !chosen.is_empty())
-            .then_some(((!machine.holds(&job.spec.image), lost), chosen))
+            .then_some(((!machine.has_image(&job.spec.image), lost), chosen))
     }
 }
--- a/src/coordination/scheduling/reclaim.rs
+++ b/src/coordination/scheduling/reclaim.rs
@@ -2,7 +2,7 @@
 //!
 //! Where nothing more can be rented, a shard's waiting work would wait until whole machines of others fall free. So the
 //! leader also asks for machines on which nothing but arrays of the lowest priority runs, in the same way as for free
-//! ones: by a hold (see [`crate::coordination::fleet::moves`]). The holder stops what runs there, as long as more urgent work waits where
+//! ones: by a hold (see [`crate::coordination::fleet::shard_moves`]). The holder stops what runs there, as long as more urgent work waits where
 //! the machine is to go; otherwise it lifts the hold.
 
 use crate::coordination::Controller;
@@ -47,7 +47,7 @@
         for (id, to) in asked {
             tracing::debug!(machine = %id, to, "asked back for more urgent work");
             self.autoscaling.leader.reclaimed.insert(id.clone(), now);
-            self.set_hold_of(&id, Hold::Move(to));
+            self.cordon_as_leader(&id, Hold::Move(to));
         }
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Whether the holder of a machine that another shard asks for should empty it: more urgent work waits there.
-    pub(crate) fn should_vacate(&self, id: &MachineId, to: u32) -> bool {
+    pub(crate) fn should_drain_for(&self, id: &MachineId, to: u32) -> bool {
         let waits = || {
             self.jobs.by_id.values().any(|job| {
                 job.shard == to && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -118,7 +118,7 @@
                     break;
                 }
                 let with_it = spot.reserved.plus(&resources);
-                if with_it.fits_in(&spot.free) && self.fleet.machines.get(&spot.id).is_some_and(|m| m.holds(image)) {
+                if with_it.fits_in(&spot.free) && self.fleet.machine(&spot.id).is_some_and(|m| m.has_image(image)) {
                     spot.reserved = with_it;
                     left -= 1;
                 }
@@ -131,18 +131,23 @@
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 1.7);
         let pause = Micros::from_millis(self.policy.retry_max_ms);
-        let unreported = self.unreported_span();
+        let unreported = self.missing_heartbeats_span();
         let mut spots: Vec<Spot> = self
             .store
             .replica
             .machines
             .iter()
             .filter(|(_, r)| r.value.shard == shard && r.value.hold.is_none())
-            .filter(|(id, r)| !self.is_cleared(id) && self.zone_takes_work(&r.value.zone))
+            .filter(|(id, r)| !self.is_deleted_for_cancellation(id) && self.zone_takes_work(&r.value.zone))
             .filter_map(|(id, record)| {
-                let machine = self.fleet.machines.get(id)?;
-                let heard = now.since(machine.heard) <= recent && !machine.is_unreported(now, unreported);
-                if !machine.token_confirmed || machine.notice || !heard || !machine.trusted() {
+                let machine = self.fleet.machine(id)?;
+                let heard =
+                    machine.contact.silence(now) <= recent && !machine.contact.is_missing_heartbeats(now, unreported);
+                if !machine.ownership.is_token_confirmed()
+                    || machine.has_termination_notice
+                    || !heard
+                    || !machine.is_responsive()
+                {
                     return None;
                 }
                 Some(Spot {
@@ -152,8 +157,8 @@
                     spot: record.value.spot,
                     free: self.free_resources(id),
                     reserved: Resources::default(),
-                    incarnation: machine.incarnation,
-                    failed_here: machine.failed_jobs(now, pause).cloned().collect(),
+                    incarnation: machine.incarnation(),
+                    failed_here: machine.task_failures.recently_failed_jobs(now, pause).cloned().collect(),
                     is_returning: self.zone_is_returning(&record.value.zone),
                     fetches: 0,
                 })
@@ -178,7 +183,7 @@
         let mut queues = FetchQueues::default();
         for spot in spots {
             spot.fetches =
-                self.fleet.machines.get(&spot.id).map_or(0, |m| self.pending_fetches(&spot.id, m, 0.0).len() as u32);
+                self.fleet.machine(&spot.id).map_or(0, |m| self.pending_fetches(&spot.id, m, 0.0).len() as u32);
             queues.add(&spot.zone, spot.fetches);
         }
         queues
@@ -218,9 +223,9 @@
     /// Whether a task started there would have one more image fetched.
     pub(crate) fn adds_fetch(&self, job: &Job, spot: &Spot) -> bool {
         let image = job.spec.image.as_str();
-        let Some(machine) = self.fleet.machines.get(&spot.id) else { return true };
+        let Some(machine) = self.fleet.machine(&spot.id) else { return true };
         let is_pending = || self.pending_fetches(&spot.id, machine, 0.0).iter().any(|fetch| fetch.image == image);
-        !machine.holds(image) && !is_pending()
+        !machine.has_image(image) && !is_pending()
     }
 
     /// Whether a whole zone takes no more starts, or no more fetches, in this pass.
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -143,7 +143,7 @@
         );
         let machines: Vec<_> = self.store.replica.machines.keys().cloned().collect();
         for id in machines {
-            self.machine_changed(&id);
+            self.machine_record_changed(&id);
         }
         let mut jobs: Vec<_> = self.store.replica.jobs.keys().chain(self.store.replica.runs.keys()).cloned().collect();
         jobs.sort_unstable();
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -239,11 +239,11 @@
         while self.store.budget.allows(now) {
             let record = due.front().map(|first| (first.latest, Next::Record));
             let queued = self.store.txns.first_queued().map(|(latest, ticket)| (latest, Next::Queued(ticket)));
-            let moves = self.fleet.moves_due.map(|latest| (latest, Next::Moves));
+            let moves = self.fleet.shard_moves_due_at().map(|latest| (latest, Next::Moves));
             // Of equals the first: what is queued is ready to go.
             match [queued, moves, record].into_iter().flatten().min_by_key(|(latest, _)| *latest) {
                 Some((_, Next::Queued(ticket))) => self.send_pending(ticket),
-                Some((_, Next::Moves)) => self.send_moves(),
+                Some((_, Next::Moves)) => self.send_shard_moves(),
                 Some((_, Next::Record)) => self.record(&mut due),
                 None => break,
             }
@@ -365,7 +365,7 @@
             Purpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
             Purpose::Cancel(id) => self.cancel_over(id),
             Purpose::Node | Purpose::Role => self.role_txn_over(purpose, !end.is_committed()),
-            Purpose::Machines(_, ids) => self.machines_txn_over(ids),
+            Purpose::Machines(_, ids) => self.machine_txn_finished(ids),
             Purpose::Tidy | Purpose::Cascade => {}
             Purpose::ZoneView(name) => self.zone_view_txn_over(name),
             Purpose::Jobs(ids) => {
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -82,7 +82,7 @@
                     if left == 0 {
                         break;
                     }
-                    let holds = self.fleet.machines.get(&spot.id).is_some_and(|m| m.holds(&job.spec.image));
+                    let holds = self.fleet.machine(&spot.id).is_some_and(|m| m.has_image(&job.spec.image));
                     if holds != holders || !allowance.allows(spot) {
                         continue;
                     }
@@ -133,7 +133,7 @@
             let services = self.services_on(&id);
             if take_places(&mut places, &services) {
                 tracing::info!(machine = %id, replicas = services.len(), "evacuated: its zone is lost");
-                self.set_hold(&id, Hold::Doomed);
+                self.cordon(&id, Hold::Doomed);
                 on_their_way.push(id);
             }
         }
@@ -158,7 +158,7 @@
             let in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
                 record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
-            let idle = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
+            let idle = self.fleet.machine(*id).is_some_and(|machine| !machine.is_record_changing());
             in_shard && idle && zones.is_silent(id) && self.jobs.usage.serves(id)
         };
         machines.filter(is_due).cloned().collect()
@@ -175,7 +175,10 @@
                 .get(*id)
                 .is_some_and(|record| record.value.shard == shard && record.value.hold == Some(Hold::Doomed));
             doomed
-                || self.fleet.machines.get(*id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
+                || self
+                    .fleet
+                    .machine(*id)
+                    .is_some_and(|machine| machine.ownership.shard() == Some(shard) && machine.is_record_changing())
         };
         machines.filter(is_on_its_way).cloned().collect()
     }
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -101,7 +101,7 @@
     /// Whether a replica that leaves a zone would be at work there at once; or, if operators have waited long enough for
     /// the zone to be empty, after a fetch.
     fn is_ready_for(&self, job: &Job, spot: &Spot, from: &str) -> bool {
-        let holds = self.fleet.machines.get(&spot.id).is_some_and(|machine| machine.holds(&job.spec.image));
+        let holds = self.fleet.machine(&spot.id).is_some_and(|machine| machine.has_image(&job.spec.image));
         let up = self.zones.zones.condition(&spot.zone) == Condition::Up;
         (holds || self.is_held_for_long(from))
             && up
@@ -125,7 +125,7 @@
         let machine = live.machine().clone();
         tracing::info!(job = %id, task, %machine, from, "replica moves to another zone");
         self.zones.moving.insert(id, MovingReplica { from, since: now });
-        self.want_push(&machine);
+        self.fleet.queue_direct_message(&machine);
     }
 
     /// Zones that a job's next start had better avoid: one that a replica of it is moving out of, and those that fail
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -143,8 +143,8 @@
         let now = self.now();
         let span = Micros::from_millis(self.policy.zones.silent_after_ms);
         for id in ours {
-            let Some(machine) = self.fleet.machines.get(id) else { continue };
-            let life = match (now.since(machine.heard) >= span, machine.probes_failed) {
+            let Some(machine) = self.fleet.machine(id) else { continue };
+            let life = match (machine.contact.silence(now) >= span, machine.contact.failed_probe_count()) {
                 (false, _) => Life::Heard,
                 (true, 0) => Life::Unknown,
                 (true, _) => Life::Silent,
