--- a/src/coordination/control/roles.rs
+++ b/src/coordination/control/roles.rs
@@ -328,7 +328,7 @@
             let lost = |m: &Machine| {
                 (m.contact.failed_probe_count() >= 2 && m.contact.silence(now) >= patience) || unreachable(m)
             };
-            self.fleet.machine(*id).is_some_and(lost)
+            self.fleet.machine(id).is_some_and(lost)
         };
         let lost = ours.iter().filter(silent).count();
         if ours.is_empty() || lost * 3 < ours.len() * 2 {
--- a/src/coordination/fleet/failure_detection/missing_heartbeats.rs
+++ b/src/coordination/fleet/failure_detection/missing_heartbeats.rs
@@ -1,12 +1,21 @@
 //! Machines whose heartbeats reach no controller, though they answer direct messages.
 
 use crate::coordination::Controller;
+use crate::coordination::fleet::Fleet;
+use crate::coordination::fleet::machine::Machine;
 use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros};
 
 /// Heartbeat intervals after which the next heartbeat is overdue.
 const OVERDUE_HEARTBEAT_INTERVALS: f64 = 1.25;
 
+impl Fleet {
+    fn machines_missing_heartbeats(&self, ours: &[MachineId], now: Micros, span: Micros) -> Vec<MachineId> {
+        let is_missing = |machine: &Machine| machine.contact.is_missing_heartbeats(now, span);
+        ours.iter().filter(|id| self.machine(id).is_some_and(is_missing)).cloned().collect()
+    }
+}
+
 impl Controller {
     /// Without a heartbeat for so long a machine's heartbeats are taken not to get through: the next is due, and a few
     /// controllers may have to be tried in vain.
@@ -20,10 +29,10 @@
     pub(in crate::coordination::fleet) fn replace_missing_heartbeats(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let span = self.missing_heartbeats_span();
-        let missing = self.machines_missing_heartbeats(ours, span);
+        let missing = self.fleet.machines_missing_heartbeats(ours, now, span);
         // Their last heartbeats came at different moments: those on their way there count as well.
         let half_span = span - Micros(Micros::from_millis(self.policy.unreported_ms).0 / 2);
-        let late_count = self.machines_missing_heartbeats(ours, half_span).len();
+        let late_count = self.fleet.machines_missing_heartbeats(ours, now, half_span).len();
         if late_count as f64 > (ours.len() as f64 * self.policy.replace_max_part).max(1.0) {
             self.fleet.correlated_failures.many_missing_heartbeats(now);
         }
@@ -35,12 +44,4 @@
             self.cordon(id, Hold::Doomed);
         }
     }
-
-    fn machines_missing_heartbeats(&self, ours: &[MachineId], span: Micros) -> Vec<MachineId> {
-        let now = self.now();
-        let is_missing = |id: &&MachineId| {
-            self.fleet.machine(id).is_some_and(|machine| machine.contact.is_missing_heartbeats(now, span))
-        };
-        ours.iter().filter(is_missing).cloned().collect()
-    }
 }
--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -1,6 +1,7 @@
 //! Machines that give no sign of life.
 
 use crate::coordination::Controller;
+use crate::coordination::fleet::Fleet;
 use crate::coordination::fleet::failure_detection::ExpiryMargin;
 use crate::coordination::fleet::machine::Machine;
 use crate::storage::schema::Hold;
@@ -28,6 +29,19 @@
     fn compared_count(self) -> usize {
         (self.silent + self.seen).saturating_sub(1)
     }
+
+    /// In a small shard one other may well be lost too, but if none at all was seen the fault is ours.
+    fn are_many_silent(self, max_part: f64) -> bool {
+        // The one that is judged is itself among the silent.
+        let others_silent = self.silent.saturating_sub(1) as f64;
+        let compared = self.compared_count();
+        others_silent > (compared as f64 * max_part).max(1.0) || (compared >= MIN_COMPARED && self.seen == 0)
+    }
+
+    /// Most of a zone and hardly anything else: the zone is cut off, its machines work on.
+    fn is_zone_cut_off(self, max_part: f64) -> bool {
+        self.silent >= MIN_SILENT_IN_ZONE && self.silent as f64 > (self.silent + self.seen) as f64 * max_part
+    }
 }
 
 /// When machines were last seen: those that failed to answer since, and all. Those that were not probed since and whose
@@ -73,13 +87,37 @@
     Undecided,
 }
 
+impl Fleet {
+    /// Machines that have been silent for so long, with that many failed probes.
+    fn silent_machines(
+        &self,
+        ours: &[MachineId],
+        now: Micros,
+        min_failed_probes: u32,
+        min_silence: Micros,
+    ) -> Vec<MachineId> {
+        let is_silent = |machine: &Machine| {
+            machine.contact.failed_probe_count() >= min_failed_probes && machine.contact.silence(now) >= min_silence
+        };
+        ours.iter().filter(|id| self.machine(id).is_some_and(is_silent)).cloned().collect()
+    }
+
+    /// With hardly any other to compare with, more patience. And when a partition ends, its machines are seen again one by
+    /// one, and the last need a while.
+    fn may_recover(&self, zone: &str, counts: SilenceCounts, silence: Micros, now: Micros, after: Micros) -> bool {
+        let patience = Micros(after.0 * UNCOMPARED_PATIENCE);
+        let is_uncompared = counts.compared_count() < MIN_COMPARED && silence < patience;
+        is_uncompared || self.correlated_failures.was_zone_cut_off(zone, now, after)
+    }
+}
+
 impl Controller {
     /// A single machine that is silent is deleted, which proves its tasks gone sooner than the expiry of its lease would.
     /// If many are silent the fault is ours or a partition's, and they may come back.
     pub(in crate::coordination::fleet) fn replace_silent(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let after = Micros::from_millis(self.policy.replace_after_ms);
-        let silent = self.silent_machines(ours, after);
+        let silent = self.fleet.silent_machines(ours, now, self.policy.probes_failed, after);
         self.replace_never_seen(&silent);
         if silent.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, after) {
             return;
@@ -101,16 +139,6 @@
         }
     }
 
-    /// Machines that have been silent for so long, with enough failed probes.
-    fn silent_machines(&self, ours: &[MachineId], after: Micros) -> Vec<MachineId> {
-        let now = self.now();
-        let is_silent = |machine: &Machine| {
-            let is_probed = machine.contact.failed_probe_count() >= self.policy.probes_failed;
-            is_probed && machine.contact.silence(now) >= after
-        };
-        ours.iter().filter(|id| self.fleet.machine(id).is_some_and(is_silent)).cloned().collect()
-    }
-
     /// Not seen since we took the shard, for longer than a lease: nothing but a deletion can prove their tasks gone,
     /// however many are silent.
     fn replace_never_seen(&mut self, silent: &[MachineId]) {
@@ -128,6 +156,7 @@
 
     /// What the silence of each machine says, compared with the shard's others and those of its zone.
     fn judge_silence(&self, ours: &[MachineId], silent: Vec<MachineId>, after: Micros) -> Vec<Verdict> {
+        let now = self.now();
         // Machines fall silent one by one even if all are cut off at once, as each was last seen at a moment of its own.
         // So the others must have been seen well after this one fell silent.
         let gap = Micros::from_millis(self.policy.probe_after_ms + self.policy.probe_ms);
@@ -140,11 +169,11 @@
             let in_zone = zone_times.entry(zone).or_insert_with(|| self.last_seen_times_in(zone, ours));
             let moment = last_seen_at + gap;
             let in_shard = shard_times.since(moment);
-            verdicts.push(if self.are_many_silent(in_shard) {
+            verdicts.push(if in_shard.are_many_silent(self.policy.replace_max_part) {
                 Verdict::ManySilent
-            } else if self.is_zone_cut_off(in_zone.since(moment)) {
+            } else if in_zone.since(moment).is_zone_cut_off(self.policy.zone_max_part) {
                 Verdict::ZoneCutOff(zone.to_string())
-            } else if self.may_recover(in_shard, last_seen_at, zone, after) {
+            } else if self.fleet.may_recover(zone, in_shard, now.since(last_seen_at), now, after) {
                 Verdict::Undecided
             } else {
                 Verdict::Failed(id)
@@ -161,28 +190,4 @@
         let in_zone = ours.iter().filter(|id| self.zone_of(id) == Some(zone));
         LastSeenTimes::of(in_zone.filter_map(|id| self.fleet.machine(id)))
     }
-
-    /// In a small shard one other may well be lost too, but if none at all was seen the fault is ours.
-    fn are_many_silent(&self, counts: SilenceCounts) -> bool {
-        // The one that is judged is itself among the silent.
-        let others_silent = counts.silent.saturating_sub(1) as f64;
-        let compared = counts.compared_count();
-        let max_silent = (compared as f64 * self.policy.replace_max_part).max(1.0);
-        others_silent > max_silent || (compared >= MIN_COMPARED && counts.seen == 0)
-    }
-
-    /// Most of a zone and hardly anything else: the zone is cut off, its machines work on.
-    fn is_zone_cut_off(&self, counts: SilenceCounts) -> bool {
-        let max_silent = (counts.silent + counts.seen) as f64 * self.policy.zone_max_part;
-        counts.silent >= MIN_SILENT_IN_ZONE && counts.silent as f64 > max_silent
-    }
-
-    /// With hardly any other to compare with, more patience. And when a partition ends, its machines are seen again one by
-    /// one, and the last need a while.
-    fn may_recover(&self, counts: SilenceCounts, last_seen_at: Micros, zone: &str, after: Micros) -> bool {
-        let now = self.now();
-        let patience = Micros(after.0 * UNCOMPARED_PATIENCE);
-        let is_uncompared = counts.compared_count() < MIN_COMPARED && now.since(last_seen_at) < patience;
-        is_uncompared || self.fleet.correlated_failures.was_zone_cut_off(zone, now, after)
-    }
 }
--- a/src/coordination/fleet/machine/image_cache.rs
+++ b/src/coordination/fleet/machine/image_cache.rs
@@ -10,8 +10,11 @@
 /// An image being fetched, as far as can be told from outside.
 #[derive(Clone, Debug)]
 pub(crate) struct ImageFetch {
+    /// Its name.
     pub(crate) image: String,
+    /// Its size.
     pub(crate) megabytes: f64,
+    /// When a task was first seen to wait for it.
     pub(crate) started_at: Micros,
 }
 
--- a/src/coordination/fleet/machine/mod.rs
+++ b/src/coordination/fleet/machine/mod.rs
@@ -7,6 +7,7 @@
 mod command_channel;
 mod contact;
 mod image_cache;
+mod message_acceptance;
 mod ownership;
 mod task_failures;
 mod unrecorded_tasks;
--- a/src/coordination/fleet/machine/task_failures.rs
+++ b/src/coordination/fleet/machine/task_failures.rs
@@ -5,6 +5,7 @@
 
 /// Failed tasks of one job on one machine.
 pub(crate) struct JobFailures {
+    /// All of them.
     pub(crate) count: u32,
     /// Those of a gang whose other tasks were on other machines, and did not fail there.
     pub(crate) alone_in_gang_count: u32,
--- a/src/coordination/fleet/machine/unrecorded_tasks.rs
+++ b/src/coordination/fleet/machine/unrecorded_tasks.rs
@@ -3,8 +3,11 @@
 /// A task on the machine that the stored records know nothing of.
 #[derive(Clone, Debug)]
 pub(crate) struct UnrecordedTask {
+    /// Job and index, as the agent names it.
     pub(crate) task: String,
+    /// Number of the attempt.
     pub(crate) attempt: u64,
+    /// It takes no resources any more.
     pub(crate) has_exited: bool,
     /// It was there when the agent first showed its present fencing token: all commands that could start it again are
     /// superseded.
--- a/src/coordination/fleet/machine_records.rs
+++ b/src/coordination/fleet/machine_records.rs
@@ -7,6 +7,7 @@
 use crate::types::{FencingToken, MachineId, Resources};
 
 impl Controller {
+    /// The role whose holder decides about a machine with a record.
     pub(crate) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
         self.store.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
@@ -18,12 +19,13 @@
         Some(fencing_token.max(record.fencing_token))
     }
 
+    /// Resources of a machine by its type; none if either is not known.
     pub(crate) fn machine_resources(&self, id: &MachineId) -> Resources {
         let Some(record) = self.store.replica.machines.get(id) else { return Resources::default() };
         self.autoscaling.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
     }
 
-    /// What is left on a machine after all starts not proven gone.
+    /// What is left on a machine after all attempts not proven gone.
     pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
         self.machine_resources(id).minus(&self.jobs.usage.used_on(id))
     }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -36,8 +36,11 @@
 
 /// A heartbeat of a machine that is not in the stored records yet.
 pub(crate) struct UnregisteredHeartbeat {
+    /// When it arrived.
     pub(crate) received_at: Micros,
+    /// Who waits for its answer.
     pub(crate) waiter: Waiter,
+    /// What the agent sent.
     pub(crate) heartbeat: Heartbeat,
 }
 
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -158,7 +158,7 @@
             let in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
                 record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
-            let idle = self.fleet.machine(*id).is_some_and(|machine| !machine.is_record_changing());
+            let idle = self.fleet.machine(id).is_some_and(|machine| !machine.is_record_changing());
             in_shard && idle && zones.is_silent(id) && self.jobs.usage.serves(id)
         };
         machines.filter(is_due).cloned().collect()
@@ -177,7 +177,7 @@
             doomed
                 || self
                     .fleet
-                    .machine(*id)
+                    .machine(id)
                     .is_some_and(|machine| machine.ownership.shard() == Some(shard) && machine.is_record_changing())
         };
         machines.filter(is_on_its_way).cloned().collect()
