--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -8,6 +8,7 @@
 use crate::coordination::autoscaling::leader::Call;
 use crate::coordination::fleet::failure_detection::{ExpiryMargin, MAX_CLOCK_DRIFT};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::usage::Start;
 use crate::storage::schema::{Outcome, Role};
 use crate::types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -173,7 +174,7 @@
         placed.starts.iter().any(|(job, task)| {
             let is_overdue = enforcement.is_past_renewals(job, now);
             let start = self.jobs.by_id.get(job).filter(|_| is_overdue).and_then(|job| job.live.get(*task));
-            start.is_some_and(|start| start.may_be_on_machine())
+            start.is_some_and(Start::may_be_on_machine)
         })
     }
 
--- a/src/coordination/fleet/direct_commands.rs
+++ b/src/coordination/fleet/direct_commands.rs
@@ -1,7 +1,7 @@
 //! Direct messages to agents: when one is sent, and what its outcome proves.
 
 use crate::coordination::fleet::heartbeats::HeartbeatSource;
-use crate::coordination::fleet::machine::MessagePosition;
+use crate::coordination::fleet::machine::{Machine, MessagePosition};
 use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
 use crate::protocol::worker::{DirectCommands, Heartbeat};
 use crate::storage::schema::Hold;
@@ -59,7 +59,7 @@
 
     /// Sends an empty message to a machine, under our fencing token: its answer is a sign of life.
     pub(super) fn send_probe(&mut self, id: &MachineId, fencing_token: FencingToken, addr: SocketAddr) {
-        let Some(incarnation) = self.fleet.machine(id).map(|machine| machine.addressed_incarnation()) else { return };
+        let Some(incarnation) = self.fleet.machine(id).map(Machine::addressed_incarnation) else { return };
         self.send_direct(id, addr, DirectCommands { fencing_token, incarnation, commands: Vec::new() });
     }
 
--- a/src/coordination/fleet/machine_records.rs
+++ b/src/coordination/fleet/machine_records.rs
@@ -1,6 +1,7 @@
 //! Stored records of machines: what follows from their changes, and how this controller changes them.
 
 use crate::coordination::Controller;
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
@@ -161,7 +162,7 @@
     /// be deleted.
     pub(crate) fn cordon(&mut self, id: &MachineId, reason: Hold) {
         let before = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
-        let is_changing = self.fleet.machine(id).is_none_or(|machine| machine.is_record_changing());
+        let is_changing = self.fleet.machine(id).is_none_or(Machine::is_record_changing);
         if before == Some(Hold::Doomed) || before == Some(reason) || is_changing {
             return;
         }
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -2,6 +2,7 @@
 
 use crate::coordination::api::submissions::VALUE_FILL;
 use crate::coordination::autoscaling::capacity::{Slot, fit};
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::store_sync::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect, WorkerAnswer};
 use crate::protocol::worker::Heartbeat;
@@ -74,7 +75,7 @@
         if is_deleted || self.store.replica.is_gone(id) {
             return Registration::Deleted;
         }
-        if self.fleet.machine(id).is_some_and(|machine| machine.is_registering()) {
+        if self.fleet.machine(id).is_some_and(Machine::is_registering) {
             return Registration::Known;
         }
         if leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
--- a/src/coordination/fleet/shard_moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -11,6 +11,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::control::versions::{Mover, mover};
+use crate::coordination::fleet::machine::Machine;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -86,7 +87,7 @@
             let Some(Hold::Move(to)) = held.value.hold else { continue };
             // From the revision of the cordon on the replica shows every start that others recorded there.
             let is_visible = self.store.replica.applied.0 >= held.version;
-            let is_changing = self.fleet.machine(id).is_some_and(|machine| machine.is_record_changing());
+            let is_changing = self.fleet.machine(id).is_some_and(Machine::is_record_changing);
             if !is_visible || is_changing || self.autoscaling.leader.deleting.contains(id) {
                 continue;
             }
--- a/src/coordination/fleet/task_reconciliation.rs
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -160,7 +160,7 @@
     fn exit_seen(&mut self, id: &MachineId, task: &TaskId, cause: ExitCause) {
         let now = self.now();
         let Some(job) = self.jobs.by_id.get(&task.job) else { return };
-        if !job.live.get(task.index).is_some_and(|start| start.occupies()) {
+        if !job.live.get(task.index).is_some_and(Start::occupies) {
             return;
         }
         match cause {
