--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -8,8 +8,8 @@
 
 impl Controller {
     /// A machine to be returned is emptied first.
-    pub(super) fn drain_retired(&mut self, ours: &[MachineId]) {
-        for id in ours {
+    pub(super) fn drain_retired(&mut self, own_machines: &[MachineId]) {
+        for id in own_machines {
             if self.store.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire)) {
                 self.drain(id);
             }
@@ -17,8 +17,8 @@
     }
 
     /// Services leave a machine with a termination notice while there is time; other work runs on, it may finish.
-    pub(super) fn drain_services_before_termination(&mut self, ours: &[MachineId]) {
-        for id in ours {
+    pub(super) fn drain_services_before_termination(&mut self, own_machines: &[MachineId]) {
+        for id in own_machines {
             if self.fleet.machine(id).is_some_and(|machine| machine.has_termination_notice) {
                 self.stop_tasks(id, |kind| kind == Kind::Service);
             }
--- a/src/coordination/fleet/failure_detection/lease_expiry.rs
+++ b/src/coordination/fleet/failure_detection/lease_expiry.rs
@@ -40,10 +40,10 @@
 
     /// An agent whose lease has surely expired has killed its tasks. Only our answers can have renewed it once it has shown
     /// our fencing token.
-    pub(in crate::coordination::fleet) fn expire_leases(&mut self, ours: &[MachineId]) {
+    pub(in crate::coordination::fleet) fn expire_leases(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let bound = self.lease_expiry_bound(ExpiryMargin::RenewedHere);
-        for id in ours {
+        for id in own_machines {
             let Some(machine) = self.fleet.machine(id) else { continue };
             let is_expired = now.since(machine.contact.lease_renewed_at()) > bound;
             if machine.ownership.is_token_confirmed() && is_expired {
--- a/src/coordination/fleet/failure_detection/missing_heartbeats.rs
+++ b/src/coordination/fleet/failure_detection/missing_heartbeats.rs
@@ -10,9 +10,9 @@
 const OVERDUE_HEARTBEAT_INTERVALS: f64 = 1.25;
 
 impl Fleet {
-    fn machines_missing_heartbeats(&self, ours: &[MachineId], now: Micros, span: Micros) -> Vec<MachineId> {
+    fn machines_missing_heartbeats(&self, own_machines: &[MachineId], now: Micros, span: Micros) -> Vec<MachineId> {
         let is_missing = |machine: &Machine| machine.contact.is_missing_heartbeats(now, span);
-        ours.iter().filter(|id| self.machine(id).is_some_and(is_missing)).cloned().collect()
+        own_machines.iter().filter(|id| self.machine(id).is_some_and(is_missing)).cloned().collect()
     }
 }
 
@@ -26,14 +26,14 @@
 
     /// A machine whose heartbeats reach no controller is replaced while its lease lasts, unless many are so: then the
     /// fault is elsewhere.
-    pub(in crate::coordination::fleet) fn replace_missing_heartbeats(&mut self, ours: &[MachineId]) {
+    pub(in crate::coordination::fleet) fn replace_missing_heartbeats(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let span = self.missing_heartbeats_span();
-        let missing = self.fleet.machines_missing_heartbeats(ours, now, span);
+        let missing = self.fleet.machines_missing_heartbeats(own_machines, now, span);
         // Their last heartbeats came at different moments: those on their way there count as well.
         let half_span = span - Micros(Micros::from_millis(self.policy.unreported_ms).0 / 2);
-        let late_count = self.fleet.machines_missing_heartbeats(ours, now, half_span).len();
-        if late_count as f64 > (ours.len() as f64 * self.policy.replace_max_part).max(1.0) {
+        let late_count = self.fleet.machines_missing_heartbeats(own_machines, now, half_span).len();
+        if late_count as f64 > (own_machines.len() as f64 * self.policy.replace_max_part).max(1.0) {
             self.fleet.correlated_failures.many_missing_heartbeats(now);
         }
         // When such a time ends their heartbeats arrive again one by one.
--- a/src/coordination/fleet/failure_detection/probes.rs
+++ b/src/coordination/fleet/failure_detection/probes.rs
@@ -56,8 +56,8 @@
     /// Probes machines that didn't answer or whose heartbeat is late, and between their heartbeats those with services,
     /// whose loss is felt at once. The latter only as far as the rate of probes allows, those seen longest ago first: a
     /// controller that holds all shards would do little else. What is left out now comes first in the next check.
-    pub(in crate::coordination::fleet) fn probe(&mut self, ours: &[MachineId]) {
-        let due = self.due_probes(ours);
+    pub(in crate::coordination::fleet) fn probe(&mut self, own_machines: &[MachineId]) {
+        let due = self.due_probes(own_machines);
         let now = self.now();
         self.fleet.probe_budget.refill(now, self.policy.probes_per_s);
         for DueProbe { is_routine, machine: id, .. } in due {
@@ -82,13 +82,13 @@
     }
 
     /// Machines to be probed, in that order.
-    fn due_probes<'a>(&self, ours: &'a [MachineId]) -> Vec<DueProbe<'a>> {
+    fn due_probes<'a>(&self, own_machines: &'a [MachineId]) -> Vec<DueProbe<'a>> {
         let now = self.now();
         let thresholds = self.probe_thresholds();
         let mut due: Vec<DueProbe> = Vec::new();
         let mut without_services: BTreeMap<&str, Vec<DueProbe>> = BTreeMap::new();
         let mut suspected_zones: BTreeSet<&str> = BTreeSet::new();
-        for id in ours {
+        for id in own_machines {
             let (Some(machine), Some(record)) = (self.fleet.machine(id), self.store.replica.machines.get(id)) else {
                 continue;
             };
--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -91,7 +91,7 @@
     /// Machines that have been silent for so long, with that many failed probes.
     fn silent_machines(
         &self,
-        ours: &[MachineId],
+        own_machines: &[MachineId],
         now: Micros,
         min_failed_probes: u32,
         min_silence: Micros,
@@ -99,7 +99,7 @@
         let is_silent = |machine: &Machine| {
             machine.contact.failed_probe_count() >= min_failed_probes && machine.contact.silence(now) >= min_silence
         };
-        ours.iter().filter(|id| self.machine(id).is_some_and(is_silent)).cloned().collect()
+        own_machines.iter().filter(|id| self.machine(id).is_some_and(is_silent)).cloned().collect()
     }
 
     /// With hardly any other to compare with, more patience. And when a partition ends, its machines are seen again one by
@@ -114,15 +114,15 @@
 impl Controller {
     /// A single machine that is silent is deleted, which proves its tasks gone sooner than the expiry of its lease would.
     /// If many are silent the fault is ours or a partition's, and they may come back.
-    pub(in crate::coordination::fleet) fn replace_silent(&mut self, ours: &[MachineId]) {
+    pub(in crate::coordination::fleet) fn replace_silent(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let after = Micros::from_millis(self.policy.replace_after_ms);
-        let silent = self.fleet.silent_machines(ours, now, self.policy.probes_failed, after);
+        let silent = self.fleet.silent_machines(own_machines, now, self.policy.probes_failed, after);
         self.replace_never_seen(&silent);
         if silent.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, after) {
             return;
         }
-        let verdicts = self.judge_silence(ours, silent, after);
+        let verdicts = self.judge_silence(own_machines, silent, after);
         for verdict in &verdicts {
             if let Verdict::ZoneCutOff(zone) = verdict {
                 self.fleet.correlated_failures.zone_cut_off(zone.clone(), now);
@@ -155,18 +155,18 @@
     }
 
     /// What the silence of each machine says, compared with the shard's others and those of its zone.
-    fn judge_silence(&self, ours: &[MachineId], silent: Vec<MachineId>, after: Micros) -> Vec<Verdict> {
+    fn judge_silence(&self, own_machines: &[MachineId], silent: Vec<MachineId>, after: Micros) -> Vec<Verdict> {
         let now = self.now();
         // Machines fall silent one by one even if all are cut off at once, as each was last seen at a moment of its own.
         // So the others must have been seen well after this one fell silent.
         let gap = Micros::from_millis(self.policy.probe_after_ms + self.policy.probe_ms);
-        let shard_times = LastSeenTimes::of(ours.iter().filter_map(|id| self.fleet.machine(id)));
+        let shard_times = LastSeenTimes::of(own_machines.iter().filter_map(|id| self.fleet.machine(id)));
         let mut zone_times: BTreeMap<&str, LastSeenTimes> = BTreeMap::new();
         let mut verdicts = Vec::new();
         for id in silent {
             let Some(last_seen_at) = self.fleet.machine(&id).map(|m| m.contact.last_seen_at()) else { continue };
             let Some(zone) = self.zone_of(&id) else { continue };
-            let in_zone = zone_times.entry(zone).or_insert_with(|| self.last_seen_times_in(zone, ours));
+            let in_zone = zone_times.entry(zone).or_insert_with(|| self.last_seen_times_in(zone, own_machines));
             let moment = last_seen_at + gap;
             let in_shard = shard_times.since(moment);
             verdicts.push(if in_shard.are_many_silent(self.policy.replace_max_part) {
@@ -186,8 +186,8 @@
         self.store.replica.machines.get(id).map(|held| held.value.zone.as_str())
     }
 
-    fn last_seen_times_in(&self, zone: &str, ours: &[MachineId]) -> LastSeenTimes {
-        let in_zone = ours.iter().filter(|id| self.zone_of(id) == Some(zone));
+    fn last_seen_times_in(&self, zone: &str, own_machines: &[MachineId]) -> LastSeenTimes {
+        let in_zone = own_machines.iter().filter(|id| self.zone_of(id) == Some(zone));
         LastSeenTimes::of(in_zone.filter_map(|id| self.fleet.machine(id)))
     }
 }
--- a/src/coordination/fleet/faulty_machines.rs
+++ b/src/coordination/fleet/faulty_machines.rs
@@ -13,8 +13,8 @@
 
 impl Controller {
     /// Tasks of different jobs that fail on one machine and succeed elsewhere speak against the machine.
-    pub(super) fn cordon_faulty(&mut self, ours: &[MachineId]) {
-        for id in ours {
+    pub(super) fn cordon_faulty(&mut self, own_machines: &[MachineId]) {
+        for id in own_machines {
             let Some(machine) = self.fleet.machine(id).filter(|machine| !machine.task_failures.is_empty()) else {
                 continue;
             };
--- a/src/coordination/fleet/fleet_checks.rs
+++ b/src/coordination/fleet/fleet_checks.rs
@@ -18,22 +18,22 @@
             return;
         }
         self.fleet.next_check_at = now + CHECK_INTERVAL;
-        let ours = self.machines_of_held_shards();
+        let own_machines = self.machines_of_held_shards();
         let recorded = &self.store.replica.machines;
         self.fleet.machines.retain(|id, machine| recorded.contains_key(id) || machine.awaits_outcome());
-        self.judge_contact(&ours);
-        self.expire_leases(&ours);
+        self.judge_contact(&own_machines);
+        self.expire_leases(&own_machines);
         self.enforce_cancellation_deadlines();
-        self.probe(&ours);
-        self.note_many_unreachable(&ours);
-        self.tick_zones(&ours);
-        self.replace_silent(&ours);
-        self.replace_unreachable(&ours);
-        self.replace_missing_heartbeats(&ours);
-        self.renew_fencing_tokens(&ours);
-        self.cordon_faulty(&ours);
-        self.drain_retired(&ours);
-        self.drain_services_before_termination(&ours);
+        self.probe(&own_machines);
+        self.note_many_unreachable(&own_machines);
+        self.tick_zones(&own_machines);
+        self.replace_silent(&own_machines);
+        self.replace_unreachable(&own_machines);
+        self.replace_missing_heartbeats(&own_machines);
+        self.renew_fencing_tokens(&own_machines);
+        self.cordon_faulty(&own_machines);
+        self.drain_retired(&own_machines);
+        self.drain_services_before_termination(&own_machines);
         self.plan_shard_moves();
     }
 
--- a/src/coordination/fleet/machine/ownership.rs
+++ b/src/coordination/fleet/machine/ownership.rs
@@ -87,11 +87,11 @@
     }
 
     /// Takes in the fencing token on a new message.
-    pub(crate) fn token_shown(&mut self, shown: FencingToken, ours: FencingToken) -> TokenEvidence {
+    pub(crate) fn token_shown(&mut self, shown: FencingToken, own_machines: FencingToken) -> TokenEvidence {
         let was_confirmed = self.is_token_confirmed;
         self.highest_token_seen = shown;
-        self.follows_later_token = shown > ours;
-        self.is_token_confirmed = shown >= ours;
+        self.follows_later_token = shown > own_machines;
+        self.is_token_confirmed = shown >= own_machines;
         if !self.is_token_confirmed {
             return TokenEvidence::Outdated;
         }
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -111,7 +111,7 @@
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
         for id in &ids {
             self.fleet.machine_or_insert(id).registration_started();
-            self.boot_over(id);
+            self.provisioning_finished(id);
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         }
         match &members[..] {
@@ -125,8 +125,8 @@
         self.submit_txn(proposal, Purpose::Machines(MachineChange::Register, ids));
     }
 
-    /// A machine that was rented has come up.
-    fn boot_over(&mut self, id: &MachineId) {
+    /// A requested instance has come up: its provisioning is over.
+    fn provisioning_finished(&mut self, id: &MachineId) {
         let now = self.now();
         if let Some(boot) = self.autoscaling.leader.boots.remove(id) {
             self.autoscaling.leader.boot_history.came_up(boot.offer(), now.since(boot.since), now);
