--- /dev/null
+++ b/src/coordination/api/batches.rs
@@ -0,0 +1,149 @@
+//! How accepted submissions get into the stored records: several in one batch, and a list of dependencies that is too
+//! long for one value in parts of its own first.
+
+use crate::coordination::api::UNAVAILABLE;
+use crate::coordination::api::submissions::{DependencyListInProgress, QueuedSubmission, SubmittedJob};
+use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
+use crate::coordination::{Controller, UserAnswer};
+use crate::storage::schema::{BatchMember, Key, to_value};
+use crate::types::{JobId, Micros};
+
+/// Part of the allowed size that a value of several entries is filled to.
+pub(crate) const VALUE_FILL_RATIO: f64 = 0.9;
+
+/// What a dependency's name takes in a list besides itself: quotes and a comma.
+const LIST_ENTRY_OVERHEAD_BYTES: usize = 3;
+/// What a list takes besides its entries: brackets.
+const LIST_OVERHEAD_BYTES: usize = 2;
+
+/// Splits a list of dependencies into lists that each fit a value of so many bytes.
+fn split_dependency_list(dependencies: Vec<JobId>, max_bytes: usize) -> Vec<Vec<JobId>> {
+    let mut lists: Vec<Vec<JobId>> = Vec::new();
+    let mut size = max_bytes;
+    for id in dependencies {
+        let entry_size = id.as_str().len() + LIST_ENTRY_OVERHEAD_BYTES;
+        if size + entry_size > max_bytes {
+            lists.push(Vec::new());
+            size = LIST_OVERHEAD_BYTES;
+        }
+        size += entry_size;
+        if let Some(list) = lists.last_mut() {
+            list.push(id);
+        }
+    }
+    lists
+}
+
+impl Controller {
+    pub(super) fn queue_submission(&mut self, member: BatchMember) {
+        let due_at = self.now() + Micros::from_millis(self.policy.user_patience_ms);
+        self.api.submissions.queue.push_back(QueuedSubmission { due_at, member });
+    }
+
+    /// Writes a list that is too long for one value to keys of its own, under a name that nobody else uses; the job's
+    /// entry then says where it is.
+    pub(super) fn write_dependency_list_parts(&mut self, mut member: BatchMember) {
+        let limits = &self.platform.deployment.store;
+        let (ops, bytes) = (limits.ops(), limits.value_bytes());
+        let name = format!("{:x}", self.nonce());
+        let lists = split_dependency_list(std::mem::take(&mut member.record.spec.depends_on), bytes);
+        member.record.pieces = Some((name.clone(), lists.len() as u32));
+        let numbered: Vec<(u32, Vec<JobId>)> = (0..).zip(lists).collect();
+        let txns = numbered.chunks(ops);
+        let in_progress = DependencyListInProgress { txns_left_count: txns.len(), member };
+        self.api.submissions.dependency_lists.insert(name.clone(), in_progress);
+        for txn in txns {
+            let mut proposal = ProposedTxn::default();
+            for (number, list) in txn {
+                let key = Key::DependencyListPart(name.clone(), *number);
+                proposal.unchanged(&self.store.replica, key.clone());
+                proposal.put(key, to_value(list));
+            }
+            self.submit_txn(proposal, Purpose::DependencyListParts(name.clone()));
+        }
+    }
+
+    /// A transaction that writes parts of a list has finished. Once all are committed the job goes into a batch; if one
+    /// is not, the job is not accepted.
+    pub(crate) fn dependency_list_parts_txn_finished(&mut self, name: &str, is_committed: bool) {
+        let lists = &mut self.api.submissions.dependency_lists;
+        let Some(list) = lists.get_mut(name) else { return };
+        list.txns_left_count -= 1;
+        if is_committed && list.txns_left_count > 0 {
+            return;
+        }
+        let Some(DependencyListInProgress { member, .. }) = lists.remove(name) else { return };
+        match is_committed {
+            true => self.queue_submission(member),
+            false => self.reject_submission(&member.id, &UNAVAILABLE),
+        }
+    }
+
+    fn reject_submission(&mut self, id: &JobId, answer: &UserAnswer) {
+        for request in self.api.submissions.take_waiting(id) {
+            self.answer(request.request_id, answer.clone());
+        }
+    }
+
+    /// Writes the queued submissions, as many as fit one batch.
+    pub(crate) fn write_submission_batch(&mut self) {
+        self.api.submissions.last_batch_at = self.now();
+        let members = self.next_batch();
+        let name = Key::Batch(format!("{:x}", self.nonce()));
+        let mut proposal = ProposedTxn::default();
+        proposal.unchanged(&self.store.replica, name.clone());
+        for member in &members {
+            proposal.unchanged(&self.store.replica, Key::End(member.id.clone()));
+            if let Some((name, _)) = &member.record.pieces {
+                proposal.unchanged(&self.store.replica, Key::DependencyListPart(name.clone(), 0));
+            }
+        }
+        proposal.put(name, to_value(&members));
+        let submitted = |member: BatchMember| {
+            let has_dependencies = member.record.pieces.is_some() || !member.record.spec.depends_on.is_empty();
+            SubmittedJob { id: member.id, has_dependencies }
+        };
+        self.send_txn(proposal, Purpose::Submit(members.into_iter().map(submitted).collect()));
+    }
+
+    /// Takes from the queue as many submissions as one value and one transaction's preconditions have space for.
+    fn next_batch(&mut self) -> Vec<BatchMember> {
+        let limits = &self.platform.deployment.store;
+        let max_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
+        let max_preconditions = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
+        let accepted = self.clock.wall;
+        let mut members: Vec<BatchMember> = Vec::new();
+        let (mut bytes, mut precondition_count) = (0, 0);
+        while let Some(QueuedSubmission { member, .. }) = self.api.submissions.queue.front() {
+            let mut member = member.clone();
+            member.record.accepted = accepted;
+            let more_bytes = serde_json::to_string(&member).map_or(max_bytes, |text| text.len() + 1);
+            // On its outcome, and perhaps on the first part of its list of dependencies.
+            let more_preconditions = 1 + usize::from(member.record.pieces.is_some());
+            let fits = bytes + more_bytes <= max_bytes && precondition_count + more_preconditions <= max_preconditions;
+            if !members.is_empty() && !fits {
+                break;
+            }
+            bytes += more_bytes;
+            precondition_count += more_preconditions;
+            members.push(member);
+            self.api.submissions.queue.pop_front();
+        }
+        members
+    }
+
+    /// Clients whose submission waits for the write budget for too long are told to come back.
+    pub(crate) fn reject_overdue_submissions(&mut self) {
+        let max_delay = Micros::from_millis(self.policy.user_patience_ms);
+        let max_wait = Micros::from_millis(self.policy.submission_wait_ms);
+        let now = self.now();
+        let queue = &mut self.api.submissions.queue;
+        let mut overdue = Vec::new();
+        while queue.front().is_some_and(|queued| (now + max_delay).since(queued.due_at) > max_wait) {
+            overdue.extend(queue.pop_front().map(|queued| queued.member.id));
+        }
+        for id in overdue {
+            self.reject_submission(&id, &UserAnswer::Unavailable { retry_after_s: 2 });
+        }
+    }
+}
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -1,84 +1,28 @@
-//! Questions and cancellations, and the one place where users are answered.
+//! Status requests and cancellations, and the one place where users are answered.
 //!
-//! A final state is answered from memory. Anything else waits in the list of open questions for evidence that the
-//! replica is fresh enough, see [`crate::coordination::store_sync::evidence`].
+//! A final state is answered from memory. Anything else waits among the pending requests for evidence that the replica
+//! is fresh enough, see [`crate::coordination::store_sync::evidence`].
 
-use crate::coordination::api::submissions::{Form, Submissions};
-use crate::coordination::store_sync::evidence::{Evidence, Fresh, LogicalTime, reached};
+use crate::coordination::api::{PendingRequest, Query, ReceivedRequest, UNAVAILABLE};
+use crate::coordination::store_sync::evidence::{Fresh, LogicalTime, reached};
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
-use crate::coordination::{Controller, Effect, UserAnswer, UserRequest, Waiter};
+use crate::coordination::{Controller, Effect, RequestId, UserAnswer, UserRequest};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
 use crate::storage::schema::{EndRecord, Key, Outcome, to_value};
-use crate::types::{JobId, Revision};
-use std::collections::HashMap;
-
-/// Who asks, and when the question came.
-#[derive(Clone, Copy)]
-pub(crate) struct Asked {
-    pub waiter: Waiter,
-    pub at: LogicalTime,
-}
-
-/// What to answer once the replica is fresh.
-pub(crate) enum Question {
-    Status(JobId),
-    /// Whether it is known; if not, it is taken or refused.
-    Submit(JobId, Option<Box<JobSpec>>),
-    /// It was written down, by this controller or another. `newly`: by the transaction that this user's submission led
-    /// to.
-    TakenIn {
-        id: JobId,
-        newly: bool,
-    },
-    Cancel(JobId),
-}
-
-/// A question that waits for the replica.
-struct Open {
-    asked: Asked,
-    question: Question,
-    /// A revision that the stored records are known to have had after the question came.
-    known: Option<Revision>,
-}
-
-#[derive(Default)]
-pub(crate) struct Users {
-    open: Vec<Open>,
-    pub submissions: Submissions,
-    /// Who waits for cancellations on their way. They are answered with final states only.
-    cancels: HashMap<JobId, Vec<Waiter>>,
-}
-
-impl Users {
-    /// Whether a question waits that only a read can answer, or nothing else may.
-    pub fn wants_read(&self) -> bool {
-        !self.open.is_empty()
-    }
-
-    /// Adds a question; `known` is a revision that the stored records had after it came, if there is evidence already.
-    pub fn ask(&mut self, asked: Asked, question: Question, known: Option<Revision>) {
-        self.open.push(Open { asked, question, known });
-    }
-
-    pub fn all_waiters(&mut self) -> Vec<Waiter> {
-        let questions = self.open.drain(..).map(|open| open.asked.waiter);
-        let submissions = self.submissions.all_waiters();
-        questions.chain(submissions).chain(self.cancels.drain().flat_map(|(_, waiters)| waiters)).collect()
-    }
-}
-
-pub(crate) const BUSY: UserAnswer = UserAnswer::Unavailable { retry_after_s: 1 };
+use crate::types::JobId;
 
 impl Controller {
-    pub(crate) fn answer(&mut self, waiter: Waiter, answer: UserAnswer) {
-        self.out.push(Effect::AnswerUser(waiter, answer));
+    pub(crate) fn answer(&mut self, request_id: RequestId, answer: UserAnswer) {
+        self.out.push(Effect::AnswerUser(request_id, answer));
     }
 
-    /// Tells a user how a job stands; that it is cancelled only once that is known where it counts.
-    pub(crate) fn tell(&mut self, waiter: Waiter, status: JobStatus) {
+    /// Answers how a job stands; that it is cancelled only once that is confirmed.
+    pub(crate) fn answer_status(&mut self, request_id: RequestId, status: JobStatus) {
         match status.state {
-            JobState::Cancelled => self.answer_cancelled(waiter, status.id),
-            _ => self.answer(waiter, UserAnswer::Status(status)),
+            JobState::Cancelled => self.answer_when_cancellation_confirmed(request_id, status.id),
+            JobState::Done | JobState::Queued | JobState::Running => {
+                self.answer(request_id, UserAnswer::Status(status));
+            }
         }
     }
 
@@ -91,7 +35,7 @@
         Some(JobStatus { id: id.clone(), state, done: None, running: None })
     }
 
-    /// How a job stands, whether or not it is over.
+    /// How a job stands, whether or not it is over; nothing if it was never accepted.
     fn status(&self, id: &JobId, _: &Fresh) -> Option<JobStatus> {
         if let Some(status) = self.final_status(id) {
             return Some(status);
@@ -99,121 +43,121 @@
         if !self.store.replica.jobs.contains_key(id) && !self.api.submissions.is_committed(id) {
             return None;
         }
-        let (done, running) = self.jobs.by_id.get(id).map_or((0, 0), |job| job.counts());
+        let job = self.jobs.get(id);
+        let done = job.map_or(0, |job| job.done_count());
+        let running = job.map_or(0, |job| job.running_count());
         let state = if running > 0 { JobState::Running } else { JobState::Queued };
         Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
     }
 
-    pub(crate) fn user_request(&mut self, waiter: Waiter, request: UserRequest) {
-        let asked = Asked { waiter, at: self.store.order.tick() };
-        let known = match &request {
+    /// A user's request has come.
+    pub(crate) fn user_request(&mut self, request_id: RequestId, request: UserRequest) {
+        let received = ReceivedRequest { request_id, received_at: self.store.order.tick() };
+        if !self.store.sync.done {
+            return self.answer(request_id, UNAVAILABLE);
+        }
+        let job = match &request {
             UserRequest::Get(id) | UserRequest::Cancel(id) => Some(id),
             UserRequest::Submit(submission) => submission.id.as_ref(),
         };
-        if !self.store.sync.done {
-            return self.answer(waiter, BUSY);
+        if let Some(status) = job.and_then(|id| self.final_status(id)) {
+            return self.answer_status(request_id, status);
         }
-        if let Some(status) = known.and_then(|id| self.final_status(id)) {
-            return self.tell(waiter, status);
-        }
-        // Without the store only final states can be told; whoever asks for more hears at
-        // once that it can't be now, instead of waiting for a call that will fail.
+        // Without the store only final states can be answered. Any other client is told at once to come back, instead
+        // of waiting for a call that will fail.
         if !self.reaches_store() {
-            return self.answer(waiter, BUSY);
+            return self.answer(request_id, UNAVAILABLE);
         }
         match request {
-            UserRequest::Get(id) => self.api.ask(asked, Question::Status(id), None),
-            UserRequest::Cancel(id) if self.store.replica.jobs.contains_key(&id) => self.cancel(waiter, id),
-            UserRequest::Cancel(id) => self.api.ask(asked, Question::Cancel(id), None),
-            UserRequest::Submit(submission) => self.submit(asked, *submission),
+            UserRequest::Get(id) => self.api.wait_for_replica(received, Query::Status(id), None),
+            UserRequest::Cancel(id) if self.store.replica.jobs.contains_key(&id) => self.cancel(request_id, id),
+            UserRequest::Cancel(id) => self.api.wait_for_replica(received, Query::Cancellation(id), None),
+            UserRequest::Submit(submission) => self.submit(received, *submission),
         }
     }
 
-    fn cancel(&mut self, waiter: Waiter, id: JobId) {
-        let waiters = self.api.cancels.entry(id.clone()).or_default();
-        waiters.push(waiter);
-        if waiters.len() > 1 {
+    /// Has a job's cancellation written, once for all who ask for it meanwhile.
+    fn cancel(&mut self, request_id: RequestId, id: JobId) {
+        let cancelling = self.api.cancelling.entry(id.clone()).or_default();
+        cancelling.push(request_id);
+        if cancelling.len() > 1 {
             return;
         }
-        let mut txn = ProposedTxn::default();
+        let mut proposal = ProposedTxn::default();
         if let Some(known) = self.store.replica.jobs.get(&id) {
-            txn.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
+            proposal.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
         }
-        txn.unchanged(&self.store.replica, Key::End(id.clone()));
-        txn.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
-        self.submit_txn(txn, Purpose::Cancel(id));
+        proposal.unchanged(&self.store.replica, Key::End(id.clone()));
+        proposal.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
+        self.submit_txn(proposal, Purpose::Cancel(id));
     }
 
-    pub(crate) fn cancel_over(&mut self, id: &JobId) {
-        for waiter in self.api.cancels.remove(id).unwrap_or_default() {
+    /// The transaction that would cancel a job has finished, whatever its result.
+    pub(crate) fn cancellation_txn_finished(&mut self, id: &JobId) {
+        for request_id in self.api.cancelling.remove(id).unwrap_or_default() {
             match self.final_status(id) {
-                Some(status) => self.tell(waiter, status),
-                None => self.answer(waiter, BUSY),
+                Some(status) => self.answer_status(request_id, status),
+                None => self.answer(request_id, UNAVAILABLE),
             }
         }
     }
 
-    /// A read that began then has ended without an answer: whoever waited for it is told to come back.
-    pub(crate) fn read_failed(&mut self, begun: LogicalTime) {
-        let (failed, open) = std::mem::take(&mut self.api.open).into_iter().partition(|open| open.asked.at < begun);
-        self.api.open = open;
-        for Open { asked, .. } in failed {
-            self.answer(asked.waiter, BUSY);
-        }
-    }
-
-    /// A read has been answered.
-    pub(crate) fn read_proves(&mut self, evidence: &Evidence) {
-        for open in &mut self.api.open {
-            open.known = open.known.or(evidence.revision_after(open.asked.at));
+    /// A read that began then has ended without an answer: requests that waited for it are to be repeated.
+    pub(crate) fn read_failed(&mut self, begun_at: LogicalTime) {
+        let waited_for_it = |pending: &PendingRequest| pending.request.received_at < begun_at;
+        let (failed, still_pending) =
+            std::mem::take(&mut self.api.pending).into_iter().partition::<Vec<_>, _>(waited_for_it);
+        self.api.pending = still_pending;
+        for PendingRequest { request, .. } in failed {
+            self.answer(request.request_id, UNAVAILABLE);
         }
     }
 
-    /// Answers every question that the replica is fresh enough for.
-    pub(crate) fn answer_open_questions(&mut self) {
+    /// Answers every pending request that the replica is fresh enough for.
+    pub(crate) fn answer_pending_requests(&mut self) {
         let applied = self.store.replica.applied;
-        for open in std::mem::take(&mut self.api.open) {
-            match reached(open.known, applied) {
-                Some(fresh) => self.answer_question(open.asked, open.question, &fresh),
-                None => self.api.open.push(open),
+        for pending in std::mem::take(&mut self.api.pending) {
+            match reached(pending.known_revision, applied) {
+                Some(fresh) => self.answer_query(pending.request, pending.query, &fresh),
+                None => self.api.pending.push(pending),
             }
         }
     }
 
     /// The one place where a user is told something that is not final.
-    pub(crate) fn answer_question(&mut self, asked: Asked, question: Question, fresh: &Fresh) {
-        let waiter = asked.waiter;
-        let id = match &question {
-            Question::Status(id) | Question::Submit(id, _) | Question::Cancel(id) => id,
-            Question::TakenIn { id, .. } => id,
-        };
-        let status = self.status(id, fresh);
-        let is_final = status.as_ref().is_some_and(JobStatus::is_final);
-        match (question, status) {
-            (Question::Cancel(id), Some(_)) if !is_final => self.cancel(waiter, id),
-            (Question::TakenIn { id, newly: true }, Some(_)) if !is_final => {
-                self.answer(waiter, UserAnswer::Accepted(id));
-            }
-            (_, Some(status)) => self.tell(waiter, status),
-            (Question::Status(_) | Question::Cancel(_), None) => self.answer(waiter, UserAnswer::NotFound),
-            (Question::TakenIn { .. }, None) => self.answer(waiter, BUSY),
-            (Question::Submit(_, None), None) => self.answer(waiter, UserAnswer::Malformed),
-            (Question::Submit(id, Some(spec)), None) => self.take_or_refuse(asked, id, *spec, fresh),
+    pub(crate) fn answer_query(&mut self, request: ReceivedRequest, query: Query, fresh: &Fresh) {
+        let request_id = request.request_id;
+        match self.status(query.job(), fresh) {
+            Some(status) if status.is_final() => self.answer_status(request_id, status),
+            Some(status) => match query {
+                Query::Cancellation(id) => self.cancel(request_id, id),
+                Query::WrittenSubmission { id, is_first: true } => self.answer(request_id, UserAnswer::Accepted(id)),
+                Query::WrittenSubmission { is_first: false, .. } | Query::Status(_) | Query::Submission(..) => {
+                    self.answer_status(request_id, status);
+                }
+            },
+            None => match query {
+                Query::Status(_) | Query::Cancellation(_) => self.answer(request_id, UserAnswer::NotFound),
+                Query::WrittenSubmission { .. } => self.answer(request_id, UNAVAILABLE),
+                Query::Submission(_, None) => self.answer(request_id, UserAnswer::Malformed),
+                Query::Submission(id, Some(spec)) => self.accept_or_refuse(request, id, *spec, fresh),
+            },
         }
     }
 
-    /// Nobody has taken the job.
-    fn take_or_refuse(&mut self, asked: Asked, id: JobId, spec: JobSpec, _: &Fresh) {
+    /// No controller has accepted the job.
+    fn accept_or_refuse(&mut self, request: ReceivedRequest, id: JobId, spec: JobSpec, _: &Fresh) {
         if let Some(answer) = self.refusal(&spec) {
-            return self.answer(asked.waiter, answer);
+            return self.answer(request.request_id, answer);
         }
-        // Whoever accepted it would have it in the stored records.
+        // Whoever accepted a dependency would have it in the stored records.
         if !self.dependencies_exist(&spec) {
-            return self.answer(asked.waiter, UserAnswer::CanNeverRun("awaits a job that was never accepted"));
+            let answer = UserAnswer::CanNeverRun("awaits a job that was never accepted");
+            return self.answer(request.request_id, answer);
         }
-        match self.form(id, spec) {
-            Form::TooLarge => self.answer(asked.waiter, UserAnswer::Malformed),
-            form => self.accept(asked, form),
+        match self.stored_form(id, spec) {
+            Ok(form) => self.accept(request, form),
+            Err(_) => self.answer(request.request_id, UserAnswer::Malformed),
         }
     }
 }
--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -107,20 +107,21 @@
     /// that is worth machines of its own.
     pub(crate) fn fill(&self, shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
         let has_zone = |job: &Job| job.spec.zone.as_ref().is_none_or(|zone| self.zone_takes_work(zone));
-        let open = |job: &&Job| job.shard == shard && job.recorded && job.over.is_none() && has_zone(job);
-        let mut jobs: Vec<&Job> = self.jobs.by_id.values().filter(open).collect();
-        jobs.sort_by_key(|j| (std::cmp::Reverse(j.urgency.priority), j.ready));
+        let open =
+            |job: &&Job| job.shard == shard && job.recording.has_record && job.outcome.is_none() && has_zone(job);
+        let mut jobs: Vec<&Job> = self.jobs.values().filter(open).collect();
+        jobs.sort_by_key(|j| (std::cmp::Reverse(j.urgency.priority), j.ready_at));
         let mut batch = Backlog::default();
         let mut used: HashMap<&str, Resources> = HashMap::new();
         for job in &jobs {
             if let Some(team) = &job.spec.team {
                 used.entry(team)
-                    .or_insert_with(|| self.jobs.usage.used_by(team).minus(&self.displaced_resources(team)));
+                    .or_insert_with(|| self.jobs.usage().used_by(team).minus(&self.displaced_resources(team)));
             }
         }
         for job in &jobs {
             // Replicas in lost zones need room elsewhere before they are proven gone: boots take as long as the proof.
-            let waiting = self.worth_capacity(job, slots) + u64::from(self.displaced_of(job.live.job()));
+            let waiting = self.worth_capacity(job, slots) + u64::from(self.displaced_of(job.attempts.job()));
             let mut count = waiting;
             if let Some(team) = job.spec.team.as_deref() {
                 let sum = used.entry(team).or_default();
@@ -142,7 +143,7 @@
             let rest = Unmet { shard, spec: (*job.spec).clone(), count: left, worth_renting: true, zones };
             if job.spec.kind == Kind::Array {
                 batch.add(job, left);
-                batch.unmet.push((rest, job.ready));
+                batch.unmet.push((rest, job.ready_at));
             } else {
                 unmet.push(rest);
             }
@@ -155,21 +156,21 @@
     /// one to be tried on if there is none at all that it may run on.
     fn worth_capacity(&self, job: &Job, slots: &[Slot]) -> u64 {
         if !job.is_failing() {
-            return u64::from(job.waiting());
+            return u64::from(job.waiting_count());
         }
         let need = job.spec.resources();
         let could_hold = |slot: &Slot| {
             let resources = slot.id.as_ref().map_or(slot.free, |id| self.machine_resources(id));
             slot.is_allowed_for(&job.spec) && need.fits_in(&resources)
         };
-        u64::from(job.waiting() > 0 && !slots.iter().any(could_hold))
+        u64::from(job.waiting_count() > 0 && !slots.iter().any(could_hold))
     }
 
     /// How many tasks of a job each zone has, if that binds the others.
     fn zones_of(&self, job: &Job) -> BTreeMap<String, u64> {
         let mut zones = BTreeMap::new();
         if job.spec.one_zone || job.spec.spread {
-            for live in job.live.values().filter(|l| l.occupies()) {
+            for live in job.attempts.values().filter(|l| l.occupies_resources()) {
                 if let Some(r) = self.store.replica.machines.get(live.machine())
                     && self.zone_takes_work(&r.value.zone)
                 {
@@ -187,7 +188,7 @@
         let running: f64 = jobs
             .iter()
             .filter(|j| j.spec.kind == Kind::Array)
-            .map(|j| j.spec.cpus * f64::from(j.live.occupying()))
+            .map(|j| j.spec.cpus * f64::from(j.attempts.occupying_count()))
             .sum();
         let mut wanted = batch.cpu_seconds / drain - running;
         let mut unmet = Vec::new();
@@ -224,7 +225,7 @@
         let preemptible = jobs
             .iter()
             .filter(|j| j.spec.kind == Kind::Array && j.spec.priority < Priority::High)
-            .map(|j| j.resources.cpus * u64::from(j.live.occupying()))
+            .map(|j| j.resources.cpus * u64::from(j.attempts.occupying_count()))
             .sum::<u64>()
             / largest.resources.cpus.max(1);
         let count = u64::from(self.policy.spare_tasks).saturating_sub(preemptible / 2);
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -326,7 +326,7 @@
             }
             // The hold is seen by whoever records starts. One that crosses with it is lost with the machine, and
             // starts again elsewhere.
-            let empty = self.store.replica.applied.0 >= held.version && self.jobs.usage.is_empty(id);
+            let empty = self.store.replica.applied.0 >= held.version && self.jobs.usage().is_empty(id);
             match held.value.hold {
                 Some(Hold::Doomed) => ids.push(id.clone()),
                 Some(Hold::Retire) if empty => ids.push(id.clone()),
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -3,8 +3,8 @@
 
 use crate::coordination::fleet::heartbeats::Source;
 use crate::coordination::fleet::machines::{Machine, UnrecordedTask};
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
 use crate::protocol::worker::{AgentCommand, DirectCommands};
 use crate::storage::schema::Hold;
@@ -28,15 +28,16 @@
 
 impl NextStep {
     /// `doomed`: its machine is to be deleted, and nothing more starts there.
-    fn of(start: &Start, doomed: bool) -> NextStep {
-        match (start.phase(), start.stop) {
-            (Phase::Recorded, None) if !doomed => NextStep::Start,
-            (Phase::Recorded, Some(_)) if !start.sent => NextStep::Drop,
-            (Phase::Recorded | Phase::Fetching | Phase::Waiting | Phase::Running, Some(grace_s)) => {
-                NextStep::Stop { grace_s }
-            }
+    fn of(start: &TaskAttempt, doomed: bool) -> NextStep {
+        match (start.state(), start.stop_grace_s) {
+            (AttemptState::Recorded, None) if !doomed => NextStep::Start,
+            (AttemptState::Recorded, Some(_)) if !start.may_have_been_sent => NextStep::Drop,
+            (
+                AttemptState::Recorded | AttemptState::Fetching | AttemptState::Waiting | AttemptState::Running,
+                Some(grace_s),
+            ) => NextStep::Stop { grace_s },
             // Told to stop while it saves: it ends at once.
-            (Phase::Saving, Some(0.0)) => NextStep::Stop { grace_s: 0.0 },
+            (AttemptState::Checkpointing, Some(0.0)) => NextStep::Stop { grace_s: 0.0 },
             _ => NextStep::Nothing,
         }
     }
@@ -85,8 +86,8 @@
         let incarnation = machine.incarnation;
         let mut commands = commands_for_unrecorded(machine);
         let mut never_sent = Vec::new();
-        for (job_id, index) in self.jobs.usage.starts_on(id) {
-            let Some(start) = self.jobs.by_id.get_mut(&job_id).and_then(|job| job.live.get_mut(index)) else {
+        for (job_id, index) in self.jobs.usage().attempts_on(id) {
+            let Some(start) = self.jobs.get_mut(&job_id).and_then(|job| job.attempts.get_mut(index)) else {
                 continue;
             };
             if start.incarnation != incarnation {
@@ -100,20 +101,20 @@
                     continue;
                 }
                 NextStep::Start => {
-                    start.sent = true;
+                    start.may_have_been_sent = true;
                     commands.push(AgentCommand::Start { task, attempt });
                 }
                 NextStep::Stop { grace_s } => commands.push(AgentCommand::Stop { task, attempt, grace_s }),
             }
             if let Some(seq) = seq {
-                start.seq = start.seq.max(seq);
+                start.last_inconclusive_seq = start.last_inconclusive_seq.max(seq);
             }
             if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
                 break;
             }
         }
         for (job, task) in never_sent {
-            self.start_gone(&job, task, AbsenceProof::NeverSent);
+            self.attempt_proven_absent(&job, task, AbsenceProof::NeverSent);
         }
         commands
     }
--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -6,8 +6,8 @@
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::leader::Call;
+use crate::coordination::jobs::attempt::AttemptState;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::jobs::usage::Phase;
 use crate::storage::schema::{Outcome, Role};
 use crate::types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
         let Some(end) = self.store.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
             return;
         };
-        if !self.jobs.by_id.contains_key(id) {
+        if !self.jobs.contains_key(id) {
             return;
         }
         let age = self.clock.wall.since(end.value.at);
@@ -94,12 +94,12 @@
         let mut deadlines = std::mem::take(&mut self.jobs.cancellations.clearing.deadlines);
         deadlines.retain(|id, deadline| {
             // Also with nothing left for now: a late commit may still bring a start.
-            let Some(job) = self.jobs.by_id.get(id) else { return false };
+            let Some(job) = self.jobs.get(id) else { return false };
             let Deadline { delete, .. } = *deadline;
-            if delete > now || job.live.occupying() == 0 || !self.clears_shard(job.shard) {
+            if delete > now || job.attempts.occupying_count() == 0 || !self.clears_shard(job.shard) {
                 return true;
             }
-            for live in job.live.values().filter(|l| l.occupies() && l.phase() != Phase::Decided) {
+            for live in job.attempts.values().filter(|l| l.occupies_resources() && l.state() != AttemptState::Decided) {
                 let first = due.entry(live.machine().clone()).or_insert(delete);
                 *first = (*first).min(delete);
             }
@@ -130,19 +130,19 @@
         let workers = &self.platform.deployment.workers;
         let time_left = Micros::from_secs_f64(workers.cancel_s).since(self.clear_after());
         if now.since(due) + CLEAR_AGAIN >= time_left {
-            self.jobs.audit.late_deletions += machines.len() as u64;
+            self.jobs.cancellation_log.note_late_deletions(machines.len());
         }
     }
 
     /// Whether something of a cancelled job may be on the machine although its time for renewals is over.
     pub(crate) fn is_overdue_on(&self, id: &MachineId) -> bool {
         let deadlines = &self.jobs.cancellations.clearing.deadlines;
-        let Some(placed) = self.jobs.usage.placed(id).filter(|_| !deadlines.is_empty()) else { return false };
+        let Some(placed) = self.jobs.usage().on_machine(id).filter(|_| !deadlines.is_empty()) else { return false };
         let now = self.now();
-        placed.starts.iter().any(|(job, task)| {
+        placed.attempts().any(|(job, task)| {
             let overdue = deadlines.get(job).is_some_and(|deadline| deadline.cease_renewal <= now);
-            let start = self.jobs.by_id.get(job).filter(|_| overdue).and_then(|job| job.live.get(*task));
-            start.is_some_and(|start| start.occupies() && start.phase() != Phase::Decided)
+            let start = self.jobs.get(job).filter(|_| overdue).and_then(|job| job.attempts.get(*task));
+            start.is_some_and(|start| start.occupies_resources() && start.state() != AttemptState::Decided)
         })
     }
 
@@ -168,8 +168,8 @@
         let now = self.now();
         tracing::info!(machines = ids.len(), first = ?ids.first(), "deletion confirmed");
         for id in ids {
-            for (job, task) in self.jobs.usage.starts_on(&id) {
-                self.start_gone(&job, task, AbsenceProof::MachineDeleted);
+            for (job, task) in self.jobs.usage().attempts_on(&id) {
+                self.attempt_proven_absent(&job, task, AbsenceProof::MachineDeleted);
             }
             self.autoscaling.leader.deleted.insert(id.clone(), now);
             self.jobs.cancellations.clearing.cleared.insert(id, None);
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machines::{Failures, Machine};
-use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::protocol::user::Kind;
 use crate::storage::schema::{Hold, Outcome};
 use crate::types::{JobId, MachineId};
@@ -40,7 +40,7 @@
             return true;
         }
         // A gang that can't do without this machine never gets further. Its other tasks fail nowhere else.
-        let only_here = |job: &JobId| self.jobs.by_id.get(job).is_some_and(|job| job.failures.failed_only_on(id));
+        let only_here = |job: &JobId| self.jobs.get(job).is_some_and(|job| job.failures.has_failed_only_on(id));
         if failed().any(|(job, f)| f.alone_in_gang > self.policy.faulty_after * 2 && only_here(job)) {
             return true;
         }
@@ -51,13 +51,14 @@
     /// Whether a job that failed on a machine is not itself at fault: the same task is done by now, or has run for
     /// longer on another machine than any that failed.
     fn gets_on_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &Failures) -> bool {
-        let Some(job) = self.jobs.by_id.get(job_id) else {
+        let Some(job) = self.jobs.get(job_id) else {
             return self.store.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
         };
         let chunks = self.store.replica.runs.get(job_id);
         let chunk = chunks.and_then(|chunks| chunks.get(&(failures.task / self.store.chunk_tasks))).map(|c| &c.value);
-        let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
-        job.is_task_done(failures.task, chunk) || job.live.get(failures.task).is_some_and(runs_on)
+        let runs_on =
+            |start: &TaskAttempt| start.machine() != id && job.failures.has_outlasted_failures(start, self.now());
+        job.is_task_done(failures.task, chunk) || job.attempts.get(failures.task).is_some_and(runs_on)
     }
 
     /// A machine to be returned is emptied first.
@@ -91,17 +92,17 @@
     fn stop_where(&mut self, id: &MachineId, wanted: impl Fn(Kind) -> bool) {
         let grace = self.policy.stop_grace_s;
         let mut push = false;
-        for (job, task) in self.jobs.usage.starts_on(id) {
-            let Some(job) = self.jobs.by_id.get_mut(&job) else { continue };
+        for (job, task) in self.jobs.usage().attempts_on(id) {
+            let Some(job) = self.jobs.get_mut(&job) else { continue };
             if !wanted(job.spec.kind) {
                 continue;
             }
-            if let Some(live) = job.live.get_mut(task)
-                && live.occupies()
-                && live.phase() != Phase::Decided
-                && live.stop.is_none()
+            if let Some(live) = job.attempts.get_mut(task)
+                && live.occupies_resources()
+                && live.state() != AttemptState::Decided
+                && live.stop_grace_s.is_none()
             {
-                live.stop = Some(if job.spec.checkpoint_s > 0.0 { grace } else { 0.0 });
+                live.stop_grace_s = Some(if job.spec.checkpoint_s > 0.0 { grace } else { 0.0 });
                 push = true;
             }
         }
--- a/src/coordination/fleet/failure_detector.rs
+++ b/src/coordination/fleet/failure_detector.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machines::Machine;
+use crate::coordination::jobs::attempt::AttemptState;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::jobs::usage::Phase;
 use crate::protocol::worker::DirectCommands;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -83,15 +83,14 @@
                 continue;
             }
             let incarnation = machine.incarnation;
-            for (job, task) in self.jobs.usage.starts_on(id) {
+            for (job, task) in self.jobs.usage().attempts_on(id) {
                 let expired = self
                     .jobs
-                    .by_id
                     .get(&job)
-                    .and_then(|j| j.live.get(task))
-                    .is_some_and(|l| l.incarnation <= incarnation && l.phase() != Phase::Decided);
+                    .and_then(|j| j.attempts.get(task))
+                    .is_some_and(|l| l.incarnation <= incarnation && l.state() != AttemptState::Decided);
                 if expired {
-                    self.start_gone(&job, task, AbsenceProof::LeaseExpired);
+                    self.attempt_proven_absent(&job, task, AbsenceProof::LeaseExpired);
                 }
             }
         }
@@ -148,7 +147,7 @@
                 continue;
             }
             let probe = DueProbe { routine: !suspect, heard: machine.heard, machine: id };
-            if suspect || self.jobs.usage.serves(id) {
+            if suspect || self.jobs.usage().runs_service_on(id) {
                 due.push(probe);
             } else {
                 quiet.entry(zone).or_default().push(probe);
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -2,10 +2,10 @@
 
 use crate::coordination::fleet::Unregistered;
 use crate::coordination::fleet::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::zones::zone_control::ZoneStart;
-use crate::coordination::{Controller, Effect, Waiter, WorkerAnswer};
+use crate::coordination::{Controller, Effect, RequestId, WorkerAnswer};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
 use crate::storage::schema::Role;
@@ -25,19 +25,19 @@
 }
 
 impl Controller {
-    pub(crate) fn heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) {
+    pub(crate) fn heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat, relayed: bool) {
         let answer = match self.store.sync.done {
-            true => self.heartbeat_answer(waiter, heartbeat, relayed),
+            true => self.heartbeat_answer(request_id, heartbeat, relayed),
             false => Some(WorkerAnswer::Unavailable),
         };
         if let Some(answer) = answer {
-            self.out.push(Effect::AnswerWorker(waiter, answer));
+            self.out.push(Effect::AnswerWorker(request_id, answer));
         }
     }
 
-    fn heartbeat_answer(&mut self, waiter: Waiter, heartbeat: Heartbeat, relayed: bool) -> Option<WorkerAnswer> {
+    fn heartbeat_answer(&mut self, request_id: RequestId, heartbeat: Heartbeat, relayed: bool) -> Option<WorkerAnswer> {
         let id = heartbeat.machine.clone();
-        let Some(role) = self.role_of_machine(&id) else { return self.unregistered_heartbeat(waiter, heartbeat) };
+        let Some(role) = self.role_of_machine(&id) else { return self.unregistered_heartbeat(request_id, heartbeat) };
         let Some(fencing_token) = self.fencing_token(&id) else { return Some(self.redirect_to_holder(role)) };
         if heartbeat.fencing_token > fencing_token {
             self.later_token_shown(&id, heartbeat.fencing_token);
@@ -51,9 +51,9 @@
     }
 
     /// A machine without a record: the leader may register it, others send its worker there.
-    fn unregistered_heartbeat(&mut self, waiter: Waiter, heartbeat: Heartbeat) -> Option<WorkerAnswer> {
+    fn unregistered_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) -> Option<WorkerAnswer> {
         if self.is_leader() {
-            self.fleet.unregistered.push(Unregistered { since: self.now(), waiter, heartbeat });
+            self.fleet.unregistered.push(Unregistered { since: self.now(), request_id, heartbeat });
             return None;
         }
         Some(self.redirect_to_holder(Role::Leader))
@@ -161,8 +161,8 @@
         for reported in &heartbeat.tasks {
             let exited = (reported.state == TaskState::Exited).then(|| reported.why.unwrap_or(ExitCause::Unknown));
             let known = TaskId::parse(&reported.task).filter(|t| {
-                self.jobs.by_id.get(&t.job).and_then(|j| j.live.get(t.index)).is_some_and(|l| {
-                    *l.machine() == *id && l.attempt == reported.attempt && l.phase() != Phase::Decided
+                self.jobs.get(&t.job).and_then(|j| j.attempts.get(t.index)).is_some_and(|l| {
+                    *l.machine() == *id && l.attempt == reported.attempt && l.state() != AttemptState::Decided
                 })
             });
             let Some(task) = known else {
@@ -186,11 +186,11 @@
             machine.unacknowledged = Some(heartbeat.fencing_token);
         }
         let quiet = !machine.direct && machine.unacknowledged.is_none();
-        let mut starts = self.jobs.usage.starts_on(id);
+        let mut starts = self.jobs.usage().attempts_on(id);
         starts.retain(|s| !seen.contains(s));
         for (job, task) in starts {
-            let Some(live) = self.jobs.by_id.get(&job).and_then(|j| j.live.get(task)) else { continue };
-            if live.phase() == Phase::Decided || !live.occupies() {
+            let Some(live) = self.jobs.get(&job).and_then(|j| j.attempts.get(task)) else { continue };
+            if live.state() == AttemptState::Decided || !live.occupies_resources() {
                 continue;
             }
             let earlier_incarnation = live.incarnation < heartbeat.incarnation;
@@ -198,42 +198,42 @@
             let absent = source == Source::Heartbeat
                 && quiet
                 && live.incarnation == heartbeat.incarnation
-                && heartbeat.seq > live.seq;
-            let unwanted = live.stop.is_some() || live.phase().on_machine();
+                && heartbeat.seq > live.last_inconclusive_seq;
+            let unwanted = live.stop_grace_s.is_some() || live.state().is_on_machine();
             if earlier_incarnation {
-                self.start_gone(&job, task, AbsenceProof::LaterIncarnation);
+                self.attempt_proven_absent(&job, task, AbsenceProof::LaterIncarnation);
             } else if absent && unwanted {
-                self.start_gone(&job, task, AbsenceProof::Heartbeat);
+                self.attempt_proven_absent(&job, task, AbsenceProof::Heartbeat);
             }
         }
     }
 
     fn task_seen(&mut self, id: &MachineId, task: &TaskId, state: TaskState, seq: u64) {
         let now = self.now();
-        let Some(job) = self.jobs.by_id.get_mut(&task.job) else { return };
+        let Some(job) = self.jobs.get_mut(&task.job) else { return };
         let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
-        let Some(live) = job.live.get_mut(task.index) else { return };
-        if !live.occupies() {
+        let Some(live) = job.attempts.get_mut(task.index) else { return };
+        if !live.occupies_resources() {
             return;
         }
-        live.sent = true;
-        live.seq = live.seq.max(seq);
+        live.may_have_been_sent = true;
+        live.last_inconclusive_seq = live.last_inconclusive_seq.max(seq);
         let phase = match state {
-            TaskState::Fetching => Phase::Fetching,
-            TaskState::Waiting => Phase::Waiting,
-            TaskState::Running => Phase::Running,
-            TaskState::Saving => Phase::Saving,
+            TaskState::Fetching => AttemptState::Fetching,
+            TaskState::Waiting => AttemptState::Waiting,
+            TaskState::Running => AttemptState::Running,
+            TaskState::Saving => AttemptState::Checkpointing,
             TaskState::Exited => return,
         };
-        let before = live.phase();
+        let before = live.state();
         if before == phase {
             return;
         }
-        if phase == Phase::Running {
-            live.running_since.get_or_insert(now);
+        if phase == AttemptState::Running {
+            live.first_running_at.get_or_insert(now);
         }
-        job.live.set_phase(task.index, phase, &mut self.jobs.usage);
-        if phase == Phase::Fetching {
+        self.jobs.set_attempt_state(&task.job, task.index, phase);
+        if phase == AttemptState::Fetching {
             if let Some(machine) = self.fleet.machines.get_mut(id)
                 && !machine.fetches.iter().any(|f| f.image == image)
             {
@@ -241,13 +241,13 @@
             }
             return;
         }
-        if phase == Phase::Running || phase == Phase::Waiting {
+        if phase == AttemptState::Running || phase == AttemptState::Waiting {
             self.note_zone_start(id, ZoneStart::AtWork);
         }
-        if phase == Phase::Running
-            && let Some(job) = self.jobs.by_id.get(&task.job)
+        if phase == AttemptState::Running
+            && let Some(job) = self.jobs.get(&task.job)
         {
-            let age_ms = self.clock.wall.since(job.accepted).millis();
+            let age_ms = self.clock.wall.since(job.accepted_at).millis();
             tracing::debug!(task = %task, machine = %id, age_ms, kind = ?job.spec.kind, "runs");
         }
         self.image_seen(id, &image, megabytes);
@@ -277,12 +277,12 @@
 
     fn exit_seen(&mut self, id: &MachineId, task: &TaskId, why: ExitCause) {
         let now = self.now();
-        let Some(job) = self.jobs.by_id.get(&task.job) else { return };
-        if !job.live.get(task.index).is_some_and(|l| l.occupies()) {
+        let Some(job) = self.jobs.get(&task.job) else { return };
+        if !job.attempts.get(task.index).is_some_and(|l| l.occupies_resources()) {
             return;
         }
-        let elsewhere = |live: &Start| live.machine() != id && live.phase().on_machine();
-        let alone_in_gang = job.spec.kind == Kind::Gang && job.live.values().any(elsewhere);
+        let elsewhere = |live: &TaskAttempt| live.machine() != id && live.state().is_on_machine();
+        let alone_in_gang = job.spec.kind == Kind::Gang && job.attempts.values().any(elsewhere);
         if matches!(why, ExitCause::Done) {
             let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
             self.image_seen(id, &image, megabytes);
@@ -300,6 +300,6 @@
                 _ => {}
             }
         }
-        self.start_ended(&task.job, task.index, why);
+        self.attempt_ended(&task.job, task.index, why);
     }
 }
--- a/src/coordination/fleet/lease_renewal.rs
+++ b/src/coordination/fleet/lease_renewal.rs
@@ -33,7 +33,7 @@
         for stop in self.stops_of_cancelled(heartbeat) {
             if !commands.contains(&stop) {
                 commands.push(stop);
-                self.jobs.audit.added_stops += 1;
+                self.jobs.cancellation_log.note_added_stop();
             }
         }
         if complete && let Some(machine) = self.fleet.machines.get_mut(id) {
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -230,13 +230,13 @@
 
     /// What is left on a machine after all starts not proven gone.
     pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
-        self.machine_resources(id).minus(&self.jobs.usage.used_on(id))
+        self.machine_resources(id).minus(&self.jobs.usage().used_on(id))
     }
 
     /// Notes since when nothing runs on it.
     pub(crate) fn machine_freed(&mut self, id: &MachineId) {
         let now = self.now();
-        let busy = self.jobs.usage.is_busy(id);
+        let busy = self.jobs.usage().is_busy(id);
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             if busy {
                 machine.free_since = None;
@@ -252,8 +252,8 @@
         match self.store.replica.machines.get(id) {
             None => {
                 // Deleted: whatever was on it is gone.
-                for (job, task) in self.jobs.usage.starts_on(id) {
-                    self.start_gone(&job, task, AbsenceProof::MachineStruckOut);
+                for (job, task) in self.jobs.usage().attempts_on(id) {
+                    self.attempt_proven_absent(&job, task, AbsenceProof::MachineRecordDeleted);
                 }
                 self.fleet.machines.remove(id);
             }
@@ -266,7 +266,7 @@
                     machine.shard = Some(shard);
                     machine.new_owner(now);
                 }
-                if self.jobs.usage.is_empty(id) {
+                if self.jobs.usage().is_empty(id) {
                     machine.free_since.get_or_insert(now);
                 }
                 // A new fencing token or shard: only heartbeats that carry it count.
@@ -283,7 +283,7 @@
                 }
                 for held in std::mem::take(&mut self.fleet.unregistered) {
                     if held.heartbeat.machine == *id {
-                        self.heartbeat(held.waiter, held.heartbeat, true);
+                        self.heartbeat(held.request_id, held.heartbeat, true);
                     } else {
                         self.fleet.unregistered.push(held);
                     }
@@ -307,7 +307,7 @@
             self.fleet.machines.entry(id.clone()).or_default().new_owner(now);
             self.fleet.pending_commands.insert(id.clone());
         }
-        self.jobs_of_shard_reset(shard);
+        self.reset_shard_jobs(shard);
         self.scheduling.cycle_wanted = true;
     }
 
@@ -348,7 +348,7 @@
         let late = Micros::from_millis(1000);
         for held in std::mem::take(&mut self.fleet.unregistered) {
             if now.since(held.since) > late {
-                self.out.push(Effect::AnswerWorker(held.waiter, WorkerAnswer::Unavailable));
+                self.out.push(Effect::AnswerWorker(held.request_id, WorkerAnswer::Unavailable));
             } else {
                 self.fleet.unregistered.push(held);
             }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -10,7 +10,7 @@
 pub(crate) mod moves;
 pub(crate) mod registration;
 
-use crate::coordination::Waiter;
+use crate::coordination::RequestId;
 use crate::protocol::worker::Heartbeat;
 use crate::settings::{Platform, Policy};
 use crate::types::{MachineId, Micros};
@@ -19,7 +19,7 @@
 /// A heartbeat of a machine that is not in the stored records yet.
 pub(crate) struct Unregistered {
     pub(crate) since: Micros,
-    pub(crate) waiter: Waiter,
+    pub(crate) request_id: RequestId,
     pub(crate) heartbeat: Heartbeat,
 }
 
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -86,7 +86,7 @@
                 continue;
             }
             let machines = leaving.entry(held.value.shard).or_default();
-            if self.jobs.usage.is_empty(id) {
+            if self.jobs.usage().is_empty(id) {
                 machines.empty.push((id.clone(), to));
             } else {
                 machines.occupied.push((id.clone(), to));
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -1,6 +1,6 @@
 //! Registering machines: those that report and have no record yet, which have come up or come back.
 
-use crate::coordination::api::submissions::VALUE_FILL;
+use crate::coordination::api::batches::VALUE_FILL_RATIO;
 use crate::coordination::autoscaling::capacity::{Slot, fit};
 use crate::coordination::store_sync::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect};
@@ -27,7 +27,7 @@
     /// Machines that report and have no record get one, in the shard that needs them most.
     pub(crate) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
-        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
+        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
         let heartbeats: Vec<_> = self.fleet.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
         self.autoscaling.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
@@ -92,7 +92,7 @@
         self.fleet.unregistered.retain(|held| {
             let keep = !refused.contains(&held.heartbeat.machine);
             if !keep {
-                self.out.push(Effect::AnswerWorker(held.waiter, crate::coordination::WorkerAnswer::Unavailable));
+                self.out.push(Effect::AnswerWorker(held.request_id, crate::coordination::WorkerAnswer::Unavailable));
             }
             keep
         });
--- /dev/null
+++ b/src/coordination/jobs/attempt_events.rs
@@ -0,0 +1,115 @@
+//! What is seen of attempts and decided for good: that one has ended, that one is absent from its machine, that a
+//! transaction on a job's records has finished.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::attempt::AttemptState;
+use crate::coordination::jobs::cancellation_log::AbsenceProof;
+use crate::coordination::jobs::failures::Failure;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::zones::zone_control::ZoneStart;
+use crate::protocol::user::Kind;
+use crate::protocol::worker::ExitCause;
+use crate::types::{JobId, MachineId, Micros};
+
+/// An attempt that an agent refused is repeated after this.
+const REFUSED_RETRY_DELAY: Micros = Micros::from_millis(500);
+
+impl Job {
+    /// Notes what an attempt's end says about its task, and returns from when on the task may be tried again.
+    fn note_exit(
+        &mut self,
+        task: u32,
+        exit_cause: ExitCause,
+        machine: &MachineId,
+        now: Micros,
+        max_retry_delay: Micros,
+    ) -> Option<Micros> {
+        match exit_cause {
+            ExitCause::Done => {
+                self.progress.unrecorded_done.insert(task);
+                self.recording.first_unrecorded_completion_at.get_or_insert(now);
+                self.failures.succeeded(task);
+                None
+            }
+            ExitCause::Error => {
+                let first_running_at = self.attempts.get(task).and_then(|attempt| attempt.first_running_at);
+                let ran_for = first_running_at.map_or(Micros::ZERO, |at| now.since(at));
+                Some(self.failures.failed(&Failure { task, machine, ran_for }, now, max_retry_delay))
+            }
+            ExitCause::InsufficientResources | ExitCause::Busy | ExitCause::Unknown => Some(now + REFUSED_RETRY_DELAY),
+            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => None,
+        }
+    }
+}
+
+impl Controller {
+    /// A heartbeat shows that an attempt has ended.
+    pub(crate) fn attempt_ended(&mut self, id: &JobId, task: u32, exit_cause: ExitCause) {
+        let now = self.now();
+        let max_retry_delay = Micros::from_millis(self.policy.retry_max_ms);
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
+        let Some(attempt) = job.attempts.get(task).filter(|attempt| attempt.occupies_resources()) else { return };
+        let machine = attempt.machine().clone();
+        if exit_cause != ExitCause::Done {
+            tracing::debug!(job = %id, task, %machine, state = ?attempt.state(), ?exit_cause, "task attempt ended early");
+        }
+        let was_never_seen_running = attempt.first_running_at.is_none();
+        job.attempts.set_state(task, AttemptState::Ended(exit_cause), &mut self.jobs.usage);
+        if let Some(at) = job.note_exit(task, exit_cause, &machine, now, max_retry_delay) {
+            job.progress.retry_at.insert(task, at);
+        }
+        job.recording.mark_changed(now);
+        if job.spec.kind == Kind::Gang && exit_cause != ExitCause::Done {
+            // The gang's attempt is lost; the next begins when all of this one has ended.
+            job.stop_attempts();
+        }
+        if exit_cause == ExitCause::Done && was_never_seen_running {
+            self.note_zone_start(&machine, ZoneStart::AtWork);
+        }
+        self.machine_freed(&machine);
+        self.scheduling.cycle_wanted = true;
+    }
+
+    /// An attempt was proven not to be on its machine. One that is only decided is not touched: no command has left
+    /// for it, so a proof says nothing about it.
+    pub(crate) fn attempt_proven_absent(&mut self, id: &JobId, task: u32, proof: AbsenceProof) {
+        let now = self.now();
+        let attempt = self.jobs.get(id).and_then(|job| job.attempts.get(task));
+        let may_be_on_machine = |state: AttemptState| state.occupies_resources() && state != AttemptState::Decided;
+        let Some(attempt) = attempt.filter(|attempt| may_be_on_machine(attempt.state())).cloned() else { return };
+        let machine = attempt.machine();
+        let last_inconclusive_seq = attempt.last_inconclusive_seq;
+        tracing::debug!(
+            job = %id,
+            task,
+            %machine,
+            state = ?attempt.state(),
+            last_inconclusive_seq,
+            ?proof,
+            "task attempt proven absent"
+        );
+        self.log_cancelled_attempt_absent(id, task, machine, proof);
+        self.jobs.set_attempt_state(id, task, AttemptState::ProvenAbsent);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.recording.mark_changed(now);
+        }
+        self.note_zone_loss(&attempt);
+        self.machine_freed(machine);
+        self.scheduling.cycle_wanted = true;
+    }
+
+    /// A transaction on the job's chunks has finished, whatever its result.
+    pub(crate) fn job_txn_finished(&mut self, id: &JobId) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.recording.is_txn_in_flight = false;
+        }
+        self.reconcile_job(id);
+        // What a refused transaction was to remove from the records still has to go.
+        let now = self.now();
+        if let Some(job) = self.jobs.get_mut(id)
+            && job.attempts.settled_count() > 0
+        {
+            job.recording.mark_changed(now);
+        }
+    }
+}
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -1,151 +1,202 @@
-//! What the log tells of cancellations: from the acknowledgement to the proof that the last task is gone.
+//! What is logged of cancellations: from the confirmation to the client to the proof that the last attempt is absent.
 //!
-//! Each line names the revision of the stored records that the decision rests on and how long ago the store
-//! answered last. Lines are bounded in rate, so that a wave of cancellations does not cost more than the work itself; a
-//! summary every few seconds counts what is open, and what was left out.
+//! Each line names the revision of the stored records that the decision rests on. The rate of lines is bounded, so that
+//! a wave of cancellations does not cost more than the work itself; a summary every few seconds counts the cancellations
+//! that are open, and the lines left out.
 
 use crate::coordination::Controller;
-use crate::coordination::jobs::usage::Phase;
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::storage::schema::Outcome;
 use crate::types::{JobId, MachineId, Micros};
 
-/// Lines in a second, and at once after a quiet time.
+/// Lines in a second, in the long run.
 const LINES_PER_S: f64 = 10.0;
-const LINES_BURST: f64 = 100.0;
+/// Lines at once after a quiet time.
+const MAX_BURST_LINES: f64 = 100.0;
 /// How often open cancellations are summed up, while there are any.
-const SUMMARY_EVERY: Micros = Micros::from_millis(10_000);
+const SUMMARY_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// Bounds the rate of lines about cancellations.
+/// A token bucket for log lines about cancellations, and counts for their summary.
 #[derive(Debug)]
-pub(crate) struct Audit {
+pub(crate) struct CancellationLog {
     lines_left: f64,
     refilled_at: Micros,
-    left_out: u64,
-    summed_up_at: Micros,
-    /// Deletions that were asked for so late that not even a confirmation within one retry comes in time.
-    pub late_deletions: u64,
-    /// Answers whose orders had to be completed by stops that nothing else would have given.
-    pub added_stops: u64,
+    left_out_count: u64,
+    summarized_at: Micros,
+    late_deletion_count: u64,
+    added_stop_count: u64,
 }
 
-impl Default for Audit {
-    fn default() -> Audit {
-        Audit {
-            lines_left: LINES_BURST,
+impl Default for CancellationLog {
+    fn default() -> CancellationLog {
+        CancellationLog {
+            lines_left: MAX_BURST_LINES,
             refilled_at: Micros::ZERO,
-            left_out: 0,
-            summed_up_at: Micros::ZERO,
-            late_deletions: 0,
-            added_stops: 0,
+            left_out_count: 0,
+            summarized_at: Micros::ZERO,
+            late_deletion_count: 0,
+            added_stop_count: 0,
         }
     }
 }
 
-impl Audit {
+impl CancellationLog {
+    /// Counts deletions of machines that were asked for so late that not even a confirmation within one retry comes in
+    /// time.
+    pub(crate) fn note_late_deletions(&mut self, count: usize) {
+        self.late_deletion_count += count as u64;
+    }
+
+    /// Counts a heartbeat's response that had to be completed by stops that nothing else would have given.
+    pub(crate) fn note_added_stop(&mut self) {
+        self.added_stop_count += 1;
+    }
+
     /// Whether one more line may be written now.
-    fn admits(&mut self, now: Micros) -> bool {
+    fn admits_line(&mut self, now: Micros) -> bool {
         let refill = now.since(self.refilled_at).secs() * LINES_PER_S;
-        self.lines_left = (self.lines_left + refill).min(LINES_BURST);
+        self.lines_left = (self.lines_left + refill).min(MAX_BURST_LINES);
         self.refilled_at = now;
-        let admitted = self.lines_left >= 1.0;
-        if admitted {
+        let is_admitted = self.lines_left >= 1.0;
+        if is_admitted {
             self.lines_left -= 1.0;
         } else {
-            self.left_out += 1;
+            self.left_out_count += 1;
+        }
+        is_admitted
+    }
+
+    /// Whether the next summary is due; if so, it counts as written.
+    fn takes_summary(&mut self, now: Micros) -> bool {
+        let is_due = now.since(self.summarized_at) >= SUMMARY_INTERVAL;
+        if is_due {
+            self.summarized_at = now;
         }
-        admitted
+        is_due
     }
 }
 
-/// What proves that a start is not on its machine any more.
+/// What proves that an attempt is not on its machine any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AbsenceProof {
-    /// The worker has begun a later incarnation.
+    /// The agent has begun a later incarnation, which runs nothing of an earlier one.
     LaterIncarnation,
-    /// A heartbeat lacks it, and no command is on its way that could still start it.
+    /// A heartbeat lacks it, and no command is in flight that could still start it.
     Heartbeat,
-    /// The worker's lease has run out.
+    /// The machine's lease has expired, with which the agent ends all its tasks.
     LeaseExpired,
-    /// It was recorded, and its command never sent.
+    /// It was recorded, and its start command never sent.
     NeverSent,
     /// The cloud confirmed that the machine is deleted.
     MachineDeleted,
     /// The machine's record is gone, which only a confirmed deletion leads to.
-    MachineStruckOut,
+    MachineRecordDeleted,
 }
 
-/// What allowed a user to be told that a job is cancelled.
+/// What allows a client to be told that a job is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AcknowledgedBy {
-    /// It needs a cancelled job, so nothing of it was ever started.
-    Cascade,
-    /// The holder of its shard said so.
-    Sibling,
-    /// The stored records show no start of it.
-    NoStarts,
-    /// The shard is held here, and the machines obey.
+pub(crate) enum ConfirmationBasis {
+    /// It depends on a cancelled job, so nothing of it was ever started.
+    CancelledDependency,
+    /// The owner of its shard acknowledged the cancellation.
+    ShardOwner,
+    /// The stored records name no attempt of it.
+    NoAttempts,
+    /// The shard is owned here, and all machines with attempts obey this owner.
     OwnShard,
 }
 
-impl Controller {
-    fn store_silence_ms(&self) -> u64 {
-        self.now().since(self.store.last_answered_at).millis()
-    }
+/// Cancelled jobs of which attempts are not proven absent yet.
+#[derive(Default)]
+struct OpenCancellations {
+    task_count: u32,
+    /// Attempts whose start command may have been sent and that no heartbeat has shown yet.
+    unseen_count: usize,
+    oldest_age: Micros,
+}
 
-    /// A user is about to be told that a job is cancelled.
-    pub(crate) fn audit_told(&mut self, job: &JobId, by: AcknowledgedBy) {
+impl Controller {
+    /// A client is about to be told that a job is cancelled.
+    pub(crate) fn log_cancellation_confirmed(&mut self, job: &JobId, basis: ConfirmationBasis) {
         let now = self.now();
-        // Users ask about old jobs again and again.
-        let Some(left) = self.jobs.by_id.get(job).map(|job| job.live.occupying()) else { return };
-        if !self.jobs.audit.admits(now) {
+        // Clients ask about old jobs again and again.
+        let Some(remaining_tasks) = self.jobs.get(job).map(|job| job.attempts.occupying_count()) else { return };
+        if !self.jobs.cancellation_log.admits_line(now) {
             return;
         }
         let revision = self.store.replica.applied.0;
-        let cancelled_at = self.store.replica.ends.get(job).map_or(0, |end| end.version);
-        tracing::info!(%job, ?by, revision, cancelled_at, left, store_silence_ms = self.store_silence_ms(), "cancelled, told");
+        let cancellation_revision = self.store.replica.ends.get(job).map_or(0, |end| end.version);
+        tracing::info!(
+            %job,
+            ?basis,
+            revision,
+            cancellation_revision,
+            remaining_tasks,
+            store_silence_ms = self.store_silence_ms(),
+            "cancellation confirmed to client"
+        );
     }
 
-    /// A task of a cancelled job is proven gone.
-    pub(crate) fn audit_gone(&mut self, job: &JobId, task: u32, machine: &MachineId, proof: AbsenceProof) {
+    /// An attempt was proven absent; logged if its job was cancelled.
+    pub(crate) fn log_cancelled_attempt_absent(
+        &mut self,
+        job: &JobId,
+        task: u32,
+        machine: &MachineId,
+        proof: AbsenceProof,
+    ) {
         let now = self.now();
-        if self.outcome(job) != Some(Outcome::Cancelled) || !self.jobs.audit.admits(now) {
+        if self.outcome(job) != Some(Outcome::Cancelled) || !self.jobs.cancellation_log.admits_line(now) {
             return;
         }
         let revision = self.store.replica.applied.0;
-        tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task proven gone");
+        tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task attempt proven absent");
     }
 
-    /// Sums up cancellations of which something may be left.
-    pub(crate) fn audit_summary(&mut self) {
+    /// Sums up cancellations of which attempts may be left.
+    pub(crate) fn log_open_cancellations(&mut self) {
         let now = self.now();
-        if now.since(self.jobs.audit.summed_up_at) < SUMMARY_EVERY {
+        if !self.jobs.cancellation_log.takes_summary(now) {
             return;
         }
-        self.jobs.audit.summed_up_at = now;
-        let (mut tasks, mut stops_waiting, mut oldest) = (0, 0, Micros::ZERO);
-        for id in self.jobs.cancellations.clearing.jobs() {
-            let Some(job) = self.jobs.by_id.get(id).filter(|job| job.live.occupying() > 0) else { continue };
-            tasks += job.live.occupying();
-            stops_waiting += job.live.values().filter(|start| start.phase() == Phase::Recorded && start.sent).count();
-            let age = self.store.replica.ends.get(id).map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
-            oldest = oldest.max(age);
-        }
-        let left_out = std::mem::take(&mut self.jobs.audit.left_out);
-        if tasks == 0 && left_out == 0 {
+        let open = self.open_cancellations();
+        let left_out_count = std::mem::take(&mut self.jobs.cancellation_log.left_out_count);
+        if open.task_count == 0 && left_out_count == 0 {
             return;
         }
-        let withheld = self.fleet.machines.values().filter(|machine| machine.renewal_withheld).count();
+        let machines = self.fleet.machines.values();
+        let withheld_lease_count = machines.filter(|machine| machine.renewal_withheld).count();
+        let log = &self.jobs.cancellation_log;
         tracing::info!(
-            tasks,
-            oldest_ms = oldest.millis(),
-            stops_waiting,
-            withheld,
-            late_deletions = self.jobs.audit.late_deletions,
-            added_stops = self.jobs.audit.added_stops,
-            left_out,
+            task_count = open.task_count,
+            oldest_ms = open.oldest_age.millis(),
+            unseen_count = open.unseen_count,
+            withheld_lease_count,
+            late_deletion_count = log.late_deletion_count,
+            added_stop_count = log.added_stop_count,
+            left_out_count,
             revision = self.store.replica.applied.0,
             store_silence_ms = self.store_silence_ms(),
-            "cancelled tasks not proven gone"
+            "cancelled task attempts not proven absent"
         );
     }
+
+    fn open_cancellations(&self) -> OpenCancellations {
+        let mut open = OpenCancellations::default();
+        let is_unseen =
+            |attempt: &&TaskAttempt| attempt.state() == AttemptState::Recorded && attempt.may_have_been_sent;
+        for id in self.jobs.cancellations.clearing.jobs() {
+            let Some(job) = self.jobs.get(id).filter(|job| job.attempts.occupying_count() > 0) else { continue };
+            open.task_count += job.attempts.occupying_count();
+            open.unseen_count += job.attempts.values().filter(is_unseen).count();
+            let end = self.store.replica.ends.get(id);
+            let age = end.map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
+            open.oldest_age = open.oldest_age.max(age);
+        }
+        open
+    }
+
+    fn store_silence_ms(&self) -> u64 {
+        self.now().since(self.store.last_answered_at).millis()
+    }
 }
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -1,221 +1,265 @@
-//! From a cancellation to the proof that nothing of the job is left.
+//! From a user's cancellation to its confirmation.
 //!
-//! Once any user was told that a job is cancelled, all its tasks have to be gone in a bounded time, whatever
-//! fails next. So it is told only once it is known where it counts: by the controller that commands the job's
-//! tasks, as of a moment at or after the cancellation, and once the machines with tasks of the job obey that one:
-//! until then a deposed holder that knows of nothing could go on renewing their leases. From here on every answer that
-//! renews a lease carries the stops (see [`crate::coordination::fleet::lease_renewal`]). If nothing proves in time that the tasks are gone,
-//! their machines are deleted (see [`crate::coordination::fleet::clearing`]).
-
-use crate::coordination::api::requests::BUSY;
+//! Once any client was told that a job is cancelled, all its tasks have to be gone in a bounded time, whatever fails
+//! next. So it is confirmed only once the controller that commands the job's tasks knows of it, as of a moment at or
+//! after the cancellation, and once the machines with tasks of the job obey that controller: until then a deposed owner
+//! of the shard that knows nothing of it could go on renewing their leases. From here on every answer that renews a
+//! lease carries the stops (see [`crate::coordination::fleet::lease_renewal`]). If nothing proves in time that the tasks
+//! are gone, their machines are deleted (see [`crate::coordination::fleet::clearing`]).
+
+use crate::coordination::api::UNAVAILABLE;
 use crate::coordination::fleet::clearing::Clearing;
-use crate::coordination::jobs::cancellation_log::AcknowledgedBy;
-use crate::coordination::jobs::usage::Phase;
-use crate::coordination::{Controller, Effect, UserAnswer, Waiter};
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
+use crate::coordination::jobs::cancellation_log::ConfirmationBasis;
+use crate::coordination::{Controller, Effect, RequestId, UserAnswer};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
 use crate::storage::schema::{EndRecord, Key, Role, to_value};
 use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Acknowledged jobs are dropped once the stored records no longer need them; looked at whenever there are more than
+/// this.
+const PRUNE_ABOVE: usize = 64;
+
+/// Clients that wait for cancellations to be confirmed, and the calls to other controllers on their behalf.
 #[derive(Default)]
 pub(crate) struct Cancellations {
-    /// Users who asked about cancelled jobs, and since when they wait.
-    waiting: BTreeMap<JobId, Vec<(Micros, Waiter)>>,
-    /// Jobs whose shard's holder said that it knows.
-    confirmed: BTreeSet<JobId>,
-    /// Siblings being told of jobs.
-    notifying: BTreeMap<u64, Vec<JobId>>,
-    pub next_call: u64,
-    /// Jobs that a holder did not acknowledge together with others: each is asked about alone.
+    waiting: BTreeMap<JobId, Vec<WaitingClient>>,
+    /// Jobs whose cancellation the owner of their shard has acknowledged.
+    acknowledged: BTreeSet<JobId>,
+    /// The jobs that each call in flight to another controller tells of.
+    calls_in_flight: BTreeMap<u64, Vec<JobId>>,
+    last_call: u64,
+    /// Jobs that an owner did not acknowledge together with others: each is asked about alone.
     ask_alone: BTreeSet<JobId>,
     /// What is left of cancelled jobs, and the deletion of the machines that it is on.
-    pub clearing: Clearing,
+    pub(crate) clearing: Clearing,
 }
 
-impl Cancellations {
-    pub fn all_waiters(&mut self) -> Vec<Waiter> {
-        std::mem::take(&mut self.waiting).into_values().flatten().map(|(_, waiter)| waiter).collect()
-    }
+/// A client that waits for a cancellation to be confirmed.
+struct WaitingClient {
+    request_id: RequestId,
+    waiting_since_at: Micros,
+}
+
+/// The owner of a shard, as far as the stored records say.
+#[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct ShardOwner {
+    shard: u32,
+    label: String,
+    fencing_token: FencingToken,
 }
 
-/// Whether those who command a cancelled job's tasks know that it is cancelled, and are obeyed.
-enum Acknowledgement {
-    /// It may be told.
-    Sure(AcknowledgedBy),
-    /// The shard is held here, but a machine with a task of the job may still obey an earlier holder.
-    NotObeyed,
+/// Whether the controller that commands a cancelled job's tasks knows of the cancellation, and is obeyed.
+enum ConfirmationState {
+    /// It does: the client may be told.
+    Confirmed(ConfirmationBasis),
+    /// The shard is owned here, but a machine with a task of the job may still obey an earlier owner.
+    MachinesNotObeying,
     /// The replica is older than the cancellation.
-    Stale,
-    /// Nobody holds the shard now.
-    Nobody,
-    /// That sibling holds it under that fencing token.
-    Ask(u32, String, FencingToken),
+    ReplicaTooOld,
+    /// No controller owns the shard now.
+    NoOwner,
+    /// Another controller owns the shard and has to be asked.
+    OwnedElsewhere(ShardOwner),
 }
 
-/// What is known of jobs is dropped once the stored records no longer need it; looked at so often.
-const PRUNE_AT: usize = 64;
+impl Cancellations {
+    /// Takes out all clients that wait, for when this controller starts over.
+    pub(crate) fn drain_pending(&mut self) -> Vec<RequestId> {
+        let clients = std::mem::take(&mut self.waiting).into_values().flatten();
+        clients.map(|client| client.request_id).collect()
+    }
+
+    /// Numbers calls on from where an earlier state left off, so that late answers to its calls match none of ours.
+    pub(crate) fn continue_call_numbers(&mut self, earlier: &Cancellations) {
+        self.last_call = earlier.last_call;
+    }
+
+    fn is_being_asked_about(&self, id: &JobId) -> bool {
+        self.calls_in_flight.values().flatten().any(|asked| asked == id)
+    }
+
+    fn begin_call(&mut self, ids: Vec<JobId>) -> u64 {
+        self.last_call += 1;
+        self.calls_in_flight.insert(self.last_call, ids);
+        self.last_call
+    }
+
+    /// Parts jobs with the same owner by message: one for each that has to be asked about alone, and one for the rest.
+    fn split_into_messages(&mut self, ids: Vec<JobId>) -> Vec<Vec<JobId>> {
+        let (alone, together): (Vec<_>, Vec<_>) = ids.into_iter().partition(|id| self.ask_alone.remove(id));
+        let messages = alone.into_iter().map(|id| vec![id]).chain([together]);
+        messages.filter(|ids| !ids.is_empty()).collect()
+    }
+
+    /// The owner did not acknowledge several jobs together, perhaps on account of a single one.
+    fn ask_about_each_alone(&mut self, ids: Vec<JobId>) {
+        self.ask_alone.extend(ids);
+        self.ask_alone.retain(|id| self.waiting.contains_key(id));
+    }
+}
 
 impl Controller {
-    fn acknowledgement(&self, id: &JobId) -> Acknowledgement {
+    fn confirmation_state(&self, id: &JobId) -> ConfirmationState {
         let Some(end) = self.store.replica.ends.get(id) else {
-            // Over because a job that it needs was cancelled: nothing of it was ever started.
-            return match self.jobs.cascaded.contains(id) {
-                true => Acknowledgement::Sure(AcknowledgedBy::Cascade),
-                false => Acknowledgement::Stale,
+            return match self.jobs.is_cascaded(id) {
+                true => ConfirmationState::Confirmed(ConfirmationBasis::CancelledDependency),
+                false => ConfirmationState::ReplicaTooOld,
             };
         };
-        if self.jobs.cancellations.confirmed.contains(id) {
-            return Acknowledgement::Sure(AcknowledgedBy::Sibling);
+        if self.jobs.cancellations.acknowledged.contains(id) {
+            return ConfirmationState::Confirmed(ConfirmationBasis::ShardOwner);
         }
-        // Who holds the shard is only known as of what was read. A holder from before the cancellation
-        // may have a successor by now, and a start may be in the stored records that is not seen here yet.
+        // Who owns the shard is only known as of what was read. An owner from before the cancellation may have a
+        // successor by now, and the stored records may name an attempt that is not seen here yet.
         if self.store.replica.applied.0 < end.version {
-            return Acknowledgement::Stale;
+            return ConfirmationState::ReplicaTooOld;
         }
-        // Starts are recorded under the condition that the job isn't over, and leave the stored records only when
-        // proven gone: without any nothing runs, nor will.
+        // Attempts are recorded on the precondition that the job isn't over, and leave the stored records only when
+        // proven absent: without any, nothing of the job runs or ever will.
         if !self.store.replica.has_starts(id) {
-            return Acknowledgement::Sure(AcknowledgedBy::NoStarts);
+            return ConfirmationState::Confirmed(ConfirmationBasis::NoAttempts);
         }
-        let Some(job) = self.jobs.by_id.get(id) else { return Acknowledgement::Stale };
-        let role = Role::Shard(job.shard);
-        // Held here, and the replica shows no later holder.
+        let Some(job) = self.jobs.get(id) else { return ConfirmationState::ReplicaTooOld };
+        self.confirmation_by_owner(id, job.shard)
+    }
+
+    /// The same for a job with recorded attempts, which takes the word of its shard's owner.
+    fn confirmation_by_owner(&self, id: &JobId, shard: u32) -> ConfirmationState {
+        let role = Role::Shard(shard);
+        // Owned here, and the replica shows no later owner.
         if self.held(role).is_some() {
-            return match self.is_obeyed_on(id) {
-                true => Acknowledgement::Sure(AcknowledgedBy::OwnShard),
-                false => Acknowledgement::NotObeyed,
+            return match self.is_obeyed_by_machines_of(id) {
+                true => ConfirmationState::Confirmed(ConfirmationBasis::OwnShard),
+                false => ConfirmationState::MachinesNotObeying,
             };
         }
         match self.store.replica.roles.get(&role) {
-            Some(held) if held.value.owner != self.label => {
-                Acknowledgement::Ask(job.shard, held.value.owner.clone(), held.value.fencing_token)
-            }
-            _ => Acknowledgement::Nobody,
+            Some(held) if held.value.owner != self.label => ConfirmationState::OwnedElsewhere(ShardOwner {
+                shard,
+                label: held.value.owner.clone(),
+                fencing_token: held.value.fencing_token,
+            }),
+            _ => ConfirmationState::NoOwner,
         }
     }
 
-    /// Whether all machines with a recorded start of the job have shown a fencing token of this holder's: from then on no earlier
-    /// holder can renew their leases, nor have a start carried out there.
-    fn is_obeyed_on(&self, id: &JobId) -> bool {
-        let Some(job) = self.jobs.by_id.get(id) else { return true };
-        let mut starts = job.live.values().filter(|start| start.occupies() && start.phase() != Phase::Decided);
-        starts.all(|start| {
-            let machine = start.machine();
+    /// Whether all machines with a recorded attempt of the job have shown a fencing token of this owner's: from then on
+    /// no earlier owner can renew their leases, nor have an attempt started there.
+    fn is_obeyed_by_machines_of(&self, id: &JobId) -> bool {
+        let Some(job) = self.jobs.get(id) else { return true };
+        let may_run = |attempt: &&TaskAttempt| attempt.occupies_resources() && attempt.state() != AttemptState::Decided;
+        job.attempts.values().filter(may_run).all(|attempt| {
+            let machine = attempt.machine();
             self.is_cleared(machine) || self.fleet.machines.get(machine).is_some_and(|m| m.obeys_holder)
         })
     }
 
-    /// Tells a user that a job is cancelled, as soon as that may be told.
-    pub(crate) fn answer_cancelled(&mut self, waiter: Waiter, id: JobId) {
-        let now = self.now();
-        self.jobs.cancellations.waiting.entry(id).or_default().push((now, waiter));
+    /// Has a client told that a job is cancelled, as soon as that can be confirmed.
+    pub(crate) fn answer_when_cancellation_confirmed(&mut self, request_id: RequestId, id: JobId) {
+        let client = WaitingClient { request_id, waiting_since_at: self.now() };
+        self.jobs.cancellations.waiting.entry(id).or_default().push(client);
     }
 
-    /// Answers whoever can be answered about cancelled jobs, and asks the holders of their shards.
+    /// Answers all clients whose cancellations can be confirmed or that have waited for too long, and asks the owners
+    /// of the other jobs' shards.
     pub(crate) fn confirm_cancellations(&mut self) {
-        if self.jobs.cancellations.waiting.is_empty() {
-            return;
-        }
-        let now = self.now();
-        let patience = Micros::from_millis(self.policy.confirm_patience_ms);
-        let mut ask: BTreeMap<(u32, String, FencingToken), Vec<JobId>> = BTreeMap::new();
-        for (id, waiters) in std::mem::take(&mut self.jobs.cancellations.waiting) {
-            let answer = match self.acknowledgement(&id) {
-                Acknowledgement::Sure(by) => {
-                    self.audit_told(&id, by);
-                    self.final_status(&id).map_or(BUSY, UserAnswer::Status)
+        let mut to_ask: BTreeMap<ShardOwner, Vec<JobId>> = BTreeMap::new();
+        for (id, clients) in std::mem::take(&mut self.jobs.cancellations.waiting) {
+            match self.confirmation_state(&id) {
+                ConfirmationState::Confirmed(basis) => self.confirm_to_clients(&id, basis, clients),
+                ConfirmationState::NoOwner => self.answer_clients(clients, &UNAVAILABLE),
+                ConfirmationState::ReplicaTooOld if !self.reaches_store() => {
+                    self.answer_clients(clients, &UNAVAILABLE);
                 }
-                Acknowledgement::Nobody => BUSY,
-                Acknowledgement::NotObeyed => {
-                    self.keep_waiting(id, waiters, now, patience);
-                    continue;
-                }
-                Acknowledgement::Stale if !self.reaches_store() => BUSY,
-                Acknowledgement::Stale => {
+                ConfirmationState::ReplicaTooOld => {
                     self.store.reads.wanted = true;
-                    self.keep_waiting(id, waiters, now, patience);
-                    continue;
+                    self.keep_waiting(id, clients);
                 }
-                Acknowledgement::Ask(shard, holder, fencing_token) => {
-                    if !self.jobs.cancellations.notifying.values().flatten().any(|told| *told == id) {
-                        ask.entry((shard, holder, fencing_token)).or_default().push(id.clone());
+                ConfirmationState::MachinesNotObeying => self.keep_waiting(id, clients),
+                ConfirmationState::OwnedElsewhere(owner) => {
+                    if !self.jobs.cancellations.is_being_asked_about(&id) {
+                        to_ask.entry(owner).or_default().push(id.clone());
                     }
-                    self.keep_waiting(id, waiters, now, patience);
-                    continue;
+                    self.keep_waiting(id, clients);
                 }
-            };
-            for (_, waiter) in waiters {
-                self.answer(waiter, answer.clone());
             }
         }
-        for ((shard, holder, fencing_token), ids) in ask {
-            let (alone, together): (Vec<_>, Vec<_>) =
-                ids.into_iter().partition(|id| self.jobs.cancellations.ask_alone.remove(id));
-            let messages = alone.into_iter().map(|id| vec![id]).chain([together]).filter(|ids| !ids.is_empty());
-            for ids in messages.collect::<Vec<_>>() {
-                self.notify_holder(shard, holder.clone(), fencing_token, ids);
+        for (owner, ids) in to_ask {
+            for ids in self.jobs.cancellations.split_into_messages(ids) {
+                self.notify_owner(owner.clone(), ids);
             }
         }
     }
 
-    /// Nobody waits for long: whoever asks again finds out more.
-    fn keep_waiting(&mut self, id: JobId, waiters: Vec<(Micros, Waiter)>, now: Micros, patience: Micros) {
-        let (late, rest): (Vec<_>, Vec<_>) = waiters.into_iter().partition(|(since, _)| now.since(*since) >= patience);
-        for (_, waiter) in late {
-            self.answer(waiter, BUSY);
+    fn confirm_to_clients(&mut self, id: &JobId, basis: ConfirmationBasis, clients: Vec<WaitingClient>) {
+        self.log_cancellation_confirmed(id, basis);
+        let answer = self.final_status(id).map_or(UNAVAILABLE, UserAnswer::Status);
+        self.answer_clients(clients, &answer);
+    }
+
+    fn answer_clients(&mut self, clients: Vec<WaitingClient>, answer: &UserAnswer) {
+        for client in clients {
+            self.answer(client.request_id, answer.clone());
         }
-        if !rest.is_empty() {
-            self.jobs.cancellations.waiting.insert(id, rest);
+    }
+
+    /// No client waits for long: one that asks again learns more.
+    fn keep_waiting(&mut self, id: JobId, clients: Vec<WaitingClient>) {
+        let now = self.now();
+        let max_wait = Micros::from_millis(self.policy.confirm_patience_ms);
+        let has_timed_out = |client: &WaitingClient| now.since(client.waiting_since_at) >= max_wait;
+        let (timed_out, waiting): (Vec<_>, Vec<_>) = clients.into_iter().partition(has_timed_out);
+        self.answer_clients(timed_out, &UNAVAILABLE);
+        if !waiting.is_empty() {
+            self.jobs.cancellations.waiting.insert(id, waiting);
         }
     }
 
-    fn notify_holder(&mut self, shard: u32, holder: String, fencing_token: FencingToken, ids: Vec<JobId>) {
-        let told = |id: &JobId| {
+    fn notify_owner(&mut self, owner: ShardOwner, ids: Vec<JobId>) {
+        let cancelled_job = |id: &JobId| {
             let end = self.store.replica.ends.get(id)?;
             Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
         };
-        let jobs: Vec<CancelledJob> = ids.iter().filter_map(told).collect();
-        self.jobs.cancellations.next_call += 1;
-        let call = self.jobs.cancellations.next_call;
-        self.jobs.cancellations.notifying.insert(call, ids);
-        self.out.push(Effect::Peer {
-            call,
-            to: holder,
-            message: Cancelled { shard, fencing_token: fencing_token.0, jobs },
-        });
+        let jobs = ids.iter().filter_map(cancelled_job).collect();
+        let message = Cancelled { shard: owner.shard, fencing_token: owner.fencing_token.0, jobs };
+        let call = self.jobs.cancellations.begin_call(ids);
+        self.out.push(Effect::Peer { call, to: owner.label, message });
     }
 
+    /// Another controller has answered our call about cancelled jobs, or the call has failed.
     pub(crate) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
-        let Some(ids) = self.jobs.cancellations.notifying.remove(&call) else { return };
-        if answer.is_some_and(|a| a.holds) {
-            self.jobs.cancellations.confirmed.extend(ids);
-            if self.jobs.cancellations.confirmed.len() > PRUNE_AT {
-                let replica = &self.store.replica;
-                self.jobs.cancellations.confirmed.retain(|id| replica.has_starts(id));
+        let cancellations = &mut self.jobs.cancellations;
+        let Some(ids) = cancellations.calls_in_flight.remove(&call) else { return };
+        if answer.is_some_and(|ack| ack.holds) {
+            cancellations.acknowledged.extend(ids);
+            if cancellations.acknowledged.len() > PRUNE_ABOVE {
+                cancellations.acknowledged.retain(|id| self.store.replica.has_starts(id));
             }
             return;
         }
         if ids.len() > 1 {
-            // One of them may be all that the holder can't vouch for.
-            let Cancellations { ask_alone, waiting, .. } = &mut self.jobs.cancellations;
-            ask_alone.extend(ids);
-            ask_alone.retain(|id| waiting.contains_key(id));
-            return;
+            return cancellations.ask_about_each_alone(ids);
         }
         for id in ids {
-            for (_, waiter) in self.jobs.cancellations.waiting.remove(&id).unwrap_or_default() {
-                self.answer(waiter, BUSY);
-            }
+            let clients = self.jobs.cancellations.waiting.remove(&id).unwrap_or_default();
+            self.answer_clients(clients, &UNAVAILABLE);
         }
     }
 
-    /// A sibling saw jobs cancelled and wants to know whether we see to it. What it says counts at once as
+    /// Another controller tells of cancelled jobs and asks whether we see to their end. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
-    pub(crate) fn cancellation_notified(&mut self, waiter: Waiter, message: &Cancelled) {
-        if !self.store.sync.done {
-            return self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds: false }));
-        }
+    pub(crate) fn cancellation_notified(&mut self, request_id: RequestId, message: &Cancelled) {
+        let holds = self.store.sync.done && {
+            self.apply_cancellations(message);
+            self.sees_to_cancellations(message)
+        };
+        self.out.push(Effect::AnswerPeer(request_id, CancellationAck { holds }));
+    }
+
+    fn apply_cancellations(&mut self, message: &Cancelled) {
         let mut changes = Vec::new();
         for job in message.jobs.iter().filter(|job| valid_id(&job.id)) {
             let id = JobId::new(&job.id);
@@ -225,12 +269,14 @@
             }
         }
         self.changed(changes);
-        let obeyed =
-            message.jobs.iter().filter(|job| valid_id(&job.id)).all(|job| self.is_obeyed_on(&JobId::new(&job.id)));
-        let holds = obeyed
+    }
+
+    /// Whether we own the shard under the token that the sender has seen, or a later one, and the machines obey.
+    fn sees_to_cancellations(&self, message: &Cancelled) -> bool {
+        let mut jobs = message.jobs.iter().filter(|job| valid_id(&job.id));
+        jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
             && self
                 .held(Role::Shard(message.shard))
-                .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token);
-        self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds }));
+                .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token)
     }
 }
--- /dev/null
+++ b/src/coordination/jobs/chunk_space.rs
@@ -0,0 +1,52 @@
+//! Whether a chunk of a job's stored records has space for one more attempt within the store's limit on a value's size.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::attempt::TaskAttempt;
+use crate::coordination::jobs::job::Job;
+use crate::types::JobId;
+
+/// Bytes of a chunk besides its attempts and ranges of done tasks: field names, count of attempts, and the write's
+/// number.
+const CHUNK_OVERHEAD_BYTES: usize = 60;
+/// Bytes of an attempt besides its numbers and its machine's name.
+const ATTEMPT_OVERHEAD_BYTES: usize = 8;
+/// Bytes of a range of done tasks besides its two numbers.
+const RANGE_OVERHEAD_BYTES: usize = 4;
+/// Bytes of a machine's name and incarnation, as long as the machine of the next attempt isn't known.
+const UNKNOWN_MACHINE_BYTES: usize = 12;
+
+impl Controller {
+    /// Whether a chunk of a job's records can name one more attempt. An attempt that ends is replaced by a range at
+    /// most, which is shorter.
+    pub(crate) fn chunk_has_space(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
+        let tasks = chunk * self.store.chunk_tasks..(chunk + 1).saturating_mul(self.store.chunk_tasks);
+        let stored = self.store.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
+        // One that is decided gets one of the next attempt numbers.
+        let max_attempt = stored.map_or(0, |stored| stored.value.attempts) + u64::from(self.store.chunk_tasks);
+        let (mut total_bytes, mut longest_attempt) = (0, 0);
+        for (task, attempt) in job.attempts.range(tasks) {
+            let bytes = attempt_bytes(task, attempt, max_attempt);
+            total_bytes += bytes;
+            longest_attempt = longest_attempt.max(bytes);
+        }
+        let task_digits = digit_count(u64::from(job.spec.tasks));
+        let unknown_attempt = ATTEMPT_OVERHEAD_BYTES + task_digits + digit_count(max_attempt) + UNKNOWN_MACHINE_BYTES;
+        let next_attempt = longest_attempt.max(unknown_attempt);
+        let range_count = stored.map_or(0, |stored| stored.value.done.len());
+        let ranges = range_count * (RANGE_OVERHEAD_BYTES + 2 * task_digits);
+        let size = CHUNK_OVERHEAD_BYTES + total_bytes + next_attempt + ranges;
+        size <= self.platform.deployment.store.value_bytes()
+    }
+}
+
+fn attempt_bytes(task: u32, attempt: &TaskAttempt, max_attempt: u64) -> usize {
+    let task_digits = digit_count(u64::from(task));
+    let attempt_digits = digit_count(attempt.attempt.max(max_attempt));
+    let incarnation_digits = digit_count(attempt.incarnation);
+    let machine_bytes = attempt.machine().as_str().len();
+    ATTEMPT_OVERHEAD_BYTES + task_digits + attempt_digits + incarnation_digits + machine_bytes
+}
+
+fn digit_count(number: u64) -> usize {
+    number.max(1).ilog10() as usize + 1
+}
--- /dev/null
+++ b/src/coordination/jobs/dependencies.rs
@@ -0,0 +1,159 @@
+//! Jobs that depend on others: when they are ready, and what becomes of them when a dependency is cancelled.
+//!
+//! A job whose dependency is cancelled is cancelled as well. That follows from the stored records alone: the
+//! dependency's outcome is written once, and nothing of a job starts before all its dependencies are done. So every
+//! controller derives it for itself and may answer it at once, and there are no attempts to stop. The job's own outcome
+//! is written when the write budget has room for it, so that its batch can be garbage-collected.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::dependency_graph::Urgency;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::protocol::user::{JobSpec, Priority};
+use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
+use crate::types::{JobId, Micros};
+
+/// How the dependencies of a job stand when it becomes known.
+struct LinkedDependencies {
+    /// One of them was cancelled, so the job is over.
+    is_any_cancelled: bool,
+    /// Jobs that became more urgent.
+    raised: Vec<JobId>,
+}
+
+impl Controller {
+    /// The outcome of a job, whether its own records say so or those of a dependency.
+    pub(crate) fn outcome(&self, id: &JobId) -> Option<Outcome> {
+        let recorded = self.store.replica.ends.get(id).map(|end| end.value.outcome);
+        recorded.or_else(|| self.jobs.is_cascaded(id).then_some(Outcome::Cancelled))
+    }
+
+    /// Whether all jobs that it depends on are known to have been accepted.
+    pub(crate) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
+        let replica = &self.store.replica;
+        spec.depends_on.iter().all(|id| replica.jobs.contains_key(id) || replica.ends.contains_key(id))
+    }
+
+    /// Estimate of how long a job takes once it is ready, which its dependencies have to be done ahead of its due time.
+    /// Users' estimates are often wrong by half, and tasks don't all start at once.
+    fn estimated_duration(&self, record: &JobRecord) -> Micros {
+        let estimate_s = record.spec.estimate_s * self.policy.stage_estimate_factor;
+        Micros::from_secs_f64(estimate_s) + Micros::from_millis(self.policy.stage_overhead_ms)
+    }
+
+    /// Adds a job that has just become known to the graph, if it has dependencies or dependents.
+    pub(crate) fn add_to_dependency_graph(&mut self, id: &JobId) {
+        let Some(known) = self.store.replica.jobs.get(id) else { return };
+        let depends_on = known.record.spec.depends_on.clone();
+        if depends_on.is_empty() && self.jobs.dependency_graph.urgency(id).is_none() {
+            return;
+        }
+        let (own_urgency, duration) = (known.record.urgency(), self.estimated_duration(&known.record));
+        self.jobs.dependency_graph.note(id, own_urgency, duration);
+        let linked = self.link_dependencies(id, &depends_on);
+        self.adopt_urgency(id);
+        for raised in &linked.raised {
+            self.adopt_urgency(raised);
+        }
+        let waits = self.jobs.dependency_graph.waits(id);
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.scheduling.waits_for_dependencies = waits || linked.is_any_cancelled;
+        }
+        if linked.is_any_cancelled {
+            self.cascade_cancellation(id);
+            self.propagate_outcome(id);
+        }
+    }
+
+    fn link_dependencies(&mut self, id: &JobId, depends_on: &[JobId]) -> LinkedDependencies {
+        let mut linked = LinkedDependencies { is_any_cancelled: false, raised: Vec::new() };
+        for dependency in depends_on {
+            match self.outcome(dependency) {
+                Some(Outcome::Done) => {}
+                Some(Outcome::Cancelled) => linked.is_any_cancelled = true,
+                None => {
+                    self.note_dependency(dependency);
+                    linked.raised.extend(self.jobs.dependency_graph.link(id, dependency));
+                }
+            }
+        }
+        // The job may have been a node before, as a dependency of others, and have got its urgency from them.
+        linked.raised.extend(self.jobs.dependency_graph.propagate_urgency(id));
+        linked
+    }
+
+    fn note_dependency(&mut self, dependency: &JobId) {
+        let (own_urgency, duration) = match self.store.replica.jobs.get(dependency) {
+            Some(known) => (known.record.urgency(), self.estimated_duration(&known.record)),
+            // It was accepted, as a job names it, but its record was not read yet.
+            None => (Urgency { priority: Priority::Low, due: None }, Micros::ZERO),
+        };
+        self.jobs.dependency_graph.note(dependency, own_urgency, duration);
+    }
+
+    fn adopt_urgency(&mut self, id: &JobId) {
+        let urgency = self.jobs.dependency_graph.urgency(id);
+        if let (Some(job), Some(urgency)) = (self.jobs.get_mut(id), urgency) {
+            job.urgency = urgency;
+        }
+    }
+
+    /// A job whose dependency was cancelled is over.
+    fn cascade_cancellation(&mut self, id: &JobId) {
+        if self.store.replica.ends.contains_key(id) {
+            return;
+        }
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.outcome = Some(Outcome::Cancelled);
+            self.jobs.cascaded.insert(id.clone());
+        }
+    }
+
+    /// A job is over: its dependents are ready if it is done, and cancelled with their own dependents if not.
+    pub(crate) fn propagate_outcome(&mut self, id: &JobId) {
+        let mut to_visit = vec![id.clone()];
+        while let Some(id) = to_visit.pop() {
+            if self.store.replica.ends.contains_key(&id) {
+                self.jobs.cascaded.remove(&id);
+            }
+            let Some(outcome) = self.outcome(&id) else { continue };
+            let is_done = outcome == Outcome::Done;
+            for dependent in self.jobs.dependency_graph.ended(&id, is_done) {
+                if is_done {
+                    self.mark_ready(&dependent);
+                } else {
+                    self.cascade_cancellation(&dependent);
+                    to_visit.push(dependent);
+                }
+            }
+        }
+    }
+
+    fn mark_ready(&mut self, id: &JobId) {
+        let now = self.clock.wall;
+        let Some(job) = self.jobs.get_mut(id).filter(|job| job.outcome.is_none()) else { return };
+        job.scheduling.waits_for_dependencies = false;
+        job.ready_at = now.max(job.accepted_at);
+        self.scheduling.urgent_cycle_wanted |= job.urgency.priority > Priority::Normal;
+        self.scheduling.cycle_wanted = true;
+        tracing::debug!(job = %id, "job ready: all dependencies done");
+    }
+
+    /// Writes, for the shards owned here, the outcome of jobs that were cancelled with a dependency. Nobody waits for it.
+    pub(crate) fn write_cascaded_cancellations(&mut self) {
+        if self.jobs.cascaded.is_empty() || self.store.txns.cascading() {
+            return;
+        }
+        let max_count = self.platform.deployment.store.ops();
+        let is_owned = |id: &&JobId| self.jobs.get(id).is_some_and(|job| self.held(Role::Shard(job.shard)).is_some());
+        let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(is_owned).take(max_count).cloned().collect();
+        if ids.is_empty() {
+            return;
+        }
+        let mut proposal = ProposedTxn::default();
+        for id in ids {
+            proposal.unchanged(&self.store.replica, Key::End(id.clone()));
+            proposal.put(Key::End(id), to_value(&EndRecord::cancelled(self.clock.wall)));
+        }
+        self.submit_txn(proposal, Purpose::Cascade);
+    }
+}
--- /dev/null
+++ b/src/coordination/jobs/job_attempts.rs
@@ -0,0 +1,146 @@
+//! The attempts of one job, by task, with their counts. An attempt's state changes only here, so that neither these
+//! counts nor the sums in [`Usage`] miss a change.
+
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
+use crate::coordination::jobs::usage::Usage;
+use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::types::{JobId, Resources};
+use std::collections::BTreeMap;
+use std::ops::Range;
+
+/// What all attempts of a job have in common for the sums in [`Usage`].
+#[derive(Debug)]
+pub(super) struct AttemptClass {
+    /// Resources that one attempt takes.
+    pub(super) resources: Resources,
+    pub(super) team: Option<String>,
+    pub(super) is_service: bool,
+    pub(super) is_low_priority_array: bool,
+}
+
+/// The attempts of one job, at most one for each task.
+#[derive(Debug)]
+pub struct JobAttempts {
+    job: JobId,
+    class: AttemptClass,
+    by_task: BTreeMap<u32, TaskAttempt>,
+    occupying_count: u32,
+    decided_count: u32,
+}
+
+impl JobAttempts {
+    /// A job without attempts.
+    pub fn new(job: JobId, spec: &JobSpec) -> JobAttempts {
+        let class = AttemptClass {
+            resources: spec.resources(),
+            team: spec.team.clone(),
+            is_service: spec.kind == Kind::Service,
+            is_low_priority_array: spec.kind == Kind::Array && spec.priority == Priority::Low,
+        };
+        JobAttempts { job, class, by_task: BTreeMap::new(), occupying_count: 0, decided_count: 0 }
+    }
+
+    /// The job.
+    pub fn job(&self) -> &JobId {
+        &self.job
+    }
+
+    /// The attempt at a task.
+    pub fn get(&self, task: u32) -> Option<&TaskAttempt> {
+        self.by_task.get(&task)
+    }
+
+    /// The attempt at a task, to be changed in what no sum depends on.
+    pub fn get_mut(&mut self, task: u32) -> Option<&mut TaskAttempt> {
+        self.by_task.get_mut(&task)
+    }
+
+    /// All attempts, by task.
+    pub fn iter(&self) -> impl Iterator<Item = (u32, &TaskAttempt)> {
+        self.by_task.iter().map(|(task, attempt)| (*task, attempt))
+    }
+
+    /// The attempts at some of the tasks.
+    pub fn range(&self, tasks: Range<u32>) -> impl Iterator<Item = (u32, &TaskAttempt)> {
+        self.by_task.range(tasks).map(|(task, attempt)| (*task, attempt))
+    }
+
+    /// All attempts, in the order of their tasks.
+    pub fn values(&self) -> impl Iterator<Item = &TaskAttempt> {
+        self.by_task.values()
+    }
+
+    /// All attempts, to be changed in what no sum depends on.
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut TaskAttempt> {
+        self.by_task.values_mut()
+    }
+
+    /// Whether there are none.
+    pub fn is_empty(&self) -> bool {
+        self.by_task.is_empty()
+    }
+
+    /// How many attempts take resources.
+    pub fn occupying_count(&self) -> u32 {
+        self.occupying_count
+    }
+
+    /// How many attempts are decided and not yet in the stored records.
+    pub fn decided_count(&self) -> u32 {
+        self.decided_count
+    }
+
+    /// How many attempts only wait to be removed from the stored records.
+    pub fn settled_count(&self) -> u32 {
+        self.by_task.len() as u32 - self.occupying_count
+    }
+
+    /// Adds an attempt at a task, in place of one that there may be.
+    pub fn insert(&mut self, task: u32, attempt: TaskAttempt, usage: &mut Usage) {
+        self.remove(task, usage);
+        usage.mark_changed(&self.job);
+        usage.add_attempt(attempt.machine(), &self.job, task);
+        if attempt.occupies_resources() {
+            self.occupying_count += 1;
+            usage.occupy(&self.class, attempt.machine());
+        }
+        self.decided_count += u32::from(attempt.state() == AttemptState::Decided);
+        self.by_task.insert(task, attempt);
+    }
+
+    /// Removes the attempt at a task.
+    pub fn remove(&mut self, task: u32, usage: &mut Usage) -> Option<TaskAttempt> {
+        let attempt = self.by_task.remove(&task)?;
+        usage.mark_changed(&self.job);
+        if attempt.occupies_resources() {
+            self.occupying_count -= 1;
+            usage.release(&self.class, attempt.machine());
+        }
+        self.decided_count -= u32::from(attempt.state() == AttemptState::Decided);
+        usage.remove_attempt(attempt.machine(), &self.job, task);
+        Some(attempt)
+    }
+
+    /// Moves an attempt to another state.
+    pub fn set_state(&mut self, task: u32, state: AttemptState, usage: &mut Usage) {
+        let Some(attempt) = self.by_task.get_mut(&task) else { return };
+        let before = attempt.replace_state(state);
+        if before == state {
+            return;
+        }
+        self.decided_count += u32::from(state == AttemptState::Decided);
+        self.decided_count -= u32::from(before == AttemptState::Decided);
+        match (before.occupies_resources(), state.occupies_resources()) {
+            (true, false) => {
+                self.occupying_count -= 1;
+                usage.mark_changed(&self.job);
+                usage.release(&self.class, attempt.machine());
+            }
+            (false, true) => {
+                self.occupying_count += 1;
+                usage.occupy(&self.class, attempt.machine());
+            }
+            (true, true) | (false, false) => {}
+        }
+    }
+}
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -18,7 +18,7 @@
 }
 
 /// Names somebody who waits for an answer.
-pub type Waiter = u64;
+pub type RequestId = u64;
 
 /// What a user asks for.
 #[derive(Clone, Debug)]
@@ -138,11 +138,11 @@
 #[derive(Debug)]
 pub enum Input {
     /// A user's request.
-    User(Waiter, UserRequest),
+    User(RequestId, UserRequest),
     /// `relayed`: it came through a sibling, as the worker could not reach us itself.
     Heartbeat {
         /// Who waits for the answer.
-        waiter: Waiter,
+        request_id: RequestId,
         /// What the worker says.
         heartbeat: Heartbeat,
         /// Whether it came through a sibling.
@@ -191,7 +191,7 @@
         outcome: CloudOutcome,
     },
     /// A sibling tells of cancelled jobs.
-    Peer(Waiter, Cancelled),
+    Peer(RequestId, Cancelled),
     /// What a sibling says that we told; nothing if no answer came.
     PeerAnswer {
         /// Which notice it answers.
@@ -297,9 +297,9 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// An answer to a user.
-    AnswerUser(Waiter, UserAnswer),
+    AnswerUser(RequestId, UserAnswer),
     /// An answer to a worker.
-    AnswerWorker(Waiter, WorkerAnswer),
+    AnswerWorker(RequestId, WorkerAnswer),
     /// A call to the store.
     Store(StoreCall),
     /// A direct message to a worker.
@@ -328,5 +328,5 @@
         message: Cancelled,
     },
     /// An answer to a sibling.
-    AnswerPeer(Waiter, CancellationAck),
+    AnswerPeer(RequestId, CancellationAck),
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -16,7 +16,7 @@
 
 pub use messages::{
     Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, LeaseOutcome, ReadKind, ReadOutcome,
-    StoreCall, TxnOutcome, UserAnswer, UserRequest, Waiter, WorkerAnswer,
+    RequestId, StoreCall, TxnOutcome, UserAnswer, UserRequest, WorkerAnswer,
 };
 
 use crate::settings::{Platform, Policy};
@@ -43,7 +43,7 @@
     store: store_sync::StoreSync,
     fleet: fleet::Fleet,
     jobs: jobs::Jobs,
-    api: api::requests::Users,
+    api: api::Api,
     scheduling: scheduling::Scheduling,
     autoscaling: autoscaling::Autoscaling,
     zones: zones::zone_control::ZoneControl,
@@ -63,7 +63,7 @@
             store: store_sync::StoreSync::new(&platform, &policy),
             fleet: fleet::Fleet::new(&platform, &policy),
             jobs: jobs::Jobs::default(),
-            api: api::requests::Users::default(),
+            api: api::Api::default(),
             scheduling: scheduling::Scheduling::default(),
             autoscaling: autoscaling::Autoscaling::default(),
             zones: zones::zone_control::ZoneControl::default(),
@@ -105,15 +105,15 @@
             self.store.last_answered_at = clock.steady;
         }
         match input {
-            Input::User(waiter, request) => self.user_request(waiter, request),
-            Input::Heartbeat { waiter, heartbeat, relayed } => self.heartbeat(waiter, heartbeat, relayed),
+            Input::User(request_id, request) => self.user_request(request_id, request),
+            Input::Heartbeat { request_id, heartbeat, relayed } => self.heartbeat(request_id, heartbeat, relayed),
             Input::Txn { ticket, outcome } => self.txn_outcome(ticket, outcome),
             Input::Changes { ticket, outcome } => self.changes_outcome(ticket, outcome),
             Input::Page { ticket, outcome } => self.page_outcome(ticket, outcome),
             Input::Lease { ticket, outcome } => self.lease_outcome(ticket, outcome),
             Input::DirectCommands { machine, outcome } => self.direct_commands_outcome(&machine, outcome),
             Input::Cloud { call, outcome } => self.cloud_outcome(call, outcome),
-            Input::Peer(waiter, message) => self.cancellation_notified(waiter, &message),
+            Input::Peer(request_id, message) => self.cancellation_notified(request_id, &message),
             Input::PeerAnswer { call, answer } => self.cancellation_acknowledged(call, answer),
             Input::Tick => self.tick(),
         }
@@ -146,8 +146,8 @@
         self.tick_machines();
         self.tick_types();
         self.tick_leader();
-        self.write_cascaded();
-        self.audit_summary();
+        self.write_cascaded_cancellations();
+        self.log_open_cancellations();
         self.scheduling.cycle_wanted = true;
     }
 
@@ -157,7 +157,7 @@
     pub fn round(&mut self, clock: Clock, time_left: &mut dyn FnMut() -> bool) -> Vec<Effect> {
         self.clock = clock;
         if self.store.sync.done {
-            self.answer_open_questions();
+            self.answer_pending_requests();
             self.place(time_left);
             self.spend();
             self.send_pending_direct_commands();
@@ -217,11 +217,11 @@
                     self.zone_views_of_role_changed(role);
                 }
                 Change::Machines(ids) => ids.iter().for_each(|id| self.machine_changed(id)),
-                Change::Jobs(ids) => ids.iter().for_each(|id| self.job_changed(id)),
-                Change::Run(id, chunk) => self.run_changed(&id, chunk),
+                Change::Jobs(ids) => ids.iter().for_each(|id| self.reconcile_job(id)),
+                Change::Run(id, chunk) => self.reconcile_chunk(&id, chunk),
                 Change::End(id) => {
-                    self.job_changed(&id);
-                    self.job_over(&id);
+                    self.reconcile_job(&id);
+                    self.propagate_outcome(&id);
                 }
                 Change::Node(_) => self.versions_changed(),
                 Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
@@ -241,13 +241,13 @@
         fresh.autoscaling.types = std::mem::take(&mut self.autoscaling.types);
         fresh.autoscaling.next_call = self.autoscaling.next_call;
         fresh.fleet.direct_open = self.fleet.direct_open;
-        fresh.jobs.cancellations.next_call = self.jobs.cancellations.next_call;
-        let waiters = self.api.all_waiters().into_iter().chain(self.jobs.cancellations.all_waiters());
-        for waiter in waiters {
-            fresh.out.push(Effect::AnswerUser(waiter, UserAnswer::Unavailable { retry_after_s: 1 }));
+        fresh.jobs.cancellations.continue_call_numbers(&self.jobs.cancellations);
+        let waiters = self.api.drain_pending().into_iter().chain(self.jobs.cancellations.drain_pending());
+        for request_id in waiters {
+            fresh.out.push(Effect::AnswerUser(request_id, UserAnswer::Unavailable { retry_after_s: 1 }));
         }
         for held in self.fleet.unregistered.drain(..) {
-            fresh.out.push(Effect::AnswerWorker(held.waiter, WorkerAnswer::Unavailable));
+            fresh.out.push(Effect::AnswerWorker(held.request_id, WorkerAnswer::Unavailable));
         }
         // Tickets go on counting, so that answers to old calls match nothing.
         fresh.store.last_ticket = self.store.last_ticket;
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -3,8 +3,8 @@
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machines::Machine;
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::scheduling::shard_view::{ShardView, Spot};
 use crate::coordination::zones::zone_control::ZoneStart;
 use crate::protocol::user::Kind;
@@ -114,9 +114,13 @@
     }
 
     fn place_job(&mut self, id: &JobId, field: &mut Field) {
-        let Some(job) = self.jobs.by_id.get(id) else { return };
+        let Some(job) = self.jobs.get(id) else { return };
         let shard = job.shard;
-        if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
+        if job.recording.is_txn_in_flight
+            || !job.recording.has_record
+            || job.outcome.is_some()
+            || self.held(Role::Shard(shard)).is_none()
+        {
             return;
         }
         let gang = job.spec.kind == Kind::Gang;
@@ -131,7 +135,7 @@
 
     fn place_tasks(&mut self, id: &JobId, view: &mut ShardView) {
         let now = self.now();
-        let Some(job) = self.jobs.by_id.get(id) else { return };
+        let Some(job) = self.jobs.get(id) else { return };
         let begins = job.spec.kind == Kind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
         let none = BTreeSet::new();
         let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted);
@@ -141,20 +145,20 @@
             search.avoided_zones = &none;
         }
         if choices.at.is_empty() {
-            let Some(job) = self.jobs.by_id.get(id) else { return };
+            let Some(job) = self.jobs.get(id) else { return };
             search.avoid_failed = false;
             choices = self.choices(id, job, view, search);
         }
         // Locked jobs are left alone while a transaction is on its way, so one takes all it can.
         loop {
-            let Some(job) = self.jobs.by_id.get(id) else { return };
+            let Some(job) = self.jobs.get(id) else { return };
             if !job.may_start(now) {
                 return;
             }
-            let next = job.next_task(now, self.store.chunk_tasks, |chunk| self.chunk_has_room(id, job, chunk));
+            let next = job.next_task(now, self.store.chunk_tasks, |chunk| self.chunk_has_space(id, job, chunk));
             let Some(task) = next else {
-                if let Some(job) = self.jobs.by_id.get_mut(id) {
-                    job.blocked = job.waiting() > 0;
+                if let Some(job) = self.jobs.get_mut(id) {
+                    job.scheduling.is_blocked_by_full_chunks = job.waiting_count() > 0;
                 }
                 return;
             };
@@ -176,9 +180,9 @@
 
     /// Step 6: all tasks in one pass or none.
     fn place_gang(&mut self, id: &JobId, view: &mut ShardView) {
-        let Some(job) = self.jobs.by_id.get(id) else { return };
-        let named = |chunk| self.chunk_has_room(id, job, chunk);
-        if !job.live.is_empty() || job.waiting() < job.spec.tasks || !named(0) || !job.may_start(self.now()) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let named = |chunk| self.chunk_has_space(id, job, chunk);
+        if !job.attempts.is_empty() || job.waiting_count() < job.spec.tasks || !named(0) || !job.may_start(self.now()) {
             return;
         }
         let tasks = job.spec.tasks;
@@ -196,10 +200,10 @@
         for search in searches(true).chain(searches(false)) {
             let before = view.save();
             let mut placed = Vec::new();
-            let Some(job) = self.jobs.by_id.get(id) else { return };
+            let Some(job) = self.jobs.get(id) else { return };
             let mut choices = self.choices(id, job, view, search);
             for task in 0..tasks {
-                let Some(job) = self.jobs.by_id.get(id) else { return };
+                let Some(job) = self.jobs.get(id) else { return };
                 if !self.within_limit(job) {
                     break;
                 }
@@ -225,7 +229,7 @@
             return true;
         };
         let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
-        let next = self.jobs.usage.used_by(&team.name).plus(&job.resources);
+        let next = self.jobs.usage().used_by(&team.name).plus(&job.resources);
         (limit.cpus == 0 || next.cpus <= limit.cpus) && (limit.gpus == 0 || next.gpus <= limit.gpus)
     }
 
@@ -233,7 +237,7 @@
         let allowance = self.allowance(job, search.zone);
         let mut choices = Choices { at: Vec::new(), candidates: Vec::new() };
         for (i, spot) in view.spots.iter().enumerate() {
-            let avoided = search.avoid_failed && job.failures.failed_on(&spot.id);
+            let avoided = search.avoid_failed && job.failures.has_failed_on(&spot.id);
             let avoided = avoided || search.avoided_zones.contains(&spot.zone);
             if spot.takes(job) && allowance.allows(spot) && !spot.failed_here.contains(id) && !avoided {
                 if !self.is_admitted(job, spot, view) {
@@ -249,7 +253,7 @@
     /// After a task was placed: its machine has less room, and the job's own conditions may have
     /// closed a zone.
     fn choose_again(&self, id: &JobId, view: &ShardView, choices: &mut Choices, chosen: usize, search: Search) {
-        let Some(job) = self.jobs.by_id.get(id) else { return };
+        let Some(job) = self.jobs.get(id) else { return };
         let spot = &view.spots[choices.at[chosen]];
         if job.spec.one_zone || job.spec.spread {
             *choices = self.choices(id, job, view, search);
@@ -317,9 +321,12 @@
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
         // Starts decided or told, whose fetch has not shown up in a heartbeat yet.
-        for (id, task) in self.jobs.usage.placed(id).into_iter().flat_map(|p| &p.starts) {
-            let Some(other) = self.jobs.by_id.get(id) else { continue };
-            let waits = other.live.get(*task).is_some_and(|l| matches!(l.phase(), Phase::Decided | Phase::Recorded));
+        for (id, task) in self.jobs.usage().on_machine(id).into_iter().flat_map(|usage| usage.attempts()) {
+            let Some(other) = self.jobs.get(id) else { continue };
+            let waits = other
+                .attempts
+                .get(*task)
+                .is_some_and(|l| matches!(l.state(), AttemptState::Decided | AttemptState::Recorded));
             let image = other.spec.image.as_str();
             if waits && !machine.holds(image) && !pending.iter().any(|fetch| fetch.image == image) {
                 pending.push(PendingFetch { image, megabytes: other.spec.image_gb * 1000.0 });
@@ -331,16 +338,14 @@
     fn decide_start(&mut self, id: &JobId, task: u32, view: &mut ShardView, at: usize) {
         let spot = &mut view.spots[at];
         if let Some(queues) = &mut view.fetch_queues
-            && self.jobs.by_id.get(id).is_some_and(|job| self.adds_fetch(job, spot))
+            && self.jobs.get(id).is_some_and(|job| self.adds_fetch(job, spot))
         {
             spot.fetches += 1;
             queues.add(&spot.zone, 1);
         }
-        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
-        job.take_task(task);
-        job.not_before.remove(&task);
-        let live = Start::new(0, spot.id.clone(), spot.incarnation, Phase::Decided);
-        job.live.insert(task, live, &mut self.jobs.usage);
+        let attempt = TaskAttempt::new(0, spot.id.clone(), spot.incarnation, AttemptState::Decided);
+        self.jobs.place_attempt(id, task, attempt);
+        let Some(job) = self.jobs.get(id) else { return };
         spot.free = spot.free.minus(&job.resources);
         if let Some(machine) = self.fleet.machines.get_mut(&spot.id) {
             machine.free_since = None;
@@ -350,11 +355,9 @@
     }
 
     fn withdraw_start(&mut self, id: &JobId, task: u32) {
-        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
-        if let Some(live) = job.live.remove(task, &mut self.jobs.usage) {
-            job.redo.insert(task);
-            self.machine_freed(live.machine());
-            self.note_zone_start(live.machine(), ZoneStart::Withdrawn);
+        if let Some(attempt) = self.jobs.withdraw_attempt(id, task) {
+            self.machine_freed(attempt.machine());
+            self.note_zone_start(attempt.machine(), ZoneStart::Withdrawn);
         }
     }
 }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -2,8 +2,8 @@
 //! least.
 
 use crate::coordination::Controller;
+use crate::coordination::jobs::attempt::TaskAttempt;
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::usage::Start;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::protocol::user::{Kind, Priority};
 use crate::types::{JobId, Micros, Resources};
@@ -25,8 +25,8 @@
     /// first.
     pub(crate) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
         let now = self.now();
-        let Some(job) = self.jobs.by_id.get(id) else { return };
-        if now < job.preempting_until || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
+        let Some(job) = self.jobs.get(id) else { return };
+        if now < job.scheduling.next_preemption_at || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
             return;
         }
         let mut allowance = self.allowance(job, None);
@@ -37,7 +37,7 @@
             .collect();
         chances.sort_by_key(|(loss, spot, _)| (*loss, spot.free.cpus));
         // Room that is being made already: what saves first takes a while to leave.
-        let mut wanted = job.waiting().saturating_sub(self.room_on_its_way(job, spots));
+        let mut wanted = job.waiting_count().saturating_sub(self.room_on_its_way(job, spots));
         let mut chosen = Vec::new();
         for (_, spot, victims) in chances {
             if wanted == 0 {
@@ -52,15 +52,15 @@
         // Ordinary work pauses also where none was found: with hundreds waiting to look costs most of a round.
         let pauses = !chosen.is_empty() || job.spec.priority == Priority::Normal;
         let pause = if pauses { PREEMPTION_PAUSE } else { Micros::ZERO };
-        if let Some(job) = self.jobs.by_id.get_mut(id) {
-            job.preempting_until = now + pause;
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.scheduling.next_preemption_at = now + pause;
         }
         let grace = self.policy.stop_grace_s;
         for (other, task) in chosen {
-            let Some(victim) = self.jobs.by_id.get_mut(&other) else { continue };
+            let Some(victim) = self.jobs.get_mut(&other) else { continue };
             let stop = if victim.spec.checkpoint_s > 0.0 { grace } else { 0.0 };
-            if let Some(live) = victim.live.get_mut(task) {
-                live.stop = Some(stop);
+            if let Some(live) = victim.attempts.get_mut(task) {
+                live.stop_grace_s = Some(stop);
                 let machine = live.machine().clone();
                 tracing::debug!(job = %other, task, %machine, "makes room");
                 self.want_push(&machine);
@@ -74,9 +74,9 @@
         match job.spec.priority {
             _ if job.is_failing() => false,
             Priority::Low => false,
-            Priority::Normal if self.jobs.usage.lowest() == 0 => false,
+            Priority::Normal if self.jobs.usage().low_priority_array_count() == 0 => false,
             Priority::Normal => {
-                let waited = self.clock.wall.since(job.ready);
+                let waited = self.clock.wall.since(job.ready_at);
                 self.within_guarantee(job) || waited >= Micros::from_millis(self.policy.preempt_after_ms)
             }
             Priority::High | Priority::Production => true,
@@ -85,18 +85,22 @@
 
     /// Whether a task is all that has begun of its job, and has not run for long: stopped now it would count as if the
     /// job had not begun.
-    fn has_just_begun(&self, job: &Job, start: &Start) -> bool {
-        let ran = start.running_since.map_or(Micros::ZERO, |since| self.now().since(since));
-        job.done == 0 && job.live.occupying() == 1 && ran < JUST_BEGUN
+    fn has_just_begun(&self, job: &Job, start: &TaskAttempt) -> bool {
+        let ran = start.first_running_at.map_or(Micros::ZERO, |since| self.now().since(since));
+        job.progress.done_count == 0 && job.attempts.occupying_count() == 1 && ran < JUST_BEGUN
     }
 
     /// How many machines will have resources for one task of the job once those have left that were told to.
     fn room_on_its_way(&self, job: &Job, spots: &[Spot]) -> u32 {
         let leaving = |spot: &Spot| {
-            let starts = self.jobs.usage.placed(&spot.id).into_iter().flat_map(|placed| &placed.starts);
+            let starts = self.jobs.usage().on_machine(&spot.id).into_iter().flat_map(|usage| usage.attempts());
             let stopped = starts.filter_map(|(id, task)| {
-                let other = self.jobs.by_id.get(id)?;
-                other.live.get(*task).filter(|live| live.occupies() && live.stop.is_some()).map(|_| other.resources)
+                let other = self.jobs.get(id)?;
+                other
+                    .attempts
+                    .get(*task)
+                    .filter(|live| live.occupies_resources() && live.stop_grace_s.is_some())
+                    .map(|_| other.resources)
             });
             stopped.fold(spot.free, |free, resources| free.plus(&resources))
         };
@@ -111,16 +115,15 @@
         let machine = self.fleet.machines.get(&spot.id)?;
         let mut lower: Vec<(Micros, JobId, u32, Resources)> = self
             .jobs
-            .usage
-            .placed(&spot.id)?
-            .starts
-            .iter()
+            .usage()
+            .on_machine(&spot.id)?
+            .attempts()
             .filter_map(|(other, task)| {
-                let victim = self.jobs.by_id.get(other)?;
-                let live = victim.live.get(*task)?;
+                let victim = self.jobs.get(other)?;
+                let live = victim.attempts.get(*task)?;
                 let below = victim.urgency.priority < job.spec.priority && victim.spec.kind == Kind::Array;
-                let stoppable = live.phase().on_machine() && live.stop.is_none();
-                let ran = now.since(live.running_since.unwrap_or(now));
+                let stoppable = live.state().is_on_machine() && live.stop_grace_s.is_none();
+                let ran = now.since(live.first_running_at.unwrap_or(now));
                 // One that saves when it is stopped goes on from there.
                 let saves = victim.spec.checkpoint_s > 0.0 && victim.spec.save_s <= self.policy.stop_grace_s;
                 let loss = if saves { ran.min(Micros::from_secs_f64(victim.spec.save_s)) } else { ran };
--- a/src/coordination/scheduling/reclaim.rs
+++ b/src/coordination/scheduling/reclaim.rs
@@ -21,7 +21,7 @@
     pub(crate) fn reclaim(&mut self, slots: &BTreeMap<u32, Vec<Slot>>, unmet: &[Unmet]) {
         let now = self.now();
         self.autoscaling.leader.reclaimed.retain(|_, at| now.since(*at) < ASK_AGAIN);
-        if self.jobs.usage.lowest() == 0 {
+        if self.jobs.usage().low_priority_array_count() == 0 {
             return;
         }
         let mut left = self.moves_left();
@@ -53,14 +53,14 @@
 
     /// Whether nothing but arrays of the lowest priority takes resources on a machine, and something does.
     fn does_lowest_only(&self, id: &MachineId) -> bool {
-        self.jobs.usage.placed(id).is_some_and(|placed| placed.lowest > 0 && placed.lowest == placed.occupying)
+        self.jobs.usage().on_machine(id).is_some_and(|usage| usage.has_only_low_priority_arrays())
     }
 
     /// Whether the holder of a machine that another shard asks for should empty it: more urgent work waits there.
     pub(crate) fn should_vacate(&self, id: &MachineId, to: u32) -> bool {
         let waits = || {
-            self.jobs.by_id.values().any(|job| {
-                job.shard == to && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
+            self.jobs.values().any(|job| {
+                job.shard == to && job.spec.priority > Priority::Low && job.waiting_count() > 0 && !job.is_failing()
             })
         };
         self.does_lowest_only(id) && waits()
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -14,8 +14,9 @@
         if let Some(due) = job.urgency.due {
             return due;
         }
-        let left = f64::from(job.spec.tasks.saturating_sub(job.done)) * job.spec.cpus * job.spec.estimate_s;
-        job.ready + self.put_off(left)
+        let left =
+            f64::from(job.spec.tasks.saturating_sub(job.progress.done_count)) * job.spec.cpus * job.spec.estimate_s;
+        job.ready_at + self.put_off(left)
     }
 
     /// How long a job lets others go first, by the cpu-seconds it still needs: much for each at first, little for each
@@ -37,7 +38,7 @@
     /// would wait without end behind small ones that keep coming.
     pub(crate) fn is_overdue(&self, job: &Job) -> bool {
         let patience = Micros::from_millis(self.policy.begin_within_ms);
-        job.fresh_from == 0 && self.clock.wall.since(job.ready) >= patience
+        job.progress.first_unstarted == 0 && self.clock.wall.since(job.ready_at) >= patience
     }
 
     /// Jobs of our shards that wait for a place: by priority, then those that should have begun long
@@ -45,13 +46,23 @@
     pub(crate) fn waiting_in_order(&self) -> Vec<JobId> {
         let mut waiting: Vec<_> = self
             .jobs
-            .by_id
             .iter()
-            .filter(|(_, j)| j.recorded && !j.locked && j.waiting() > 0 && self.held(Role::Shard(j.shard)).is_some())
+            .filter(|(_, j)| {
+                j.recording.has_record
+                    && !j.recording.is_txn_in_flight
+                    && j.waiting_count() > 0
+                    && self.held(Role::Shard(j.shard)).is_some()
+            })
             .map(|(id, job)| {
                 let (overdue, within) = (self.is_overdue(job), self.within_guarantee(job));
                 (
-                    (std::cmp::Reverse(job.urgency.priority), !overdue, !within, self.scheduling_time(job), job.ready),
+                    (
+                        std::cmp::Reverse(job.urgency.priority),
+                        !overdue,
+                        !within,
+                        self.scheduling_time(job),
+                        job.ready_at,
+                    ),
                     id.clone(),
                 )
             })
@@ -66,7 +77,7 @@
             return false;
         };
         let guaranteed = Resources::new(team.cpus, team.gpus, 0.0);
-        let used = self.jobs.usage.used_by(&team.name).plus(&job.resources);
+        let used = self.jobs.usage().used_by(&team.name).plus(&job.resources);
         used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
     }
 }
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -105,8 +105,8 @@
         let window = Micros::from_millis(self.policy.reserve_window_ms);
         let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
         let mut wanted: BTreeMap<&str, (f64, Resources)> = BTreeMap::new();
-        for job in self.jobs.by_id.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
-            if self.clock.wall.since(job.accepted) < window {
+        for job in self.jobs.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
+            if self.clock.wall.since(job.accepted_at) < window {
                 let entry = wanted.entry(&job.spec.image).or_default();
                 *entry = (entry.0 + f64::from(job.spec.tasks) * part, job.resources);
             }
@@ -190,7 +190,7 @@
         let mut per_zone: BTreeMap<String, u32> = BTreeMap::new();
         if spec.one_zone || spec.spread {
             // Every start in the stored records counts, also those saving or out of reach.
-            for live in job.live.values().filter(|l| l.occupies()) {
+            for live in job.attempts.values().filter(|l| l.occupies_resources()) {
                 if let Some(record) = self.store.replica.machines.get(live.machine()) {
                     *per_zone.entry(record.value.zone.clone()).or_default() += 1;
                 }
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -149,7 +149,7 @@
         jobs.sort_unstable();
         jobs.dedup();
         for id in jobs {
-            self.job_changed(&id);
+            self.reconcile_job(&id);
         }
         self.zones_read();
         self.watch();
@@ -160,7 +160,7 @@
     pub(crate) fn start_fresh_read(&mut self) {
         let now = self.now();
         let gap = self.read_gap(FRESH_PART);
-        let wanted = self.store.reads.wanted || self.api.wants_read();
+        let wanted = self.store.reads.wanted || self.api.needs_read();
         if !wanted || !self.store.sync.done || self.store.reads.fresh.is_some() {
             return;
         }
@@ -212,11 +212,11 @@
     fn take_changes(&mut self, begun: LogicalTime, changes: &Changes) {
         let revision = Revision(changes.revision);
         let changed = self.store.replica.advance(&changes.events, revision);
-        self.api.submissions.reached(self.store.replica.applied);
+        self.api.replica_reached(self.store.replica.applied);
         self.changed(changed);
         self.txns_read();
-        self.read_proves(&Evidence::new(begun, revision));
-        self.answer_open_questions();
+        self.api.note_read_evidence(&Evidence::new(begun, revision));
+        self.answer_pending_requests();
         self.scheduling.cycle_wanted = true;
     }
 }
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -5,8 +5,8 @@
 
 use crate::coordination::Controller;
 use crate::coordination::control::versions::leader_leaves_moves;
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::ExitCause;
@@ -99,7 +99,7 @@
     }
 
     /// Adds a start, under the attempt of its gang or the next of its chunk; says which.
-    fn add_start(&mut self, task: u32, live: &Start, gang_attempt: Option<u64>) -> u64 {
+    fn add_start(&mut self, task: u32, live: &TaskAttempt, gang_attempt: Option<u64>) -> u64 {
         self.machines.insert(live.machine().clone());
         let chunk = self.chunk_of(task);
         let attempt = gang_attempt.unwrap_or(chunk.attempts + 1);
@@ -174,18 +174,18 @@
     /// of the job press.
     fn tasks_to_record(&mut self, now: Micros, chunk_tasks: u32, progress_patience: Micros) -> Vec<u32> {
         let all = matches!(Need::of(self), None | Some(Need::Outcome | Need::ChunkSpace | Need::Progress))
-            || self.progress_since.is_some_and(|since| now.since(since) >= progress_patience);
+            || self.recording.first_unrecorded_completion_at.is_some_and(|since| now.since(since) >= progress_patience);
         if all {
-            self.progress_since = None;
-            self.blocked = false;
+            self.recording.first_unrecorded_completion_at = None;
+            self.scheduling.is_blocked_by_full_chunks = false;
         }
-        let pressing = |live: &Start| live.phase() == Phase::Decided || is_lost(live);
+        let pressing = |live: &TaskAttempt| live.state() == AttemptState::Decided || is_lost(live);
         let pressed: BTreeSet<u32> =
-            self.live.iter().filter(|(_, live)| pressing(live)).map(|(task, _)| task / chunk_tasks).collect();
-        let due = |task: u32, live: &Start| {
-            pressing(live) || (!live.occupies() && (all || pressed.contains(&(task / chunk_tasks))))
+            self.attempts.iter().filter(|(_, live)| pressing(live)).map(|(task, _)| task / chunk_tasks).collect();
+        let due = |task: u32, live: &TaskAttempt| {
+            pressing(live) || (!live.occupies_resources() && (all || pressed.contains(&(task / chunk_tasks))))
         };
-        self.live.iter().filter(|(task, live)| due(*task, live)).map(|(task, _)| task).collect()
+        self.attempts.iter().filter(|(task, live)| due(*task, live)).map(|(task, _)| task).collect()
     }
 
     /// Puts changes of these tasks into words. Says which starts can't be recorded: their machines have been put on
@@ -193,26 +193,26 @@
     fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
         let highest = changes.stored.values().map(|c| c.value.attempts).max().unwrap_or(0);
         let gang_attempt = (self.spec.kind == Kind::Gang).then_some(highest + 1);
-        let gang_done = self.gang_done();
+        let is_gang_done = self.is_gang_done();
         let mut dropped = Vec::new();
         for task in tasks {
             if !changes.admits_chunk_of(task) {
                 continue;
             }
-            let Some(live) = self.live.get_mut(task) else { continue };
-            if live.phase() != Phase::Decided {
-                changes.remove_start(task, gang_done || live.phase() == Phase::Ended(ExitCause::Done));
+            let Some(live) = self.attempts.get_mut(task) else { continue };
+            if live.state() != AttemptState::Decided {
+                changes.remove_start(task, is_gang_done || live.state() == AttemptState::Ended(ExitCause::Done));
                 continue;
             }
             let machine = replica.machines.get(live.machine());
             let usable = machine.is_some_and(|m| m.value.hold.is_none() && m.value.shard == self.shard);
-            if !usable || self.over.is_some() || !changes.admits_machine(task, live.machine()) {
+            if !usable || self.outcome.is_some() || !changes.admits_machine(task, live.machine()) {
                 dropped.push(task);
                 continue;
             }
             live.attempt = changes.add_start(task, live, gang_attempt);
         }
-        if gang_done {
+        if is_gang_done {
             self.complete_gang(changes);
         }
         dropped
@@ -220,7 +220,7 @@
 
     /// The tasks of a gang that is done which have no start are done as well.
     fn complete_gang(&self, changes: &mut ChunkChanges) {
-        for task in self.redo.iter().copied().chain(self.fresh_from..self.spec.tasks) {
+        for task in self.progress.to_restart.iter().copied().chain(self.progress.first_unstarted..self.spec.tasks) {
             if changes.admits_chunk_of(task) {
                 changes.chunk_of(task).mark_done(task);
             }
@@ -238,17 +238,18 @@
         let idle = self.store.budget.is_idle(now);
         let mut due = Vec::new();
         let mut settled = Vec::new();
-        for id in &self.jobs.usage.touched {
-            let Some(job) = self.jobs.by_id.get_mut(id) else {
+        for id in &self.jobs.changed_ids() {
+            let is_cascaded = self.jobs.is_cascaded(id);
+            let Some(job) = self.jobs.get_mut(id) else {
                 settled.push(id.clone());
                 continue;
             };
-            if job.locked || now < job.too_large_until {
+            if job.recording.is_txn_in_flight || now < job.recording.retry_too_large_at {
                 continue;
             }
             // Its owner's matter; all are looked at again when the shard is taken. Jobs cancelled with another
             // have nothing in the records but the outcome that is written with others'.
-            if self.jobs.cascaded.contains(id) || !self.control.roles.held.contains_key(&Role::Shard(job.shard)) {
+            if is_cascaded || !self.control.roles.held.contains_key(&Role::Shard(job.shard)) {
                 settled.push(id.clone());
                 continue;
             }
@@ -256,7 +257,7 @@
                 settled.push(id.clone());
                 continue;
             };
-            let since = *job.dirty_since.get_or_insert(now);
+            let since = *job.recording.first_unrecorded_change_at.get_or_insert(now);
             // What an urgent job waits for is over no sooner than its outcome is in the stored records.
             let need_soon = match need {
                 Need::Outcome if job.is_urgent() => Need::Urgent,
@@ -277,7 +278,7 @@
             due.push(DueRecord { latest, shard: job.shard, id: id.clone() });
         }
         for id in settled {
-            self.jobs.usage.touched.remove(&id);
+            self.jobs.mark_unchanged(&id);
         }
         due.sort();
         due
@@ -296,11 +297,11 @@
         let mut ids: Vec<JobId> = Vec::new();
         while due.front().is_some_and(|next| next.shard == shard) {
             let Some(DueRecord { id, .. }) = due.pop_front() else { break };
-            let what = self.jobs.by_id.get(&id).and_then(Need::of).map_or("nothing", Need::name);
+            let what = self.jobs.get(&id).and_then(Need::of).map_or("nothing", Need::name);
             let part = self.job_part(&id, role, limits);
             self.store.budget.count(what, part.txn.writes.len());
             if part.txn.writes.is_empty() {
-                self.job_txn_over(&id);
+                self.job_txn_finished(&id);
                 continue;
             }
             let writes = proposal.txn.writes.len() + part.txn.writes.len();
@@ -338,30 +339,31 @@
         let leaves_moves = leader_leaves_moves(&self.store.replica, self.record_version());
         let guard = if leaves_moves { MachineGuard::Leadership } else { MachineGuard::Records };
         let mut proposal = ProposedTxn::default();
-        let Some(job) = self.jobs.by_id.get_mut(id) else { return proposal };
-        job.locked = true;
-        job.dirty_since = None;
+        let Some(job) = self.jobs.get_mut(id) else { return proposal };
+        job.recording.is_txn_in_flight = true;
+        job.recording.first_unrecorded_change_at = None;
         let none = BTreeMap::new();
         let stored = self.store.replica.runs.get(id).unwrap_or(&none);
         let mut changes = ChunkChanges::new(stored, self.store.chunk_tasks, limits, guard);
         let tasks = job.tasks_to_record(now, self.store.chunk_tasks, progress_patience);
         for task in job.change_chunks(tasks, &self.store.replica, &mut changes) {
-            job.live.remove(task, &mut self.jobs.usage);
-            job.redo.insert(task);
+            self.jobs.withdraw_attempt(id, task);
         }
+        let Some(job) = self.jobs.get_mut(id) else { return proposal };
         if changes.left_over {
-            job.dirty_since = Some(Micros::ZERO);
+            job.recording.first_unrecorded_change_at = Some(Micros::ZERO);
         }
         proposal.unchanged(&self.store.replica, Key::Role(role));
         let end = Key::End(id.clone());
-        if job.over.is_none() {
+        if job.outcome.is_none() {
             proposal.unchanged(&self.store.replica, end.clone());
         }
-        let finishes = job.over.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
+        let finishes =
+            job.outcome.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
         if finishes {
             proposal.put(end, to_value(&EndRecord::done()));
         }
-        if (finishes || job.over.is_some()) && !changes.has_starts() && !changes.left_over {
+        if (finishes || job.outcome.is_some()) && !changes.has_starts() && !changes.left_over {
             // Over and nothing left of it: clear away. The outcome stays, and so does the job's
             // entry in its batch until all of that are over.
             changes.clear(&self.store.replica, id, &mut proposal);
@@ -369,8 +371,8 @@
         }
         if changes.drop_too_large() {
             tracing::debug!(job = %id, "a part of its records is larger than may be written now");
-            job.too_large_until = now + TOO_LARGE_PAUSE;
-            job.dirty_since = Some(Micros::ZERO);
+            job.recording.retry_too_large_at = now + TOO_LARGE_PAUSE;
+            job.recording.first_unrecorded_change_at = Some(Micros::ZERO);
             if finishes {
                 // The outcome goes with the record of its last tasks or not at all.
                 return ProposedTxn::default();
@@ -385,10 +387,10 @@
 const TOO_LARGE_PAUSE: Micros = Micros::from_millis(500);
 
 /// Whether its task has to start once more.
-fn is_lost(live: &Start) -> bool {
-    match live.phase() {
-        Phase::Gone => true,
-        Phase::Ended(why) => why != ExitCause::Done,
+fn is_lost(live: &TaskAttempt) -> bool {
+    match live.state() {
+        AttemptState::ProvenAbsent => true,
+        AttemptState::Ended(why) => why != ExitCause::Done,
         _ => false,
     }
 }
@@ -411,19 +413,22 @@
 impl Need {
     fn of(job: &Job) -> Option<Need> {
         let urgent = job.is_urgent();
-        let finished = job.spec.kind != Kind::Service && job.done + job.done_unrecorded.len() as u32 >= job.spec.tasks;
-        let gang_rest = job.over.is_none() && job.gang_done() && job.waiting() > 0;
-        if job.live.occupying() == 0 && (job.over.is_some() || finished) || gang_rest {
+        let finished = job.spec.kind != Kind::Service
+            && job.progress.done_count + job.progress.unrecorded_done.len() as u32 >= job.spec.tasks;
+        let gang_rest = job.outcome.is_none() && job.is_gang_done() && job.waiting_count() > 0;
+        if job.attempts.occupying_count() == 0 && (job.outcome.is_some() || finished) || gang_rest {
             return Some(Need::Outcome);
         }
         // Tasks done press in no job; taken for urgent they'd be looked at in vain in every round.
-        if job.live.decided() > 0 || (job.live.settled() > 0 && job.live.values().any(is_lost)) {
+        if job.attempts.decided_count() > 0 || (job.attempts.settled_count() > 0 && job.attempts.values().any(is_lost))
+        {
             return Some(if urgent { Need::Urgent } else { Need::Batch });
         }
-        if job.blocked && job.live.settled() > 0 && job.waiting() > 0 {
+        if job.scheduling.is_blocked_by_full_chunks && job.attempts.settled_count() > 0 && job.waiting_count() > 0 {
             return Some(Need::ChunkSpace);
         }
-        (job.live.settled() > 0 || job.dirty_since == Some(Micros::ZERO)).then_some(Need::Progress)
+        (job.attempts.settled_count() > 0 || job.recording.first_unrecorded_change_at == Some(Micros::ZERO))
+            .then_some(Need::Progress)
     }
 
     fn name(self) -> &'static str {
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -4,7 +4,7 @@
 //! until there is an answer. After a conflict nothing is decided before the replica has reached
 //! the revision of the refusal; then everything is derived anew from it.
 
-use crate::coordination::api::submissions::Submitted;
+use crate::coordination::api::submissions::SubmittedJob;
 use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
 use crate::coordination::{Controller, Effect, Failure, StoreCall, TxnOutcome};
 use crate::protocol::store::{Precondition, Txn, Write};
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
-    Submit(Vec<Submitted>),
+    Submit(Vec<SubmittedJob>),
     /// Lists of a large submission, under that name.
     DependencyListParts(String),
     Cancel(JobId),
@@ -229,8 +229,8 @@
     /// before: one change takes in many.
     pub(crate) fn spend(&mut self) {
         let now = self.now();
-        if self.api.submissions.batch_due(now, self.store.budget.batch_gap()) {
-            self.send_submissions();
+        if self.api.submissions().is_batch_due(now, self.store.budget.batch_gap()) {
+            self.write_submission_batch();
         }
         if !self.store.budget.allows(now) {
             return;
@@ -312,7 +312,7 @@
                 _ => pending.stage = Stage::Queued(now),
             }
         }
-        self.give_up_submissions();
+        self.reject_overdue_submissions();
         if self.store.txns.awaiting_read() {
             self.store.reads.wanted = true;
         }
@@ -361,16 +361,16 @@
 
     fn txn_over(&mut self, purpose: &Purpose, end: &TxnEnd) {
         match purpose {
-            Purpose::Submit(jobs) => jobs.iter().for_each(|job| self.submit_over(job, end)),
-            Purpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
-            Purpose::Cancel(id) => self.cancel_over(id),
+            Purpose::Submit(jobs) => jobs.iter().for_each(|job| self.submission_txn_finished(job, end)),
+            Purpose::DependencyListParts(name) => self.dependency_list_parts_txn_finished(name, end.is_committed()),
+            Purpose::Cancel(id) => self.cancellation_txn_finished(id),
             Purpose::Node | Purpose::Role => self.role_txn_over(purpose, !end.is_committed()),
             Purpose::Machines(_, ids) => self.machines_txn_over(ids),
             Purpose::Tidy | Purpose::Cascade => {}
             Purpose::ZoneView(name) => self.zone_view_txn_over(name),
             Purpose::Jobs(ids) => {
                 for id in ids {
-                    self.job_txn_over(id);
+                    self.job_txn_finished(id);
                 }
             }
         }
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -40,13 +40,14 @@
 
     /// The services with tasks on a machine that occupy resources and are to go on, each as often as it has tasks there.
     fn services_on(&self, machine: &MachineId) -> Vec<JobId> {
-        if !self.jobs.usage.serves(machine) {
+        if !self.jobs.usage().runs_service_on(machine) {
             return Vec::new();
         }
-        let starts = self.jobs.usage.placed(machine).into_iter().flat_map(|placed| &placed.starts);
+        let starts = self.jobs.usage().on_machine(machine).into_iter().flat_map(|usage| usage.attempts());
         let goes_on = |id: &JobId, task: u32| {
-            let job = self.jobs.by_id.get(id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
-            job.and_then(|job| job.live.get(task)).is_some_and(|live| live.occupies() && live.stop.is_none())
+            let job = self.jobs.get(id).filter(|job| job.spec.kind == Kind::Service && job.outcome.is_none());
+            job.and_then(|job| job.attempts.get(task))
+                .is_some_and(|live| live.occupies_resources() && live.stop_grace_s.is_none())
         };
         starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
     }
@@ -59,7 +60,7 @@
     /// Room that a team's displaced replicas still take by the stored records.
     pub(crate) fn displaced_resources(&self, team: &str) -> Resources {
         let of_team = self.zones.displaced.iter().filter_map(|(id, count)| {
-            let job = self.jobs.by_id.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
+            let job = self.jobs.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
             Some(job.resources.times(u64::from(*count)))
         });
         of_team.fold(Resources::default(), |sum, resources| sum.plus(&resources))
@@ -74,7 +75,7 @@
     fn reserve_places(&self, wanted: &Places, shard: u32, spots: &mut [Spot]) -> Places {
         let mut places = Places::new();
         for (id, count) in wanted {
-            let Some(job) = self.jobs.by_id.get(id).filter(|job| job.shard == shard) else { continue };
+            let Some(job) = self.jobs.get(id).filter(|job| job.shard == shard) else { continue };
             let allowance = self.allowance_beyond_lost_zones(job);
             let mut left = u64::from(*count);
             for holders in [true, false] {
@@ -140,8 +141,8 @@
     }
 
     fn waiting_services(&self, shard: u32) -> Places {
-        let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting() > 0;
-        self.jobs.by_id.values().filter(waits).map(|job| (job.live.job().clone(), job.waiting())).collect()
+        let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting_count() > 0;
+        self.jobs.values().filter(waits).map(|job| (job.attempts.job().clone(), job.waiting_count())).collect()
     }
 
     /// Silent machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
@@ -159,7 +160,7 @@
                 record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
             let idle = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
-            in_shard && idle && zones.is_silent(id) && self.jobs.usage.serves(id)
+            in_shard && idle && zones.is_silent(id) && self.jobs.usage().runs_service_on(id)
         };
         machines.filter(is_due).cloned().collect()
     }
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -6,8 +6,8 @@
 //! proven gone.
 
 use crate::coordination::Controller;
+use crate::coordination::jobs::attempt::AttemptState;
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::usage::Phase;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::coordination::zones::zone_control::MovingReplica;
 use crate::protocol::user::Kind;
@@ -44,20 +44,19 @@
     /// Moves whose replica is at work elsewhere, or that came to nothing.
     fn forget_moves(&mut self) {
         let now = self.now();
-        let jobs = &self.jobs.by_id;
+        let jobs = &self.jobs;
         self.zones.moving.retain(|id, moving| {
-            let open = jobs.get(id).is_some_and(|job| job.over.is_none() && !is_at_work(job));
+            let open = jobs.get(id).is_some_and(|job| job.outcome.is_none() && !is_at_work(job));
             open && now.since(moving.since) < MOVE_SPAN
         });
     }
 
     fn next_services(&mut self) -> Vec<JobId> {
         let from = self.zones.last_looked.take().map_or(Bound::Unbounded, Bound::Excluded);
-        let looked: Vec<&JobId> =
-            self.jobs.by_id.range((from, Bound::Unbounded)).take(LOOKED_AT).map(|(id, _)| id).collect();
+        let looked: Vec<&JobId> = self.jobs.ids_from(from).take(LOOKED_AT).collect();
         let last = looked.last().map(|id| (*id).clone());
         let is_ours = |id: &&JobId| {
-            let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
+            let job = self.jobs.get(id).filter(|job| job.spec.kind == Kind::Service && job.outcome.is_none());
             job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
         };
         let services = looked.into_iter().filter(is_ours).cloned().collect();
@@ -66,14 +65,14 @@
     }
 
     fn move_of(&mut self, id: &JobId) -> Option<Move> {
-        let job = self.jobs.by_id.get(id)?;
+        let job = self.jobs.get(id)?;
         if job.spec.zone.is_some() || job.spec.one_zone || job.is_failing() || self.zones.moving.contains_key(id) {
             return None;
         }
         let replicas = self.replicas_of(id, job);
         let spots = if self.may_need_move(&replicas) { self.spots_of(job.shard) } else { return None };
         let mut budget = std::mem::take(&mut self.zones.disruption);
-        let job = self.jobs.by_id.get(id)?;
+        let job = self.jobs.get(id)?;
         let is_held = |zone: &str| self.zones.zones.is_on_hold(zone);
         let has_place = |from: &str| spots.iter().any(|spot| spot.zone != from && self.is_ready_for(job, spot, from));
         let found = wanted_move(&replicas, &is_held, &has_place, &mut budget, self.now(), &self.policy.zones);
@@ -90,12 +89,14 @@
 
     fn replicas_of(&self, id: &JobId, job: &Job) -> Replicas {
         let mut at_work: BTreeMap<String, Vec<u32>> = BTreeMap::new();
-        for (task, live) in job.live.iter().filter(|(_, live)| live.phase() == Phase::Running && live.stop.is_none()) {
+        for (task, live) in
+            job.attempts.iter().filter(|(_, live)| live.state() == AttemptState::Running && live.stop_grace_s.is_none())
+        {
             if let Some(record) = self.store.replica.machines.get(live.machine()) {
                 at_work.entry(record.value.zone.clone()).or_default().push(task);
             }
         }
-        Replicas { job: id.clone(), at_work, is_whole: !job.locked && is_at_work(job) }
+        Replicas { job: id.clone(), at_work, is_whole: !job.recording.is_txn_in_flight && is_at_work(job) }
     }
 
     /// Whether a replica that leaves a zone would be at work there at once; or, if operators have waited long enough for
@@ -118,10 +119,10 @@
     fn start_move(&mut self, found: Move) {
         let Move { job: id, task, from } = found;
         let now = self.now();
-        let Some(job) = self.jobs.by_id.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else { return };
         let grace = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
-        let Some(live) = job.live.get_mut(task) else { return };
-        live.stop = Some(grace);
+        let Some(live) = job.attempts.get_mut(task) else { return };
+        live.stop_grace_s = Some(grace);
         let machine = live.machine().clone();
         tracing::info!(job = %id, task, %machine, from, "replica moves to another zone");
         self.zones.moving.insert(id, MovingReplica { from, since: now });
@@ -137,7 +138,7 @@
         }
         avoided.extend(self.zones.moving.get(id).map(|moving| moving.from.clone()));
         let elsewhere = |zone: &str| !distrusted.contains(zone) && self.zone_takes_work(zone);
-        let machines = job.live.values().filter(|live| live.occupies()).map(|live| live.machine());
+        let machines = job.attempts.values().filter(|live| live.occupies_resources()).map(|live| live.machine());
         let mut zones = machines.filter_map(|id| self.store.replica.machines.get(id)).map(|m| m.value.zone.as_str());
         if !distrusted.is_empty() && !zones.any(elsewhere) {
             avoided.extend(distrusted.iter().cloned());
@@ -156,6 +157,10 @@
 
 /// Whether all replicas of a service are at work and none is being stopped.
 fn is_at_work(job: &Job) -> bool {
-    let at_work = job.live.values().filter(|live| live.phase() == Phase::Running && live.stop.is_none()).count();
-    at_work == job.spec.tasks as usize && job.live.values().count() == at_work
+    let at_work = job
+        .attempts
+        .values()
+        .filter(|live| live.state() == AttemptState::Running && live.stop_grace_s.is_none())
+        .count();
+    at_work == job.spec.tasks as usize && job.attempts.values().count() == at_work
 }
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -6,7 +6,7 @@
 //! [`crate::coordination::autoscaling::capacity`] and [`crate::coordination::autoscaling::scale_out`] plan around lost zones, [`crate::coordination::zones::zone_control::evacuation`] proves tasks gone.
 
 use crate::coordination::Controller;
-use crate::coordination::jobs::usage::Start;
+use crate::coordination::jobs::attempt::TaskAttempt;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{Kind, Priority};
@@ -256,14 +256,14 @@
 
     /// A start is proven gone. One that came to work since its zone returned, and was not told to stop, speaks against
     /// the zone.
-    pub(crate) fn note_zone_loss(&mut self, start: &Start) {
-        if !self.judges_zones() || start.stop.is_some() {
+    pub(crate) fn note_zone_loss(&mut self, start: &TaskAttempt) {
+        if !self.judges_zones() || start.stop_grace_s.is_some() {
             return;
         }
         let Some(record) = self.store.replica.machines.get(start.machine()) else { return };
         let returned = self.zones.zones.state(&record.value.zone).map(|state| state.since());
         let since_return = |at: Micros| returned.is_some_and(|returned| at >= returned);
-        if start.running_since.is_some_and(since_return) {
+        if start.first_running_at.is_some_and(since_return) {
             self.note_zone_start(start.machine(), ZoneStart::Lost);
         }
     }
@@ -274,7 +274,7 @@
     }
 
     fn as_waiting<'a>(&'a self, id: &'a JobId) -> Option<Waiting<'a, &'a JobId>> {
-        let job = self.jobs.by_id.get(id)?;
+        let job = self.jobs.get(id)?;
         Some(Waiting {
             key: id,
             kind: match job.spec.kind {
@@ -290,8 +290,8 @@
             },
             within_guarantee: self.within_guarantee(job),
             class: &job.spec.class,
-            waited: self.clock.wall.since(job.ready),
-            has_begun: job.fresh_from > 0,
+            waited: self.clock.wall.since(job.ready_at),
+            has_begun: job.progress.first_unstarted > 0,
         })
     }
 
--- a/src/transport/daemon.rs
+++ b/src/transport/daemon.rs
@@ -4,7 +4,7 @@
 use super::client::Client;
 use super::server::{Gate, PeerAsk, UserAsk, WorkerAsk, serve};
 use super::siblings::{NodeStatus, RedirectedWorkers, look_at_siblings, notify_sibling};
-use crate::coordination::{Clock, Controller, Effect, Input, UserAnswer, Waiter, WorkerAnswer};
+use crate::coordination::{Clock, Controller, Effect, Input, RequestId, UserAnswer, WorkerAnswer};
 use crate::protocol::peer::CancellationAck;
 use crate::settings::{Platform, Policy};
 use crate::types::Micros;
@@ -30,10 +30,10 @@
 const SIBLINGS_MOST: usize = 64;
 
 struct Waiters {
-    next: Waiter,
-    users: HashMap<Waiter, oneshot::Sender<UserAnswer>>,
-    workers: HashMap<Waiter, oneshot::Sender<WorkerAnswer>>,
-    peers: HashMap<Waiter, oneshot::Sender<CancellationAck>>,
+    next: RequestId,
+    users: HashMap<RequestId, oneshot::Sender<UserAnswer>>,
+    workers: HashMap<RequestId, oneshot::Sender<WorkerAnswer>>,
+    peers: HashMap<RequestId, oneshot::Sender<CancellationAck>>,
 }
 
 /// Runs a controller until the process ends.
@@ -160,7 +160,7 @@
         let WorkerAsk { heartbeat, relayed, back } = ask;
         self.next += 1;
         self.workers.insert(self.next, back);
-        controller.handle(clock, Input::Heartbeat { waiter: self.next, heartbeat, relayed });
+        controller.handle(clock, Input::Heartbeat { request_id: self.next, heartbeat, relayed });
     }
 }
 
@@ -174,18 +174,18 @@
     let services = services.clone();
     match effect {
         // Whoever asked may have hung up; then there is nobody to tell.
-        Effect::AnswerUser(waiter, answer) => {
-            if let Some(back) = waiters.users.remove(&waiter) {
+        Effect::AnswerUser(request_id, answer) => {
+            if let Some(back) = waiters.users.remove(&request_id) {
                 let _ = back.send(answer);
             }
         }
-        Effect::AnswerWorker(waiter, answer) => {
-            if let Some(back) = waiters.workers.remove(&waiter) {
+        Effect::AnswerWorker(request_id, answer) => {
+            if let Some(back) = waiters.workers.remove(&request_id) {
                 let _ = back.send(answer);
             }
         }
-        Effect::AnswerPeer(waiter, answer) => {
-            if let Some(back) = waiters.peers.remove(&waiter) {
+        Effect::AnswerPeer(request_id, answer) => {
+            if let Some(back) = waiters.peers.remove(&request_id) {
                 let _ = back.send(answer);
             }
         }
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,8 +1,8 @@
 //! One controller's state machine, driven by hand: its calls to the store wait until the test answers them.
 
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, Controller, Effect, Input, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome,
-    UserAnswer, UserRequest, Waiter,
+    Clock, CloudCall, CloudOutcome, Controller, Effect, Input, LeaseOutcome, ReadOutcome, RequestId, StoreCall,
+    TxnOutcome, UserAnswer, UserRequest,
 };
 use burlhatch::protocol::cloud::{MachineType, MachineTypes};
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
@@ -49,8 +49,8 @@
     pub controller: Controller,
     now: u64,
     pub calls: Vec<StoreCall>,
-    answers: Vec<(Waiter, UserAnswer)>,
-    waiters: Waiter,
+    answers: Vec<(RequestId, UserAnswer)>,
+    waiters: RequestId,
 }
 
 impl ControllerHarness {
@@ -90,7 +90,7 @@
         for effect in self.controller.round(clock, &mut || true) {
             match effect {
                 Effect::Store(call) => self.calls.push(call),
-                Effect::AnswerUser(waiter, answer) => self.answers.push((waiter, answer)),
+                Effect::AnswerUser(request_id, answer) => self.answers.push((request_id, answer)),
                 Effect::Cloud { call, request: CloudCall::Types } => {
                     let outcome = CloudOutcome::Types(MachineTypes { types: vec![machine_type()] });
                     self.feed(Input::Cloud { call, outcome });
@@ -108,23 +108,23 @@
         }
     }
 
-    pub fn ask(&mut self, request: UserRequest) -> Waiter {
+    pub fn ask(&mut self, request: UserRequest) -> RequestId {
         self.waiters += 1;
-        let waiter = self.waiters;
-        self.feed(Input::User(waiter, request));
-        waiter
+        let request_id = self.waiters;
+        self.feed(Input::User(request_id, request));
+        request_id
     }
 
-    pub fn submit(&mut self, id: &JobId, spec: JobSpec) -> Waiter {
+    pub fn submit(&mut self, id: &JobId, spec: JobSpec) -> RequestId {
         self.ask(UserRequest::Submit(Box::new(Submission { id: Some(id.clone()), spec: Some(spec) })))
     }
 
-    pub fn told(&self, waiter: Waiter) -> Option<&UserAnswer> {
-        self.answers.iter().find(|(to, _)| *to == waiter).map(|(_, answer)| answer)
+    pub fn told(&self, request_id: RequestId) -> Option<&UserAnswer> {
+        self.answers.iter().find(|(to, _)| *to == request_id).map(|(_, answer)| answer)
     }
 
-    pub fn state_told(&self, waiter: Waiter) -> Option<JobState> {
-        match self.told(waiter) {
+    pub fn state_told(&self, request_id: RequestId) -> Option<JobState> {
+        match self.told(request_id) {
             Some(UserAnswer::Status(status)) => Some(status.state),
             Some(UserAnswer::Accepted(_)) => Some(JobState::Queued),
             _ => None,
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -6,7 +6,7 @@
 //! job, and answers what the model derives from the records at the revision that its read was answered with.
 
 use super::controller::{ControllerHarness, batch, id, spec};
-use burlhatch::coordination::{Input, ReadOutcome, StoreCall, UserAnswer, UserRequest, Waiter};
+use burlhatch::coordination::{Input, ReadOutcome, RequestId, StoreCall, UserAnswer, UserRequest};
 use burlhatch::protocol::peer::{Cancelled, CancelledJob};
 use burlhatch::protocol::store::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
@@ -20,7 +20,7 @@
 /// Jobs that a history is about.
 const JOBS: u64 = 8;
 /// Waiters of siblings, apart from users'.
-const SIBLING: Waiter = 1_000_000;
+const SIBLING: RequestId = 1_000_000;
 
 /// What happens next, as far as the records so far allow it.
 #[derive(Clone, Debug)]
@@ -178,7 +178,7 @@
 struct Day {
     history: History,
     controller: ControllerHarness,
-    siblings: Waiter,
+    siblings: RequestId,
 }
 
 impl Day {
@@ -244,14 +244,14 @@
     /// Asks about all jobs, and about one that nobody submitted.
     fn check(&mut self) -> Result<(), TestCaseError> {
         let jobs: Vec<(u64, JobId)> = (0..=JOBS).map(|job| (job, id(job))).collect();
-        let asked: Vec<(u64, Waiter)> =
+        let asked: Vec<(u64, RequestId)> =
             jobs.iter().map(|(job, id)| (*job, self.controller.ask(UserRequest::Get(id.clone())))).collect();
         for _ in 0..10 {
             self.controller.pass(100);
             self.answer_calls(false);
         }
-        for (job, waiter) in asked {
-            let answer = match self.controller.told(waiter) {
+        for (job, request_id) in asked {
+            let answer = match self.controller.told(request_id) {
                 Some(UserAnswer::Status(status)) => Some(status.state),
                 Some(UserAnswer::NotFound) => None,
                 other => return Err(TestCaseError::fail(format!("{job}: {other:?}"))),
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,7 +1,9 @@
 //! The real code against slow, plain models.
 
+use burlhatch::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use burlhatch::coordination::jobs::dependency_graph::{DependencyGraph, Urgency};
-use burlhatch::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
+use burlhatch::coordination::jobs::job_attempts::JobAttempts;
+use burlhatch::coordination::jobs::usage::Usage;
 use burlhatch::coordination::scheduling::placement::{Candidate, choose};
 use burlhatch::coordination::store_sync::budget::Budget;
 use burlhatch::protocol::store::Event;
@@ -175,27 +177,27 @@
 enum Step {
     Insert(u8, u32, u8, u8),
     Remove(u8, u32),
-    Phase(u8, u32, u8),
+    SetState(u8, u32, u8),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0u8..4, 0u32..6, 0u8..3, 0u8..8).prop_map(|(j, t, m, p)| Step::Insert(j, t, m, p)),
         (0u8..4, 0u32..6).prop_map(|(j, t)| Step::Remove(j, t)),
-        (0u8..4, 0u32..6, 0u8..8).prop_map(|(j, t, p)| Step::Phase(j, t, p)),
+        (0u8..4, 0u32..6, 0u8..8).prop_map(|(j, t, p)| Step::SetState(j, t, p)),
     ]
 }
 
-fn phase(p: u8) -> Phase {
+fn state(p: u8) -> AttemptState {
     let all = [
-        Phase::Decided,
-        Phase::Recorded,
-        Phase::Fetching,
-        Phase::Waiting,
-        Phase::Running,
-        Phase::Saving,
-        Phase::Ended(ExitCause::Done),
-        Phase::Gone,
+        AttemptState::Decided,
+        AttemptState::Recorded,
+        AttemptState::Fetching,
+        AttemptState::Waiting,
+        AttemptState::Running,
+        AttemptState::Checkpointing,
+        AttemptState::Ended(ExitCause::Done),
+        AttemptState::ProvenAbsent,
     ];
     all[usize::from(p)]
 }
@@ -222,47 +224,47 @@
         let specs: Vec<JobSpec> = (0..4).map(spec).collect();
         let names: Vec<JobId> = (0..4).map(|j| JobId::new(&format!("wk-{j}"))).collect();
         let mut usage = Usage::default();
-        let mut real: Vec<JobStarts> = (0..4).map(|j| JobStarts::new(names[j].clone(), &specs[j])).collect();
-        let mut plain: BTreeMap<(usize, u32), (usize, Phase)> = BTreeMap::new();
+        let mut real: Vec<JobAttempts> = (0..4).map(|j| JobAttempts::new(names[j].clone(), &specs[j])).collect();
+        let mut plain: BTreeMap<(usize, u32), (usize, AttemptState)> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Insert(j, t, m, p) => {
                     let (j, m) = (usize::from(j), usize::from(m));
-                    real[j].insert(t, Start::new(1, machines[m].clone(), 1, phase(p)), &mut usage);
-                    plain.insert((j, t), (m, phase(p)));
+                    real[j].insert(t, TaskAttempt::new(1, machines[m].clone(), 1, state(p)), &mut usage);
+                    plain.insert((j, t), (m, state(p)));
                 }
                 Step::Remove(j, t) => {
                     real[usize::from(j)].remove(t, &mut usage);
                     plain.remove(&(usize::from(j), t));
                 }
-                Step::Phase(j, t, p) => {
-                    real[usize::from(j)].set_phase(t, phase(p), &mut usage);
+                Step::SetState(j, t, p) => {
+                    real[usize::from(j)].set_state(t, state(p), &mut usage);
                     if let Some(at) = plain.get_mut(&(usize::from(j), t)) {
-                        at.1 = phase(p);
+                        at.1 = state(p);
                     }
                 }
             }
-            for (j, usage) in real.iter().enumerate() {
+            for (j, attempts) in real.iter().enumerate() {
                 let own = || plain.iter().filter(|((job, _), _)| *job == j).map(|(_, at)| at.1);
-                prop_assert_eq!(usage.occupying() as usize, own().filter(|p| p.occupies()).count());
-                prop_assert_eq!(usage.settled() as usize, own().filter(|p| !p.occupies()).count());
-                prop_assert_eq!(usage.decided() as usize, own().filter(|p| *p == Phase::Decided).count());
+                prop_assert_eq!(attempts.occupying_count() as usize, own().filter(|p| p.occupies_resources()).count());
+                prop_assert_eq!(attempts.settled_count() as usize, own().filter(|p| !p.occupies_resources()).count());
+                prop_assert_eq!(attempts.decided_count() as usize, own().filter(|p| *p == AttemptState::Decided).count());
             }
             for (m, machine) in machines.iter().enumerate() {
                 let there = || plain.iter().filter(|(_, at)| at.0 == m);
-                let resources = there().filter(|(_, at)| at.1.occupies()).fold(Resources::default(), |sum, ((j, _), _)| {
+                let resources = there().filter(|(_, at)| at.1.occupies_resources()).fold(Resources::default(), |sum, ((j, _), _)| {
                     sum.plus(&specs[*j].resources())
                 });
                 prop_assert_eq!(usage.used_on(machine), resources);
                 prop_assert_eq!(usage.is_empty(machine), there().count() == 0);
-                prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies()));
-                let serves = there().any(|((j, _), at)| at.1.occupies() && specs[*j].kind == Kind::Service);
-                prop_assert_eq!(usage.serves(machine), serves);
+                prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies_resources()));
+                let serves = there().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == Kind::Service);
+                prop_assert_eq!(usage.runs_service_on(machine), serves);
                 let starts: Vec<(JobId, u32)> = there().map(|((j, t), _)| (names[*j].clone(), *t)).collect();
-                prop_assert_eq!(usage.starts_on(machine), starts);
+                prop_assert_eq!(usage.attempts_on(machine), starts);
             }
             for team in 0..2 {
-                let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies());
+                let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies_resources());
                 let resources = of_team.fold(Resources::default(), |sum, ((j, _), _)| sum.plus(&specs[*j].resources()));
                 prop_assert_eq!(usage.used_by(&format!("team-{team}")), resources);
             }
@@ -374,7 +376,7 @@
     let later = (n + 1..jobs.len()).filter(|l| jobs[*l].depends_on.contains(&n));
     later.fold(jobs[n].own, |sum, l| {
         let urgency = plain_urgency(jobs, l);
-        sum.most(Urgency { priority: urgency.priority, due: urgency.due.map(|due| due - jobs[l].span) })
+        sum.max(Urgency { priority: urgency.priority, due: urgency.due.map(|due| due - jobs[l].span) })
     })
 }
 
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -42,9 +42,9 @@
         self.fingerprint.add(self.now, node, &effect);
         let life = self.nodes[node].life;
         match effect {
-            Effect::AnswerUser(waiter, answer) => self.user_answer(node, waiter, answer),
-            Effect::AnswerWorker(waiter, answer) => {
-                if let Some((machine, serial)) = self.nodes[node].workers.remove(&waiter) {
+            Effect::AnswerUser(request_id, answer) => self.user_answer(node, request_id, answer),
+            Effect::AnswerWorker(request_id, answer) => {
+                if let Some((machine, serial)) = self.nodes[node].workers.remove(&request_id) {
                     self.check_renewal(node, &machine, serial, &answer);
                     let fate = self.fate(&Place::Node(node), &Place::Worker(machine.clone()));
                     match fate {
@@ -55,8 +55,8 @@
                     }
                 }
             }
-            Effect::AnswerPeer(waiter, answer) => {
-                if let Some((to, life, call, number)) = self.nodes[node].peers.remove(&waiter) {
+            Effect::AnswerPeer(request_id, answer) => {
+                if let Some((to, life, call, number)) = self.nodes[node].peers.remove(&request_id) {
                     let input = Input::PeerAnswer { call: number, answer: Some(answer) };
                     self.reply(Place::Node(node), to, life, call, input);
                 }
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -50,15 +50,15 @@
 
 fn encoded(effect: &Effect) -> Encoded {
     match effect {
-        Effect::AnswerUser(waiter, answer) => {
+        Effect::AnswerUser(request_id, answer) => {
             let (status, body) = user_answer(answer);
-            ("user", *waiter, status, body)
+            ("user", *request_id, status, body)
         }
-        Effect::AnswerWorker(waiter, answer) => {
+        Effect::AnswerWorker(request_id, answer) => {
             let (status, body) = worker_answer(answer);
-            ("worker", *waiter, status, body)
+            ("worker", *request_id, status, body)
         }
-        Effect::AnswerPeer(waiter, answer) => ("peer answer", *waiter, String::new(), bitcode::encode(answer)),
+        Effect::AnswerPeer(request_id, answer) => ("peer answer", *request_id, String::new(), bitcode::encode(answer)),
         Effect::Peer { call, to, message } => ("peer", *call, to.clone(), bitcode::encode(message)),
         Effect::Store(call) => store_call(call),
         Effect::DirectCommands { machine, addr, commands } => {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -174,7 +174,7 @@
     life: u64,
     began: u64,
     drift: f64,
-    next_waiter: u64,
+    next_request_id: u64,
     users: BTreeMap<u64, (u64, Asked)>,
     workers: BTreeMap<u64, (MachineId, u64)>,
     /// Siblings that wait for an answer: which, its life, its call, and its own number for it.
@@ -310,7 +310,7 @@
                 life: 0,
                 began: 0,
                 drift,
-                next_waiter: 0,
+                next_request_id: 0,
                 users: BTreeMap::new(),
                 workers: BTreeMap::new(),
                 peers: BTreeMap::new(),
@@ -406,10 +406,10 @@
                 if self.nodes[to].controller.is_none() {
                     return;
                 }
-                self.nodes[to].next_waiter += 1;
-                let waiter = self.nodes[to].next_waiter;
-                self.nodes[to].peers.insert(waiter, (node, life, call, number));
-                self.feed(to, Input::Peer(waiter, message));
+                self.nodes[to].next_request_id += 1;
+                let request_id = self.nodes[to].next_request_id;
+                self.nodes[to].peers.insert(request_id, (node, life, call, number));
+                self.feed(to, Input::Peer(request_id, message));
             }
             Event::WatchEnds { call } => {
                 if let Some(watch) = self.store.watches.remove(&call) {
@@ -431,10 +431,10 @@
                     self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
                     return;
                 }
-                self.nodes[node].next_waiter += 1;
-                let waiter = self.nodes[node].next_waiter;
-                self.nodes[node].workers.insert(waiter, (machine, serial));
-                self.feed(node, Input::Heartbeat { waiter, heartbeat, relayed: false });
+                self.nodes[node].next_request_id += 1;
+                let request_id = self.nodes[node].next_request_id;
+                self.nodes[node].workers.insert(request_id, (machine, serial));
+                self.feed(node, Input::Heartbeat { request_id, heartbeat, relayed: false });
             }
             Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
             Event::WorkerHeartbeat { machine, wake } => self.worker_heartbeat(machine, wake),
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -113,10 +113,10 @@
         if !ready {
             return;
         }
-        self.nodes[node].next_waiter += 1;
-        let waiter = self.nodes[node].next_waiter;
-        self.nodes[node].users.insert(waiter, (self.now, asked));
-        self.feed(node, Input::User(waiter, request));
+        self.nodes[node].next_request_id += 1;
+        let request_id = self.nodes[node].next_request_id;
+        self.nodes[node].users.insert(request_id, (self.now, asked));
+        self.feed(node, Input::User(request_id, request));
     }
 
     /// Its user calls a job off, at once.
@@ -270,12 +270,12 @@
         self.ask(Asked::Odd(what), UserRequest::Submit(Box::new(Submission { id: Some(id), spec })));
     }
 
-    pub(super) fn user_answer(&mut self, node: usize, waiter: u64, answer: UserAnswer) {
-        if waiter == u64::MAX {
+    pub(super) fn user_answer(&mut self, node: usize, request_id: u64, answer: UserAnswer) {
+        if request_id == u64::MAX {
             self.overheard = Some(answer);
             return;
         }
-        let Some((asked_at, asked)) = self.nodes[node].users.remove(&waiter) else { return };
+        let Some((asked_at, asked)) = self.nodes[node].users.remove(&request_id) else { return };
         self.longest_answer = self.longest_answer.max(self.now - asked_at);
         let (id, cancels) = match asked {
             Asked::Stranger => {
