--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -4,6 +4,7 @@
 //! is fresh enough, see [`crate::coordination::store_sync::evidence`].
 
 use crate::coordination::api::{PendingRequest, Query, ReceivedRequest, UNAVAILABLE};
+use crate::coordination::jobs::job::Job;
 use crate::coordination::store_sync::evidence::{Fresh, LogicalTime, reached};
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer, UserRequest};
@@ -44,8 +45,8 @@
             return None;
         }
         let job = self.jobs.get(id);
-        let done = job.map_or(0, |job| job.done_count());
-        let running = job.map_or(0, |job| job.running_count());
+        let done = job.map_or(0, Job::done_count);
+        let running = job.map_or(0, Job::running_count);
         let state = if running > 0 { JobState::Running } else { JobState::Queued };
         Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
     }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -278,7 +278,7 @@
     fn exit_seen(&mut self, id: &MachineId, task: &TaskId, why: ExitCause) {
         let now = self.now();
         let Some(job) = self.jobs.get(&task.job) else { return };
-        if !job.attempts.get(task.index).is_some_and(|l| l.occupies_resources()) {
+        if !job.attempts.get(task.index).is_some_and(TaskAttempt::occupies_resources) {
             return;
         }
         let elsewhere = |live: &TaskAttempt| live.machine() != id && live.state().is_on_machine();
--- a/src/coordination/jobs/usage.rs
+++ b/src/coordination/jobs/usage.rs
@@ -23,8 +23,7 @@
         self.attempts.iter()
     }
 
-    /// Whether all that takes resources there are array jobs of the lowest priority, and at least one does.
-    pub fn has_only_low_priority_arrays(&self) -> bool {
+    fn has_only_low_priority_arrays(&self) -> bool {
         self.low_priority_array_count > 0 && self.low_priority_array_count == self.occupying_count
     }
 }
@@ -45,6 +44,11 @@
     }
 
     /// The attempts on a machine, by job and task.
+    pub fn iter_attempts_on(&self, machine: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
+        self.machines.get(machine).into_iter().flat_map(MachineUsage::attempts)
+    }
+
+    /// A copy of the attempts on a machine, for use while they change.
     pub fn attempts_on(&self, machine: &MachineId) -> Vec<(JobId, u32)> {
         self.machines.get(machine).map(|usage| usage.attempts.iter().cloned().collect()).unwrap_or_default()
     }
@@ -64,6 +68,11 @@
         self.machines.get(machine).is_some_and(|usage| usage.service_count > 0)
     }
 
+    /// Whether any attempt takes resources on the machine, and all that do are of array jobs of the lowest priority.
+    pub fn has_only_low_priority_arrays(&self, machine: &MachineId) -> bool {
+        self.machines.get(machine).is_some_and(MachineUsage::has_only_low_priority_arrays)
+    }
+
     /// Resources in use on a machine.
     pub fn used_on(&self, machine: &MachineId) -> Resources {
         self.machines.get(machine).map(|usage| usage.resources).unwrap_or_default()
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -321,7 +321,7 @@
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
         // Starts decided or told, whose fetch has not shown up in a heartbeat yet.
-        for (id, task) in self.jobs.usage().on_machine(id).into_iter().flat_map(|usage| usage.attempts()) {
+        for (id, task) in self.jobs.usage().iter_attempts_on(id) {
             let Some(other) = self.jobs.get(id) else { continue };
             let waits = other
                 .attempts
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -93,7 +93,7 @@
     /// How many machines will have resources for one task of the job once those have left that were told to.
     fn room_on_its_way(&self, job: &Job, spots: &[Spot]) -> u32 {
         let leaving = |spot: &Spot| {
-            let starts = self.jobs.usage().on_machine(&spot.id).into_iter().flat_map(|usage| usage.attempts());
+            let starts = self.jobs.usage().iter_attempts_on(&spot.id);
             let stopped = starts.filter_map(|(id, task)| {
                 let other = self.jobs.get(id)?;
                 other
--- a/src/coordination/scheduling/reclaim.rs
+++ b/src/coordination/scheduling/reclaim.rs
@@ -53,7 +53,7 @@
 
     /// Whether nothing but arrays of the lowest priority takes resources on a machine, and something does.
     fn does_lowest_only(&self, id: &MachineId) -> bool {
-        self.jobs.usage().on_machine(id).is_some_and(|usage| usage.has_only_low_priority_arrays())
+        self.jobs.usage().has_only_low_priority_arrays(id)
     }
 
     /// Whether the holder of a machine that another shard asks for should empty it: more urgent work waits there.
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -43,7 +43,7 @@
         if !self.jobs.usage().runs_service_on(machine) {
             return Vec::new();
         }
-        let starts = self.jobs.usage().on_machine(machine).into_iter().flat_map(|usage| usage.attempts());
+        let starts = self.jobs.usage().iter_attempts_on(machine);
         let goes_on = |id: &JobId, task: u32| {
             let job = self.jobs.get(id).filter(|job| job.spec.kind == Kind::Service && job.outcome.is_none());
             job.and_then(|job| job.attempts.get(task))
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -6,7 +6,7 @@
 //! proven gone.
 
 use crate::coordination::Controller;
-use crate::coordination::jobs::attempt::AttemptState;
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::coordination::zones::zone_control::MovingReplica;
@@ -138,7 +138,7 @@
         }
         avoided.extend(self.zones.moving.get(id).map(|moving| moving.from.clone()));
         let elsewhere = |zone: &str| !distrusted.contains(zone) && self.zone_takes_work(zone);
-        let machines = job.attempts.values().filter(|live| live.occupies_resources()).map(|live| live.machine());
+        let machines = job.attempts.values().filter(|live| live.occupies_resources()).map(TaskAttempt::machine);
         let mut zones = machines.filter_map(|id| self.store.replica.machines.get(id)).map(|m| m.value.zone.as_str());
         if !distrusted.is_empty() && !zones.any(elsewhere) {
             avoided.extend(distrusted.iter().cloned());
