--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -109,7 +109,7 @@
     pub(crate) fn drain_pending(&mut self) -> Vec<RequestId> {
         let pending = self.pending.drain(..).map(|pending| pending.request.request_id);
         let submissions = self.submissions.drain_pending();
-        let cancelling = self.cancelling.drain().flat_map(|(_, request_ids)| request_ids);
+        let cancelling = std::mem::take(&mut self.cancelling).into_values().flatten();
         pending.chain(submissions).chain(cancelling).collect()
     }
 }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -101,7 +101,8 @@
     }
 
     pub(super) fn drain_pending(&mut self) -> Vec<RequestId> {
-        self.waiting.drain().flat_map(|(_, requests)| requests).map(|request| request.request_id).collect()
+        let requests = std::mem::take(&mut self.waiting).into_values().flatten();
+        requests.map(|request| request.request_id).collect()
     }
 }
 
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -93,7 +93,7 @@
             if start.incarnation != incarnation {
                 continue;
             }
-            let (task, attempt) = (format!("{job_id}/{index}"), start.attempt);
+            let (task, attempt) = (format!("{job_id}/{index}"), start.number);
             match NextStep::of(start, doomed) {
                 NextStep::Nothing => continue,
                 NextStep::Drop => {
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -162,7 +162,7 @@
             let exited = (reported.state == TaskState::Exited).then(|| reported.why.unwrap_or(ExitCause::Unknown));
             let known = TaskId::parse(&reported.task).filter(|t| {
                 self.jobs.get(&t.job).and_then(|j| j.attempts.get(t.index)).is_some_and(|l| {
-                    *l.machine() == *id && l.attempt == reported.attempt && l.state() != AttemptState::Decided
+                    *l.machine() == *id && l.number == reported.attempt && l.state() != AttemptState::Decided
                 })
             });
             let Some(task) = known else {
--- a/src/coordination/jobs/attempt.rs
+++ b/src/coordination/jobs/attempt.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
     /// Number of the attempt; 0 until it is recorded.
-    pub attempt: u64,
+    pub number: u64,
     machine: MachineId,
     /// Incarnation of the machine's agent when the attempt was placed.
     pub incarnation: u64,
@@ -62,9 +62,9 @@
 
 impl TaskAttempt {
     /// An attempt that no command was sent for and no heartbeat has shown.
-    pub fn new(attempt: u64, machine: MachineId, incarnation: u64, state: AttemptState) -> TaskAttempt {
+    pub fn new(number: u64, machine: MachineId, incarnation: u64, state: AttemptState) -> TaskAttempt {
         TaskAttempt {
-            attempt,
+            number,
             machine,
             incarnation,
             state,
--- a/src/coordination/jobs/chunk_space.rs
+++ b/src/coordination/jobs/chunk_space.rs
@@ -41,7 +41,7 @@
 
 fn attempt_bytes(task: u32, attempt: &TaskAttempt, max_attempt: u64) -> usize {
     let task_digits = digit_count(u64::from(task));
-    let attempt_digits = digit_count(attempt.attempt.max(max_attempt));
+    let attempt_digits = digit_count(attempt.number.max(max_attempt));
     let incarnation_digits = digit_count(attempt.incarnation);
     let machine_bytes = attempt.machine().as_str().len();
     ATTEMPT_OVERHEAD_BYTES + task_digits + attempt_digits + incarnation_digits + machine_bytes
--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -35,7 +35,7 @@
         let is_being_recorded =
             |attempt: &TaskAttempt| self.recording.is_txn_in_flight && attempt.state() == AttemptState::Decided;
         let has_vanished = |task: u32, attempt: &TaskAttempt| match recorded.get(&task) {
-            Some(start) => start.attempt != attempt.attempt || start.machine != *attempt.machine(),
+            Some(start) => start.attempt != attempt.number || start.machine != *attempt.machine(),
             None => !is_being_recorded(attempt),
         };
         let attempts = self.attempts.range(tasks);
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -210,7 +210,7 @@
                 dropped.push(task);
                 continue;
             }
-            live.attempt = changes.add_start(task, live, gang_attempt);
+            live.number = changes.add_start(task, live, gang_attempt);
         }
         if is_gang_done {
             self.complete_gang(changes);
