--- a/crates/zones/src/order.rs
+++ b/crates/zones/src/order.rs
@@ -26,7 +26,7 @@
     /// Its priority; the higher goes first.
     pub priority: u8,
     /// Whether its team is within its guarantee.
-    pub within_guarantee: bool,
+    pub is_within_guaranteed_quota: bool,
     /// Its class.
     pub class: &'a str,
     /// How long it has waited.
@@ -77,7 +77,7 @@
 }
 
 fn rank<'w, K: Ord>(job: &'w Waiting<'_, K>) -> (WorkKind, Reverse<u8>, bool, Reverse<Micros>, &'w K) {
-    (job.kind, Reverse(job.priority), !job.within_guarantee, Reverse(job.waited), &job.key)
+    (job.kind, Reverse(job.priority), !job.is_within_guaranteed_quota, Reverse(job.waited), &job.key)
 }
 
 /// The starved job of each class that has waited longest, the longest first.
--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -157,7 +157,7 @@
             key,
             kind: [WorkKind::Service, WorkKind::Gang, WorkKind::Array][*kind as usize],
             priority: *priority,
-            within_guarantee: *within,
+            is_within_guaranteed_quota: *within,
             class: classes[*class],
             waited: Micros::from_millis(waited * 1000),
             has_begun: *begun,
@@ -184,7 +184,7 @@
             services_since = 0;
         }
         let services: Vec<&usize> = order.iter().filter(|key| is_service(key)).collect();
-        let urgency = |key: &usize| (std::cmp::Reverse(waiting[*key].priority), !waiting[*key].within_guarantee);
+        let urgency = |key: &usize| (std::cmp::Reverse(waiting[*key].priority), !waiting[*key].is_within_guaranteed_quota);
         prop_assert!(services.windows(2).all(|pair| urgency(pair[0]) <= urgency(pair[1])));
     }
 }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -313,10 +313,10 @@
                 return never("needs more than the team's limit");
             }
         }
-        if self.autoscaling.types.is_empty() {
+        if !self.autoscaling.has_machine_types() {
             return Some(BUSY);
         }
-        let fits = self.autoscaling.types.values().any(|t| {
+        let fits = self.autoscaling.machine_types().any(|t| {
             spec.types.as_ref().is_none_or(|allowed| allowed.contains(&t.wire.name))
                 && spec.zone.as_ref().is_none_or(|z| t.wire.zones.is_empty() || t.wire.zones.contains(z))
                 && resources.fits_in(&t.resources)
--- /dev/null
+++ b/src/coordination/autoscaling/capacity_plan.rs
@@ -0,0 +1,174 @@
+//! The leader's capacity plan: which shard lacks capacity for what waits, which machines go to another shard, which are
+//! created and which are deleted.
+
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks};
+use crate::coordination::autoscaling::machine_types::InstanceOffer;
+use crate::protocol::user::Priority;
+use crate::storage::schema::{Hold, MachineRecord};
+use crate::types::{MachineId, Micros};
+use std::collections::BTreeMap;
+
+/// Interval between two plans.
+const PLAN_INTERVAL: Micros = Micros::from_millis(500);
+
+/// The machines of each shard with what the plan leaves free on them.
+pub(crate) type CapacityByShard = BTreeMap<u32, Vec<MachineCapacity>>;
+
+/// When to plan next, and what the last plan found.
+#[derive(Default)]
+pub(super) struct CapacityPlan {
+    next_at: Micros,
+    /// What the shards lacked in the last plan, most urgent first.
+    unschedulable: Vec<UnschedulableTasks>,
+    /// Machines whose work was to be preempted for another shard, and when.
+    preempted_at: BTreeMap<MachineId, Micros>,
+}
+
+impl CapacityPlan {
+    pub fn is_due(&self, now: Micros) -> bool {
+        now >= self.next_at
+    }
+
+    pub fn schedule_next(&mut self, now: Micros) {
+        self.next_at = now + PLAN_INTERVAL;
+    }
+
+    pub fn schedule_at_once(&mut self, now: Micros) {
+        self.next_at = now;
+    }
+
+    pub fn note_preemption(&mut self, machine: MachineId, now: Micros) {
+        self.preempted_at.insert(machine, now);
+    }
+
+    pub fn was_preempted(&self, machine: &MachineId) -> bool {
+        self.preempted_at.contains_key(machine)
+    }
+
+    pub fn forget_preemptions(&mut self, now: Micros, max_age: Micros) {
+        self.preempted_at.retain(|_, at| now.since(*at) < max_age);
+    }
+
+    /// See [`crate::coordination::autoscaling::Autoscaling::assign_new_machine`].
+    pub fn assign_new_machine(&mut self, machine: MachineCapacity) -> Option<u32> {
+        let mut machines = [machine];
+        let mut chosen = None;
+        for tasks in &mut self.unschedulable {
+            if chosen.is_none_or(|shard| shard == tasks.shard) && tasks.pack_into(&mut machines) > 0 {
+                chosen = Some(tasks.shard);
+            }
+        }
+        chosen
+    }
+}
+
+/// A machine that is to go to another shard.
+pub(crate) struct MachineMove {
+    pub machine: MachineId,
+    pub from_shard: u32,
+    pub to_shard: u32,
+}
+
+impl Controller {
+    pub(super) fn plan_capacity(&mut self) {
+        let mut unschedulable: Vec<UnschedulableTasks> = Vec::new();
+        let mut capacity = CapacityByShard::new();
+        for shard in 0..self.shard_count() {
+            let mut machines = self.capacity_of_shard(shard);
+            self.pack_waiting_jobs(shard, &mut machines, &mut unschedulable);
+            capacity.insert(shard, machines);
+        }
+        // The most urgent tasks get what is free and what is coming, and instances are created for them first.
+        unschedulable.sort_by_key(|tasks| (std::cmp::Reverse(tasks.spec.priority), !tasks.justifies_scale_out));
+        self.autoscaling.plan.unschedulable = unschedulable.clone();
+        self.reassign_idle_machines(&mut capacity, &mut unschedulable);
+        unschedulable.retain(|tasks| tasks.justifies_scale_out);
+        let autoscaling = &self.autoscaling;
+        let mut expected = autoscaling.provisioning.expected_capacity(&autoscaling.machine_types, self.now());
+        for tasks in &mut unschedulable {
+            tasks.pack_into(&mut expected);
+        }
+        unschedulable.retain(|tasks| tasks.count > 0);
+        self.scale_out(&unschedulable);
+        self.preempt_across_shards(&capacity, &unschedulable);
+        self.scale_in_idle(&capacity, &unschedulable);
+    }
+
+    /// The recorded machines of a shard that take work.
+    fn capacity_of_shard(&self, shard: u32) -> Vec<MachineCapacity> {
+        self.store
+            .replica
+            .machines
+            .iter()
+            .map(|(id, versioned)| (id, &versioned.value))
+            .filter(|(_, record)| record.shard == shard && record.hold.is_none())
+            .filter(|(_, record)| self.zone_takes_work(&record.zone))
+            .map(|(id, record)| self.capacity_of_machine(id, record))
+            .collect()
+    }
+
+    fn capacity_of_machine(&self, id: &MachineId, record: &MachineRecord) -> MachineCapacity {
+        let free = self.free_resources(id);
+        let offer =
+            InstanceOffer { machine_type: record.machine_type.clone(), zone: record.zone.clone(), spot: record.spot };
+        MachineCapacity { machine: Some(id.clone()), offer, free, is_idle: free == self.machine_resources(id) }
+    }
+
+    /// Machines that one shard doesn't need go to shards with unschedulable tasks.
+    fn reassign_idle_machines(&mut self, capacity: &mut CapacityByShard, unschedulable: &mut [UnschedulableTasks]) {
+        for MachineMove { machine, from_shard, to_shard } in self.idle_machine_moves(capacity, unschedulable) {
+            tracing::debug!(%machine, from_shard, to_shard, "idle machine reassigned to another shard");
+            self.cordon_as_leader(&machine, Hold::Move(to_shard));
+        }
+    }
+
+    fn idle_machine_moves(
+        &self,
+        capacity: &mut CapacityByShard,
+        unschedulable: &mut [UnschedulableTasks],
+    ) -> Vec<MachineMove> {
+        let max_moves = self.remaining_machine_moves();
+        let mut moves = Vec::new();
+        // Hundreds of jobs may wait, and a walk over all machines for each would take most of a tick.
+        let mut idle_count = capacity.values().flatten().filter(|machine| machine.is_idle).count();
+        for tasks in unschedulable.iter_mut() {
+            if idle_count == 0 || moves.len() >= max_moves {
+                break;
+            }
+            let to_shard = tasks.shard;
+            let is_urgent = tasks.spec.priority > Priority::Normal;
+            for (from_shard, machines) in capacity.iter_mut().filter(|(shard, _)| **shard != to_shard) {
+                let idle = machines.iter_mut().filter(|machine| machine.is_idle);
+                for machine in idle.filter(|machine| is_urgent || self.has_been_idle(machine)) {
+                    if tasks.count == 0 || moves.len() >= max_moves {
+                        break;
+                    }
+                    if tasks.pack_into(std::slice::from_mut(machine)) == 0 {
+                        continue;
+                    }
+                    idle_count -= 1;
+                    let from_shard = *from_shard;
+                    moves.extend(machine.machine.clone().map(|machine| MachineMove { machine, from_shard, to_shard }));
+                }
+            }
+        }
+        moves
+    }
+
+    /// Whether a machine has stood idle for long enough to go to another shard without urgency.
+    fn has_been_idle(&self, machine: &MachineCapacity) -> bool {
+        let min_span = Micros::from_millis(self.policy.shift_after_ms);
+        let machine = machine.machine.as_ref().and_then(|id| self.fleet.machines.get(id));
+        machine.and_then(|m| m.free_since).is_some_and(|since| self.now().since(since) >= min_span)
+    }
+
+    /// How many more machines may be on their way to other shards. Each move costs two writes, which task attempts and
+    /// submissions need more.
+    pub(crate) fn remaining_machine_moves(&self) -> usize {
+        let machines = self.store.replica.machines.values();
+        let moving_count = machines.filter(|machine| matches!(machine.value.hold, Some(Hold::Move(_)))).count();
+        let max_moves = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
+        max_moves.saturating_sub(moving_count)
+    }
+}
--- /dev/null
+++ b/src/coordination/autoscaling/deletion.rs
@@ -0,0 +1,135 @@
+//! Deletion of machines: the requests to the cloud, and the removal of the deleted machines' records.
+
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::cloud_client::CloudRequest;
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
+use crate::types::{MachineId, Micros};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Machines that one request deletes at most.
+const MAX_DELETIONS_PER_REQUEST: usize = 100;
+/// How long a confirmed deletion is remembered: the cloud's listing lags, and heartbeats come late.
+const CONFIRMATION_RETENTION: Micros = Micros::from_millis(600_000);
+
+/// Machines that are being deleted, and those that were.
+#[derive(Default)]
+pub(super) struct Deletions {
+    /// Until their records are removed.
+    in_progress: BTreeSet<MachineId>,
+    confirmed_at: BTreeMap<MachineId, Micros>,
+}
+
+impl Deletions {
+    pub fn is_in_progress(&self, id: &MachineId) -> bool {
+        self.in_progress.contains(id)
+    }
+
+    pub fn is_confirmed(&self, id: &MachineId) -> bool {
+        self.confirmed_at.contains_key(id)
+    }
+
+    /// Marks machines as being deleted; returns those that were not yet.
+    fn begin(&mut self, ids: Vec<MachineId>) -> Vec<MachineId> {
+        ids.into_iter().filter(|id| self.in_progress.insert(id.clone())).collect()
+    }
+
+    pub fn confirm(&mut self, id: MachineId, now: Micros) {
+        self.confirmed_at.insert(id, now);
+    }
+
+    /// The machine's record is removed, or its removal failed and the deletion may be requested again.
+    pub fn settle(&mut self, id: &MachineId) {
+        self.in_progress.remove(id);
+    }
+
+    /// A new leader does not know what the one before had requested.
+    pub fn forget_in_progress(&mut self) {
+        self.in_progress.clear();
+    }
+
+    pub fn forget_old_confirmations(&mut self, now: Micros) {
+        self.confirmed_at.retain(|_, at| now.since(*at) < CONFIRMATION_RETENTION);
+    }
+}
+
+impl Controller {
+    /// Asks the cloud to delete machines, unless this was requested already.
+    pub(super) fn delete_machines(&mut self, ids: Vec<MachineId>) {
+        let ids = self.autoscaling.deletions.begin(ids);
+        for part in ids.chunks(MAX_DELETIONS_PER_REQUEST) {
+            self.send_cloud_request(CloudRequest::DeleteMachines(part.to_vec()));
+        }
+    }
+
+    /// Deletes cordoned machines that are not to come back: lost ones at once, retired ones when nothing is recorded on
+    /// them.
+    pub(super) fn delete_cordoned_machines(&mut self) {
+        let mut ids = Vec::new();
+        for (id, machine) in &self.store.replica.machines {
+            if self.autoscaling.is_deleting(id) {
+                continue;
+            }
+            // The cordon is seen by whoever records starts. A start that crosses with it is lost with the machine, and
+            // starts again elsewhere.
+            let is_empty = self.store.replica.applied.0 >= machine.version && self.jobs.usage.is_empty(id);
+            match machine.value.hold {
+                Some(Hold::Doomed) => ids.push(id.clone()),
+                Some(Hold::Retire) if is_empty => ids.push(id.clone()),
+                _ => {}
+            }
+        }
+        self.delete_machines(ids);
+    }
+
+    /// The cloud has confirmed a deletion.
+    pub(super) fn deletion_confirmed(&mut self, ids: Vec<MachineId>) {
+        let now = self.now();
+        let mut recorded = Vec::new();
+        for id in ids {
+            tracing::info!(machine = %id, "machine deleted");
+            self.autoscaling.provisioning.remove(&id);
+            self.autoscaling.deletions.confirm(id.clone(), now);
+            if self.store.replica.machines.contains_key(&id) {
+                recorded.push(id);
+            } else {
+                self.autoscaling.deletions.settle(&id);
+            }
+        }
+        self.delete_machine_records(recorded);
+    }
+
+    /// Removes the records of deleted machines, which proves to their shards that nothing is left on them.
+    pub(crate) fn delete_machine_records(&mut self, ids: Vec<MachineId>) {
+        let is_retired = |id: &MachineId| {
+            self.store.replica.machines.get(id).is_some_and(|machine| machine.value.hold == Some(Hold::Retire))
+        };
+        let (retired, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(is_retired);
+        self.delete_machine_records_as(MachineChange::Return, &retired);
+        self.delete_machine_records_as(MachineChange::Replace, &lost);
+    }
+
+    fn delete_machine_records_as(&mut self, change: MachineChange, ids: &[MachineId]) {
+        for ids in ids.chunks(self.platform.deployment.store.ops()) {
+            let mut proposal = ProposedTxn::default();
+            for id in ids {
+                self.propose_record_removal(&mut proposal, id);
+            }
+            self.submit_txn(proposal, Purpose::Machines(change, ids.to_vec()));
+        }
+    }
+
+    fn propose_record_removal(&self, proposal: &mut ProposedTxn, id: &MachineId) {
+        let replica = &self.store.replica;
+        let key = Key::Machine(id.clone());
+        proposal.unchanged(replica, key.clone());
+        // As long as a fleet record names the machine, a record of its own must say that it is gone.
+        match (replica.fleet_of(id), replica.machines.get(id)) {
+            (Some(_), Some(machine)) => {
+                let record = MachineRecord { hold: Some(Hold::Gone), ..machine.value.clone() };
+                proposal.put(key, to_value(&record));
+            }
+            _ => proposal.delete(key),
+        }
+    }
+}
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -1,125 +1,247 @@
-//! How rented machines come up: how long that takes, and which kinds of machine fail to.
-//!
-//! A machine that boots for longer than its kind usually takes is not counted on any more: more machines are rented in
-//! its place, if need be of another kind. It is still used if it comes, and given up after the time that
-//! `boot_patience` allows.
+//! Instances being provisioned: created or listed by the cloud, but without a machine record yet.
 
-use crate::coordination::autoscaling::leader::{Boot, Offer};
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::bin_packing::MachineCapacity;
+use crate::coordination::autoscaling::machine_types::{InstanceOffer, MachineTypeCatalog};
+use crate::coordination::autoscaling::provisioning_history::{ProvisioningHistory, Reliability};
+use crate::protocol::cloud::{InstanceRequest, ListedMachine, ListedState};
+use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros};
-use std::collections::BTreeMap;
-
-/// Weights of the newest boot in the running mean and deviation, and deviations allowed above the mean: as TCP
-/// estimates its retransmission timeout.
-const MEAN_GAIN: f64 = 0.125;
-const DEVIATION_GAIN: f64 = 0.25;
-const DEVIATIONS: f64 = 4.0;
-/// A boot of ordinary length takes up to this multiple of the time that the cloud names.
-const ORDINARY_SPREAD: f64 = 1.6;
-/// What happened so long ago counts half.
-const HALF_LIFE_S: f64 = 120.0;
-/// What is expected of a kind weighs as much as so many boots of it.
-const PRIOR: f64 = 2.0;
-
-/// Boot times of one machine type, in seconds.
-#[derive(Clone, Copy, Debug)]
-struct BootTime {
-    mean: f64,
-    deviation: f64,
+use std::collections::{BTreeMap, HashMap};
+
+/// Provisioning time of a type that the cloud does not list any more, in seconds.
+const DEFAULT_PROVISIONING_S: f64 = 60.0;
+/// An instance that is missing from the listings for this multiple of their lag, and the margin in seconds, is gone.
+const LISTING_LAG_FACTOR: f64 = 2.0;
+const LISTING_MARGIN_S: f64 = 5.0;
+
+/// An instance created or listed that has no machine record yet.
+#[derive(Clone, Debug)]
+pub(super) struct ProvisioningInstance {
+    pub offer: InstanceOffer,
+    requested_at: Micros,
+    last_listed_at: Micros,
 }
 
-/// Boots of one kind of machine, the older the less they count.
-#[derive(Clone, Copy, Debug, Default)]
-struct Outcomes {
-    up: f64,
-    failed: f64,
-    at: Micros,
+/// The instances being provisioned, and what is known of earlier ones.
+#[derive(Default)]
+pub(super) struct Provisioning {
+    instances: BTreeMap<MachineId, ProvisioningInstance>,
+    history: ProvisioningHistory,
+    /// Offers that the cloud had no capacity for, and until when they are not asked for again.
+    unavailable_until: HashMap<InstanceOffer, Micros>,
+    request_count: u64,
 }
 
-impl Outcomes {
-    fn decayed(&self, now: Micros) -> Outcomes {
-        let part = 0.5f64.powf(now.since(self.at).secs() / HALF_LIFE_S);
-        Outcomes { up: self.up * part, failed: self.failed * part, at: now }
+impl Provisioning {
+    /// Number of the next request for instances, counted from 1.
+    pub fn next_request_number(&mut self) -> u64 {
+        self.request_count += 1;
+        self.request_count
     }
 
-    /// The part that came up, drawn towards what is expected where little was seen.
-    fn rate(&self, expected: f64) -> f64 {
-        (self.up + PRIOR * expected) / (self.up + self.failed + PRIOR)
+    pub fn count(&self) -> u64 {
+        self.instances.len() as u64
     }
-}
 
-/// What was seen of boots.
-#[derive(Debug, Default)]
-pub struct BootHistory {
-    times: BTreeMap<String, BootTime>,
-    outcomes: BTreeMap<Offer, Outcomes>,
-}
+    pub fn count_in_zone(&self, zone: &str) -> u32 {
+        self.instances.values().filter(|instance| instance.offer.zone == zone).count() as u32
+    }
 
-impl BootHistory {
-    /// A machine has come up so long after it was rented.
-    pub fn came_up(&mut self, offer: Offer, took: Micros, now: Micros) {
-        let seconds = took.secs();
-        let first = BootTime { mean: seconds, deviation: seconds / 2.0 };
-        let time = self.times.entry(offer.0.clone()).or_insert(first);
-        let error = seconds - time.mean;
-        time.mean += MEAN_GAIN * error;
-        time.deviation += DEVIATION_GAIN * (error.abs() - time.deviation);
-        self.note(offer, now).up += 1.0;
+    /// A new leader lists what there is.
+    pub fn forget_instances(&mut self) {
+        self.instances.clear();
     }
 
-    /// A machine was given up before it came up.
-    pub fn given_up(&mut self, offer: Offer, now: Micros) {
-        self.note(offer, now).failed += 1.0;
+    pub fn remove(&mut self, id: &MachineId) {
+        self.instances.remove(id);
     }
 
-    fn note(&mut self, offer: Offer, now: Micros) -> &mut Outcomes {
-        let outcomes = self.outcomes.entry(offer).or_default();
-        *outcomes = outcomes.decayed(now);
-        outcomes
+    /// The cloud has created an instance.
+    fn created(&mut self, id: MachineId, offer: InstanceOffer, now: Micros) {
+        let instance = ProvisioningInstance { offer, requested_at: now, last_listed_at: now };
+        self.instances.entry(id).or_insert(instance);
     }
 
-    /// How long a boot may take before it is not counted on any more. `usual_s` is what the cloud names. Short boots
-    /// shorten nothing: those that follow may take the usual time again.
-    pub fn ordinary_span(&self, machine_type: &str, usual_s: f64) -> Micros {
-        let seen = self.times.get(machine_type).map_or(0.0, |time| time.mean + DEVIATIONS * time.deviation);
-        Micros::from_secs_f64(seen.max(usual_s * ORDINARY_SPREAD))
+    /// The cloud lists an instance that has no record.
+    fn listed(&mut self, machine: ListedMachine, now: Micros) {
+        let ListedMachine { id, machine_type, zone, spot, age_s, .. } = machine;
+        let instance = self.instances.entry(id).or_insert_with(|| ProvisioningInstance {
+            offer: InstanceOffer { machine_type, zone, spot },
+            requested_at: now - Micros::from_secs_f64(age_s),
+            last_listed_at: now,
+        });
+        instance.last_listed_at = now;
     }
 
-    /// What part of the machines of each kind comes up in time. `overdue`: those that still boot and should be up.
-    pub fn reliability<'a>(&self, overdue: impl Iterator<Item = &'a Boot>, now: Micros) -> Reliability {
-        let mut seen: BTreeMap<Offer, Outcomes> =
-            self.outcomes.iter().map(|(offer, outcomes)| (offer.clone(), outcomes.decayed(now))).collect();
-        for boot in overdue {
-            seen.entry(boot.offer()).or_default().failed += 1.0;
+    /// An instance has sent its first heartbeat.
+    pub fn came_up(&mut self, id: &MachineId, now: Micros) {
+        if let Some(instance) = self.instances.remove(id) {
+            self.history.came_up(instance.offer, now.since(instance.requested_at), now);
         }
-        let mut pooled = [Outcomes::default(); 2];
-        for ((_, _, spot), outcomes) in &seen {
-            let pool = &mut pooled[usize::from(*spot)];
-            (pool.up, pool.failed) = (pool.up + outcomes.up, pool.failed + outcomes.failed);
+    }
+
+    /// An instance has not come up before its timeout.
+    fn timed_out(&mut self, id: &MachineId, now: Micros) {
+        if let Some(instance) = self.instances.get(id) {
+            self.history.timed_out(instance.offer.clone(), now);
         }
-        Reliability { pooled: pooled.map(|pool| pool.rate(1.0)), seen }
     }
-}
 
-/// What part of the machines of each kind comes up.
-pub struct Reliability {
-    seen: BTreeMap<Offer, Outcomes>,
-    /// Of ordinary machines and of spot ones as a whole: what is expected of a kind before any of it was seen.
-    pooled: [f64; 2],
+    /// Forgets instances that are registered, and those that are not listed any more. Returns those past their timeout,
+    /// which stay until their deletion is confirmed.
+    fn settle(
+        &mut self,
+        is_registered: impl Fn(&MachineId) -> bool,
+        timeout: impl Fn(&InstanceOffer) -> Micros,
+        listing_lag: Micros,
+        now: Micros,
+    ) -> Vec<MachineId> {
+        let mut timed_out = Vec::new();
+        self.instances.retain(|id, instance| {
+            if is_registered(id) {
+                return false;
+            }
+            if now.since(instance.requested_at) > timeout(&instance.offer) {
+                timed_out.push(id.clone());
+                return true;
+            }
+            now.since(instance.last_listed_at) < listing_lag
+        });
+        timed_out
+    }
+
+    /// Whether an instance should be up by now, by what earlier ones of its type took.
+    fn is_overdue(&self, instance: &ProvisioningInstance, types: &MachineTypeCatalog, now: Micros) -> bool {
+        let machine_type = &instance.offer.machine_type;
+        let max_span = self.history.max_expected_span(machine_type, types.provisioning_s(machine_type));
+        now.since(instance.requested_at) > max_span
+    }
+
+    fn overdue<'a>(
+        &'a self,
+        types: &'a MachineTypeCatalog,
+        now: Micros,
+    ) -> impl Iterator<Item = &'a ProvisioningInstance> {
+        self.instances.values().filter(move |instance| self.is_overdue(instance, types, now))
+    }
+
+    pub fn overdue_count(&self, types: &MachineTypeCatalog, now: Micros) -> u64 {
+        self.overdue(types, now).count() as u64
+    }
+
+    /// Capacity that can be counted on: of the instances that are not overdue.
+    pub fn expected_capacity(&self, types: &MachineTypeCatalog, now: Micros) -> Vec<MachineCapacity> {
+        let expected = self.instances.values().filter(|instance| !self.is_overdue(instance, types, now));
+        expected
+            .map(|instance| {
+                let resources = types.resources(&instance.offer.machine_type);
+                MachineCapacity::of_new_machine(instance.offer.clone(), resources)
+            })
+            .collect()
+    }
+
+    /// What part of the instances of each offer comes up; those overdue now count as failed.
+    pub fn reliability(&self, types: &MachineTypeCatalog, now: Micros) -> Reliability {
+        self.history.reliability(self.overdue(types, now), now)
+    }
+
+    /// The same by settled instances only.
+    pub fn settled_reliability(&self, now: Micros) -> Reliability {
+        self.history.reliability(std::iter::empty(), now)
+    }
+
+    /// Whether the cloud had no capacity for an offer a short while ago.
+    pub fn is_unavailable(&self, offer: &InstanceOffer) -> bool {
+        self.unavailable_until.contains_key(offer)
+    }
+
+    pub fn forget_expired_unavailability(&mut self, now: Micros) {
+        self.unavailable_until.retain(|_, until| *until > now);
+    }
 }
 
-impl Reliability {
-    /// Of one kind.
-    pub fn of(&self, offer: &Offer) -> f64 {
-        let expected = self.pooled[usize::from(offer.2)];
-        self.seen.get(offer).map_or(expected, |outcomes| outcomes.rate(expected))
+impl MachineTypeCatalog {
+    /// Time that instances of a type take to come up, as the cloud names it, in seconds.
+    fn provisioning_s(&self, machine_type: &str) -> f64 {
+        self.get(machine_type).map_or(DEFAULT_PROVISIONING_S, |info| info.wire.boot_s)
     }
 }
 
-/// Machines that boot and should be up by now.
-pub fn overdue<'a>(
-    boots: &'a BTreeMap<MachineId, Boot>,
-    span: impl Fn(&Boot) -> Micros + 'a,
-    now: Micros,
-) -> impl Iterator<Item = &'a Boot> {
-    boots.values().filter(move |boot| now.since(boot.since) > span(boot))
+impl Controller {
+    /// The cloud has answered a request for instances with those it created.
+    pub(super) fn instances_created(&mut self, request: &InstanceRequest, ids: Vec<MachineId>) {
+        let now = self.now();
+        let InstanceRequest { machine_type, zone, spot, count, .. } = request;
+        let offer = InstanceOffer { machine_type: machine_type.clone(), zone: zone.clone(), spot: *spot };
+        tracing::info!(
+            machine_type,
+            zone,
+            spot,
+            requested_count = count,
+            created_count = ids.len(),
+            "instances created"
+        );
+        if (ids.len() as u32) < *count {
+            self.mark_unavailable(offer.clone());
+        }
+        for id in ids {
+            if !self.store.replica.machines.contains_key(&id) {
+                self.autoscaling.provisioning.created(id, offer.clone(), now);
+            }
+        }
+    }
+
+    /// The cloud has no more capacity for an offer: plans again at once, with others.
+    pub(super) fn mark_unavailable(&mut self, offer: InstanceOffer) {
+        let now = self.now();
+        let until = now + Micros::from_millis(self.policy.refused_pause_ms);
+        self.autoscaling.provisioning.unavailable_until.insert(offer, until);
+        self.autoscaling.plan.schedule_at_once(now);
+    }
+
+    /// All machines that the cloud lists.
+    pub(super) fn machines_listed(&mut self, machines: Vec<ListedMachine>) {
+        let now = self.now();
+        let mut failed = Vec::new();
+        for machine in machines {
+            let id = &machine.id;
+            let is_recorded = self.store.replica.machines.contains_key(id);
+            if machine.state == ListedState::Failed {
+                if is_recorded {
+                    self.cordon_as_leader(id, Hold::Doomed);
+                } else if !self.autoscaling.was_deleted(id) {
+                    // The listing lags: one that was deleted stays on it as failed for a while.
+                    failed.push(id.clone());
+                }
+                continue;
+            }
+            let is_gone = self.autoscaling.was_deleted(id) || self.store.replica.is_gone(id);
+            if !is_recorded && !is_gone {
+                self.autoscaling.provisioning.listed(machine, now);
+            }
+        }
+        self.delete_machines(failed);
+    }
+
+    /// Deletes instances that have not come up before their timeout.
+    pub(super) fn enforce_provisioning_timeout(&mut self) {
+        let now = self.now();
+        let lag_s = self.platform.deployment.cloud.list_lag_s * LISTING_LAG_FACTOR + LISTING_MARGIN_S;
+        let timeout_factor = self.policy.boot_patience;
+        let (types, recorded) = (&self.autoscaling.machine_types, &self.store.replica.machines);
+        let timed_out = self.autoscaling.provisioning.settle(
+            |id| recorded.contains_key(id),
+            |offer| Micros::from_secs_f64(types.provisioning_s(&offer.machine_type) * timeout_factor),
+            Micros::from_secs_f64(lag_s),
+            now,
+        );
+        for id in &timed_out {
+            if !self.autoscaling.is_deleting(id) {
+                tracing::info!(machine = %id, "provisioning timed out");
+                self.autoscaling.provisioning.timed_out(id, now);
+            }
+        }
+        self.delete_machines(timed_out);
+    }
 }
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -1,177 +1,191 @@
-//! What is rented: which kind of machine, and how many, for tasks that find no resources.
+//! Scale out: which instances are created for unschedulable tasks, and how many of each offer.
 
 use crate::coordination::Controller;
-use crate::coordination::autoscaling::capacity::{Slot, Unmet, count_in, fit};
-use crate::coordination::autoscaling::leader::{Boot, Call, Offer};
-use crate::coordination::autoscaling::provisioning::{Reliability, overdue};
-use crate::protocol::cloud::Rental;
+use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks, pack_tasks, tasks_that_fit};
+use crate::coordination::autoscaling::cloud_client::CloudRequest;
+use crate::coordination::autoscaling::machine_types::{InstanceOffer, MachineTypeInfo};
+use crate::coordination::autoscaling::provisioning_history::Reliability;
+use crate::coordination::scheduling::zone_rules::TasksByZone;
+use crate::protocol::cloud::InstanceRequest;
 use crate::protocol::user::JobSpec;
 use crate::storage::schema::Role;
-use crate::types::{Micros, Resources};
+use crate::types::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that one request may ask for.
-const RENTAL_MOST: u32 = 50;
-/// Boot time of a type that the cloud does not list any more, in seconds.
-const USUAL_BOOT_S: f64 = 60.0;
+/// Instances that one request may ask for.
+const MAX_INSTANCES_PER_REQUEST: u32 = 50;
+/// Costs are compared in millionths.
+const COST_SCALE: f64 = 1e6;
 
-/// What is known of the offers when one is chosen.
-struct Market<'a> {
+/// What is known of the cloud's offers when one is chosen.
+struct Market {
     /// Machines that there are and are to be, by zone.
-    by_zone: &'a BTreeMap<String, u64>,
-    /// Zones in which nothing may be rented now.
-    closed: &'a BTreeSet<String>,
-    reliability: &'a Reliability,
+    machines_by_zone: BTreeMap<String, u64>,
+    /// Zones in which nothing may be created now.
+    closed_zones: BTreeSet<String>,
+    reliability: Reliability,
+}
+
+/// An offer with what decides between it and others.
+struct PricedOffer {
+    offer: InstanceOffer,
+    resources: Resources,
+    /// Cost for each task that it holds.
+    cost: u64,
+    /// Among equal costs the zone with the fewest machines.
+    machines_in_zone: u64,
+}
+
+/// The instances to be created, as far as they are decided.
+struct ScaleOutPlan {
+    market: Market,
+    new_machines: Vec<MachineCapacity>,
+    counts: BTreeMap<InstanceOffer, u32>,
+    /// By zone, for zones that return.
+    counts_in_returning_zones: BTreeMap<String, u32>,
+    /// How many more may be created.
+    remaining: u64,
 }
 
 impl Controller {
-    /// When a machine that boots should be up.
-    fn boot_span(&self, boot: &Boot) -> Micros {
-        let usual_s = self.autoscaling.types.get(&boot.machine_type).map_or(USUAL_BOOT_S, |info| info.wire.boot_s);
-        self.autoscaling.leader.boot_history.ordinary_span(&boot.machine_type, usual_s)
+    /// Whether any offer that takes such a task is not known to be out of capacity.
+    pub(crate) fn can_scale_out_for(&self, tasks: &UnschedulableTasks) -> bool {
+        let market = Market {
+            machines_by_zone: BTreeMap::new(),
+            closed_zones: self.zones_closed_to_scale_out(&BTreeMap::new()),
+            reliability: self.autoscaling.provisioning.settled_reliability(self.now()),
+        };
+        self.cheapest_offer(&tasks.spec, &tasks.zones, &market).is_some()
     }
 
-    /// Machines that boot and should be up by now.
-    fn overdue_boots(&self) -> impl Iterator<Item = &Boot> {
-        overdue(&self.autoscaling.leader.boots, |boot| self.boot_span(boot), self.now())
+    /// Requests instances for unschedulable tasks.
+    pub(super) fn scale_out(&mut self, unschedulable: &[UnschedulableTasks]) {
+        // Until the answer is here it isn't known what is coming.
+        if self.autoscaling.cloud.is_creating_instances() {
+            return;
+        }
+        let now = self.now();
+        self.autoscaling.provisioning.forget_expired_unavailability(now);
+        let counts = self.instances_to_create(unschedulable);
+        self.request_instances(counts);
     }
 
-    /// Machines that boot and can be counted on.
-    pub(crate) fn boot_slots(&self) -> Vec<Slot> {
-        let now = self.now();
-        let likely =
-            self.autoscaling.leader.boots.values().filter(|boot| now.since(boot.since) <= self.boot_span(boot));
-        likely
-            .map(|b| Slot {
-                id: None,
-                machine_type: b.machine_type.clone(),
-                zone: b.zone.clone(),
-                spot: b.spot,
-                free: self.autoscaling.types.get(&b.machine_type).map(|t| t.resources).unwrap_or_default(),
-                untouched: true,
-            })
-            .collect()
+    /// How many more instances may be provisioned at a time.
+    fn remaining_provisioning(&self) -> u64 {
+        let by_size = (self.store.replica.machines.len() as f64 * self.policy.boots_part) as u64;
+        let max_count = u64::from(self.policy.boots_max).max(by_size);
+        // Overdue instances, which may never come up, leave room for others, but not without bound.
+        let autoscaling = &self.autoscaling;
+        let overdue_count = autoscaling.provisioning.overdue_count(&autoscaling.machine_types, self.now());
+        max_count.saturating_sub(autoscaling.provisioning.count() - overdue_count.min(max_count))
     }
 
-    /// Whether any kind of machine that takes such a task is not known to be sold out.
-    pub(crate) fn can_rent_for(&self, unmet: &Unmet) -> bool {
-        let reliability = self.autoscaling.leader.boot_history.reliability(std::iter::empty(), self.now());
-        let closed = self.zones_closed_to_rentals(&BTreeMap::new());
-        let market = Market { by_zone: &BTreeMap::new(), closed: &closed, reliability: &reliability };
-        self.cheapest(&unmet.spec, &unmet.zones, &market).is_some()
+    fn instances_to_create(&self, unschedulable: &[UnschedulableTasks]) -> BTreeMap<InstanceOffer, u32> {
+        let autoscaling = &self.autoscaling;
+        let mut plan = ScaleOutPlan {
+            market: Market {
+                // Counted once: a walk over all machines for each instance took most of a second.
+                machines_by_zone: self.machines_by_zone(),
+                closed_zones: self.zones_closed_to_scale_out(&BTreeMap::new()),
+                reliability: autoscaling.provisioning.reliability(&autoscaling.machine_types, self.now()),
+            },
+            new_machines: Vec::new(),
+            counts: BTreeMap::new(),
+            counts_in_returning_zones: BTreeMap::new(),
+            remaining: self.remaining_provisioning(),
+        };
+        for tasks in unschedulable {
+            self.plan_instances_for(tasks, &mut plan);
+        }
+        plan.counts
     }
 
-    pub(crate) fn rent_for(&mut self, unmet: &[Unmet]) {
-        let now = self.now();
-        let in_flight =
-            self.autoscaling.leader.calls.values().chain(self.autoscaling.leader.again.iter().map(|(_, c)| c));
-        // Until the answer is here it isn't known what is coming.
-        if in_flight.into_iter().any(|c| matches!(c, Call::Rent(..))) {
-            return;
+    /// Packs tasks into the instances decided so far, and decides on more for those that are left.
+    fn plan_instances_for(&self, tasks: &UnschedulableTasks, plan: &mut ScaleOutPlan) {
+        let mut zones = tasks.zones.clone();
+        let mut count = tasks.count - pack_tasks(&tasks.spec, tasks.count, &mut plan.new_machines, &mut zones);
+        while count > 0 && plan.remaining > 0 {
+            let Some(PricedOffer { offer, resources, .. }) = self.cheapest_offer(&tasks.spec, &zones, &plan.market)
+            else {
+                break;
+            };
+            let mut machine = MachineCapacity::of_new_machine(offer.clone(), resources);
+            let packed_count = pack_tasks(&tasks.spec, count, std::slice::from_mut(&mut machine), &mut zones);
+            if packed_count == 0 {
+                break;
+            }
+            count -= packed_count;
+            plan.new_machines.push(machine);
+            *plan.market.machines_by_zone.entry(offer.zone.clone()).or_default() += 1;
+            if self.zone_is_returning(&offer.zone) {
+                *plan.counts_in_returning_zones.entry(offer.zone.clone()).or_default() += 1;
+                plan.market.closed_zones = self.zones_closed_to_scale_out(&plan.counts_in_returning_zones);
+            }
+            *plan.counts.entry(offer).or_default() += 1;
+            plan.remaining -= 1;
         }
-        self.autoscaling.leader.refused.retain(|_, until| *until > now);
-        let by_size = (self.store.replica.machines.len() as f64 * self.policy.boots_part) as u64;
-        let most = u64::from(self.policy.boots_max).max(by_size);
-        // Those that may never come up leave room for others, but not without bound.
-        let (all, late) = (self.autoscaling.leader.boots.len() as u64, self.overdue_boots().count() as u64);
-        let room_left = most.saturating_sub(all - late.min(most));
-        let commands = self.offers_for(unmet, room_left);
-        self.send_rentals(commands);
     }
 
-    /// What to rent for tasks that find no resources, and how many of each, up to so many machines.
-    fn offers_for(&self, unmet: &[Unmet], mut room_left: u64) -> BTreeMap<Offer, u32> {
-        let mut commands: BTreeMap<Offer, u32> = BTreeMap::new();
-        // Counted once: a walk over all machines for each one to be rented took most of a second.
+    fn machines_by_zone(&self) -> BTreeMap<String, u64> {
         let mut by_zone: BTreeMap<String, u64> = BTreeMap::new();
         for record in self.store.replica.machines.values() {
+            // Without a copy of the name for each of thousands of machines.
             match by_zone.get_mut(&record.value.zone) {
                 Some(count) => *count += 1,
                 None => *by_zone.entry(record.value.zone.clone()).or_default() = 1,
             }
         }
-        let reliability = self.autoscaling.leader.boot_history.reliability(self.overdue_boots(), self.now());
-        let mut fresh: Vec<Slot> = Vec::new();
-        let mut ordered: BTreeMap<String, u32> = BTreeMap::new();
-        let mut closed = self.zones_closed_to_rentals(&ordered);
-        for u in unmet {
-            let mut zones = u.zones.clone();
-            let mut count = u.count - fit(&u.spec, u.count, &mut fresh, &mut zones);
-            while count > 0 && room_left > 0 {
-                let market = Market { by_zone: &by_zone, closed: &closed, reliability: &reliability };
-                let Some((offer, resources)) = self.cheapest(&u.spec, &zones, &market) else { break };
-                let mut slot = Slot {
-                    id: None,
-                    machine_type: offer.0.clone(),
-                    zone: offer.1.clone(),
-                    spot: offer.2,
-                    free: resources,
-                    untouched: true,
-                };
-                let taken = fit(&u.spec, count, std::slice::from_mut(&mut slot), &mut zones);
-                if taken == 0 {
-                    break;
-                }
-                count -= taken;
-                fresh.push(slot);
-                *by_zone.entry(offer.1.clone()).or_default() += 1;
-                if self.zone_is_returning(&offer.1) {
-                    *ordered.entry(offer.1.clone()).or_default() += 1;
-                    closed = self.zones_closed_to_rentals(&ordered);
-                }
-                *commands.entry(offer).or_default() += 1;
-                room_left -= 1;
-            }
-        }
-        commands
+        by_zone
     }
 
-    fn send_rentals(&mut self, commands: BTreeMap<Offer, u32>) {
+    fn request_instances(&mut self, counts: BTreeMap<InstanceOffer, u32>) {
         let fencing_token = self.held(Role::Leader).unwrap_or_default();
-        for (offer, count) in commands {
-            self.autoscaling.leader.rental_requests += 1;
-            // The fencing token is this process's alone, so the name never comes again.
-            let request = format!("r-{}-{}", fencing_token.0, self.autoscaling.leader.rental_requests);
-            let (machine_type, zone, spot) = offer;
-            let rental = Rental { request, machine_type, zone, spot, count: count.min(RENTAL_MOST) };
-            self.cloud(Call::Rent(rental, 0));
+        for (offer, count) in counts {
+            let number = self.autoscaling.provisioning.next_request_number();
+            // The fencing token is this process's alone, so the name is never used again.
+            let request = InstanceRequest {
+                request: format!("r-{}-{number}", fencing_token.0),
+                machine_type: offer.machine_type,
+                zone: offer.zone,
+                spot: offer.spot,
+                count: count.min(MAX_INSTANCES_PER_REQUEST),
+            };
+            self.send_cloud_request(CloudRequest::CreateInstances { request, retry_count: 0 });
         }
     }
 
-    /// The offer with the lowest price for each task it can hold. One that fails costs its boot and the time of those
-    /// who wait for it.
-    fn cheapest(&self, spec: &JobSpec, zones: &BTreeMap<String, u64>, market: &Market) -> Option<(Offer, Resources)> {
+    /// The offer with the lowest cost for each task it can hold.
+    fn cheapest_offer(&self, spec: &JobSpec, zones: &TasksByZone, market: &Market) -> Option<PricedOffer> {
         let need = spec.resources();
-        let most = u64::from(spec.tasks.div_ceil(2));
-        let zone_allowed = |zone: &String| {
-            !market.closed.contains(zone)
-                && spec.zone.as_ref().is_none_or(|want| want == zone)
-                && (!spec.one_zone || zones.keys().all(|z| z == zone))
-                && (!spec.spread || zones.get(zone).copied().unwrap_or(0) < most)
-        };
-        let mut best: Option<((u64, u64), Offer, Resources)> = None;
-        for info in self.autoscaling.types.values() {
-            if spec.types.as_ref().is_some_and(|t| !t.contains(&info.wire.name)) || !need.fits_in(&info.resources) {
-                continue;
-            }
-            let tasks = count_in(&need, &info.resources).max(1);
-            for zone in info.wire.zones.iter().filter(|z| zone_allowed(z)) {
+        let zone_allowed = |zone: &str| !market.closed_zones.contains(zone) && zones.remaining_in(spec, zone) > 0;
+        let mut priced_offers = Vec::new();
+        for info in self.autoscaling.machine_types().filter(|info| need.fits_in(&info.resources)) {
+            for zone in info.wire.zones.iter().filter(|zone| zone_allowed(zone)) {
                 for spot in [false, true] {
-                    let offer = (info.wire.name.clone(), zone.clone(), spot);
-                    if (spot && !spec.spot) || self.autoscaling.leader.refused.contains_key(&offer) {
-                        continue;
-                    }
-                    let price = if spot { info.wire.spot_price.unwrap_or(info.wire.price) } else { info.wire.price };
-                    let comes_up = market.reliability.of(&offer);
-                    let cost = (price / tasks as f64 / (comes_up * comes_up) * 1e6) as u64;
-                    // Among equals the zone with the fewest machines.
-                    let here = market.by_zone.get(zone).copied().unwrap_or(0);
-                    if best.as_ref().is_none_or(|(b, ..)| (cost, here) < *b) {
-                        best = Some(((cost, here), offer, info.resources));
+                    let offer = InstanceOffer { machine_type: info.wire.name.clone(), zone: zone.clone(), spot };
+                    if spec.allows(&offer.machine_type, &offer.zone, spot)
+                        && !self.autoscaling.provisioning.is_unavailable(&offer)
+                    {
+                        priced_offers.push(priced_offer(offer, info, &need, market));
                     }
                 }
             }
         }
-        best.map(|(_, offer, resources)| (offer, resources))
+        priced_offers.into_iter().min_by_key(|priced| (priced.cost, priced.machines_in_zone))
+    }
+}
+
+/// The cost for each task that an offer holds. An instance that fails costs its provisioning and the time of those who
+/// wait for it, so the success rate counts twice.
+fn priced_offer(offer: InstanceOffer, info: &MachineTypeInfo, need: &Resources, market: &Market) -> PricedOffer {
+    let on_demand_price = info.wire.price;
+    let price = if offer.spot { info.wire.spot_price.unwrap_or(on_demand_price) } else { on_demand_price };
+    let task_count = tasks_that_fit(need, &info.resources).max(1);
+    let success_rate = market.reliability.success_rate(&offer);
+    PricedOffer {
+        cost: (price / task_count as f64 / (success_rate * success_rate) * COST_SCALE) as u64,
+        machines_in_zone: market.machines_by_zone.get(&offer.zone).copied().unwrap_or(0),
+        resources: info.resources,
+        offer,
     }
 }
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -179,7 +179,7 @@
         {
             machine.hears(now);
             if !recorded && self.is_leader() {
-                self.autoscaling.leader.alive.insert(id.clone(), now);
+                self.fleet.unregistered_alive_at.insert(id.clone(), now);
                 return;
             }
         }
--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -5,7 +5,7 @@
 //! what holds without it is in [`crate::coordination::fleet::lease_renewal`].
 
 use crate::coordination::Controller;
-use crate::coordination::autoscaling::leader::Call;
+use crate::coordination::autoscaling::cloud_client::CloudRequest;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::Phase;
 use crate::storage::schema::{Outcome, Role};
@@ -118,7 +118,7 @@
             let part: Vec<MachineId> = part.iter().map(|(_, id)| id.clone()).collect();
             self.note_deletion(&part, ids.first().map_or(now, |(deadline, _)| *deadline));
             self.jobs.cancellations.clearing.asked.extend(part.iter().map(|id| (id.clone(), now)));
-            self.cloud(Call::Clear(part));
+            self.send_cloud_request(CloudRequest::DeleteForCancellation(part));
         }
     }
 
@@ -171,7 +171,7 @@
             for (job, task) in self.jobs.usage.starts_on(&id) {
                 self.start_gone(&job, task, AbsenceProof::MachineDeleted);
             }
-            self.autoscaling.leader.deleted.insert(id.clone(), now);
+            self.autoscaling.note_deleted(id.clone(), now);
             self.jobs.cancellations.clearing.cleared.insert(id, None);
         }
     }
@@ -190,6 +190,6 @@
                 ids.push(id.clone());
             }
         }
-        self.strike_out(ids);
+        self.delete_machine_records(ids);
     }
 }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::{Phase, Start};
-use crate::coordination::zones::zone_control::ZoneStart;
+use crate::coordination::zones::gradual_return::ZoneStart;
 use crate::coordination::{Controller, Effect, Waiter, WorkerAnswer};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
@@ -149,7 +149,9 @@
             // Until it showed our fencing token a former owner may have gone on renewing its lease.
             machine.answered = now;
         }
-        self.scheduling.cycle_wanted |= first;
+        if first {
+            self.scheduling.request_cycle();
+        }
         self.take_tasks(heartbeat, source, first);
     }
 
@@ -261,7 +263,7 @@
             .replica
             .machines
             .get(id)
-            .and_then(|m| self.autoscaling.types.get(&m.value.machine_type))
+            .and_then(|m| self.autoscaling.machine_type(&m.value.machine_type))
             .map_or(f64::INFINITY, |t| t.wire.cache_gb * 1000.0);
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         if let Some(at) = machine.fetches.iter().position(|f| f.image == image) {
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -225,7 +225,7 @@
 
     pub(crate) fn machine_resources(&self, id: &MachineId) -> Resources {
         let Some(record) = self.store.replica.machines.get(id) else { return Resources::default() };
-        self.autoscaling.types.get(&record.value.machine_type).map(|t| t.resources).unwrap_or_default()
+        self.autoscaling.resources_of_type(&record.value.machine_type)
     }
 
     /// What is left on a machine after all starts not proven gone.
@@ -308,7 +308,7 @@
             self.fleet.pending_commands.insert(id.clone());
         }
         self.jobs_of_shard_reset(shard);
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 
     /// The shard has a new fencing token under the same owner: what is known stays, but from here on only
@@ -339,7 +339,7 @@
                 machine.writing = false;
                 machine.registering = false;
             }
-            self.autoscaling.leader.deleting.remove(id);
+            self.autoscaling.deletion_settled(id);
         }
     }
 
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -45,6 +45,8 @@
     pub(crate) zones_cut_at: BTreeMap<String, Micros>,
     /// Heartbeats of machines that are just being taken into the stored records.
     pub(crate) unregistered: Vec<Unregistered>,
+    /// Machines without a record that answered when they were asked, and when.
+    pub(crate) unregistered_alive_at: BTreeMap<MachineId, Micros>,
     /// By when machines of shards held here should move to others, if any are to.
     pub(crate) moves_due: Option<Micros>,
 }
@@ -64,6 +66,7 @@
             many_unreported_at: None,
             zones_cut_at: BTreeMap::new(),
             unregistered: Vec::new(),
+            unregistered_alive_at: BTreeMap::new(),
             moves_due: None,
         }
     }
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -35,7 +35,7 @@
             }
             wanted |= !machines.empty.is_empty();
             for (id, to) in machines.occupied {
-                if self.held(Role::Shard(shard)).is_some() && self.should_vacate(&id, to) {
+                if self.held(Role::Shard(shard)).is_some() && self.should_drain_for(&id, to) {
                     self.vacate(&id);
                 } else {
                     self.write_machine(&id, MachineChange::Move, |record| record.hold = None);
@@ -82,7 +82,7 @@
             // From the hold's revision on the replica shows every start that others recorded there.
             let visible = self.store.replica.applied.0 >= held.version;
             let writing = self.fleet.machines.get(id).is_some_and(|m| m.writing);
-            if !visible || writing || self.autoscaling.leader.deleting.contains(id) {
+            if !visible || writing || self.autoscaling.is_deleting(id) {
                 continue;
             }
             let machines = leaving.entry(held.value.shard).or_default();
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -1,7 +1,8 @@
 //! Registering machines: those that report and have no record yet, which have come up or come back.
 
 use crate::coordination::api::submissions::VALUE_FILL;
-use crate::coordination::autoscaling::capacity::{Slot, fit};
+use crate::coordination::autoscaling::bin_packing::MachineCapacity;
+use crate::coordination::autoscaling::machine_types::InstanceOffer;
 use crate::coordination::store_sync::txns::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect};
 use crate::protocol::worker::Heartbeat;
@@ -30,7 +31,7 @@
         let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let heartbeats: Vec<_> = self.fleet.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
-        self.autoscaling.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
+        self.fleet.unregistered_alive_at.retain(|_, at| now.since(*at) < ALIVE_SPAN);
         let mut members: Vec<FleetMember> = Vec::new();
         let mut refused = Vec::new();
         let mut size = 0;
@@ -65,14 +66,14 @@
         if self.store.replica.machines.contains_key(id) {
             return Registration::Known;
         }
-        let deleted = self.autoscaling.leader.deleting.contains(id) || self.autoscaling.leader.deleted.contains_key(id);
+        let deleted = self.autoscaling.is_deleting(id) || self.autoscaling.was_deleted(id);
         if deleted || self.store.replica.is_gone(id) {
             return Registration::Deleted;
         }
         if self.fleet.machines.get(id).is_some_and(|m| m.registering) {
             return Registration::Known;
         }
-        if self.autoscaling.leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
+        if self.fleet.unregistered_alive_at.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
     fn new_member(&mut self, heartbeat: &Heartbeat, members: &[FleetMember]) -> FleetMember {
@@ -122,34 +123,21 @@
     /// A machine that was rented has come up.
     fn boot_over(&mut self, id: &MachineId) {
         let now = self.now();
-        if let Some(boot) = self.autoscaling.leader.boots.remove(id) {
-            self.autoscaling.leader.boot_history.came_up(boot.offer(), now.since(boot.since), now);
-        }
+        self.autoscaling.instance_came_up(id, now);
     }
 
     /// The shard with the most unmet need, else the one with the least room for its teams.
     fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
-        let cpus = self.autoscaling.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
-        // The most urgent tasks that it can really take decide, wherever else room is lacking.
-        let mut slot = Slot {
-            id: None,
+        let cpus = self.autoscaling.machine_type(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
+        // The most urgent tasks that it can really take decide, wherever else capacity is lacking.
+        let offer = InstanceOffer {
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
-            free: self.autoscaling.types.get(&heartbeat.machine_type).map(|t| t.resources).unwrap_or_default(),
-            untouched: true,
         };
-        let mut chosen = None;
-        for need in &mut self.autoscaling.leader.need {
-            if chosen.is_none_or(|shard| shard == need.shard) {
-                let taken = fit(&need.spec, need.count, std::slice::from_mut(&mut slot), &mut need.zones);
-                need.count -= taken;
-                if taken > 0 {
-                    chosen = Some(need.shard);
-                }
-            }
-        }
-        if let Some(shard) = chosen {
+        let resources = self.autoscaling.resources_of_type(&heartbeat.machine_type);
+        let capacity = MachineCapacity::of_new_machine(offer, resources);
+        if let Some(shard) = self.autoscaling.assign_new_machine(capacity) {
             return shard;
         }
         let shards = self.shard_count();
@@ -169,7 +157,7 @@
         let recorded = self.store.replica.machines.values().map(|held| &held.value);
         for record in recorded.chain(registered.iter().map(|m| &m.record)) {
             if let Some(sum) = have.get_mut(record.shard as usize) {
-                *sum += self.autoscaling.types.get(&record.machine_type).map_or(1_000_000, |t| t.resources.cpus);
+                *sum += self.autoscaling.machine_type(&record.machine_type).map_or(1_000_000, |t| t.resources.cpus);
             }
         }
         (0..shards)
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -132,8 +132,10 @@
         if let Some(job) = self.jobs.by_id.get_mut(id).filter(|j| j.over.is_none()) {
             job.held = false;
             job.ready = now.max(job.accepted);
-            self.scheduling.urgent_cycle_wanted |= job.urgency.priority > Priority::Normal;
-            self.scheduling.cycle_wanted = true;
+            if job.urgency.priority > Priority::Normal {
+                self.scheduling.request_urgent_cycle();
+            }
+            self.scheduling.request_cycle();
             tracing::debug!(job = %id, "ready: all it needs is done");
         }
     }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::dependency_graph::Urgency;
 use crate::coordination::jobs::failures::{Failure, FailureHistory};
 use crate::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
-use crate::coordination::zones::zone_control::ZoneStart;
+use crate::coordination::zones::gradual_return::ZoneStart;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::protocol::worker::ExitCause;
 use crate::storage::schema::{JobRecord, Outcome, RunChunk};
@@ -266,7 +266,9 @@
             let Some(known) = self.store.replica.jobs.get(id) else { return false };
             let shard = self.shard_of(known.record.spec.team.as_deref(), id);
             let job = Job::new(id, &known.record, shard);
-            self.scheduling.urgent_cycle_wanted |= known.record.spec.priority > Priority::Normal;
+            if known.record.spec.priority > Priority::Normal {
+                self.scheduling.request_urgent_cycle();
+            }
             self.jobs.by_id.insert(id.clone(), job);
             if over.is_none() {
                 self.add_to_dependency_graph(id);
@@ -383,7 +385,7 @@
             self.note_zone_start(&machine, ZoneStart::AtWork);
         }
         self.machine_freed(&machine);
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 
     /// A start was proven not to be on its machine.
@@ -403,7 +405,7 @@
         job.dirty(now);
         self.note_zone_loss(&start);
         self.machine_freed(&machine);
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 
     pub(crate) fn job_txn_over(&mut self, id: &JobId) {
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,6 +1,6 @@
 //! What reaches a controller's state machine and what it has carried out: inputs in, effects out.
 
-use crate::protocol::cloud::{MachineList, MachineNames, MachineTypes, Rental};
+use crate::protocol::cloud::{InstanceRequest, MachineList, MachineNames, MachineTypes};
 use crate::protocol::peer::{CancellationAck, Cancelled};
 use crate::protocol::store::{Changes, Page, Txn};
 use crate::protocol::user::{JobStatus, Submission};
@@ -129,7 +129,7 @@
         after: Option<MachineId>,
     },
     /// To rent machines.
-    Rent(Rental),
+    Rent(InstanceRequest),
     /// To delete machines.
     Delete(Vec<MachineId>),
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -46,7 +46,7 @@
     api: api::requests::Users,
     scheduling: scheduling::Scheduling,
     autoscaling: autoscaling::Autoscaling,
-    zones: zones::zone_control::ZoneControl,
+    zones: zones::ZoneControl,
 }
 
 /// Without any input for so long a process has stood still.
@@ -66,7 +66,7 @@
             api: api::requests::Users::default(),
             scheduling: scheduling::Scheduling::default(),
             autoscaling: autoscaling::Autoscaling::default(),
-            zones: zones::zone_control::ZoneControl::default(),
+            zones: zones::ZoneControl::default(),
             platform,
             policy,
             incarnation,
@@ -148,7 +148,7 @@
         self.tick_leader();
         self.write_cascaded();
         self.audit_summary();
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 
     /// To be called after each batch of inputs: makes the decisions the batch allows.
@@ -158,7 +158,7 @@
         self.clock = clock;
         if self.store.sync.done {
             self.answer_open_questions();
-            self.place(time_left);
+            self.run_scheduling_cycle(time_left);
             self.spend();
             self.send_pending_direct_commands();
             self.confirm_cancellations();
@@ -169,7 +169,7 @@
 
     /// True if the last round ran out of time.
     pub fn has_more(&self) -> bool {
-        !self.scheduling.queue.is_empty()
+        self.scheduling.has_jobs_left()
     }
 
     fn now(&self) -> Micros {
@@ -238,8 +238,7 @@
         let mut fresh = Controller::new(self.platform.clone(), self.policy.clone(), seed);
         fresh.clock = self.clock;
         fresh.out = std::mem::take(&mut self.out);
-        fresh.autoscaling.types = std::mem::take(&mut self.autoscaling.types);
-        fresh.autoscaling.next_call = self.autoscaling.next_call;
+        fresh.autoscaling.carry_over_from(&mut self.autoscaling);
         fresh.fleet.direct_open = self.fleet.direct_open;
         fresh.jobs.cancellations.next_call = self.jobs.cancellations.next_call;
         let waiters = self.api.all_waiters().into_iter().chain(self.jobs.cancellations.all_waiters());
--- /dev/null
+++ b/src/coordination/scheduling/cross_shard_preemption.rs
@@ -0,0 +1,83 @@
+//! Preemption across shards: machines that only run work of the lowest priority go to a shard with more urgent work.
+//!
+//! Where no more instances can be created, a shard's waiting work would wait until whole machines of others fall free. So
+//! the leader also reassigns machines on which nothing but arrays of the lowest priority runs, by the same cordon as for
+//! idle ones (see [`crate::coordination::fleet::moves`]). The holder stops what runs there as long as more urgent work
+//! waits where the machine is to go; otherwise it lifts the cordon.
+
+use crate::coordination::Controller;
+use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks};
+use crate::coordination::autoscaling::capacity_plan::{CapacityByShard, MachineMove};
+use crate::protocol::user::Priority;
+use crate::storage::schema::Hold;
+use crate::types::{MachineId, Micros};
+
+/// A machine that its holder keeps is not chosen again before this.
+const PREEMPTION_RETRY_INTERVAL: Micros = Micros::from_millis(30_000);
+
+impl Controller {
+    /// For tasks that find no capacity, nor any instance to create: reassigns machines of other shards that only run work
+    /// of the lowest priority.
+    pub(crate) fn preempt_across_shards(&mut self, capacity: &CapacityByShard, unschedulable: &[UnschedulableTasks]) {
+        let now = self.now();
+        self.autoscaling.forget_preemptions(now, PREEMPTION_RETRY_INTERVAL);
+        if self.jobs.usage.lowest() == 0 {
+            return;
+        }
+        for MachineMove { machine, to_shard, .. } in self.machines_to_preempt(capacity, unschedulable) {
+            tracing::debug!(%machine, to_shard, "machine preempted for another shard");
+            self.autoscaling.note_preemption(machine.clone(), now);
+            self.cordon_as_leader(&machine, Hold::Move(to_shard));
+        }
+    }
+
+    fn machines_to_preempt(
+        &self,
+        capacity: &CapacityByShard,
+        unschedulable: &[UnschedulableTasks],
+    ) -> Vec<MachineMove> {
+        let max_moves = self.remaining_machine_moves();
+        let mut moves: Vec<MachineMove> = Vec::new();
+        let urgent = unschedulable.iter().filter(|tasks| tasks.spec.priority > Priority::Low);
+        for tasks in urgent.filter(|tasks| !self.can_scale_out_for(tasks)) {
+            let mut tasks = tasks.clone();
+            let to_shard = tasks.shard;
+            let others = capacity.iter().filter(|(shard, _)| **shard != to_shard);
+            for (from_shard, machine) in
+                others.flat_map(|(shard, own)| own.iter().map(move |machine| (*shard, machine)))
+            {
+                if tasks.count == 0 || moves.len() >= max_moves {
+                    break;
+                }
+                let Some(id) = &machine.machine else { break };
+                if moves.iter().any(|other| other.machine == *id) || !self.may_preempt_machine(id) {
+                    continue;
+                }
+                let emptied = MachineCapacity { free: self.machine_resources(id), ..machine.clone() };
+                if tasks.pack_into(&mut [emptied]) > 0 {
+                    moves.push(MachineMove { machine: id.clone(), from_shard, to_shard });
+                }
+            }
+        }
+        moves
+    }
+
+    fn may_preempt_machine(&self, id: &MachineId) -> bool {
+        !self.autoscaling.was_preempted(id) && self.runs_only_lowest_priority(id)
+    }
+
+    /// Whether nothing but arrays of the lowest priority takes resources on a machine, and something does.
+    fn runs_only_lowest_priority(&self, id: &MachineId) -> bool {
+        self.jobs.usage.placed(id).is_some_and(|placed| placed.lowest > 0 && placed.lowest == placed.occupying)
+    }
+
+    /// Whether the holder of a machine that is to go to another shard should drain it: more urgent work waits there.
+    pub(crate) fn should_drain_for(&self, id: &MachineId, to_shard: u32) -> bool {
+        let urgent_work_waits = || {
+            self.jobs.by_id.values().any(|job| {
+                job.shard == to_shard && job.spec.priority > Priority::Low && job.waiting() > 0 && !job.is_failing()
+            })
+        };
+        self.runs_only_lowest_priority(id) && urgent_work_waits()
+    }
+}
--- /dev/null
+++ b/src/coordination/scheduling/cycle.rs
@@ -0,0 +1,190 @@
+//! The scheduling cycle: looks at the waiting jobs in order and starts what has a place.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::usage::{Phase, Start};
+use crate::coordination::scheduling::candidates::{Candidates, PlacementFilter};
+use crate::coordination::scheduling::shard_view::ShardView;
+use crate::coordination::zones::gradual_return::ZoneStart;
+use crate::protocol::user::Kind;
+use crate::storage::schema::Role;
+use crate::types::{JobId, Micros};
+use std::collections::{BTreeSet, HashMap};
+
+impl Controller {
+    /// Looks at waiting jobs in order until the time is up; the next round goes on from there.
+    pub(crate) fn run_scheduling_cycle(&mut self, time_left: &mut dyn FnMut() -> bool) {
+        if !self.scheduling.has_jobs_left() {
+            let (now, min_interval) = (self.now(), Micros::from_millis(self.policy.pass_gap_ms));
+            if !self.scheduling.is_cycle_due(now, min_interval) {
+                return;
+            }
+            let jobs = self.jobs_in_scheduling_order();
+            self.scheduling.begin_cycle(jobs, now);
+        }
+        let mut views = HashMap::new();
+        while let Some(id) = self.scheduling.queue.pop_front() {
+            self.schedule_job(&id, &mut views);
+            if !time_left() {
+                break;
+            }
+        }
+    }
+
+    /// `views`: the shards looked at so far in this round.
+    fn schedule_job(&mut self, id: &JobId, views: &mut HashMap<u32, ShardView>) {
+        let Some(job) = self.jobs.by_id.get(id) else { return };
+        let shard = job.shard;
+        if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
+            return;
+        }
+        let is_gang = job.spec.kind == Kind::Gang;
+        let mut view = views.remove(&shard).unwrap_or_else(|| self.shard_view(shard));
+        if is_gang {
+            self.schedule_gang(id, &mut view);
+        } else {
+            self.schedule_tasks(id, &mut view);
+        }
+        views.insert(shard, view);
+    }
+
+    /// Starts as many tasks of a job as have a place.
+    fn schedule_tasks(&mut self, id: &JobId, view: &mut ShardView) {
+        let now = self.now();
+        let Some(job) = self.jobs.by_id.get(id) else { return };
+        // The rest of it comes in its turn.
+        let starts_one_only =
+            job.spec.kind == Kind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
+        let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted_zones);
+        let (filter, mut candidates) = self.first_candidates(id, view, &avoided_zones);
+        // Locked jobs are left alone while a transaction is on its way, so one takes all it can.
+        loop {
+            let Some(job) = self.jobs.by_id.get(id) else { return };
+            if !job.may_start(now) {
+                return;
+            }
+            let next = job.next_task(now, self.store.chunk_tasks, |chunk| self.chunk_has_room(id, job, chunk));
+            let Some(task) = next else {
+                self.note_blocked(id);
+                return;
+            };
+            if !self.is_within_quota(job) {
+                return;
+            }
+            let Some(chosen) = self.best_candidate(job, &candidates) else {
+                self.preempt_for(id, &view.machines);
+                return;
+            };
+            self.start_task(id, task, view, candidates.machine_index(chosen));
+            if starts_one_only {
+                return;
+            }
+            self.update_candidates(id, view, &mut candidates, chosen, filter);
+        }
+    }
+
+    /// Candidates outside the zones and machines that a job had better avoid. If there are none, those on machines where
+    /// its tasks failed, and in avoided zones if it has waited long enough.
+    fn first_candidates<'a>(
+        &mut self,
+        id: &JobId,
+        view: &ShardView,
+        avoided_zones: &'a BTreeSet<String>,
+    ) -> (PlacementFilter<'a>, Candidates) {
+        let mut filter =
+            PlacementFilter { only_zone: None, avoided_zones: Some(avoided_zones), avoid_failed_machines: true };
+        let candidates = self.candidates_for(id, view, filter);
+        if !candidates.is_empty() {
+            return (filter, candidates);
+        }
+        if !avoided_zones.is_empty() && self.gives_up_avoiding(id) {
+            filter.avoided_zones = None;
+        }
+        filter.avoid_failed_machines = false;
+        let candidates = self.candidates_for(id, view, filter);
+        (filter, candidates)
+    }
+
+    /// A job has waiting tasks none of which can be recorded at present.
+    fn note_blocked(&mut self, id: &JobId) {
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
+            job.blocked = job.waiting() > 0;
+        }
+    }
+
+    /// Step 6: all tasks in one cycle or none.
+    fn schedule_gang(&mut self, id: &JobId, view: &mut ShardView) {
+        let Some(job) = self.jobs.by_id.get(id) else { return };
+        let all_wait = job.live.is_empty() && job.waiting() >= job.spec.tasks;
+        if !all_wait || !self.chunk_has_room(id, job, 0) || !job.may_start(self.now()) {
+            return;
+        }
+        let zones: Vec<Option<String>> =
+            if job.spec.one_zone { view.zones().into_iter().map(Some).collect() } else { vec![None] };
+        for avoid_failed_machines in [true, false] {
+            for zone in &zones {
+                let filter = PlacementFilter { only_zone: zone.as_deref(), avoided_zones: None, avoid_failed_machines };
+                if self.start_gang(id, view, filter) {
+                    return;
+                }
+            }
+        }
+        self.preempt_for(id, &view.machines);
+    }
+
+    /// Starts all tasks of a gang, or leaves everything as it was. Returns whether it started them.
+    fn start_gang(&mut self, id: &JobId, view: &mut ShardView, filter: PlacementFilter) -> bool {
+        let snapshot = view.snapshot();
+        let mut candidates = self.candidates_for(id, view, filter);
+        let mut started_count = 0;
+        let task_count = loop {
+            let Some(job) = self.jobs.by_id.get(id) else { return false };
+            if started_count == job.spec.tasks || !self.is_within_quota(job) {
+                break job.spec.tasks;
+            }
+            let Some(chosen) = self.best_candidate(job, &candidates) else { break job.spec.tasks };
+            self.start_task(id, started_count, view, candidates.machine_index(chosen));
+            self.update_candidates(id, view, &mut candidates, chosen, filter);
+            started_count += 1;
+        };
+        if started_count == task_count {
+            return true;
+        }
+        for task in 0..started_count {
+            self.withdraw_start(id, task);
+        }
+        view.restore(snapshot);
+        false
+    }
+
+    /// Decides that a task starts on a machine. The start is recorded before the agent is told.
+    fn start_task(&mut self, id: &JobId, task: u32, view: &mut ShardView, machine_index: usize) {
+        let candidate = &mut view.machines[machine_index];
+        if let Some(queues) = &mut view.fetch_queues
+            && self.jobs.by_id.get(id).is_some_and(|job| self.adds_fetch(job, candidate))
+        {
+            candidate.pending_fetch_count += 1;
+            queues.add(&candidate.zone, 1);
+        }
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
+        job.take_task(task);
+        job.not_before.remove(&task);
+        let attempt = Start::new(0, candidate.id.clone(), candidate.incarnation, Phase::Decided);
+        job.live.insert(task, attempt, &mut self.jobs.usage);
+        candidate.free = candidate.free.minus(&job.resources);
+        if let Some(machine) = self.fleet.machines.get_mut(&candidate.id) {
+            machine.free_since = None;
+        }
+        self.zones.stop_avoiding(id);
+        self.note_zone_start(&view.machines[machine_index].id, ZoneStart::Decided);
+    }
+
+    /// Takes back a start that was decided in this cycle and not recorded.
+    fn withdraw_start(&mut self, id: &JobId, task: u32) {
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
+        if let Some(attempt) = job.live.remove(task, &mut self.jobs.usage) {
+            job.redo.insert(task);
+            self.machine_freed(attempt.machine());
+            self.note_zone_start(attempt.machine(), ZoneStart::Withdrawn);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/scheduling/placement_rules.rs
@@ -0,0 +1,61 @@
+//! What a job's own rules allow for one more task: machine types, zone, and the zones of its other tasks.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::scheduling::shard_view::CandidateMachine;
+use crate::coordination::scheduling::zone_rules::TasksByZone;
+use crate::protocol::user::JobSpec;
+
+/// A job's own rules, given where its other tasks are.
+pub(crate) struct PlacementRules<'a> {
+    spec: &'a JobSpec,
+    only_zone: Option<&'a str>,
+    tasks_by_zone: TasksByZone,
+}
+
+impl PlacementRules<'_> {
+    /// Whether one more task may go to a machine.
+    pub fn allow(&self, machine: &CandidateMachine) -> bool {
+        self.spec.allows(&machine.machine_type, &machine.zone, machine.spot)
+            && self.only_zone.is_none_or(|zone| zone == machine.zone)
+            && self.tasks_by_zone.remaining_in(self.spec, &machine.zone) > 0
+    }
+
+    /// One more task is to go to a zone.
+    pub fn add_task_in(&mut self, zone: &str) {
+        self.tasks_by_zone.add(zone, 1);
+    }
+}
+
+impl Controller {
+    /// A job's rules for one more task, in one zone only if this is given.
+    pub(crate) fn placement_rules<'a>(&self, job: &'a Job, only_zone: Option<&'a str>) -> PlacementRules<'a> {
+        PlacementRules { spec: &job.spec, only_zone, tasks_by_zone: self.tasks_by_zone(job) }
+    }
+
+    /// The same for a task whose job's others may be in lost zones, from which they are to go.
+    pub(crate) fn placement_rules_beyond_lost_zones<'a>(&self, job: &'a Job) -> PlacementRules<'a> {
+        PlacementRules { spec: &job.spec, only_zone: None, tasks_by_zone: self.tasks_by_usable_zone(job) }
+    }
+
+    /// How many tasks of a job each zone has, if its rules bind them to each other's zones. Every attempt in the stored
+    /// records counts, also those that write a checkpoint or are on unreachable machines.
+    fn tasks_by_zone(&self, job: &Job) -> TasksByZone {
+        let mut by_zone = TasksByZone::default();
+        if job.spec.one_zone || job.spec.spread {
+            for attempt in job.live.values().filter(|attempt| attempt.occupies()) {
+                if let Some(record) = self.store.replica.machines.get(attempt.machine()) {
+                    by_zone.add(&record.value.zone, 1);
+                }
+            }
+        }
+        by_zone
+    }
+
+    /// The same without the zones that take no work.
+    pub(crate) fn tasks_by_usable_zone(&self, job: &Job) -> TasksByZone {
+        let mut by_zone = self.tasks_by_zone(job);
+        by_zone.retain_zones(|zone| self.zone_takes_work(zone));
+        by_zone
+    }
+}
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,83 +1,112 @@
-//! Room for urgent work where none is left: which running work of lower priority has to leave, and where that costs
-//! least.
+//! Preemption within a shard: which running tasks of lower priority are stopped for urgent work that finds no capacity,
+//! where that costs least.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::Start;
-use crate::coordination::scheduling::shard_view::Spot;
+use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::protocol::user::{Kind, Priority};
 use crate::types::{JobId, Micros, Resources};
 
-/// A job that made others leave does so again only after this.
+/// A job that preempted others does so again only after this.
 const PREEMPTION_PAUSE: Micros = Micros::from_millis(1000);
 
 /// A job's only task is not stopped before it has run for so long.
-const JUST_BEGUN: Micros = Micros::from_millis(35_000);
+const MIN_RUN_BEFORE_PREEMPTION: Micros = Micros::from_millis(35_000);
 
-/// What making room on a machine costs: a fetch first, then the time lost.
-type Loss = (bool, u64);
+/// What preemption on a machine costs; the lower goes first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct PreemptionCost {
+    needs_fetch: bool,
+    lost_us: u64,
+}
+
+/// A running task that may be stopped. The one that loses the least time goes first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct Victim {
+    lost_time: Micros,
+    job: JobId,
+    task: u32,
+    resources: Resources,
+}
 
-/// Starts that would have to make way.
-type Victims = Vec<(JobId, u32)>;
+/// The tasks to stop on one machine so that one task of a job finds capacity there.
+struct MachinePreemption<'a> {
+    cost: PreemptionCost,
+    machine: &'a CandidateMachine,
+    victims: Vec<Victim>,
+}
 
 impl Controller {
-    /// Stops lower work where that lets waiting tasks of a more urgent job in, where least is lost
-    /// first.
-    pub(crate) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
+    /// Stops tasks of lower priority where that lets waiting tasks of a more urgent job in, where the least is lost first.
+    pub(super) fn preempt_for(&mut self, id: &JobId, machines: &[CandidateMachine]) {
         let now = self.now();
         let Some(job) = self.jobs.by_id.get(id) else { return };
         if now < job.preempting_until || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
             return;
         }
-        let mut allowance = self.allowance(job, None);
-        let mut chances: Vec<(Loss, &Spot, Victims)> = spots
+        let victims = self.choose_victims(id, job, machines);
+        // Ordinary work pauses also where none was found: with hundreds waiting the search takes most of a round.
+        let pauses = !victims.is_empty() || job.spec.priority == Priority::Normal;
+        let pause = if pauses { PREEMPTION_PAUSE } else { Micros::ZERO };
+        if let Some(job) = self.jobs.by_id.get_mut(id) {
+            job.preempting_until = now + pause;
+        }
+        for victim in &victims {
+            self.preempt(victim);
+        }
+    }
+
+    /// The victims on as many machines as the job has tasks that no earlier preemption makes capacity for.
+    fn choose_victims(&self, id: &JobId, job: &Job, machines: &[CandidateMachine]) -> Vec<Victim> {
+        let mut rules = self.placement_rules(job, None);
+        let mut options: Vec<MachinePreemption> = machines
             .iter()
-            .filter(|s| allowance.allows(s) && !s.failed_here.contains(id))
-            .filter_map(|spot| self.victims(job, spot).map(|(loss, victims)| (loss, spot, victims)))
+            .filter(|machine| rules.allow(machine) && !machine.recently_failed_jobs.contains(id))
+            .filter_map(|machine| self.preemption_on(job, machine))
             .collect();
-        chances.sort_by_key(|(loss, spot, _)| (*loss, spot.free.cpus));
-        // Room that is being made already: what saves first takes a while to leave.
-        let mut wanted = job.waiting().saturating_sub(self.room_on_its_way(job, spots));
+        options.sort_by_key(|option| (option.cost, option.machine.free.cpus));
+        // Tasks that write a checkpoint first take a while to stop.
+        let mut wanted = job.waiting().saturating_sub(self.machines_being_freed_for(job, machines));
         let mut chosen = Vec::new();
-        for (_, spot, victims) in chances {
+        for MachinePreemption { machine, victims, .. } in options {
             if wanted == 0 {
                 break;
             }
-            if allowance.allows(spot) {
-                *allowance.per_zone.entry(spot.zone.clone()).or_default() += 1;
+            if rules.allow(machine) {
+                rules.add_task_in(&machine.zone);
                 chosen.extend(victims);
                 wanted -= 1;
             }
         }
-        // Ordinary work pauses also where none was found: with hundreds waiting to look costs most of a round.
-        let pauses = !chosen.is_empty() || job.spec.priority == Priority::Normal;
-        let pause = if pauses { PREEMPTION_PAUSE } else { Micros::ZERO };
-        if let Some(job) = self.jobs.by_id.get_mut(id) {
-            job.preempting_until = now + pause;
-        }
-        let grace = self.policy.stop_grace_s;
-        for (other, task) in chosen {
-            let Some(victim) = self.jobs.by_id.get_mut(&other) else { continue };
-            let stop = if victim.spec.checkpoint_s > 0.0 { grace } else { 0.0 };
-            if let Some(live) = victim.live.get_mut(task) {
-                live.stop = Some(stop);
-                let machine = live.machine().clone();
-                tracing::debug!(job = %other, task, %machine, "makes room");
-                self.want_push(&machine);
-            }
+        chosen
+    }
+
+    /// Has a task stopped, with time to write a checkpoint if it writes any.
+    fn preempt(&mut self, victim: &Victim) {
+        let Victim { job: id, task, .. } = victim;
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
+        let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
+        if let Some(attempt) = job.live.get_mut(*task) {
+            attempt.stop = Some(grace_s);
+            let machine = attempt.machine().clone();
+            tracing::debug!(job = %id, task, %machine, "task preempted");
+            self.want_push(&machine);
         }
     }
 
-    /// Whether a job may make others leave. Ordinary work does so at once within its team's guarantee and otherwise only
-    /// when it has waited: what it stops is lost in part, and room may fall free by itself.
+    /// Whether a job may preempt others. Ordinary work does so at once within its team's guaranteed quota and otherwise
+    /// only when it has waited: what it stops is lost in part, and capacity may fall free by itself.
     fn may_preempt(&self, job: &Job) -> bool {
+        if job.is_failing() {
+            return false;
+        }
         match job.spec.priority {
-            _ if job.is_failing() => false,
             Priority::Low => false,
             Priority::Normal if self.jobs.usage.lowest() == 0 => false,
             Priority::Normal => {
                 let waited = self.clock.wall.since(job.ready);
-                self.within_guarantee(job) || waited >= Micros::from_millis(self.policy.preempt_after_ms)
+                self.is_within_guaranteed_quota(job) || waited >= Micros::from_millis(self.policy.preempt_after_ms)
             }
             Priority::High | Priority::Production => true,
         }
@@ -85,62 +114,74 @@
 
     /// Whether a task is all that has begun of its job, and has not run for long: stopped now it would count as if the
     /// job had not begun.
-    fn has_just_begun(&self, job: &Job, start: &Start) -> bool {
-        let ran = start.running_since.map_or(Micros::ZERO, |since| self.now().since(since));
-        job.done == 0 && job.live.occupying() == 1 && ran < JUST_BEGUN
+    fn has_just_begun(&self, job: &Job, attempt: &Start) -> bool {
+        let ran = attempt.running_since.map_or(Micros::ZERO, |since| self.now().since(since));
+        job.done == 0 && job.live.occupying() == 1 && ran < MIN_RUN_BEFORE_PREEMPTION
     }
 
-    /// How many machines will have resources for one task of the job once those have left that were told to.
-    fn room_on_its_way(&self, job: &Job, spots: &[Spot]) -> u32 {
-        let leaving = |spot: &Spot| {
-            let starts = self.jobs.usage.placed(&spot.id).into_iter().flat_map(|placed| &placed.starts);
-            let stopped = starts.filter_map(|(id, task)| {
-                let other = self.jobs.by_id.get(id)?;
-                other.live.get(*task).filter(|live| live.occupies() && live.stop.is_some()).map(|_| other.resources)
-            });
-            stopped.fold(spot.free, |free, resources| free.plus(&resources))
+    /// How many machines will have capacity for one task of the job once the tasks being stopped have gone.
+    fn machines_being_freed_for(&self, job: &Job, machines: &[CandidateMachine]) -> u32 {
+        let is_being_freed = |machine: &&CandidateMachine| {
+            !job.resources.fits_in(&machine.free) && job.resources.fits_in(&self.free_after_stops(machine))
         };
-        let on_its_way = |spot: &&Spot| !job.resources.fits_in(&spot.free) && job.resources.fits_in(&leaving(spot));
-        spots.iter().filter(on_its_way).count() as u32
+        machines.iter().filter(is_being_freed).count() as u32
     }
 
-    /// Lower work that would have to leave a machine to let one task of the job in, what loses least
-    /// first, and what that costs. None if it would not help.
-    fn victims(&self, job: &Job, spot: &Spot) -> Option<(Loss, Victims)> {
-        let now = self.now();
-        let machine = self.fleet.machines.get(&spot.id)?;
-        let mut lower: Vec<(Micros, JobId, u32, Resources)> = self
+    /// What will be free on a machine once the tasks being stopped there have gone.
+    fn free_after_stops(&self, machine: &CandidateMachine) -> Resources {
+        let starts = self.jobs.usage.placed(&machine.id).into_iter().flat_map(|placed| &placed.starts);
+        let stopping = starts.filter_map(|(id, task)| {
+            let job = self.jobs.by_id.get(id)?;
+            let attempt = job.live.get(*task)?;
+            (attempt.occupies() && attempt.stop.is_some()).then_some(job.resources)
+        });
+        stopping.fold(machine.free, |free, resources| free.plus(&resources))
+    }
+
+    /// Which tasks would have to be stopped on a machine to let one task of the job in, those that lose the least first.
+    /// None if it would not help.
+    fn preemption_on<'a>(&self, job: &Job, candidate: &'a CandidateMachine) -> Option<MachinePreemption<'a>> {
+        let machine = self.fleet.machines.get(&candidate.id)?;
+        let mut possible: Vec<Victim> = self
             .jobs
             .usage
-            .placed(&spot.id)?
+            .placed(&candidate.id)?
             .starts
             .iter()
-            .filter_map(|(other, task)| {
-                let victim = self.jobs.by_id.get(other)?;
-                let live = victim.live.get(*task)?;
-                let below = victim.urgency.priority < job.spec.priority && victim.spec.kind == Kind::Array;
-                let stoppable = live.phase().on_machine() && live.stop.is_none();
-                let ran = now.since(live.running_since.unwrap_or(now));
-                // One that saves when it is stopped goes on from there.
-                let saves = victim.spec.checkpoint_s > 0.0 && victim.spec.save_s <= self.policy.stop_grace_s;
-                let loss = if saves { ran.min(Micros::from_secs_f64(victim.spec.save_s)) } else { ran };
-                (below && stoppable && !self.has_just_begun(victim, live))
-                    .then(|| (loss, other.clone(), *task, victim.resources))
-            })
+            .filter_map(|(id, task)| self.as_victim(job, id, *task))
             .collect();
-        lower.sort();
-        let mut free = spot.free;
-        let mut chosen = Vec::new();
-        let mut lost = 0;
-        for (loss, other, task, resources) in lower {
+        possible.sort();
+        let mut free = candidate.free;
+        let mut victims = Vec::new();
+        let mut lost_us = 0;
+        for victim in possible {
             if job.resources.fits_in(&free) {
                 break;
             }
-            free = free.plus(&resources);
-            lost += loss.0 + 1;
-            chosen.push((other, task));
+            free = free.plus(&victim.resources);
+            // One more for each, so that of two machines with nothing to lose the one with fewer victims is taken.
+            lost_us += victim.lost_time.0 + 1;
+            victims.push(victim);
+        }
+        let cost = PreemptionCost { needs_fetch: !machine.holds(&job.spec.image), lost_us };
+        let helps = job.resources.fits_in(&free) && !victims.is_empty();
+        helps.then_some(MachinePreemption { cost, machine: candidate, victims })
+    }
+
+    /// A task as a victim of a job, if it may be one: a running task of an array of lower priority.
+    fn as_victim(&self, preempting: &Job, id: &JobId, task: u32) -> Option<Victim> {
+        let now = self.now();
+        let job = self.jobs.by_id.get(id)?;
+        let attempt = job.live.get(task)?;
+        let is_lower = job.urgency.priority < preempting.spec.priority && job.spec.kind == Kind::Array;
+        let is_stoppable = attempt.phase().on_machine() && attempt.stop.is_none();
+        if !is_lower || !is_stoppable || self.has_just_begun(job, attempt) {
+            return None;
         }
-        (job.resources.fits_in(&free) && !chosen.is_empty())
-            .then_some(((!machine.holds(&job.spec.image), lost), chosen))
+        let ran = now.since(attempt.running_since.unwrap_or(now));
+        // One that writes a checkpoint when it is stopped goes on from there.
+        let writes_checkpoint = job.spec.checkpoint_s > 0.0 && job.spec.save_s <= self.policy.stop_grace_s;
+        let lost_time = if writes_checkpoint { ran.min(Micros::from_secs_f64(job.spec.save_s)) } else { ran };
+        Some(Victim { lost_time, job: id.clone(), task, resources: job.resources })
     }
 }
--- /dev/null
+++ b/src/coordination/scheduling/zone_rules.rs
@@ -0,0 +1,32 @@
+//! A job's own rules on the zones of its tasks: all in one zone, or spread over several.
+
+use crate::protocol::user::JobSpec;
+use std::collections::BTreeMap;
+
+/// How many tasks of one job are in each zone.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct TasksByZone(BTreeMap<String, u64>);
+
+impl TasksByZone {
+    /// Adds tasks in a zone.
+    pub fn add(&mut self, zone: &str, task_count: u64) {
+        *self.0.entry(zone.to_string()).or_default() += task_count;
+    }
+
+    /// Forgets the tasks in all zones but these.
+    pub fn retain_zones(&mut self, keep: impl Fn(&str) -> bool) {
+        self.0.retain(|zone, _| keep(zone));
+    }
+
+    /// How many more tasks the job's rules allow in a zone; `u64::MAX` if they set no bound.
+    pub fn remaining_in(&self, spec: &JobSpec, zone: &str) -> u64 {
+        if spec.one_zone && self.0.keys().any(|other| other != zone) {
+            return 0;
+        }
+        if !spec.spread {
+            return u64::MAX;
+        }
+        let max_in_zone = u64::from(spec.tasks.div_ceil(2));
+        max_in_zone.saturating_sub(self.0.get(zone).copied().unwrap_or(0))
+    }
+}
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -4,28 +4,37 @@
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role};
 use crate::types::{JobId, Micros};
-use std::collections::BTreeSet;
+use std::collections::{BTreeSet, HashMap};
 
 /// A submission's lists are written down some time before the job that names them, but not so long.
 const UNNAMED_SPAN: Micros = Micros::from_millis(60_000);
 const TIDY_EVERY: Micros = Micros::from_millis(2000);
 
+/// The leader's progress with garbage collection.
+#[derive(Default)]
+pub(crate) struct GarbageCollection {
+    pub(crate) next_at: Micros,
+    /// Since when lists of submissions were seen that no job names.
+    pub(crate) unnamed_since: HashMap<String, Micros>,
+}
+
 impl Controller {
     /// Clears away, a little at a time, fleets and notes of machines long gone, and batches whose
     /// jobs are over.
     pub(crate) fn tidy(&mut self) {
         let now = self.now();
-        if self.store.txns.tidying() || now < self.autoscaling.leader.next_tidy {
+        if self.store.txns.tidying() || now < self.store.garbage_collection.next_at {
             return;
         }
-        self.autoscaling.leader.next_tidy = now + TIDY_EVERY;
+        self.store.garbage_collection.next_at = now + TIDY_EVERY;
         self.note_unnamed();
         let most = self.platform.deployment.store.ops();
         let replica = &self.store.replica;
         let over = |id: &JobId| replica.ends.contains_key(id) && !replica.runs.contains_key(id);
         let batches = replica.batches.iter().filter(|(_, b)| b.value.iter().all(over));
         let fleets = replica.fleets.iter().filter(|(_, f)| f.value.iter().all(|m| replica.is_gone(&m.id)));
-        let unnamed = self.autoscaling.leader.unnamed.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
+        let unnamed =
+            self.store.garbage_collection.unnamed_since.iter().filter(|(_, since)| now.since(**since) >= UNNAMED_SPAN);
         let pieces = unnamed.flat_map(|(name, _)| {
             let numbers = replica.pieces.get(name).into_iter().flat_map(|p| p.keys());
             numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
@@ -53,15 +62,15 @@
     /// Lists whose submission came to nothing, or whose job is over and gone.
     fn note_unnamed(&mut self) {
         if self.store.replica.pieces.is_empty() {
-            return self.autoscaling.leader.unnamed.clear();
+            return self.store.garbage_collection.unnamed_since.clear();
         }
         let now = self.now();
         let jobs = self.store.replica.jobs.values();
         let named: BTreeSet<&String> = jobs.filter_map(|j| j.record.pieces.as_ref().map(|(name, _)| name)).collect();
         let unnamed: Vec<String> = self.store.replica.pieces.keys().filter(|n| !named.contains(n)).cloned().collect();
-        self.autoscaling.leader.unnamed.retain(|name, _| unnamed.contains(name));
+        self.store.garbage_collection.unnamed_since.retain(|name, _| unnamed.contains(name));
         for name in unnamed {
-            self.autoscaling.leader.unnamed.entry(name).or_insert(now);
+            self.store.garbage_collection.unnamed_since.entry(name).or_insert(now);
         }
     }
 }
--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -28,6 +28,7 @@
     pub(crate) last_answered_at: Micros,
     /// Tasks per run chunk.
     pub(crate) chunk_tasks: u32,
+    pub(crate) garbage_collection: garbage_collection::GarbageCollection,
 }
 
 impl StoreSync {
@@ -49,6 +50,7 @@
             last_ticket: 0,
             last_answered_at: Micros::ZERO,
             chunk_tasks: schema::chunk_tasks(limits.value_kb),
+            garbage_collection: garbage_collection::GarbageCollection::default(),
         }
     }
 }
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -217,6 +217,6 @@
         self.txns_read();
         self.read_proves(&Evidence::new(begun, revision));
         self.answer_open_questions();
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 }
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -374,6 +374,6 @@
                 }
             }
         }
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 }
--- /dev/null
+++ b/src/coordination/zones/conditions.rs
@@ -0,0 +1,110 @@
+//! Evaluates the conditions of all zones, and answers what follows from them for new work.
+
+use crate::coordination::Controller;
+use crate::coordination::scheduling::shard_view::CandidateMachine;
+use crate::storage::schema::Role;
+use crate::types::{MachineId, Micros};
+use burlhatch_zones::{Condition, Life, Moment, Transition};
+use std::collections::BTreeSet;
+
+/// Interval between two evaluations of all zones.
+const EVALUATION_INTERVAL: Micros = Micros::from_millis(250);
+
+impl Controller {
+    /// Whether failures of whole zones are handled at all.
+    pub(crate) fn judges_zones(&self) -> bool {
+        self.policy.zones.enabled
+    }
+
+    pub(super) fn moment(&self) -> Moment {
+        Moment { steady: self.clock.steady, wall: self.clock.wall }
+    }
+
+    /// A machine's record has changed.
+    pub(crate) fn zone_of_machine_changed(&mut self, id: &MachineId) {
+        if !self.judges_zones() {
+            return;
+        }
+        match self.store.replica.machines.get(id) {
+            Some(machine) => self.zones.tracker.machine(id, &machine.value.zone, machine.value.shard),
+            None => self.zones.tracker.machine_gone(id),
+        }
+    }
+
+    /// Evaluates all zones when this is due, and acts on what follows. `ours`: the machines of the shards held here.
+    pub(crate) fn tick_zones(&mut self, ours: &[MachineId]) {
+        let now = self.now();
+        if !self.judges_zones() || now < self.zones.next_evaluation_at {
+            return;
+        }
+        self.zones.next_evaluation_at = now + EVALUATION_INTERVAL;
+        let held_shards: BTreeSet<u32> = self.held_shards().collect();
+        self.zones.tracker.set_held_shards(&held_shards, now);
+        self.update_liveness(ours);
+        for transition in self.zones.tracker.round(now, &self.policy.zones) {
+            self.zone_condition_changed(&transition);
+        }
+        self.write_zone_views();
+        self.find_displaced_replicas();
+        self.evacuate_lost_zones();
+        self.move_replicas();
+    }
+
+    pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
+        self.control.roles.held.keys().filter_map(|role| match role {
+            Role::Shard(shard) => Some(*shard),
+            Role::Leader => None,
+        })
+    }
+
+    fn update_liveness(&mut self, ours: &[MachineId]) {
+        let now = self.now();
+        let max_silence = Micros::from_millis(self.policy.zones.silent_after_ms);
+        for id in ours {
+            let Some(machine) = self.fleet.machines.get(id) else { continue };
+            let is_silent = now.since(machine.heard) >= max_silence;
+            let life = match (is_silent, machine.probes_failed) {
+                (false, _) => Life::Heard,
+                (true, 0) => Life::Unknown,
+                (true, _) => Life::Silent,
+            };
+            self.zones.tracker.set_life(id, life);
+        }
+    }
+
+    fn zone_condition_changed(&mut self, transition: &Transition) {
+        let Transition { zone, from, to, evidence, penalty } = transition;
+        let (machine_count, against_count) = (evidence.machines, evidence.against);
+        if matches!((from, to), (Condition::Up, Condition::Suspected) | (Condition::Suspected, Condition::Up)) {
+            tracing::debug!(zone, ?from, ?to, machine_count, against_count, "zone suspicion changed");
+        } else {
+            tracing::warn!(zone, ?from, ?to, machine_count, against_count, penalty, "zone condition changed");
+        }
+        self.scheduling.request_cycle();
+        if *to == Condition::Lost {
+            self.scheduling.request_urgent_cycle();
+        }
+    }
+
+    /// Whether a zone takes any new work.
+    pub(crate) fn zone_takes_work(&self, zone: &str) -> bool {
+        !self.judges_zones() || self.zones.takes_work(zone)
+    }
+
+    /// Whether a zone gets its work back step by step at present.
+    pub(crate) fn zone_is_returning(&self, zone: &str) -> bool {
+        self.judges_zones() && self.zones.is_returning(zone)
+    }
+
+    /// Zones of these machines that have failed too often lately.
+    pub(crate) fn distrusted_zones(&mut self, machines: &[CandidateMachine]) -> BTreeSet<String> {
+        if !self.judges_zones() {
+            return BTreeSet::new();
+        }
+        let now = self.now();
+        let names: BTreeSet<&str> = machines.iter().map(|machine| machine.zone.as_str()).collect();
+        let tracker = &mut self.zones.tracker;
+        let distrusted = names.into_iter().filter(|zone| tracker.is_distrusted(zone, now, &self.policy.zones));
+        distrusted.map(str::to_string).collect()
+    }
+}
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -1,41 +1,41 @@
-//! Services in a lost zone: room is kept for their replicas before they are proven gone, and their machines are deleted,
-//! which is proof sooner than the end of their leases, as soon as that room is there.
+//! Evacuation of services from a lost zone: capacity is reserved for their replicas before these are proven gone, and
+//! their machines are deleted, which is proof sooner than the expiry of their leases, as soon as that capacity is there.
 //!
 //! Nothing starts elsewhere before the old attempt is proven gone. Machines of a zone that is merely cut off work on, so
 //! none is deleted for batch work, nor before the controllers agree that the zone is lost.
 
 use crate::coordination::Controller;
-use crate::coordination::autoscaling::capacity::count_in;
+use crate::coordination::autoscaling::bin_packing::tasks_that_fit;
 use crate::coordination::jobs::job::Job;
-use crate::coordination::scheduling::shard_view::Spot;
+use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::protocol::user::Kind;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
 
-/// Machines of one shard that are on their way to deletion at a time, at least. More follow from the rate of changes:
-/// the starts that the deletions make room for need changes as well.
-const EVACUATIONS_LEAST: usize = 2;
+/// Machines of one shard that are on their way to deletion at a time, at least. More follow from the rate of writes: the
+/// attempts that the deletions make way for need writes as well.
+const MIN_EVACUATIONS_IN_FLIGHT: usize = 2;
 
-/// Places for replicas: how many for each job.
-type Places = BTreeMap<JobId, u32>;
+/// Capacity for replicas, counted in replicas of each job.
+type ReplicaCounts = BTreeMap<JobId, u32>;
 
 impl Controller {
-    /// Replicas of services on machines of lost zones, of all shards: the leader plans for them all.
-    pub(crate) fn find_displaced(&mut self) {
-        let mut displaced: BTreeMap<JobId, u32> = BTreeMap::new();
-        for zone in self.zones.zones.in_condition(Condition::Lost) {
-            for machine in self.zones.zones.machines(zone) {
+    /// Counts the replicas of services on machines of lost zones, of all shards: the leader plans for them all.
+    pub(super) fn find_displaced_replicas(&mut self) {
+        let mut displaced = ReplicaCounts::new();
+        for zone in self.zones.tracker.in_condition(Condition::Lost) {
+            for machine in self.zones.tracker.machines(zone) {
                 for job in self.services_on(machine) {
                     *displaced.entry(job).or_default() += 1;
                 }
             }
         }
-        for job in self.zones.moving.keys() {
+        for job in self.zones.moving_replicas.keys() {
             *displaced.entry(job.clone()).or_default() += 1;
         }
-        self.zones.displaced = displaced;
+        self.zones.displaced_counts = displaced;
     }
 
     /// The services with tasks on a machine that occupy resources and are to go on, each as often as it has tasks there.
@@ -46,62 +46,69 @@
         let starts = self.jobs.usage.placed(machine).into_iter().flat_map(|placed| &placed.starts);
         let goes_on = |id: &JobId, task: u32| {
             let job = self.jobs.by_id.get(id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
-            job.and_then(|job| job.live.get(task)).is_some_and(|live| live.occupies() && live.stop.is_none())
+            let attempt = job.and_then(|job| job.live.get(task));
+            attempt.is_some_and(|attempt| attempt.occupies() && attempt.stop.is_none())
         };
         starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
     }
 
     /// How many replicas of a job are displaced.
-    pub(crate) fn displaced_of(&self, id: &JobId) -> u32 {
-        self.zones.displaced.get(id).copied().unwrap_or(0)
+    pub(crate) fn displaced_count(&self, id: &JobId) -> u32 {
+        self.zones.displaced_count(id)
     }
 
-    /// Room that a team's displaced replicas still take by the stored records.
+    /// Resources that a team's displaced replicas still take by the stored records.
     pub(crate) fn displaced_resources(&self, team: &str) -> Resources {
-        let of_team = self.zones.displaced.iter().filter_map(|(id, count)| {
+        let of_team = self.zones.displaced_counts.iter().filter_map(|(id, count)| {
             let job = self.jobs.by_id.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
             Some(job.resources.times(u64::from(*count)))
         });
         of_team.fold(Resources::default(), |sum, resources| sum.plus(&resources))
     }
 
-    /// Keeps room for displaced replicas of a shard on machines that take work, holders of their images first. Says for
-    /// how many of each job there is room.
-    pub(crate) fn reserve_displaced(&self, shard: u32, spots: &mut [Spot]) -> Places {
-        self.reserve_places(&self.zones.displaced, shard, spots)
+    /// Reserves capacity for displaced replicas of a shard on machines that take work, those with their images first.
+    /// Returns for how many of each job there is some.
+    pub(crate) fn reserve_for_displaced(&self, shard: u32, machines: &mut [CandidateMachine]) -> ReplicaCounts {
+        self.reserve_for_replicas(&self.zones.displaced_counts, shard, machines)
     }
 
-    fn reserve_places(&self, wanted: &Places, shard: u32, spots: &mut [Spot]) -> Places {
-        let mut places = Places::new();
+    fn reserve_for_replicas(
+        &self,
+        wanted: &ReplicaCounts,
+        shard: u32,
+        machines: &mut [CandidateMachine],
+    ) -> ReplicaCounts {
+        let mut reserved = ReplicaCounts::new();
         for (id, count) in wanted {
             let Some(job) = self.jobs.by_id.get(id).filter(|job| job.shard == shard) else { continue };
-            let allowance = self.allowance_beyond_lost_zones(job);
+            let rules = self.placement_rules_beyond_lost_zones(job);
             let mut left = u64::from(*count);
-            for holders in [true, false] {
-                for spot in spots.iter_mut() {
+            for with_image in [true, false] {
+                for candidate in machines.iter_mut() {
                     if left == 0 {
                         break;
                     }
-                    let holds = self.fleet.machines.get(&spot.id).is_some_and(|m| m.holds(&job.spec.image));
-                    if holds != holders || !allowance.allows(spot) {
+                    let machine = self.fleet.machines.get(&candidate.id);
+                    let has_image = machine.is_some_and(|machine| machine.holds(&job.spec.image));
+                    if has_image != with_image || !rules.allow(candidate) {
                         continue;
                     }
-                    let taken = count_in(&job.resources, &spot.unreserved()).min(left);
-                    spot.reserve(&job.resources.times(taken));
+                    let taken = tasks_that_fit(&job.resources, &candidate.unreserved()).min(left);
+                    candidate.reserve(&job.resources.times(taken));
                     left -= taken;
                 }
             }
-            let placed = count - left as u32;
-            if placed > 0 {
-                places.insert(id.clone(), placed);
+            let reserved_count = count - left as u32;
+            if reserved_count > 0 {
+                reserved.insert(id.clone(), reserved_count);
             }
         }
-        places
+        reserved
     }
 
-    /// Has machines of lost zones deleted that run services, as far as there is room for these elsewhere.
-    pub(crate) fn evacuate(&mut self) {
-        if !self.policy.zones.evacuate || self.zones.displaced.is_empty() {
+    /// Has machines of lost zones deleted that run services, as far as there is capacity for these elsewhere.
+    pub(super) fn evacuate_lost_zones(&mut self) {
+        if !self.policy.zones.evacuate || self.zones.displaced_counts.is_empty() {
             return;
         }
         let shards: Vec<u32> = self.held_shards().collect();
@@ -115,81 +122,86 @@
         if candidates.is_empty() {
             return;
         }
-        let mut spots = self.spots_of(shard);
-        spots.iter_mut().for_each(Spot::clear_reserved);
-        // What was proven gone a moment ago waits for its place, and takes it first.
-        self.reserve_places(&self.waiting_services(shard), shard, &mut spots);
-        let mut places = self.reserve_displaced(shard, &mut spots);
-        let mut on_their_way = self.evacuations_on_their_way(shard);
-        for id in &on_their_way {
-            take_places(&mut places, &self.services_on(id));
-        }
+        let mut in_flight = self.evacuations_in_flight(shard);
+        let mut available = self.capacity_for_displaced(shard, &in_flight);
         let limits = &self.platform.deployment;
-        let most = EVACUATIONS_LEAST.max((limits.store.write_rps / f64::from(limits.nodes)) as usize);
+        let by_write_rate = (limits.store.write_rps / f64::from(limits.nodes)) as usize;
+        let max_in_flight = MIN_EVACUATIONS_IN_FLIGHT.max(by_write_rate);
         for id in candidates {
-            if on_their_way.len() >= most {
+            if in_flight.len() >= max_in_flight {
                 break;
             }
             let services = self.services_on(&id);
-            if take_places(&mut places, &services) {
-                tracing::info!(machine = %id, replicas = services.len(), "evacuated: its zone is lost");
+            if take_capacity(&mut available, &services) {
+                tracing::info!(machine = %id, replica_count = services.len(), "machine evacuated from lost zone");
                 self.set_hold(&id, Hold::Doomed);
-                on_their_way.push(id);
+                in_flight.push(id);
             }
         }
     }
 
-    fn waiting_services(&self, shard: u32) -> Places {
+    /// Capacity of a shard for its displaced replicas that neither waiting services nor evacuations in flight need.
+    fn capacity_for_displaced(&self, shard: u32, in_flight: &[MachineId]) -> ReplicaCounts {
+        let mut machines = self.schedulable_machines(shard);
+        machines.iter_mut().for_each(CandidateMachine::clear_reserved);
+        // What was proven gone a moment ago waits for its place, and takes it first.
+        self.reserve_for_replicas(&self.waiting_services(shard), shard, &mut machines);
+        let mut available = self.reserve_for_displaced(shard, &mut machines);
+        for id in in_flight {
+            take_capacity(&mut available, &self.services_on(id));
+        }
+        available
+    }
+
+    fn waiting_services(&self, shard: u32) -> ReplicaCounts {
         let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting() > 0;
         self.jobs.by_id.values().filter(waits).map(|job| (job.live.job().clone(), job.waiting())).collect()
     }
 
-    /// Silent machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
+    /// Unresponsive machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
     fn machines_to_evacuate(&self, shard: u32) -> Vec<MachineId> {
         if self.held(Role::Shard(shard)).is_none() {
             return Vec::new();
         }
         let now = self.now();
-        let patience = Micros::from_millis(self.policy.zones.evacuate_after_ms);
-        let zones = &self.zones.zones;
-        let lost_long = |zone: &&str| zones.state(zone).is_some_and(|state| now.since(state.since()) >= patience);
-        let machines = zones.in_condition(Condition::Lost).filter(lost_long).flat_map(|zone| zones.machines(zone));
+        let min_span = Micros::from_millis(self.policy.zones.evacuate_after_ms);
+        let tracker = &self.zones.tracker;
+        let is_lost_for_long =
+            |zone: &&str| tracker.state(zone).is_some_and(|state| now.since(state.since()) >= min_span);
+        let zones = tracker.in_condition(Condition::Lost).filter(is_lost_for_long);
         let is_due = |id: &&MachineId| {
-            let in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
+            let is_in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
                 record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
-            let idle = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
-            in_shard && idle && zones.is_silent(id) && self.jobs.usage.serves(id)
+            let is_unchanging = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
+            is_in_shard && is_unchanging && tracker.is_silent(id) && self.jobs.usage.serves(id)
         };
-        machines.filter(is_due).cloned().collect()
+        zones.flat_map(|zone| tracker.machines(zone)).filter(is_due).cloned().collect()
     }
 
-    fn evacuations_on_their_way(&self, shard: u32) -> Vec<MachineId> {
-        let zones = &self.zones.zones;
-        let machines = zones.in_condition(Condition::Lost).flat_map(|zone| zones.machines(zone));
-        let is_on_its_way = |id: &&MachineId| {
-            let doomed = self
-                .store
-                .replica
-                .machines
-                .get(*id)
-                .is_some_and(|record| record.value.shard == shard && record.value.hold == Some(Hold::Doomed));
-            doomed
-                || self.fleet.machines.get(*id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
+    fn evacuations_in_flight(&self, shard: u32) -> Vec<MachineId> {
+        let tracker = &self.zones.tracker;
+        let machines = tracker.in_condition(Condition::Lost).flat_map(|zone| tracker.machines(zone));
+        let is_being_deleted = |id: &MachineId| {
+            let record = self.store.replica.machines.get(id).map(|record| &record.value);
+            record.is_some_and(|record| record.shard == shard && record.hold == Some(Hold::Doomed))
+        };
+        let is_being_changed = |id: &MachineId| {
+            self.fleet.machines.get(id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
         };
-        machines.filter(is_on_its_way).cloned().collect()
+        machines.filter(|id| is_being_deleted(id) || is_being_changed(id)).cloned().collect()
     }
 }
 
-/// Takes a place for each of these services; none at all if one has none left.
-fn take_places(places: &mut Places, services: &[JobId]) -> bool {
-    let mut left = places.clone();
+/// Takes capacity for each of these services; none at all if one has none left.
+fn take_capacity(available: &mut ReplicaCounts, services: &[JobId]) -> bool {
+    let mut left = available.clone();
     for job in services {
         match left.get_mut(job) {
             Some(count) if *count > 0 => *count -= 1,
             _ => return false,
         }
     }
-    *places = left;
+    *available = left;
     true
 }
--- /dev/null
+++ b/src/coordination/zones/gradual_return.rs
@@ -0,0 +1,76 @@
+//! Gradual return of a zone: how many task attempts it takes in each step, and which zones get no new instances.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::usage::Start;
+use crate::types::{MachineId, Micros};
+use burlhatch_zones::Condition;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What became of a task attempt in a zone that returns.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum ZoneStart {
+    Decided,
+    Withdrawn,
+    AtWork,
+    Lost,
+}
+
+impl Controller {
+    /// Whether a zone takes one more task attempt in this step of its return.
+    pub(crate) fn zone_admits_start(&self, zone: &str) -> bool {
+        let state = self.zones.tracker.state(zone).filter(|_| self.zone_is_returning(zone));
+        state.is_none_or(|state| state.ramp.admits(&self.policy.zones))
+    }
+
+    /// Notes what became of a task attempt, if the zone of its machine returns.
+    pub(crate) fn note_zone_start(&mut self, machine: &MachineId, outcome: ZoneStart) {
+        if !self.judges_zones() {
+            return;
+        }
+        let Some(record) = self.store.replica.machines.get(machine) else { return };
+        let zone = record.value.zone.as_str();
+        if self.zones.tracker.condition(zone) != Condition::Returning {
+            return;
+        }
+        let Some(state) = self.zones.tracker.state_mut(zone) else { return };
+        match outcome {
+            ZoneStart::Decided => state.ramp.started(),
+            ZoneStart::Withdrawn => state.ramp.withdrawn(),
+            ZoneStart::AtWork => state.ramp.succeeded(),
+            ZoneStart::Lost => state.ramp.lost(&self.policy.zones),
+        }
+    }
+
+    /// A task attempt is proven gone. One that came to run since its zone returned, and was not told to stop, speaks
+    /// against the zone.
+    pub(crate) fn note_zone_loss(&mut self, attempt: &Start) {
+        if !self.judges_zones() || attempt.stop.is_some() {
+            return;
+        }
+        let Some(record) = self.store.replica.machines.get(attempt.machine()) else { return };
+        let returned_at = self.zones.tracker.state(&record.value.zone).map(|state| state.since());
+        let is_since_return = |at: Micros| returned_at.is_some_and(|returned_at| at >= returned_at);
+        if attempt.running_since.is_some_and(is_since_return) {
+            self.note_zone_start(attempt.machine(), ZoneStart::Lost);
+        }
+    }
+
+    /// Zones in which no instance may be created now. `planned_counts`: the instances planned so far in zones that return.
+    pub(crate) fn zones_closed_to_scale_out(&self, planned_counts: &BTreeMap<String, u32>) -> BTreeSet<String> {
+        let mut closed = BTreeSet::new();
+        if !self.judges_zones() {
+            return closed;
+        }
+        for zone in &self.platform.deployment.zones {
+            let planned_count = planned_counts.get(zone).copied().unwrap_or(0);
+            let is_full = || {
+                let provisioning_count = self.autoscaling.provisioning_count_in_zone(zone);
+                provisioning_count + planned_count >= self.policy.zones.return_boots
+            };
+            if !self.zone_takes_work(zone) || (self.zone_is_returning(zone) && is_full()) {
+                closed.insert(zone.clone());
+            }
+        }
+        closed
+    }
+}
--- /dev/null
+++ b/src/coordination/zones/replica_moves.rs
@@ -0,0 +1,173 @@
+//! Replicas of services that move to another zone although nothing forces them to: out of a zone that operators cordoned,
+//! or out of the one zone in which all replicas of a service ended up.
+//!
+//! One of a service at a time, and only when a machine elsewhere has capacity and its image, so that the service misses it
+//! only for a moment. The stop and the new start are ordinary ones: the start is recorded after the old attempt is proven
+//! gone.
+
+use crate::coordination::Controller;
+use crate::coordination::jobs::job::Job;
+use crate::coordination::jobs::usage::Phase;
+use crate::coordination::scheduling::shard_view::CandidateMachine;
+use crate::coordination::zones::MovingReplica;
+use crate::protocol::user::Kind;
+use crate::storage::schema::Role;
+use crate::types::{JobId, Micros};
+use burlhatch_zones::Condition;
+use burlhatch_zones::rebalance::{Move, Replicas, wanted_move};
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Bound;
+
+/// Jobs that one search takes in; the next goes on from there.
+const JOBS_PER_SEARCH: usize = 64;
+
+/// A replica that does not run elsewhere after this is no longer kept out of the zone that it left.
+const MAX_MOVE_SPAN: Micros = Micros::from_millis(60_000);
+
+impl Controller {
+    /// Looks at a few services and moves at most one replica.
+    pub(super) fn move_replicas(&mut self) {
+        self.forget_finished_moves();
+        let tracker = &self.zones.tracker;
+        let may_move = tracker.any_on_hold() || self.policy.zones.rebalance;
+        if !may_move || tracker.in_condition(Condition::Lost).next().is_some() {
+            return;
+        }
+        for id in self.next_services_to_search() {
+            if let Some(replica_move) = self.wanted_replica_move(&id) {
+                self.start_replica_move(replica_move);
+                return;
+            }
+        }
+    }
+
+    /// Forgets moves whose replica runs elsewhere, or that came to nothing.
+    fn forget_finished_moves(&mut self) {
+        let now = self.now();
+        let jobs = &self.jobs.by_id;
+        self.zones.moving_replicas.retain(|id, moving| {
+            let is_unfinished = jobs.get(id).is_some_and(|job| job.over.is_none() && !all_replicas_run(job));
+            is_unfinished && now.since(moving.stopped_at) < MAX_MOVE_SPAN
+        });
+    }
+
+    /// The services held here among the next few jobs.
+    fn next_services_to_search(&mut self) -> Vec<JobId> {
+        let after = self.zones.last_searched_job.take().map_or(Bound::Unbounded, Bound::Excluded);
+        let next = self.jobs.by_id.range((after, Bound::Unbounded)).take(JOBS_PER_SEARCH);
+        let searched: Vec<&JobId> = next.map(|(id, _)| id).collect();
+        let last = searched.last().map(|id| (*id).clone());
+        let is_our_service = |id: &&JobId| {
+            let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
+            job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
+        };
+        let services = searched.into_iter().filter(is_our_service).cloned().collect();
+        self.zones.last_searched_job = last;
+        services
+    }
+
+    fn wanted_replica_move(&mut self, id: &JobId) -> Option<Move> {
+        let job = self.jobs.by_id.get(id)?;
+        let is_moving = self.zones.moving_replicas.contains_key(id);
+        if job.spec.zone.is_some() || job.spec.one_zone || job.is_failing() || is_moving {
+            return None;
+        }
+        let replicas = self.replicas_of(id, job);
+        if !self.may_need_move(&replicas) {
+            return None;
+        }
+        let machines = self.schedulable_machines(job.shard);
+        let mut budget = std::mem::take(&mut self.zones.disruption_budget);
+        let job = self.jobs.by_id.get(id)?;
+        let is_cordoned = |zone: &str| self.zones.tracker.is_on_hold(zone);
+        let has_place = |from_zone: &str| {
+            machines.iter().any(|machine| machine.zone != from_zone && self.is_ready_for(job, machine, from_zone))
+        };
+        let wanted = wanted_move(&replicas, &is_cordoned, &has_place, &mut budget, self.now(), &self.policy.zones);
+        self.zones.disruption_budget = budget;
+        wanted
+    }
+
+    /// Whether searching for places is worth it at all.
+    fn may_need_move(&self, replicas: &Replicas) -> bool {
+        let in_cordoned_zone = replicas.at_work.keys().any(|zone| self.zones.tracker.is_on_hold(zone));
+        let replica_count = replicas.at_work.values().map(Vec::len).sum::<usize>();
+        let is_gathered = replicas.at_work.len() == 1 && replica_count > 1;
+        replicas.is_whole && (in_cordoned_zone || (self.policy.zones.rebalance && is_gathered))
+    }
+
+    fn replicas_of(&self, id: &JobId, job: &Job) -> Replicas {
+        let mut at_work: BTreeMap<String, Vec<u32>> = BTreeMap::new();
+        let running =
+            job.live.iter().filter(|(_, attempt)| attempt.phase() == Phase::Running && attempt.stop.is_none());
+        for (task, attempt) in running {
+            if let Some(record) = self.store.replica.machines.get(attempt.machine()) {
+                at_work.entry(record.value.zone.clone()).or_default().push(task);
+            }
+        }
+        Replicas { job: id.clone(), at_work, is_whole: !job.locked && all_replicas_run(job) }
+    }
+
+    /// Whether a replica that leaves a zone would run there at once; or, if operators have waited long enough for the
+    /// zone to be empty, after a fetch.
+    fn is_ready_for(&self, job: &Job, candidate: &CandidateMachine, from_zone: &str) -> bool {
+        let has_image = self.fleet.machines.get(&candidate.id).is_some_and(|machine| machine.holds(&job.spec.image));
+        let is_up = self.zones.tracker.condition(&candidate.zone) == Condition::Up;
+        (has_image || self.is_cordoned_for_long(from_zone))
+            && is_up
+            && job.resources.fits_in(&candidate.free)
+            && self.placement_rules(job, None).allow(candidate)
+    }
+
+    fn is_cordoned_for_long(&self, zone: &str) -> bool {
+        let cordon = self.store.replica.zone_holds.get(zone);
+        let cordoned_at = cordon.map(|cordon| cordon.value.map_or(Micros::ZERO, |record| record.at));
+        let min_span = Micros::from_millis(self.policy.zones.hold_wait_ms);
+        cordoned_at.is_some_and(|at| self.clock.wall.since(at) >= min_span)
+    }
+
+    fn start_replica_move(&mut self, replica_move: Move) {
+        let Move { job: id, task, from: from_zone } = replica_move;
+        let now = self.now();
+        let Some(job) = self.jobs.by_id.get_mut(&id) else { return };
+        let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
+        let Some(attempt) = job.live.get_mut(task) else { return };
+        attempt.stop = Some(grace_s);
+        let machine = attempt.machine().clone();
+        tracing::info!(job = %id, task, %machine, from_zone, "replica moving to another zone");
+        self.zones.moving_replicas.insert(id, MovingReplica { from_zone, stopped_at: now });
+        self.want_push(&machine);
+    }
+
+    /// Zones that a job's next task had better avoid: one that a replica of it is moving out of, and those that fail again
+    /// and again if all of its replicas would be there.
+    pub(crate) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
+        let mut avoided = BTreeSet::new();
+        if !self.judges_zones() || job.spec.kind != Kind::Service {
+            return avoided;
+        }
+        avoided.extend(self.zones.moving_replicas.get(id).map(|moving| moving.from_zone.clone()));
+        let is_trusted = |zone: &str| !distrusted.contains(zone) && self.zone_takes_work(zone);
+        let attempts = job.live.values().filter(|attempt| attempt.occupies());
+        let machines = attempts.filter_map(|attempt| self.store.replica.machines.get(attempt.machine()));
+        let has_trusted_replica = machines.map(|machine| machine.value.zone.as_str()).any(is_trusted);
+        if !distrusted.is_empty() && !has_trusted_replica {
+            avoided.extend(distrusted.iter().cloned());
+        }
+        avoided
+    }
+
+    /// Whether a service that found no place outside the zones it avoids takes one there: it has waited long enough.
+    pub(crate) fn gives_up_avoiding(&mut self, id: &JobId) -> bool {
+        let now = self.now();
+        let max_wait = Micros::from_millis(self.policy.zones.distrust_wait_ms);
+        now.since(self.zones.avoiding_since(id, now)) >= max_wait
+    }
+}
+
+/// Whether all replicas of a service run and none is being stopped.
+fn all_replicas_run(job: &Job) -> bool {
+    let running = job.live.values().filter(|attempt| attempt.phase() == Phase::Running && attempt.stop.is_none());
+    let running_count = running.count();
+    running_count == job.spec.tasks as usize && job.live.values().count() == running_count
+}
--- /dev/null
+++ b/src/coordination/zones/restoration.rs
@@ -0,0 +1,55 @@
+//! The order of jobs while work is restored after the loss of a zone.
+
+use crate::coordination::Controller;
+use crate::protocol::user::{Kind, Priority};
+use crate::types::JobId;
+use burlhatch_zones::order::{Waiting, WorkKind, restoration_order};
+
+impl Controller {
+    /// Whether work is being restored after the loss of a zone.
+    pub(crate) fn is_restoring(&self) -> bool {
+        self.judges_zones() && self.zones.tracker.is_restoring(self.now(), &self.policy.zones)
+    }
+
+    /// Whether batch work of which nothing has begun has its turn among the services, with one task.
+    pub(crate) fn is_starved_in_restoration(&self, id: &JobId) -> bool {
+        self.is_restoring() && self.as_waiting(id).is_some_and(|job| job.is_starved(&self.policy.zones))
+    }
+
+    /// Jobs in the order in which they are restored.
+    pub(crate) fn in_restoration_order(&self, waiting: &[JobId]) -> Vec<JobId> {
+        let jobs = waiting.iter().filter_map(|id| self.as_waiting(id)).collect();
+        restoration_order(jobs, &self.policy.zones).into_iter().cloned().collect()
+    }
+
+    fn as_waiting<'a>(&'a self, id: &'a JobId) -> Option<Waiting<'a, &'a JobId>> {
+        let job = self.jobs.by_id.get(id)?;
+        Some(Waiting {
+            key: id,
+            kind: work_kind(job.spec.kind),
+            priority: rank(job.urgency.priority),
+            is_within_guaranteed_quota: self.is_within_guaranteed_quota(job),
+            class: &job.spec.class,
+            waited: self.clock.wall.since(job.ready),
+            has_begun: job.fresh_from > 0,
+        })
+    }
+}
+
+fn work_kind(kind: Kind) -> WorkKind {
+    match kind {
+        Kind::Service => WorkKind::Service,
+        Kind::Gang => WorkKind::Gang,
+        Kind::Array => WorkKind::Array,
+    }
+}
+
+/// The higher goes first.
+fn rank(priority: Priority) -> u8 {
+    match priority {
+        Priority::Low => 0,
+        Priority::Normal => 1,
+        Priority::High => 2,
+        Priority::Production => 3,
+    }
+}
--- /dev/null
+++ b/src/coordination/zones/stored_views.rs
@@ -0,0 +1,91 @@
+//! The stored views of zones, by zone and shard: read from the replica into the tracker, and written for the shards held
+//! here. Also the cordons that operators put on zones.
+
+use crate::coordination::Controller;
+use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
+use burlhatch_zones::RecordDue;
+
+impl Controller {
+    /// All views and cordons, once the stored records are read.
+    pub(crate) fn zones_read(&mut self) {
+        let views: Vec<(String, u32)> = self.store.replica.zones.keys().cloned().collect();
+        for (zone, shard) in views {
+            self.zone_view_changed(&zone, shard);
+        }
+        let cordoned: Vec<String> = self.store.replica.zone_holds.keys().cloned().collect();
+        for zone in cordoned {
+            self.zone_hold_changed(&zone);
+        }
+    }
+
+    /// A shard's view of a zone was stored or removed, or the shard has another holder.
+    pub(crate) fn zone_view_changed(&mut self, zone: &str, shard: u32) {
+        if !self.judges_zones() {
+            return;
+        }
+        let now = self.moment();
+        let stored = self.store.replica.zones.get(&(zone.to_string(), shard));
+        if stored.is_some_and(|stored| stored.value.is_none()) {
+            tracing::warn!(zone, shard, "stored zone view unreadable, rewriting it");
+        }
+        let holder = self.store.replica.roles.get(&Role::Shard(shard)).map(|held| held.value.incarnation);
+        let record = stored.and_then(|stored| stored.value.as_ref());
+        let view = record.map(|record| (record, holder == Some(record.incarnation)));
+        self.zones.tracker.set_view(zone, shard, view, now, &self.policy.zones);
+    }
+
+    /// A shard has another holder: which views count as votes follows from that.
+    pub(crate) fn zone_views_of_role_changed(&mut self, role: Role) {
+        let Role::Shard(shard) = role else { return };
+        let views = self.store.replica.zones.keys().filter(|(_, of_shard)| *of_shard == shard);
+        let zones: Vec<String> = views.map(|(zone, _)| zone.clone()).collect();
+        for zone in zones {
+            self.zone_view_changed(&zone, shard);
+        }
+    }
+
+    /// Operators have cordoned a zone, or lifted the cordon.
+    pub(crate) fn zone_hold_changed(&mut self, zone: &str) {
+        let is_cordoned = self.store.replica.zone_holds.contains_key(zone);
+        if self.judges_zones() && self.zones.tracker.is_on_hold(zone) != is_cordoned {
+            tracing::info!(zone, is_cordoned, "zone cordon changed by operators");
+            self.zones.tracker.set_on_hold(zone, is_cordoned);
+            self.scheduling.request_cycle();
+        }
+    }
+
+    /// Stores what has changed in the views of the shards held here, each on the precondition that the shard is still
+    /// held.
+    pub(super) fn write_zone_views(&mut self) {
+        let unreadable = self.unreadable_views();
+        let due = self.zones.tracker.records_due(self.incarnation, self.moment(), &self.policy.zones);
+        for RecordDue { zone, shard, record } in due.into_iter().chain(unreadable) {
+            let name = (zone.clone(), shard);
+            if !is_zone_storable(&zone) || !self.zones.views_being_written.insert(name.clone()) {
+                continue;
+            }
+            let key = Key::Zone(zone, shard);
+            let mut proposal = ProposedTxn::default();
+            proposal.unchanged(&self.store.replica, Key::Role(Role::Shard(shard)));
+            proposal.unchanged(&self.store.replica, key.clone());
+            match record {
+                Some(record) => proposal.put(key, to_value(&record)),
+                None => proposal.delete(key),
+            }
+            self.submit_txn(proposal, Purpose::ZoneView(name));
+        }
+    }
+
+    /// Views of the shards held here that can't be read and that nothing else takes the place of.
+    fn unreadable_views(&self) -> Vec<RecordDue> {
+        let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
+        let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
+        ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
+    }
+
+    /// The write of a view has succeeded or failed.
+    pub(crate) fn zone_view_txn_over(&mut self, name: &(String, u32)) {
+        self.zones.views_being_written.remove(name);
+    }
+}
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -49,7 +49,7 @@
 
 /// A request for machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct InstanceRequest {
     /// Names the request; never used again.
     #[serde(rename = "charter")]
     pub request: String,
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -2,7 +2,7 @@
 
 use burlhatch::coordination::jobs::dependency_graph::{DependencyGraph, Urgency};
 use burlhatch::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
-use burlhatch::coordination::scheduling::placement::{Candidate, choose};
+use burlhatch::coordination::scheduling::placement::{PlacementCandidate, choose_candidate};
 use burlhatch::coordination::store_sync::budget::Budget;
 use burlhatch::protocol::store::Event;
 use burlhatch::protocol::user::{JobSpec, Kind, Priority};
@@ -16,27 +16,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Steps 3 to 5 of the design, word for word, by looking at every pair.
-fn plain_choice(all: &[Candidate], slack: u64, margin: u64) -> Option<usize> {
-    let order = |i: &usize| (all[*i].ready, all[*i].tie, *i);
-    let miss = |c: &Candidate| c.ready.0.saturating_sub(slack);
+fn plain_choice(all: &[PlacementCandidate], slack: u64, margin: u64) -> Option<usize> {
+    let order = |i: &usize| (all[*i].ready_after, all[*i].tie_breaker, *i);
+    let miss = |c: &PlacementCandidate| c.ready_after.0.saturating_sub(slack);
     let meeting: Vec<usize> = (0..all.len()).filter(|i| miss(&all[*i]) == 0).collect();
     if meeting.is_empty() {
         return (0..all.len()).min_by_key(order);
     }
     // A holder wins unless one without the image is earlier by the margin.
-    let beaten = |h: usize| meeting.iter().any(|o| !all[*o].holds && all[*o].ready.0 + margin <= all[h].ready.0);
-    let earliest_holder = meeting.iter().copied().filter(|i| all[*i].holds).min_by_key(order);
+    let beaten =
+        |h: usize| meeting.iter().any(|o| !all[*o].has_image && all[*o].ready_after.0 + margin <= all[h].ready_after.0);
+    let earliest_holder = meeting.iter().copied().filter(|i| all[*i].has_image).min_by_key(order);
     match earliest_holder {
         Some(h) if !beaten(h) => Some(h),
-        _ => meeting.iter().copied().filter(|i| !all[*i].holds).min_by_key(order),
+        _ => meeting.iter().copied().filter(|i| !all[*i].has_image).min_by_key(order),
     }
 }
 
-fn candidate() -> impl Strategy<Value = Candidate> {
-    (0u64..40, any::<bool>(), 0u64..3, 0u64..3).prop_map(|(ready, holds, a, b)| Candidate {
-        ready: Micros(ready),
-        holds,
-        tie: (a, b),
+fn candidate() -> impl Strategy<Value = PlacementCandidate> {
+    (0u64..40, any::<bool>(), 0u64..3, 0u64..3).prop_map(|(ready, has_image, a, b)| PlacementCandidate {
+        ready_after: Micros(ready),
+        has_image,
+        tie_breaker: (a, b),
     })
 }
 
@@ -84,7 +85,7 @@
         slack in 0u64..40,
         margin in 0u64..20,
     ) {
-        prop_assert_eq!(choose(&all, Micros(slack), Micros(margin)), plain_choice(&all, slack, margin));
+        prop_assert_eq!(choose_candidate(&all, Micros(slack), Micros(margin)), plain_choice(&all, slack, margin));
     }
 
     #[test]
