--- a/crates/zones/src/condition.rs
+++ b/crates/zones/src/condition.rs
@@ -1,4 +1,4 @@
-//! The condition of one zone: a state machine with hysteresis over what the shards' holders say of it.
+//! The condition of one zone: a state machine with hysteresis over the votes of the shards' holders.
 
 use crate::damping::Penalty;
 use crate::ramp::Ramp;
@@ -6,44 +6,45 @@
 use burlhatch_types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How a zone stands.
+/// The condition of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Condition {
-    /// Nothing speaks against it.
+    /// No holder votes against it.
     #[default]
     #[serde(rename = "up")]
     Up,
-    /// Some holder finds most of its machines there silent; nothing is concluded yet.
+    /// Some holder finds most of its machines there unresponsive; nothing is concluded yet.
     #[serde(rename = "suspected")]
     Suspected,
-    /// Most of its machines are silent to their holders.
+    /// Most of its machines are unresponsive to their holders.
     #[serde(rename = "lost")]
     Lost,
-    /// It is heard again and gets work step by step.
+    /// It responds again and gets work step by step.
     #[serde(rename = "returning")]
     Returning,
 }
 
-/// What speaks for and against a zone at a moment, in machines.
+/// The votes for and against a zone at a moment, weighted by machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// Machines in the zone, of all shards.
-    pub machines: u32,
-    /// Of these those of shards whose holders speak against the zone.
-    pub against: u32,
+    pub machine_count: u32,
+    /// Of these those of shards whose holders vote against the zone.
+    pub against_count: u32,
 }
 
 impl Evidence {
-    /// Whether enough speaks against the zone to take it for lost. One holder's word is not enough unless the zone's
+    /// Whether enough votes are against the zone to take it for lost. One holder's vote is not enough unless the zone's
     /// machines are mostly its own: a single controller may be cut off from a zone that others reach.
-    fn is_loss(&self, settings: &ZoneSettings) -> bool {
-        let most = f64::from(self.against) > f64::from(self.machines) * settings.agree_part;
-        self.machines >= settings.least_machines && most
+    fn shows_loss(&self, settings: &ZoneSettings) -> bool {
+        let is_majority = f64::from(self.against_count) > f64::from(self.machine_count) * settings.agree_part;
+        self.machine_count >= settings.least_machines && is_majority
     }
 
-    /// Whether so little speaks against it that it is heard again.
-    fn is_heard(&self, settings: &ZoneSettings) -> bool {
-        self.machines > 0 && f64::from(self.against) <= f64::from(self.machines) * settings.return_part
+    /// Whether so few votes are against the zone that it responds again.
+    fn shows_recovery(&self, settings: &ZoneSettings) -> bool {
+        let max_against = f64::from(self.machine_count) * settings.return_part;
+        self.machine_count > 0 && f64::from(self.against_count) <= max_against
     }
 }
 
@@ -56,7 +57,7 @@
     pub from: Condition,
     /// Its condition now.
     pub to: Condition,
-    /// What spoke for and against it.
+    /// The votes for and against it.
     pub evidence: Evidence,
     /// Its penalty for past losses.
     pub penalty: f64,
@@ -66,12 +67,12 @@
 #[derive(Clone, Debug)]
 pub struct ZoneState {
     condition: Condition,
-    since: Micros,
+    entered_at: Micros,
     /// Since when the evidence has called for the next condition without a break.
     pending_since: Option<Micros>,
-    last_loss: Option<Micros>,
-    /// Its condition has changed at least once here.
-    has_changed: bool,
+    last_lost_at: Option<Micros>,
+    /// Whether its condition has changed at least once here.
+    has_transitioned: bool,
     /// Penalty for past losses.
     pub penalty: Penalty,
     /// Allowance of starts while it returns.
@@ -79,65 +80,65 @@
 }
 
 impl ZoneState {
-    /// A zone that nothing is known against.
+    /// A zone that is up, with no loss known.
     pub fn new(now: Micros, settings: &ZoneSettings) -> ZoneState {
         ZoneState {
             condition: Condition::Up,
-            since: now,
+            entered_at: now,
             pending_since: None,
-            last_loss: None,
-            has_changed: false,
+            last_lost_at: None,
+            has_transitioned: false,
             penalty: Penalty::default(),
             ramp: Ramp::new(now, settings),
         }
     }
 
-    /// How it stands.
+    /// Its condition.
     pub fn condition(&self) -> Condition {
         self.condition
     }
 
-    /// Since when it has stood so.
-    pub fn since(&self) -> Micros {
-        self.since
+    /// Since when it has been in this condition.
+    pub fn entered_at(&self) -> Micros {
+        self.entered_at
     }
 
     /// When it was last lost, if this is known.
-    pub fn last_loss(&self) -> Option<Micros> {
-        self.last_loss
+    pub fn last_lost_at(&self) -> Option<Micros> {
+        self.last_lost_at
     }
 
-    /// Takes in what another controller knows, or the process before this one knew. Whoever has not judged the zone yet
-    /// goes on from there: the loss was counted by that one.
-    pub fn hear(&mut self, condition: Condition, penalty: f64, now: Micros, settings: &ZoneSettings) {
-        if self.has_changed {
-            self.penalty.hear(penalty, now, settings);
+    /// Merges the view of another controller, or of the process before this one. A process that has not seen the zone's
+    /// condition change yet goes on from there: the loss was counted by the other.
+    pub fn merge_remote(&mut self, condition: Condition, penalty: f64, now: Micros, settings: &ZoneSettings) {
+        if self.has_transitioned {
+            self.penalty.merge_remote(penalty, now, settings);
             return;
         }
         self.penalty.inherit(penalty, now, settings);
         if matches!(condition, Condition::Lost | Condition::Returning) {
-            self.enter(condition, now, settings);
-            self.last_loss = Some(now);
+            self.transition_to(condition, now, settings);
+            self.last_lost_at = Some(now);
         }
     }
 
-    /// Takes in the evidence of this moment; says what it changed.
+    /// Takes in the evidence of this moment. Returns the condition before, if it has changed.
     pub fn observe(&mut self, evidence: Evidence, now: Micros, settings: &ZoneSettings) -> Option<Condition> {
         let distrusted = self.penalty.is_distrusted(now, settings);
         if self.condition == Condition::Returning {
             self.ramp.advance(now, !distrusted, settings);
         }
-        let next = self.next(evidence, now, distrusted, settings)?;
+        let next = self.next_condition(evidence, now, distrusted, settings)?;
         if next == Condition::Lost {
             self.penalty.add_loss(now, settings);
-            self.last_loss = Some(now);
+            self.last_lost_at = Some(now);
         }
         let before = self.condition;
-        self.enter(next, now, settings);
+        self.transition_to(next, now, settings);
         Some(before)
     }
 
-    fn next(
+    fn next_condition(
         &mut self,
         evidence: Evidence,
         now: Micros,
@@ -146,27 +147,30 @@
     ) -> Option<Condition> {
         let confirm = Micros::from_millis(settings.confirm_ms);
         match self.condition {
-            Condition::Up if evidence.against > 0 => Some(Condition::Suspected),
+            Condition::Up if evidence.against_count > 0 => Some(Condition::Suspected),
             Condition::Up => None,
-            Condition::Suspected if evidence.against == 0 => Some(Condition::Up),
-            Condition::Suspected => self.lasts(evidence.is_loss(settings), now, confirm).then_some(Condition::Lost),
+            Condition::Suspected if evidence.against_count == 0 => Some(Condition::Up),
+            Condition::Suspected => {
+                self.has_held_for(evidence.shows_loss(settings), now, confirm).then_some(Condition::Lost)
+            }
             Condition::Lost => {
-                let span = if evidence.machines == 0 { settings.empty_return_ms } else { settings.return_after_ms };
-                let over = evidence.machines == 0 || evidence.is_heard(settings);
-                self.lasts(over, now, Micros::from_millis(span)).then_some(Condition::Returning)
+                let is_empty = evidence.machine_count == 0;
+                let span_ms = if is_empty { settings.empty_return_ms } else { settings.return_after_ms };
+                let may_return = is_empty || evidence.shows_recovery(settings);
+                self.has_held_for(may_return, now, Micros::from_millis(span_ms)).then_some(Condition::Returning)
             }
             Condition::Returning => {
-                if self.lasts(evidence.is_loss(settings), now, confirm) {
+                if self.has_held_for(evidence.shows_loss(settings), now, confirm) {
                     return Some(Condition::Lost);
                 }
-                let complete = self.ramp.is_complete(settings) && !distrusted;
-                (complete && evidence.against == 0).then_some(Condition::Up)
+                let is_complete = self.ramp.is_complete(settings) && !distrusted;
+                (is_complete && evidence.against_count == 0).then_some(Condition::Up)
             }
         }
     }
 
     /// Whether something has held without a break for so long.
-    fn lasts(&mut self, holds: bool, now: Micros, span: Micros) -> bool {
+    fn has_held_for(&mut self, holds: bool, now: Micros, span: Micros) -> bool {
         if !holds {
             self.pending_since = None;
             return false;
@@ -175,10 +179,10 @@
         now.since(since) >= span
     }
 
-    fn enter(&mut self, condition: Condition, now: Micros, settings: &ZoneSettings) {
-        self.has_changed = true;
+    fn transition_to(&mut self, condition: Condition, now: Micros, settings: &ZoneSettings) {
+        self.has_transitioned = true;
         self.condition = condition;
-        self.since = now;
+        self.entered_at = now;
         self.pending_since = None;
         if condition == Condition::Returning {
             self.ramp = Ramp::new(now, settings);
--- a/crates/zones/src/damping.rs
+++ b/crates/zones/src/damping.rs
@@ -7,17 +7,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Decaying {
     amount: f64,
-    at: Micros,
+    as_of: Micros,
 }
 
 impl Decaying {
     fn value(&self, now: Micros, settings: &ZoneSettings) -> f64 {
-        self.amount * decay(now.since(self.at), settings)
+        self.amount * decay(now.since(self.as_of), settings)
     }
 
     fn set(&mut self, amount: f64, now: Micros, settings: &ZoneSettings) {
         self.amount = if amount.is_finite() { amount.clamp(0.0, settings.penalty_most) } else { 0.0 };
-        self.at = now;
+        self.as_of = now;
     }
 }
 
@@ -31,22 +31,22 @@
 pub struct Penalty {
     /// For losses that this controller counted itself, or took over from its predecessor.
     own: Decaying,
-    /// As others tell it. All count the same losses, so the two are never added up.
-    told: Decaying,
-    distrusted: bool,
+    /// As the other controllers have it. All count the same losses, so the two are never added up.
+    remote: Decaying,
+    is_distrusted: bool,
 }
 
 impl Penalty {
     /// What is left of it now.
     pub fn value(&self, now: Micros, settings: &ZoneSettings) -> f64 {
-        self.own.value(now, settings).max(self.told.value(now, settings))
+        self.own.value(now, settings).max(self.remote.value(now, settings))
     }
 
     /// The zone was lost once more.
     pub fn add_loss(&mut self, now: Micros, settings: &ZoneSettings) {
         let amount = self.own.value(now, settings) + settings.penalty_per_loss;
         self.own.set(amount, now, settings);
-        self.judge(now, settings);
+        self.update_distrust(now, settings);
     }
 
     /// Goes on from the penalty that a process before this one counted.
@@ -54,26 +54,27 @@
         if amount > self.own.value(now, settings) {
             self.own.set(amount, now, settings);
         }
-        self.judge(now, settings);
+        self.update_distrust(now, settings);
     }
 
     /// Another controller has counted so much.
-    pub fn hear(&mut self, amount: f64, now: Micros, settings: &ZoneSettings) {
-        if amount > self.told.value(now, settings) {
-            self.told.set(amount, now, settings);
+    pub fn merge_remote(&mut self, amount: f64, now: Micros, settings: &ZoneSettings) {
+        if amount > self.remote.value(now, settings) {
+            self.remote.set(amount, now, settings);
         }
-        self.judge(now, settings);
+        self.update_distrust(now, settings);
     }
 
     /// Trust returns at a lower penalty than it was lost at, so that it does not come and go itself.
-    fn judge(&mut self, now: Micros, settings: &ZoneSettings) {
+    fn update_distrust(&mut self, now: Micros, settings: &ZoneSettings) {
         let value = self.value(now, settings);
-        self.distrusted = if self.distrusted { value >= settings.trust_below } else { value > settings.distrust_above };
+        self.is_distrusted =
+            if self.is_distrusted { value >= settings.trust_below } else { value > settings.distrust_above };
     }
 
     /// Whether the zone has failed too often lately.
     pub fn is_distrusted(&mut self, now: Micros, settings: &ZoneSettings) -> bool {
-        self.judge(now, settings);
-        self.distrusted
+        self.update_distrust(now, settings);
+        self.is_distrusted
     }
 }
--- a/crates/zones/src/disruption.rs
+++ b/crates/zones/src/disruption.rs
@@ -6,12 +6,12 @@
 
 const MINUTE_S: f64 = 60.0;
 
-/// What is left of the budget, and when each job last had to give.
+/// A token bucket for all moves of one controller, and when each job last had a replica moved.
 #[derive(Clone, Debug, Default)]
 pub struct DisruptionBudget {
-    level: f64,
-    at: Micros,
-    moved: BTreeMap<JobId, Micros>,
+    tokens: f64,
+    refilled_at: Micros,
+    last_moved_at: BTreeMap<JobId, Micros>,
 }
 
 impl DisruptionBudget {
@@ -19,22 +19,22 @@
     pub fn allows(&mut self, job: &JobId, now: Micros, settings: &ZoneSettings) -> bool {
         self.refill(now, settings);
         let pause = Micros::from_millis(settings.move_pause_ms);
-        self.level >= 1.0 && self.moved.get(job).is_none_or(|at| now.since(*at) >= pause)
+        self.tokens >= 1.0 && self.last_moved_at.get(job).is_none_or(|at| now.since(*at) >= pause)
     }
 
     /// A replica of the job is stopped.
     pub fn spend(&mut self, job: &JobId, now: Micros, settings: &ZoneSettings) {
         self.refill(now, settings);
-        self.level -= 1.0;
-        self.moved.insert(job.clone(), now);
+        self.tokens -= 1.0;
+        self.last_moved_at.insert(job.clone(), now);
     }
 
     fn refill(&mut self, now: Micros, settings: &ZoneSettings) {
-        let earned = now.since(self.at).secs() * settings.moves_per_minute / MINUTE_S;
+        let earned = now.since(self.refilled_at).secs() * settings.moves_per_minute / MINUTE_S;
         // Bursts of one move: what was not used is not saved up.
-        self.level = (self.level + earned).min(1.0);
-        self.at = now;
+        self.tokens = (self.tokens + earned).min(1.0);
+        self.refilled_at = now;
         let pause = Micros::from_millis(settings.move_pause_ms);
-        self.moved.retain(|_, at| now.since(*at) < pause);
+        self.last_moved_at.retain(|_, at| now.since(*at) < pause);
     }
 }
--- a/crates/zones/src/fetches.rs
+++ b/crates/zones/src/fetches.rs
@@ -4,40 +4,40 @@
 use crate::settings::ZoneSettings;
 use std::collections::HashMap;
 
-/// Images waiting to be fetched, by machine and by zone, as one pass of placement sees them.
+/// Images waiting to be fetched in each zone, as one scheduling cycle sees them.
 #[derive(Clone, Debug, Default)]
 pub struct FetchQueues {
-    zones: HashMap<String, u32>,
+    count_by_zone: HashMap<String, u32>,
 }
 
 impl FetchQueues {
-    /// So many images wait to be fetched on some machine of a zone.
-    pub fn add(&mut self, zone: &str, images: u32) {
-        if images == 0 {
+    /// Adds images that wait to be fetched on some machine of a zone.
+    pub fn add(&mut self, zone: &str, image_count: u32) {
+        if image_count == 0 {
             return;
         }
-        match self.zones.get_mut(zone) {
-            Some(count) => *count += images,
-            None => drop(self.zones.insert(zone.to_string(), images)),
+        match self.count_by_zone.get_mut(zone) {
+            Some(count) => *count += image_count,
+            None => drop(self.count_by_zone.insert(zone.to_string(), image_count)),
         }
     }
 
     /// Images waiting to be fetched in a zone.
     pub fn in_zone(&self, zone: &str) -> u32 {
-        self.zones.get(zone).copied().unwrap_or(0)
+        self.count_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Whether a machine on which so many images wait may be given one more to fetch.
-    pub fn admits(&self, zone: &str, on_machine: u32, settings: &ZoneSettings) -> bool {
-        is_below(settings.fetches_per_machine, on_machine) && self.zone_admits(zone, settings)
+    /// Whether a machine on which `pending_on_machine` images wait may be given one more to fetch.
+    pub fn admits(&self, zone: &str, pending_on_machine: u32, settings: &ZoneSettings) -> bool {
+        is_below_limit(settings.fetches_per_machine, pending_on_machine) && self.zone_admits(zone, settings)
     }
 
     /// Whether any machine of a zone may be given one more to fetch.
     pub fn zone_admits(&self, zone: &str, settings: &ZoneSettings) -> bool {
-        is_below(settings.fetches_per_zone, self.in_zone(zone))
+        is_below_limit(settings.fetches_per_zone, self.in_zone(zone))
     }
 }
 
-fn is_below(limit: u32, count: u32) -> bool {
+fn is_below_limit(limit: u32, count: u32) -> bool {
     limit == 0 || count < limit
 }
--- a/crates/zones/src/record.rs
+++ b/crates/zones/src/record.rs
@@ -10,10 +10,10 @@
     /// The holder's process. The view counts as a vote only while that process holds the shard.
     #[serde(rename = "i")]
     pub incarnation: u64,
-    /// Whether the holder finds most of its machines there silent.
+    /// Whether the holder finds most of its machines there unresponsive.
     #[serde(rename = "q")]
-    pub silent: bool,
-    /// How the zone stands to the holder.
+    pub is_unresponsive: bool,
+    /// The zone's condition as the holder sees it.
     #[serde(rename = "c")]
     pub condition: Condition,
     /// Penalty for past losses as of the time below, in whole units.
@@ -21,12 +21,13 @@
     pub penalty: u32,
     /// Time of day at which this was written.
     #[serde(rename = "at")]
-    pub at: Micros,
+    pub written_at: Micros,
 }
 
 impl ZoneRecord {
-    /// Whether another record says the same but for what decays by itself, which alone is not worth a write.
-    pub fn says_the_same(&self, other: &ZoneRecord) -> bool {
-        (self.incarnation, self.silent, self.condition) == (other.incarnation, other.silent, other.condition)
+    /// Whether another record differs only in what decays by itself, which alone is not worth a write.
+    pub fn is_equivalent_to(&self, other: &ZoneRecord) -> bool {
+        (self.incarnation, self.is_unresponsive, self.condition)
+            == (other.incarnation, other.is_unresponsive, other.condition)
     }
 }
--- a/crates/zones/src/order.rs
+++ b/crates/zones/src/restoration_order.rs
@@ -16,16 +16,16 @@
     Array,
 }
 
-/// A job that waits, as far as the order depends on it.
+/// A waiting job, as far as the order depends on it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Waiting<'a, K> {
+pub struct WaitingJob<'a, K> {
     /// Names the job.
     pub key: K,
     /// Its shape.
     pub kind: WorkKind,
     /// Its priority; the higher goes first.
     pub priority: u8,
-    /// Whether its team is within its guarantee.
+    /// Whether its team is within its guaranteed quota.
     pub is_within_guaranteed_quota: bool,
     /// Its class.
     pub class: &'a str,
@@ -35,7 +35,7 @@
     pub has_begun: bool,
 }
 
-impl<K> Waiting<'_, K> {
+impl<K> WaitingJob<'_, K> {
     /// Whether it is batch work of which nothing has begun for too long.
     pub fn is_starved(&self, settings: &ZoneSettings) -> bool {
         self.kind != WorkKind::Service
@@ -44,10 +44,10 @@
     }
 }
 
-/// Services by priority and guarantee, then gangs, then arrays, the oldest first among equals. The oldest starved job of
+/// Services by priority and guaranteed quota, then gangs, then arrays, the oldest first among equals. The oldest starved job of
 /// each class has its turn among them: after every few services one, so that nothing starves and no service waits for
 /// more than one batch job in so many.
-pub fn restoration_order<K: Ord + Clone>(mut waiting: Vec<Waiting<'_, K>>, settings: &ZoneSettings) -> Vec<K> {
+pub fn restoration_order<K: Ord + Clone>(mut waiting: Vec<WaitingJob<'_, K>>, settings: &ZoneSettings) -> Vec<K> {
     waiting.sort_by(|a, b| rank(a).cmp(&rank(b)));
     let starved = oldest_starved(&waiting, settings);
     let mut starved_keys: Vec<K> = starved.into_iter().map(|i| waiting[i].key.clone()).collect();
@@ -76,12 +76,12 @@
     order
 }
 
-fn rank<'w, K: Ord>(job: &'w Waiting<'_, K>) -> (WorkKind, Reverse<u8>, bool, Reverse<Micros>, &'w K) {
+fn rank<'w, K: Ord>(job: &'w WaitingJob<'_, K>) -> (WorkKind, Reverse<u8>, bool, Reverse<Micros>, &'w K) {
     (job.kind, Reverse(job.priority), !job.is_within_guaranteed_quota, Reverse(job.waited), &job.key)
 }
 
 /// The starved job of each class that has waited longest, the longest first.
-fn oldest_starved<K: Ord>(waiting: &[Waiting<'_, K>], settings: &ZoneSettings) -> Vec<usize> {
+fn oldest_starved<K: Ord>(waiting: &[WaitingJob<'_, K>], settings: &ZoneSettings) -> Vec<usize> {
     let mut oldest: BTreeMap<&str, usize> = BTreeMap::new();
     for (i, job) in waiting.iter().enumerate().filter(|(_, job)| job.is_starved(settings)) {
         let held = oldest.entry(job.class).or_insert(i);
--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -123,11 +123,11 @@
 }
 
 /// The longest time that a setting may name.
-const TIME_MOST_MS: u64 = 86_400_000;
+const MAX_TIME_MS: u64 = 86_400_000;
 /// The largest count that a setting may name.
-const COUNT_MOST: u32 = 1_000_000;
+const MAX_COUNT: u32 = 1_000_000;
 
-fn wrong(field: &'static str, message: impl Into<String>) -> Result<(), SettingsError> {
+fn invalid(field: &'static str, message: impl Into<String>) -> Result<(), SettingsError> {
     Err(SettingsError { field, message: message.into() })
 }
 
@@ -155,9 +155,9 @@
             ("move_pause_ms", self.move_pause_ms, 1000),
             ("hold_wait_ms", self.hold_wait_ms, 0),
         ];
-        for (field, value, least) in times {
-            if !(least..=TIME_MOST_MS).contains(&value) {
-                return wrong(field, format!("must be {least} to {TIME_MOST_MS}, is {value}"));
+        for (field, value, min) in times {
+            if !(min..=MAX_TIME_MS).contains(&value) {
+                return invalid(field, format!("must be {min} to {MAX_TIME_MS}, is {value}"));
             }
         }
         Ok(())
@@ -168,7 +168,7 @@
             [("silent_part", self.silent_part), ("agree_part", self.agree_part), ("return_part", self.return_part)];
         for (field, value) in parts {
             if !(0.0..1.0).contains(&value) {
-                return wrong(field, format!("must be at least 0 and below 1, is {value}"));
+                return invalid(field, format!("must be at least 0 and below 1, is {value}"));
             }
         }
         let amounts = [
@@ -179,8 +179,8 @@
             ("moves_per_minute", self.moves_per_minute),
         ];
         for (field, value) in amounts {
-            if !(value.is_finite() && (0.0..=f64::from(COUNT_MOST)).contains(&value)) {
-                return wrong(field, format!("must be 0 to {COUNT_MOST}, is {value}"));
+            if !(value.is_finite() && (0.0..=f64::from(MAX_COUNT)).contains(&value)) {
+                return invalid(field, format!("must be 0 to {MAX_COUNT}, is {value}"));
             }
         }
         Ok(())
@@ -197,9 +197,9 @@
             ("ramp_full", self.ramp_full, 1),
             ("return_boots", self.return_boots, 1),
         ];
-        for (field, value, least) in counts {
-            if !(least..=COUNT_MOST).contains(&value) {
-                return wrong(field, format!("must be {least} to {COUNT_MOST}, is {value}"));
+        for (field, value, min) in counts {
+            if !(min..=MAX_COUNT).contains(&value) {
+                return invalid(field, format!("must be {min} to {MAX_COUNT}, is {value}"));
             }
         }
         Ok(())
@@ -208,19 +208,19 @@
     /// Values that contradict each other.
     fn check_agreement(&self) -> Result<(), SettingsError> {
         if self.return_part > self.agree_part {
-            return wrong(
+            return invalid(
                 "return_part",
                 "must not exceed zones.agree_part, or a zone would be lost and return at once",
             );
         }
         if self.trust_below > self.distrust_above {
-            return wrong("trust_below", "must not exceed zones.distrust_above");
+            return invalid("trust_below", "must not exceed zones.distrust_above");
         }
         if self.penalty_most < self.distrust_above {
-            return wrong("penalty_most", "must not be less than zones.distrust_above");
+            return invalid("penalty_most", "must not be less than zones.distrust_above");
         }
         if self.ramp_initial > self.ramp_full {
-            return wrong("ramp_initial", "must not exceed zones.ramp_full");
+            return invalid("ramp_initial", "must not exceed zones.ramp_full");
         }
         Ok(())
     }
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -1,8 +1,8 @@
 //! All zones as one controller sees them.
 
-use crate::census::{Census, Count, Life};
 use crate::condition::{Condition, Evidence, Transition, ZoneState};
 use crate::damping::decay;
+use crate::machine_counts::{Liveness, LivenessCounts, MachineCounts};
 use crate::record::ZoneRecord;
 use crate::settings::ZoneSettings;
 use burlhatch_types::{MachineId, Micros};
@@ -17,9 +17,9 @@
     pub wall: Micros,
 }
 
-/// A stored view that differs from the present one.
+/// A stored view that differs from the current one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RecordDue {
+pub struct OutdatedRecord {
     /// The zone.
     pub zone: String,
     /// The shard whose view it is.
@@ -32,61 +32,61 @@
 #[derive(Clone, Debug)]
 struct StoredView {
     record: ZoneRecord,
-    counts: bool,
+    is_vote: bool,
 }
 
 /// A shard that this controller holds.
 #[derive(Clone, Copy, Debug)]
 struct HeldShard {
-    since: Micros,
+    held_since: Micros,
 }
 
-/// A shard's own machines are given this multiple of the time that silence takes to show before their holder speaks;
-/// until then the view of the holder before counts.
-const OPINION_FACTOR: u64 = 2;
+/// A new holder votes by its own machines only after this multiple of the time that silence takes to show; until then the
+/// view of the holder before counts.
+const FIRST_VOTE_FACTOR: u64 = 2;
 /// Views older than this say nothing about the present.
-const VIEW_MOST: Micros = Micros::from_millis(600_000);
+const MAX_VIEW_AGE: Micros = Micros::from_millis(600_000);
 
-/// The zones of a deployment: machines, views, conditions and holds.
+/// The zones of a deployment: machines, views, conditions and cordons.
 #[derive(Debug, Default)]
-pub struct Zones {
-    census: Census,
+pub struct ZoneTracker {
+    machine_counts: MachineCounts,
     states: BTreeMap<String, ZoneState>,
     views: BTreeMap<(String, u32), StoredView>,
     held_shards: BTreeMap<u32, HeldShard>,
-    on_hold: BTreeSet<String>,
-    operations: u64,
+    cordoned: BTreeSet<String>,
+    operation_count: u64,
 }
 
-impl Zones {
+impl ZoneTracker {
     /// A machine is in that zone and belongs to that shard.
-    pub fn machine(&mut self, id: &MachineId, zone: &str, shard: u32) {
-        self.operations += 1;
-        self.census.put(id, zone, shard);
+    pub fn insert_machine(&mut self, id: &MachineId, zone: &str, shard: u32) {
+        self.operation_count += 1;
+        self.machine_counts.insert(id, zone, shard);
     }
 
     /// A machine is gone.
-    pub fn machine_gone(&mut self, id: &MachineId) {
-        self.operations += 1;
-        self.census.remove(id);
+    pub fn remove_machine(&mut self, id: &MachineId) {
+        self.operation_count += 1;
+        self.machine_counts.remove(id);
     }
 
-    /// Whether a machine of a held shard gives signs of life.
-    pub fn set_life(&mut self, id: &MachineId, life: Life) {
-        if self.census.life(id) != life {
-            self.operations += 1;
-            self.census.set_life(id, life);
+    /// Sets the liveness of a machine of a held shard.
+    pub fn set_liveness(&mut self, id: &MachineId, liveness: Liveness) {
+        if self.machine_counts.liveness(id) != liveness {
+            self.operation_count += 1;
+            self.machine_counts.set_liveness(id, liveness);
         }
     }
 
-    /// Whether a machine is known to be silent.
-    pub fn is_silent(&self, id: &MachineId) -> bool {
-        self.census.life(id) == Life::Silent
+    /// Whether a machine is known to be unresponsive.
+    pub fn is_unresponsive(&self, id: &MachineId) -> bool {
+        self.machine_counts.liveness(id) == Liveness::Unresponsive
     }
 
     /// The machines of a zone, of all shards.
     pub fn machines(&self, zone: &str) -> impl Iterator<Item = &MachineId> {
-        self.census.machines(zone)
+        self.machine_counts.machines(zone)
     }
 
     /// Which shards this controller holds at this moment.
@@ -96,12 +96,12 @@
         }
         self.held_shards.retain(|shard, _| shards.contains(shard));
         for shard in shards {
-            self.held_shards.entry(*shard).or_insert(HeldShard { since: now });
+            self.held_shards.entry(*shard).or_insert(HeldShard { held_since: now });
         }
     }
 
-    /// A shard's view of a zone was stored or removed. `counts`: whether the process that wrote it holds the shard.
-    /// Goes on from it if nothing is known here yet: the zone was lost before this process began.
+    /// A shard's view of a zone was stored or removed. It comes with whether it is a vote: whether the process that wrote
+    /// it holds the shard. Goes on from it if nothing is known here yet: the zone was lost before this process began.
     pub fn set_view(
         &mut self,
         zone: &str,
@@ -110,41 +110,41 @@
         now: Moment,
         settings: &ZoneSettings,
     ) {
-        self.operations += 1;
+        self.operation_count += 1;
         let key = (zone.to_string(), shard);
-        let Some((record, counts)) = view else {
+        let Some((record, is_vote)) = view else {
             self.views.remove(&key);
             return;
         };
-        let age = now.wall.since(record.at);
-        if age < VIEW_MOST {
+        let age = now.wall.since(record.written_at);
+        if age < MAX_VIEW_AGE {
             let state = state_of(&mut self.states, zone, now.steady, settings);
             let penalty = f64::from(record.penalty) * decay(age, settings);
-            state.hear(record.condition, penalty, now.steady, settings);
+            state.merge_remote(record.condition, penalty, now.steady, settings);
         }
-        self.views.insert(key, StoredView { record: record.clone(), counts });
+        self.views.insert(key, StoredView { record: record.clone(), is_vote });
     }
 
-    /// Operators hold a zone, or have released it: nothing new goes there, and services leave it.
-    pub fn set_on_hold(&mut self, zone: &str, on_hold: bool) {
-        if on_hold {
-            self.on_hold.insert(zone.to_string());
+    /// Operators have cordoned a zone, or lifted the cordon: nothing new goes to a cordoned one, and services leave it.
+    pub fn set_cordoned(&mut self, zone: &str, is_cordoned: bool) {
+        if is_cordoned {
+            self.cordoned.insert(zone.to_string());
         } else {
-            self.on_hold.remove(zone);
+            self.cordoned.remove(zone);
         }
     }
 
-    /// Whether operators hold a zone.
-    pub fn is_on_hold(&self, zone: &str) -> bool {
-        self.on_hold.contains(zone)
+    /// Whether operators have cordoned a zone.
+    pub fn is_cordoned(&self, zone: &str) -> bool {
+        self.cordoned.contains(zone)
     }
 
-    /// Whether operators hold any zone.
-    pub fn any_on_hold(&self) -> bool {
-        !self.on_hold.is_empty()
+    /// Whether operators have cordoned any zone.
+    pub fn has_cordoned_zones(&self) -> bool {
+        !self.cordoned.is_empty()
     }
 
-    /// How a zone stands.
+    /// The condition of a zone.
     pub fn condition(&self, zone: &str) -> Condition {
         self.states.get(zone).map_or(Condition::Up, ZoneState::condition)
     }
@@ -172,58 +172,62 @@
     /// Whether work is being restored: a zone was lost a short while ago and is not up again.
     pub fn is_restoring(&self, now: Micros, settings: &ZoneSettings) -> bool {
         let span = Micros::from_millis(settings.restore_for_ms);
-        let troubled = |state: &ZoneState| matches!(state.condition(), Condition::Lost | Condition::Returning);
-        let recent = |state: &ZoneState| state.last_loss().is_some_and(|at| now.since(at) < span);
-        self.states.values().any(|state| troubled(state) && recent(state))
+        let is_not_up = |state: &ZoneState| matches!(state.condition(), Condition::Lost | Condition::Returning);
+        let is_recent = |state: &ZoneState| state.last_lost_at().is_some_and(|at| now.since(at) < span);
+        self.states.values().any(|state| is_not_up(state) && is_recent(state))
     }
 
-    /// Whether a shard's holder speaks against a zone.
-    fn speaks_against(&self, zone: &str, shard: u32, count: Count, now: Micros, settings: &ZoneSettings) -> bool {
+    /// Whether a shard's holder votes against a zone.
+    fn votes_against(
+        &self,
+        zone: &str,
+        shard: u32,
+        counts: LivenessCounts,
+        now: Micros,
+        settings: &ZoneSettings,
+    ) -> bool {
         let stored = self.views.get(&(zone.to_string(), shard));
         match self.held_shards.get(&shard) {
             Some(held) => {
-                let opinion_after = Micros::from_millis(settings.silent_after_ms * OPINION_FACTOR);
-                let fresh = now.since(held.since) < opinion_after;
-                let before = fresh && stored.is_some_and(|view| view.record.silent);
-                before || (count.is_silent(settings.silent_part) && self.hears_another(zone, settings))
+                let first_vote_after = Micros::from_millis(settings.silent_after_ms * FIRST_VOTE_FACTOR);
+                let is_new_holder = now.since(held.held_since) < first_vote_after;
+                let is_inherited = is_new_holder && stored.is_some_and(|view| view.record.is_unresponsive);
+                let is_unresponsive = counts.is_unresponsive(settings.silent_part);
+                is_inherited || (is_unresponsive && self.reaches_another_zone(zone, settings))
             }
-            None => stored.is_some_and(|view| view.counts && view.record.silent),
+            None => stored.is_some_and(|view| view.is_vote && view.record.is_unresponsive),
         }
     }
 
-    /// Whether this controller hears most of its machines in any other zone. If it does not, the silence may be its own.
-    fn hears_another(&self, zone: &str, settings: &ZoneSettings) -> bool {
-        self.census.zones().filter(|other| ***other != *zone).any(|other| {
-            let own = self.census.shards(other).filter(|(shard, _)| self.held_shards.contains_key(shard));
-            let sum = own.fold(Count::default(), |sum, (_, count)| Count {
-                machines: sum.machines + count.machines,
-                silent: sum.silent + count.silent,
-                unknown: sum.unknown + count.unknown,
-            });
-            sum.machines > sum.unknown && !sum.is_silent(settings.silent_part)
+    /// Whether most of this controller's machines in any other zone respond. If not, it may be the one that is cut off.
+    fn reaches_another_zone(&self, zone: &str, settings: &ZoneSettings) -> bool {
+        self.machine_counts.zones().filter(|other| ***other != *zone).any(|other| {
+            let own = self.machine_counts.shards(other).filter(|(shard, _)| self.held_shards.contains_key(shard));
+            let sum = own.fold(LivenessCounts::default(), |sum, (_, counts)| sum.plus(counts));
+            sum.total > sum.unknown && !sum.is_unresponsive(settings.silent_part)
         })
     }
 
     fn evidence(&mut self, zone: &str, now: Micros, settings: &ZoneSettings) -> Evidence {
         let mut evidence = Evidence::default();
-        let shards: Vec<(u32, Count)> = self.census.shards(zone).collect();
-        for (shard, count) in shards {
-            self.operations += 1;
-            evidence.machines += count.machines;
-            if self.speaks_against(zone, shard, count, now, settings) {
-                evidence.against += count.machines;
+        let shards: Vec<(u32, LivenessCounts)> = self.machine_counts.shards(zone).collect();
+        for (shard, counts) in shards {
+            self.operation_count += 1;
+            evidence.machine_count += counts.total;
+            if self.votes_against(zone, shard, counts, now, settings) {
+                evidence.against_count += counts.total;
             }
         }
         evidence
     }
 
-    /// Judges all zones; says which conditions changed.
-    pub fn round(&mut self, now: Micros, settings: &ZoneSettings) -> Vec<Transition> {
-        let with_machines = self.census.zones().map(|zone| zone.to_string());
+    /// Evaluates all zones. Returns the changes of conditions.
+    pub fn evaluate(&mut self, now: Micros, settings: &ZoneSettings) -> Vec<Transition> {
+        let with_machines = self.machine_counts.zones().map(|zone| zone.to_string());
         let names: BTreeSet<String> = with_machines.chain(self.states.keys().cloned()).collect();
         let mut transitions = Vec::new();
         for zone in names {
-            self.operations += 1;
+            self.operation_count += 1;
             let evidence = self.evidence(&zone, now, settings);
             let state = state_of(&mut self.states, &zone, now, settings);
             if let Some(from) = state.observe(evidence, now, settings) {
@@ -235,29 +239,29 @@
     }
 
     /// Views of held shards that the stored records lack or have otherwise. `incarnation` is this process's.
-    pub fn records_due(&self, incarnation: u64, now: Moment, settings: &ZoneSettings) -> Vec<RecordDue> {
-        let mut due = Vec::new();
+    pub fn outdated_records(&self, incarnation: u64, now: Moment, settings: &ZoneSettings) -> Vec<OutdatedRecord> {
+        let mut outdated = Vec::new();
         let zones: BTreeSet<&str> =
             self.states.keys().map(String::as_str).chain(self.views.keys().map(|(zone, _)| zone.as_str())).collect();
         for zone in zones {
             for shard in self.held_shards.keys() {
                 let stored = self.views.get(&(zone.to_string(), *shard)).map(|view| &view.record);
-                let record = self.present_view(zone, *shard, incarnation, now, settings);
-                let same = match (stored, &record) {
+                let record = self.current_record(zone, *shard, incarnation, now, settings);
+                let is_current = match (stored, &record) {
                     (None, None) => true,
-                    (Some(stored), Some(record)) => stored.says_the_same(record),
+                    (Some(stored), Some(record)) => stored.is_equivalent_to(record),
                     _ => false,
                 };
-                if !same {
-                    due.push(RecordDue { zone: zone.to_string(), shard: *shard, record });
+                if !is_current {
+                    outdated.push(OutdatedRecord { zone: zone.to_string(), shard: *shard, record });
                 }
             }
         }
-        due
+        outdated
     }
 
-    /// What a held shard's holder has to say of a zone. Nothing once the zone is up and its penalty has decayed.
-    fn present_view(
+    /// The record of a held shard's view of a zone. None once the zone is up and its penalty has decayed.
+    fn current_record(
         &self,
         zone: &str,
         shard: u32,
@@ -266,20 +270,28 @@
         settings: &ZoneSettings,
     ) -> Option<ZoneRecord> {
         let state = self.states.get(zone)?;
-        let count = self.census.shards(zone).find(|(other, _)| *other == shard).map(|(_, count)| count);
-        let silent = count.is_some_and(|count| self.speaks_against(zone, shard, count, now.steady, settings));
+        let counts = self.machine_counts.shards(zone).find(|(other, _)| *other == shard).map(|(_, counts)| counts);
+        let is_unresponsive =
+            counts.is_some_and(|counts| self.votes_against(zone, shard, counts, now.steady, settings));
         let condition = state.condition();
         let penalty = state.penalty.value(now.steady, settings).round() as u32;
-        let forgotten = f64::from(penalty) < settings.trust_below.min(settings.penalty_per_loss / 2.0);
-        let quiet = matches!(condition, Condition::Up | Condition::Suspected) && !silent && forgotten;
+        let is_forgotten = f64::from(penalty) < settings.trust_below.min(settings.penalty_per_loss / 2.0);
+        let is_unremarkable =
+            matches!(condition, Condition::Up | Condition::Suspected) && !is_unresponsive && is_forgotten;
         // That a zone is suspected is no news to others; the vote itself is.
         let condition = if condition == Condition::Suspected { Condition::Up } else { condition };
-        (!quiet).then_some(ZoneRecord { incarnation, silent, condition, penalty, at: now.wall })
+        (!is_unremarkable).then_some(ZoneRecord {
+            incarnation,
+            is_unresponsive,
+            condition,
+            penalty,
+            written_at: now.wall,
+        })
     }
 
-    /// Steps of work done so far, for tests of what a round costs.
-    pub fn operations(&self) -> u64 {
-        self.operations
+    /// Steps of work done so far, for tests of what an evaluation costs.
+    pub fn operation_count(&self) -> u64 {
+        self.operation_count
     }
 }
 
--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -4,9 +4,11 @@
 use burlhatch_zones::condition::ZoneState;
 use burlhatch_zones::damping::Penalty;
 use burlhatch_zones::disruption::DisruptionBudget;
-use burlhatch_zones::order::{Waiting, WorkKind, restoration_order};
 use burlhatch_zones::ramp::Ramp;
-use burlhatch_zones::{Census, Condition, Count, Evidence, Life, Moment, ZoneSettings, Zones};
+use burlhatch_zones::restoration_order::{WaitingJob, WorkKind, restoration_order};
+use burlhatch_zones::{
+    Condition, Evidence, Liveness, LivenessCounts, MachineCounts, Moment, ZoneSettings, ZoneTracker,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,14 +22,14 @@
 enum Change {
     Put(u32, usize, u32),
     Remove(u32),
-    Life(u32, Life),
+    Liveness(u32, Liveness),
 }
 
 fn change() -> impl Strategy<Value = Change> {
     prop_oneof![
         3 => (0..30u32, 0..3usize, 0..4u32).prop_map(|(id, zone, shard)| Change::Put(id, zone, shard)),
         1 => (0..30u32).prop_map(Change::Remove),
-        3 => (0..30u32, 0..3usize).prop_map(|(id, life)| Change::Life(id, [Life::Heard, Life::Unknown, Life::Silent][life])),
+        3 => (0..30u32, 0..3usize).prop_map(|(id, life)| Change::Liveness(id, [Liveness::Responsive, Liveness::Unknown, Liveness::Unresponsive][life])),
     ]
 }
 
@@ -35,35 +37,35 @@
     /// Counts kept by single changes are those of a walk over all machines.
     #[test]
     fn the_census_counts_like_a_walk_over_all_machines(changes in prop::collection::vec(change(), 1..120)) {
-        let mut census = Census::default();
-        let mut machines: BTreeMap<u32, (usize, u32, Life)> = BTreeMap::new();
+        let mut census = MachineCounts::default();
+        let mut machines: BTreeMap<u32, (usize, u32, Liveness)> = BTreeMap::new();
         for change in changes {
             match change {
                 Change::Put(number, zone, shard) => {
-                    census.put(&id(number), ZONES[zone], shard);
+                    census.insert(&id(number), ZONES[zone], shard);
                     let same = machines.get(&number).is_some_and(|m| (m.0, m.1) == (zone, shard));
                     if !same {
-                        machines.insert(number, (zone, shard, Life::Heard));
+                        machines.insert(number, (zone, shard, Liveness::Responsive));
                     }
                 }
                 Change::Remove(number) => {
                     census.remove(&id(number));
                     machines.remove(&number);
                 }
-                Change::Life(number, life) => {
-                    census.set_life(&id(number), life);
+                Change::Liveness(number, life) => {
+                    census.set_liveness(&id(number), life);
                     if let Some(machine) = machines.get_mut(&number) {
                         machine.2 = life;
                     }
                 }
             }
             for (zone, name) in ZONES.iter().enumerate() {
-                let mut plain: BTreeMap<u32, Count> = BTreeMap::new();
+                let mut plain: BTreeMap<u32, LivenessCounts> = BTreeMap::new();
                 for (_, shard, life) in machines.values().filter(|m| m.0 == zone) {
                     let count = plain.entry(*shard).or_default();
-                    count.machines += 1;
-                    count.silent += u32::from(*life == Life::Silent);
-                    count.unknown += u32::from(*life == Life::Unknown);
+                    count.total += 1;
+                    count.unresponsive += u32::from(*life == Liveness::Unresponsive);
+                    count.unknown += u32::from(*life == Liveness::Unknown);
                 }
                 prop_assert_eq!(census.shards(name).collect::<BTreeMap<_, _>>(), plain);
                 let there: BTreeSet<MachineId> = census.machines(name).cloned().collect();
@@ -81,9 +83,9 @@
         let mut state = ZoneState::new(Micros::ZERO, &settings);
         let mut plain = PlainCondition { condition: Condition::Up, entered: 0, seen: Vec::new() };
         let mut now = 0;
-        for (pause, machines, against) in steps {
+        for (pause, machines, against_count) in steps {
             now += pause;
-            let evidence = Evidence { machines, against: against.min(machines) };
+            let evidence = Evidence { machine_count: machines, against_count: against_count.min(machines) };
             state.observe(evidence, Micros::from_millis(now), &settings);
             plain.observe(now, evidence, &settings);
             prop_assert_eq!(state.condition(), plain.condition, "at {} with {:?}", now, evidence);
@@ -153,7 +155,7 @@
     ) {
         let settings = ZoneSettings { services_per_starved: 4, ..ZoneSettings::default() };
         let classes = ["x", "y", "z"];
-        let waiting: Vec<Waiting<usize>> = jobs.iter().enumerate().map(|(key, (kind, priority, within, class, waited, begun))| Waiting {
+        let waiting: Vec<WaitingJob<usize>> = jobs.iter().enumerate().map(|(key, (kind, priority, within, class, waited, begun))| WaitingJob {
             key,
             kind: [WorkKind::Service, WorkKind::Gang, WorkKind::Array][*kind as usize],
             priority: *priority,
@@ -179,7 +181,7 @@
             prop_assert!(job.is_starved(&settings), "batch work before a service");
             prop_assert!(services_since >= 4, "after {} services", services_since);
             prop_assert!(classes_served.insert(job.class), "two of one class before the last service");
-            let older = |other: &Waiting<usize>| other.class == job.class && other.is_starved(&settings) && other.waited > job.waited;
+            let older = |other: &WaitingJob<usize>| other.class == job.class && other.is_starved(&settings) && other.waited > job.waited;
             prop_assert!(!waiting.iter().any(older), "not the oldest of its class");
             services_since = 0;
         }
@@ -199,27 +201,28 @@
 impl PlainCondition {
     fn observe(&mut self, now: u64, evidence: Evidence, settings: &ZoneSettings) {
         self.seen.push((now, evidence));
-        let part = |e: &Evidence| f64::from(e.against) / f64::from(e.machines.max(1));
-        let loss = |e: &Evidence| e.machines >= settings.least_machines && part(e) > settings.agree_part;
-        let over = |e: &Evidence| e.machines == 0 || part(e) <= settings.return_part;
+        let part = |e: &Evidence| f64::from(e.against_count) / f64::from(e.machine_count.max(1));
+        let loss = |e: &Evidence| e.machine_count >= settings.least_machines && part(e) > settings.agree_part;
+        let over = |e: &Evidence| e.machine_count == 0 || part(e) <= settings.return_part;
         // Since when something held at each observation up to the last.
         let held_for = |holds: &dyn Fn(&Evidence) -> bool| {
             let since = self.seen.iter().rev().take_while(|(_, e)| holds(e)).last();
             since.map(|(at, _)| now - at)
         };
         let next = match self.condition {
-            Condition::Up if evidence.against > 0 => Some(Condition::Suspected),
-            Condition::Suspected if evidence.against == 0 => Some(Condition::Up),
+            Condition::Up if evidence.against_count > 0 => Some(Condition::Suspected),
+            Condition::Suspected if evidence.against_count == 0 => Some(Condition::Up),
             Condition::Suspected | Condition::Returning
                 if held_for(&loss).is_some_and(|t| t >= settings.confirm_ms) =>
             {
                 Some(Condition::Lost)
             }
             Condition::Lost => {
-                let span = if evidence.machines == 0 { settings.empty_return_ms } else { settings.return_after_ms };
+                let span =
+                    if evidence.machine_count == 0 { settings.empty_return_ms } else { settings.return_after_ms };
                 held_for(&over).is_some_and(|t| t >= span).then_some(Condition::Returning)
             }
-            Condition::Returning if evidence.against == 0 => Some(Condition::Up),
+            Condition::Returning if evidence.against_count == 0 => Some(Condition::Up),
             _ => None,
         };
         if let Some(next) = next {
@@ -258,8 +261,8 @@
     let mut penalties = [Penalty::default(); 5];
     for i in 0..5 {
         penalties[i].add_loss(now, &settings);
-        let told = penalties[i].value(now, &settings);
-        penalties.iter_mut().for_each(|penalty| penalty.hear(told, now, &settings));
+        let remote = penalties[i].value(now, &settings);
+        penalties.iter_mut().for_each(|penalty| penalty.merge_remote(remote, now, &settings));
     }
     for penalty in &mut penalties {
         assert_eq!(penalty.value(now, &settings), settings.penalty_per_loss);
@@ -278,46 +281,47 @@
 #[test]
 fn a_round_costs_nothing_for_machines_that_did_not_change() {
     let settings = ZoneSettings { enabled: true, ..ZoneSettings::default() };
-    let mut zones = Zones::default();
+    let mut zones = ZoneTracker::default();
     let shards: BTreeSet<u32> = (0..5).collect();
     zones.set_held_shards(&shards, Micros::ZERO);
     for number in 0..4000 {
-        zones.machine(&id(number), ["a", "b", "c", "d"][number as usize % 4], number / 4 % 5);
+        zones.insert_machine(&id(number), ["a", "b", "c", "d"][number as usize % 4], number / 4 % 5);
     }
     let most_a_round = 4 * (5 + 1);
-    let cost = |zones: &mut Zones, work: &mut dyn FnMut(&mut Zones)| {
-        let before = zones.operations();
+    let cost = |zones: &mut ZoneTracker, work: &mut dyn FnMut(&mut ZoneTracker)| {
+        let before = zones.operation_count();
         work(zones);
-        zones.operations() - before
+        zones.operation_count() - before
     };
-    let quiet = cost(&mut zones, &mut |zones| drop(zones.round(Micros::from_millis(20_000), &settings)));
+    let quiet = cost(&mut zones, &mut |zones| drop(zones.evaluate(Micros::from_millis(20_000), &settings)));
     assert!(quiet <= most_a_round, "{quiet} steps");
-    let falling =
-        cost(&mut zones, &mut |zones| (0..4000).step_by(4).for_each(|n| zones.set_life(&id(n), Life::Silent)));
+    let falling = cost(&mut zones, &mut |zones| {
+        (0..4000).step_by(4).for_each(|n| zones.set_liveness(&id(n), Liveness::Unresponsive))
+    });
     assert!(falling <= 1000, "{falling} steps for 1,000 machines");
     let mut lost = Vec::new();
     for ms in [21_000, 21_500, 22_500] {
         let at = Micros::from_millis(ms);
-        let steps = cost(&mut zones, &mut |zones| lost.extend(zones.round(at, &settings)));
+        let steps = cost(&mut zones, &mut |zones| lost.extend(zones.evaluate(at, &settings)));
         assert!(steps <= most_a_round, "{steps} steps");
     }
     assert_eq!(zones.condition("a"), Condition::Lost, "{lost:?}");
     let moment = Moment { steady: Micros::from_millis(22_500), wall: Micros::from_millis(9_000_000) };
-    assert_eq!(zones.records_due(7, moment, &settings).len(), 5);
+    assert_eq!(zones.outdated_records(7, moment, &settings).len(), 5);
 }
 
 /// A controller that hears no other zone either may be the one that is cut off: it has no view.
 #[test]
 fn who_hears_nobody_has_no_view() {
     let settings = ZoneSettings { enabled: true, ..ZoneSettings::default() };
-    let mut zones = Zones::default();
+    let mut zones = ZoneTracker::default();
     zones.set_held_shards(&BTreeSet::from([0]), Micros::ZERO);
     for number in 0..20 {
-        zones.machine(&id(number), ["a", "b"][number as usize % 2], 0);
-        zones.set_life(&id(number), Life::Silent);
+        zones.insert_machine(&id(number), ["a", "b"][number as usize % 2], 0);
+        zones.set_liveness(&id(number), Liveness::Unresponsive);
     }
     for second in 10..20 {
-        assert!(zones.round(Micros::from_millis(second * 1000), &settings).is_empty());
+        assert!(zones.evaluate(Micros::from_millis(second * 1000), &settings).is_empty());
     }
     assert_eq!(zones.condition("a"), Condition::Up);
 }
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -4,7 +4,7 @@
 use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::storage::schema::Role;
 use crate::types::{MachineId, Micros};
-use burlhatch_zones::{Condition, Life, Moment, Transition};
+use burlhatch_zones::{Condition, Liveness, Moment, Transition};
 use std::collections::BTreeSet;
 
 /// Interval between two evaluations of all zones.
@@ -26,8 +26,8 @@
             return;
         }
         match self.store.replica.machines.get(id) {
-            Some(machine) => self.zones.tracker.machine(id, &machine.value.zone, machine.value.shard),
-            None => self.zones.tracker.machine_gone(id),
+            Some(machine) => self.zones.tracker.insert_machine(id, &machine.value.zone, machine.value.shard),
+            None => self.zones.tracker.remove_machine(id),
         }
     }
 
@@ -41,7 +41,7 @@
         let held_shards: BTreeSet<u32> = self.held_shards().collect();
         self.zones.tracker.set_held_shards(&held_shards, now);
         self.update_liveness(ours);
-        for transition in self.zones.tracker.round(now, &self.policy.zones) {
+        for transition in self.zones.tracker.evaluate(now, &self.policy.zones) {
             self.zone_condition_changed(&transition);
         }
         self.write_zone_views();
@@ -62,19 +62,19 @@
         let max_silence = Micros::from_millis(self.policy.zones.silent_after_ms);
         for id in ours {
             let Some(machine) = self.fleet.machines.get(id) else { continue };
-            let is_silent = now.since(machine.heard) >= max_silence;
-            let life = match (is_silent, machine.probes_failed) {
-                (false, _) => Life::Heard,
-                (true, 0) => Life::Unknown,
-                (true, _) => Life::Silent,
+            let is_unresponsive = now.since(machine.heard) >= max_silence;
+            let liveness = match (is_unresponsive, machine.probes_failed) {
+                (false, _) => Liveness::Responsive,
+                (true, 0) => Liveness::Unknown,
+                (true, _) => Liveness::Unresponsive,
             };
-            self.zones.tracker.set_life(id, life);
+            self.zones.tracker.set_liveness(id, liveness);
         }
     }
 
     fn zone_condition_changed(&mut self, transition: &Transition) {
         let Transition { zone, from, to, evidence, penalty } = transition;
-        let (machine_count, against_count) = (evidence.machines, evidence.against);
+        let (machine_count, against_count) = (evidence.machine_count, evidence.against_count);
         if matches!((from, to), (Condition::Up, Condition::Suspected) | (Condition::Suspected, Condition::Up)) {
             tracing::debug!(zone, ?from, ?to, machine_count, against_count, "zone suspicion changed");
         } else {
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -167,14 +167,14 @@
         let min_span = Micros::from_millis(self.policy.zones.evacuate_after_ms);
         let tracker = &self.zones.tracker;
         let is_lost_for_long =
-            |zone: &&str| tracker.state(zone).is_some_and(|state| now.since(state.since()) >= min_span);
+            |zone: &&str| tracker.state(zone).is_some_and(|state| now.since(state.entered_at()) >= min_span);
         let zones = tracker.in_condition(Condition::Lost).filter(is_lost_for_long);
         let is_due = |id: &&MachineId| {
             let is_in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
                 record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
             });
             let is_unchanging = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
-            is_in_shard && is_unchanging && tracker.is_silent(id) && self.jobs.usage.serves(id)
+            is_in_shard && is_unchanging && tracker.is_unresponsive(id) && self.jobs.usage.serves(id)
         };
         zones.flat_map(|zone| tracker.machines(zone)).filter(is_due).cloned().collect()
     }
--- a/src/coordination/zones/gradual_return.rs
+++ b/src/coordination/zones/gradual_return.rs
@@ -48,7 +48,7 @@
             return;
         }
         let Some(record) = self.store.replica.machines.get(attempt.machine()) else { return };
-        let returned_at = self.zones.tracker.state(&record.value.zone).map(|state| state.since());
+        let returned_at = self.zones.tracker.state(&record.value.zone).map(|state| state.entered_at());
         let is_since_return = |at: Micros| returned_at.is_some_and(|returned_at| at >= returned_at);
         if attempt.running_since.is_some_and(is_since_return) {
             self.note_zone_start(attempt.machine(), ZoneStart::Lost);
--- a/src/coordination/zones/mod.rs
+++ b/src/coordination/zones/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::types::{JobId, Micros};
 use burlhatch_zones::disruption::DisruptionBudget;
-use burlhatch_zones::{Condition, Zones};
+use burlhatch_zones::{Condition, ZoneTracker};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A replica that was stopped to move to another zone.
@@ -33,7 +33,7 @@
 /// What the controller knows about zones.
 #[derive(Default)]
 pub(crate) struct ZoneControl {
-    tracker: Zones,
+    tracker: ZoneTracker,
     next_evaluation_at: Micros,
     /// Views on their way to the store, by zone and shard.
     views_being_written: BTreeSet<(String, u32)>,
@@ -50,7 +50,7 @@
 impl ZoneControl {
     /// Whether a zone takes any new work: operators did not cordon it, and it is not lost.
     fn takes_work(&self, zone: &str) -> bool {
-        !self.tracker.is_on_hold(zone) && self.tracker.condition(zone) != Condition::Lost
+        !self.tracker.is_cordoned(zone) && self.tracker.condition(zone) != Condition::Lost
     }
 
     fn is_returning(&self, zone: &str) -> bool {
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -14,7 +14,7 @@
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
 use burlhatch_zones::Condition;
-use burlhatch_zones::rebalance::{Move, Replicas, wanted_move};
+use burlhatch_zones::rebalance::{ReplicaMove, ServiceReplicas, plan_move};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
@@ -29,7 +29,7 @@
     pub(super) fn move_replicas(&mut self) {
         self.forget_finished_moves();
         let tracker = &self.zones.tracker;
-        let may_move = tracker.any_on_hold() || self.policy.zones.rebalance;
+        let may_move = tracker.has_cordoned_zones() || self.policy.zones.rebalance;
         if !may_move || tracker.in_condition(Condition::Lost).next().is_some() {
             return;
         }
@@ -66,7 +66,7 @@
         services
     }
 
-    fn wanted_replica_move(&mut self, id: &JobId) -> Option<Move> {
+    fn wanted_replica_move(&mut self, id: &JobId) -> Option<ReplicaMove> {
         let job = self.jobs.by_id.get(id)?;
         let is_moving = self.zones.moving_replicas.contains_key(id);
         if job.spec.zone.is_some() || job.spec.one_zone || job.is_failing() || is_moving {
@@ -79,33 +79,33 @@
         let machines = self.schedulable_machines(job.shard);
         let mut budget = std::mem::take(&mut self.zones.disruption_budget);
         let job = self.jobs.by_id.get(id)?;
-        let is_cordoned = |zone: &str| self.zones.tracker.is_on_hold(zone);
+        let is_cordoned = |zone: &str| self.zones.tracker.is_cordoned(zone);
         let has_place = |from_zone: &str| {
             machines.iter().any(|machine| machine.zone != from_zone && self.is_ready_for(job, machine, from_zone))
         };
-        let wanted = wanted_move(&replicas, &is_cordoned, &has_place, &mut budget, self.now(), &self.policy.zones);
+        let wanted = plan_move(&replicas, &is_cordoned, &has_place, &mut budget, self.now(), &self.policy.zones);
         self.zones.disruption_budget = budget;
         wanted
     }
 
     /// Whether searching for places is worth it at all.
-    fn may_need_move(&self, replicas: &Replicas) -> bool {
-        let in_cordoned_zone = replicas.at_work.keys().any(|zone| self.zones.tracker.is_on_hold(zone));
-        let replica_count = replicas.at_work.values().map(Vec::len).sum::<usize>();
-        let is_gathered = replicas.at_work.len() == 1 && replica_count > 1;
-        replicas.is_whole && (in_cordoned_zone || (self.policy.zones.rebalance && is_gathered))
+    fn may_need_move(&self, replicas: &ServiceReplicas) -> bool {
+        let in_cordoned_zone = replicas.running_by_zone.keys().any(|zone| self.zones.tracker.is_cordoned(zone));
+        let replica_count = replicas.running_by_zone.values().map(Vec::len).sum::<usize>();
+        let is_gathered = replicas.running_by_zone.len() == 1 && replica_count > 1;
+        replicas.is_complete && (in_cordoned_zone || (self.policy.zones.rebalance && is_gathered))
     }
 
-    fn replicas_of(&self, id: &JobId, job: &Job) -> Replicas {
-        let mut at_work: BTreeMap<String, Vec<u32>> = BTreeMap::new();
+    fn replicas_of(&self, id: &JobId, job: &Job) -> ServiceReplicas {
+        let mut running_by_zone: BTreeMap<String, Vec<u32>> = BTreeMap::new();
         let running =
             job.live.iter().filter(|(_, attempt)| attempt.phase() == Phase::Running && attempt.stop.is_none());
         for (task, attempt) in running {
             if let Some(record) = self.store.replica.machines.get(attempt.machine()) {
-                at_work.entry(record.value.zone.clone()).or_default().push(task);
+                running_by_zone.entry(record.value.zone.clone()).or_default().push(task);
             }
         }
-        Replicas { job: id.clone(), at_work, is_whole: !job.locked && all_replicas_run(job) }
+        ServiceReplicas { job: id.clone(), running_by_zone, is_complete: !job.locked && all_replicas_run(job) }
     }
 
     /// Whether a replica that leaves a zone would run there at once; or, if operators have waited long enough for the
@@ -126,8 +126,8 @@
         cordoned_at.is_some_and(|at| self.clock.wall.since(at) >= min_span)
     }
 
-    fn start_replica_move(&mut self, replica_move: Move) {
-        let Move { job: id, task, from: from_zone } = replica_move;
+    fn start_replica_move(&mut self, replica_move: ReplicaMove) {
+        let ReplicaMove { job: id, task, from_zone } = replica_move;
         let now = self.now();
         let Some(job) = self.jobs.by_id.get_mut(&id) else { return };
         let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
--- a/src/coordination/zones/restoration.rs
+++ b/src/coordination/zones/restoration.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::protocol::user::{Kind, Priority};
 use crate::types::JobId;
-use burlhatch_zones::order::{Waiting, WorkKind, restoration_order};
+use burlhatch_zones::restoration_order::{WaitingJob, WorkKind, restoration_order};
 
 impl Controller {
     /// Whether work is being restored after the loss of a zone.
@@ -22,9 +22,9 @@
         restoration_order(jobs, &self.policy.zones).into_iter().cloned().collect()
     }
 
-    fn as_waiting<'a>(&'a self, id: &'a JobId) -> Option<Waiting<'a, &'a JobId>> {
+    fn as_waiting<'a>(&'a self, id: &'a JobId) -> Option<WaitingJob<'a, &'a JobId>> {
         let job = self.jobs.by_id.get(id)?;
-        Some(Waiting {
+        Some(WaitingJob {
             key: id,
             kind: work_kind(job.spec.kind),
             priority: rank(job.urgency.priority),
--- a/src/coordination/zones/stored_views.rs
+++ b/src/coordination/zones/stored_views.rs
@@ -4,7 +4,7 @@
 use crate::coordination::Controller;
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
-use burlhatch_zones::RecordDue;
+use burlhatch_zones::OutdatedRecord;
 
 impl Controller {
     /// All views and cordons, once the stored records are read.
@@ -48,9 +48,9 @@
     /// Operators have cordoned a zone, or lifted the cordon.
     pub(crate) fn zone_hold_changed(&mut self, zone: &str) {
         let is_cordoned = self.store.replica.zone_holds.contains_key(zone);
-        if self.judges_zones() && self.zones.tracker.is_on_hold(zone) != is_cordoned {
+        if self.judges_zones() && self.zones.tracker.is_cordoned(zone) != is_cordoned {
             tracing::info!(zone, is_cordoned, "zone cordon changed by operators");
-            self.zones.tracker.set_on_hold(zone, is_cordoned);
+            self.zones.tracker.set_cordoned(zone, is_cordoned);
             self.scheduling.request_cycle();
         }
     }
@@ -59,8 +59,8 @@
     /// held.
     pub(super) fn write_zone_views(&mut self) {
         let unreadable = self.unreadable_views();
-        let due = self.zones.tracker.records_due(self.incarnation, self.moment(), &self.policy.zones);
-        for RecordDue { zone, shard, record } in due.into_iter().chain(unreadable) {
+        let due = self.zones.tracker.outdated_records(self.incarnation, self.moment(), &self.policy.zones);
+        for OutdatedRecord { zone, shard, record } in due.into_iter().chain(unreadable) {
             let name = (zone.clone(), shard);
             if !is_zone_storable(&zone) || !self.zones.views_being_written.insert(name.clone()) {
                 continue;
@@ -78,10 +78,10 @@
     }
 
     /// Views of the shards held here that can't be read and that nothing else takes the place of.
-    fn unreadable_views(&self) -> Vec<RecordDue> {
+    fn unreadable_views(&self) -> Vec<OutdatedRecord> {
         let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
         let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
-        ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
+        ours.map(|((zone, shard), _)| OutdatedRecord { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
     /// The write of a view has succeeded or failed.
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -154,7 +154,7 @@
 
 fn describe_view(shard: u32, view: Option<&ZoneRecord>) -> String {
     let Some(view) = view else { return format!("share {shard}: unreadable") };
-    let silent = if view.silent { ", silent" } else { "" };
+    let silent = if view.is_unresponsive { ", silent" } else { "" };
     let condition = format!("{:?}", view.condition).to_lowercase();
     format!("share {shard}: {condition}{silent}, penalty {}", view.penalty)
 }
