--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -7,7 +7,7 @@
 
 impl Controller {
     /// This controller has become the leader, or is it no longer.
-    pub(crate) fn leader_changed(&mut self) {
+    pub(crate) fn leadership_changed(&mut self) {
         if !self.is_leader() {
             return;
         }
--- a/src/coordination/autoscaling/machine_types.rs
+++ b/src/coordination/autoscaling/machine_types.rs
@@ -71,7 +71,7 @@
 
 impl Controller {
     /// Lists the machine types when this is due. Every controller does so, not only the leader.
-    pub(crate) fn tick_types(&mut self) {
+    pub(crate) fn tick_machine_types(&mut self) {
         let now = self.now();
         if self.autoscaling.machine_types.is_refresh_due(now) {
             self.autoscaling.machine_types.requested_at = Some(now);
--- a/src/coordination/control/roles.rs
+++ b/src/coordination/control/roles.rs
@@ -137,7 +137,7 @@
         for role in std::mem::take(&mut self.control.roles.held).into_keys() {
             tracing::info!(?role, "lost: the session has ended");
             match role {
-                Role::Leader => self.leader_changed(),
+                Role::Leader => self.leadership_changed(),
                 Role::Shard(shard) => self.shard_changed(shard),
             }
         }
@@ -422,7 +422,7 @@
             }
         }
         match role {
-            Role::Leader => self.leader_changed(),
+            Role::Leader => self.leadership_changed(),
             Role::Shard(shard) => self.shard_changed(shard),
         }
     }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::machines::{Failures, Fetch, LastHeartbeat, UnrecordedTask};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::{Phase, Start};
-use crate::coordination::zones::gradual_return::ZoneStart;
+use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
 use crate::coordination::{Controller, Effect, Waiter, WorkerAnswer};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
@@ -244,7 +244,7 @@
             return;
         }
         if phase == Phase::Running || phase == Phase::Waiting {
-            self.note_zone_start(id, ZoneStart::AtWork);
+            self.note_zone_attempt(id, ZoneAttemptEvent::Running);
         }
         if phase == Phase::Running
             && let Some(job) = self.jobs.by_id.get(&task.job)
--- a/src/coordination/fleet/machines.rs
+++ b/src/coordination/fleet/machines.rs
@@ -248,7 +248,7 @@
 
     pub(crate) fn machine_changed(&mut self, id: &MachineId) {
         let now = self.now();
-        self.zone_of_machine_changed(id);
+        self.track_zone_of_machine(id);
         match self.store.replica.machines.get(id) {
             None => {
                 // Deleted: whatever was on it is gone.
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::dependency_graph::Urgency;
 use crate::coordination::jobs::failures::{Failure, FailureHistory};
 use crate::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
-use crate::coordination::zones::gradual_return::ZoneStart;
+use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
 use crate::protocol::user::{JobSpec, Kind, Priority};
 use crate::protocol::worker::ExitCause;
 use crate::storage::schema::{JobRecord, Outcome, RunChunk};
@@ -382,7 +382,7 @@
             }
         }
         if came_to_work {
-            self.note_zone_start(&machine, ZoneStart::AtWork);
+            self.note_zone_attempt(&machine, ZoneAttemptEvent::Running);
         }
         self.machine_freed(&machine);
         self.scheduling.request_cycle();
@@ -403,7 +403,7 @@
         let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         job.live.set_phase(task, Phase::Gone, &mut self.jobs.usage);
         job.dirty(now);
-        self.note_zone_loss(&start);
+        self.note_zone_attempt_lost(&start);
         self.machine_freed(&machine);
         self.scheduling.request_cycle();
     }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -144,7 +144,7 @@
         self.store.budget.account(self.clock.steady);
         self.tick_roles();
         self.tick_machines();
-        self.tick_types();
+        self.tick_machine_types();
         self.tick_leader();
         self.write_cascaded();
         self.audit_summary();
@@ -225,7 +225,7 @@
                 }
                 Change::Node(_) => self.versions_changed(),
                 Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
-                Change::ZoneHold(zone) => self.zone_hold_changed(&zone),
+                Change::ZoneHold(zone) => self.zone_cordon_changed(&zone),
                 Change::Nothing => {}
             }
         }
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -4,7 +4,7 @@
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::scheduling::candidates::{Candidates, PlacementFilter};
 use crate::coordination::scheduling::shard_view::ShardView;
-use crate::coordination::zones::gradual_return::ZoneStart;
+use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
 use crate::protocol::user::Kind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
@@ -96,7 +96,7 @@
         if !candidates.is_empty() {
             return (filter, candidates);
         }
-        if !avoided_zones.is_empty() && self.gives_up_avoiding(id) {
+        if !avoided_zones.is_empty() && self.may_use_avoided_zones(id) {
             filter.avoided_zones = None;
         }
         filter.avoid_failed_machines = false;
@@ -175,7 +175,7 @@
             machine.free_since = None;
         }
         self.zones.stop_avoiding(id);
-        self.note_zone_start(&view.machines[machine_index].id, ZoneStart::Decided);
+        self.note_zone_attempt(&view.machines[machine_index].id, ZoneAttemptEvent::Decided);
     }
 
     /// Takes back a start that was decided in this cycle and not recorded.
@@ -184,7 +184,7 @@
         if let Some(attempt) = job.live.remove(task, &mut self.jobs.usage) {
             job.redo.insert(task);
             self.machine_freed(attempt.machine());
-            self.note_zone_start(attempt.machine(), ZoneStart::Withdrawn);
+            self.note_zone_attempt(attempt.machine(), ZoneAttemptEvent::Withdrawn);
         }
     }
 }
--- a/src/coordination/scheduling/fetch_limits.rs
+++ b/src/coordination/scheduling/fetch_limits.rs
@@ -20,7 +20,7 @@
 
     /// Whether a zone that returns takes one more start, and a machine one more fetch while these are limited.
     pub(super) fn is_admitted(&self, job: &Job, candidate: &CandidateMachine, view: &ShardView) -> bool {
-        if candidate.is_zone_returning && !self.zone_admits_start(&candidate.zone) {
+        if candidate.is_zone_returning && !self.zone_admits_attempt(&candidate.zone) {
             return false;
         }
         let Some(queues) = &view.fetch_queues else { return true };
@@ -38,7 +38,7 @@
 
     /// Whether the whole zone of a machine takes no more starts, or no more fetches, in this cycle.
     pub(super) fn is_zone_exhausted(&self, candidate: &CandidateMachine, view: &ShardView) -> bool {
-        let no_starts = candidate.is_zone_returning && !self.zone_admits_start(&candidate.zone);
+        let no_starts = candidate.is_zone_returning && !self.zone_admits_attempt(&candidate.zone);
         let queues = view.fetch_queues.as_ref();
         no_starts || queues.is_some_and(|queues| !queues.zone_admits(&candidate.zone, &self.policy.zones))
     }
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -150,7 +150,7 @@
     /// A shard as a new scheduling cycle sees it.
     pub(super) fn shard_view(&mut self, shard: u32) -> ShardView {
         let mut machines = self.schedulable_machines(shard);
-        if !self.judges_zones() {
+        if !self.handles_zone_failures() {
             return ShardView { machines, fetch_queues: None, distrusted_zones: BTreeSet::new() };
         }
         self.reserve_for_displaced(shard, &mut machines);
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -151,7 +151,7 @@
         for id in jobs {
             self.job_changed(&id);
         }
-        self.zones_read();
+        self.load_zones();
         self.watch();
         self.tick_roles();
     }
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -367,7 +367,7 @@
             Purpose::Node | Purpose::Role => self.role_txn_over(purpose, !end.is_committed()),
             Purpose::Machines(_, ids) => self.machines_txn_over(ids),
             Purpose::Tidy | Purpose::Cascade => {}
-            Purpose::ZoneView(name) => self.zone_view_txn_over(name),
+            Purpose::ZoneView(name) => self.zone_view_txn_finished(name),
             Purpose::Jobs(ids) => {
                 for id in ids {
                     self.job_txn_over(id);
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -12,7 +12,7 @@
 
 impl Controller {
     /// Whether failures of whole zones are handled at all.
-    pub(crate) fn judges_zones(&self) -> bool {
+    pub(crate) fn handles_zone_failures(&self) -> bool {
         self.policy.zones.enabled
     }
 
@@ -21,8 +21,8 @@
     }
 
     /// A machine's record has changed.
-    pub(crate) fn zone_of_machine_changed(&mut self, id: &MachineId) {
-        if !self.judges_zones() {
+    pub(crate) fn track_zone_of_machine(&mut self, id: &MachineId) {
+        if !self.handles_zone_failures() {
             return;
         }
         match self.store.replica.machines.get(id) {
@@ -34,7 +34,7 @@
     /// Evaluates all zones when this is due, and acts on what follows. `ours`: the machines of the shards held here.
     pub(crate) fn tick_zones(&mut self, ours: &[MachineId]) {
         let now = self.now();
-        if !self.judges_zones() || now < self.zones.next_evaluation_at {
+        if !self.handles_zone_failures() || now < self.zones.next_evaluation_at {
             return;
         }
         self.zones.next_evaluation_at = now + EVALUATION_INTERVAL;
@@ -88,17 +88,17 @@
 
     /// Whether a zone takes any new work.
     pub(crate) fn zone_takes_work(&self, zone: &str) -> bool {
-        !self.judges_zones() || self.zones.takes_work(zone)
+        !self.handles_zone_failures() || self.zones.takes_work(zone)
     }
 
     /// Whether a zone gets its work back step by step at present.
     pub(crate) fn zone_is_returning(&self, zone: &str) -> bool {
-        self.judges_zones() && self.zones.is_returning(zone)
+        self.handles_zone_failures() && self.zones.is_returning(zone)
     }
 
     /// Zones of these machines that have failed too often lately.
     pub(crate) fn distrusted_zones(&mut self, machines: &[CandidateMachine]) -> BTreeSet<String> {
-        if !self.judges_zones() {
+        if !self.handles_zone_failures() {
             return BTreeSet::new();
         }
         let now = self.now();
--- a/src/coordination/zones/gradual_return.rs
+++ b/src/coordination/zones/gradual_return.rs
@@ -8,23 +8,23 @@
 
 /// What became of a task attempt in a zone that returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ZoneStart {
+pub(crate) enum ZoneAttemptEvent {
     Decided,
     Withdrawn,
-    AtWork,
+    Running,
     Lost,
 }
 
 impl Controller {
     /// Whether a zone takes one more task attempt in this step of its return.
-    pub(crate) fn zone_admits_start(&self, zone: &str) -> bool {
+    pub(crate) fn zone_admits_attempt(&self, zone: &str) -> bool {
         let state = self.zones.tracker.state(zone).filter(|_| self.zone_is_returning(zone));
         state.is_none_or(|state| state.ramp.admits(&self.policy.zones))
     }
 
     /// Notes what became of a task attempt, if the zone of its machine returns.
-    pub(crate) fn note_zone_start(&mut self, machine: &MachineId, outcome: ZoneStart) {
-        if !self.judges_zones() {
+    pub(crate) fn note_zone_attempt(&mut self, machine: &MachineId, outcome: ZoneAttemptEvent) {
+        if !self.handles_zone_failures() {
             return;
         }
         let Some(record) = self.store.replica.machines.get(machine) else { return };
@@ -34,31 +34,31 @@
         }
         let Some(state) = self.zones.tracker.state_mut(zone) else { return };
         match outcome {
-            ZoneStart::Decided => state.ramp.started(),
-            ZoneStart::Withdrawn => state.ramp.withdrawn(),
-            ZoneStart::AtWork => state.ramp.succeeded(),
-            ZoneStart::Lost => state.ramp.lost(&self.policy.zones),
+            ZoneAttemptEvent::Decided => state.ramp.started(),
+            ZoneAttemptEvent::Withdrawn => state.ramp.withdrawn(),
+            ZoneAttemptEvent::Running => state.ramp.succeeded(),
+            ZoneAttemptEvent::Lost => state.ramp.lost(&self.policy.zones),
         }
     }
 
     /// A task attempt is proven gone. One that came to run since its zone returned, and was not told to stop, speaks
     /// against the zone.
-    pub(crate) fn note_zone_loss(&mut self, attempt: &Start) {
-        if !self.judges_zones() || attempt.stop.is_some() {
+    pub(crate) fn note_zone_attempt_lost(&mut self, attempt: &Start) {
+        if !self.handles_zone_failures() || attempt.stop.is_some() {
             return;
         }
         let Some(record) = self.store.replica.machines.get(attempt.machine()) else { return };
         let returned_at = self.zones.tracker.state(&record.value.zone).map(|state| state.entered_at());
         let is_since_return = |at: Micros| returned_at.is_some_and(|returned_at| at >= returned_at);
         if attempt.running_since.is_some_and(is_since_return) {
-            self.note_zone_start(attempt.machine(), ZoneStart::Lost);
+            self.note_zone_attempt(attempt.machine(), ZoneAttemptEvent::Lost);
         }
     }
 
     /// Zones in which no instance may be created now. `planned_counts`: the instances planned so far in zones that return.
     pub(crate) fn zones_closed_to_scale_out(&self, planned_counts: &BTreeMap<String, u32>) -> BTreeSet<String> {
         let mut closed = BTreeSet::new();
-        if !self.judges_zones() {
+        if !self.handles_zone_failures() {
             return closed;
         }
         for zone in &self.platform.deployment.zones {
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -143,7 +143,7 @@
     /// and again if all of its replicas would be there.
     pub(crate) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
         let mut avoided = BTreeSet::new();
-        if !self.judges_zones() || job.spec.kind != Kind::Service {
+        if !self.handles_zone_failures() || job.spec.kind != Kind::Service {
             return avoided;
         }
         avoided.extend(self.zones.moving_replicas.get(id).map(|moving| moving.from_zone.clone()));
@@ -158,7 +158,7 @@
     }
 
     /// Whether a service that found no place outside the zones it avoids takes one there: it has waited long enough.
-    pub(crate) fn gives_up_avoiding(&mut self, id: &JobId) -> bool {
+    pub(crate) fn may_use_avoided_zones(&mut self, id: &JobId) -> bool {
         let now = self.now();
         let max_wait = Micros::from_millis(self.policy.zones.distrust_wait_ms);
         now.since(self.zones.avoiding_since(id, now)) >= max_wait
--- a/src/coordination/zones/restoration.rs
+++ b/src/coordination/zones/restoration.rs
@@ -8,21 +8,21 @@
 impl Controller {
     /// Whether work is being restored after the loss of a zone.
     pub(crate) fn is_restoring(&self) -> bool {
-        self.judges_zones() && self.zones.tracker.is_restoring(self.now(), &self.policy.zones)
+        self.handles_zone_failures() && self.zones.tracker.is_restoring(self.now(), &self.policy.zones)
     }
 
     /// Whether batch work of which nothing has begun has its turn among the services, with one task.
     pub(crate) fn is_starved_in_restoration(&self, id: &JobId) -> bool {
-        self.is_restoring() && self.as_waiting(id).is_some_and(|job| job.is_starved(&self.policy.zones))
+        self.is_restoring() && self.as_waiting_job(id).is_some_and(|job| job.is_starved(&self.policy.zones))
     }
 
     /// Jobs in the order in which they are restored.
     pub(crate) fn in_restoration_order(&self, waiting: &[JobId]) -> Vec<JobId> {
-        let jobs = waiting.iter().filter_map(|id| self.as_waiting(id)).collect();
+        let jobs = waiting.iter().filter_map(|id| self.as_waiting_job(id)).collect();
         restoration_order(jobs, &self.policy.zones).into_iter().cloned().collect()
     }
 
-    fn as_waiting<'a>(&'a self, id: &'a JobId) -> Option<WaitingJob<'a, &'a JobId>> {
+    fn as_waiting_job<'a>(&'a self, id: &'a JobId) -> Option<WaitingJob<'a, &'a JobId>> {
         let job = self.jobs.by_id.get(id)?;
         Some(WaitingJob {
             key: id,
--- a/src/coordination/zones/stored_views.rs
+++ b/src/coordination/zones/stored_views.rs
@@ -8,20 +8,20 @@
 
 impl Controller {
     /// All views and cordons, once the stored records are read.
-    pub(crate) fn zones_read(&mut self) {
+    pub(crate) fn load_zones(&mut self) {
         let views: Vec<(String, u32)> = self.store.replica.zones.keys().cloned().collect();
         for (zone, shard) in views {
             self.zone_view_changed(&zone, shard);
         }
         let cordoned: Vec<String> = self.store.replica.zone_holds.keys().cloned().collect();
         for zone in cordoned {
-            self.zone_hold_changed(&zone);
+            self.zone_cordon_changed(&zone);
         }
     }
 
     /// A shard's view of a zone was stored or removed, or the shard has another holder.
     pub(crate) fn zone_view_changed(&mut self, zone: &str, shard: u32) {
-        if !self.judges_zones() {
+        if !self.handles_zone_failures() {
             return;
         }
         let now = self.moment();
@@ -46,9 +46,9 @@
     }
 
     /// Operators have cordoned a zone, or lifted the cordon.
-    pub(crate) fn zone_hold_changed(&mut self, zone: &str) {
+    pub(crate) fn zone_cordon_changed(&mut self, zone: &str) {
         let is_cordoned = self.store.replica.zone_holds.contains_key(zone);
-        if self.judges_zones() && self.zones.tracker.is_cordoned(zone) != is_cordoned {
+        if self.handles_zone_failures() && self.zones.tracker.is_cordoned(zone) != is_cordoned {
             tracing::info!(zone, is_cordoned, "zone cordon changed by operators");
             self.zones.tracker.set_cordoned(zone, is_cordoned);
             self.scheduling.request_cycle();
@@ -85,7 +85,7 @@
     }
 
     /// The write of a view has succeeded or failed.
-    pub(crate) fn zone_view_txn_over(&mut self, name: &(String, u32)) {
+    pub(crate) fn zone_view_txn_finished(&mut self, name: &(String, u32)) {
         self.zones.views_being_written.remove(name);
     }
 }
