--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -223,7 +223,7 @@
 
     /// Evaluates all zones. Returns the changes of conditions.
     pub fn evaluate(&mut self, now: Micros, settings: &ZoneSettings) -> Vec<Transition> {
-        let with_machines = self.machine_counts.zones().map(|zone| zone.to_string());
+        let with_machines = self.machine_counts.zones().map(ToString::to_string);
         let names: BTreeSet<String> = with_machines.chain(self.states.keys().cloned()).collect();
         let mut transitions = Vec::new();
         for zone in names {
--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -296,7 +296,7 @@
     let quiet = cost(&mut zones, &mut |zones| drop(zones.evaluate(Micros::from_millis(20_000), &settings)));
     assert!(quiet <= most_a_round, "{quiet} steps");
     let falling = cost(&mut zones, &mut |zones| {
-        (0..4000).step_by(4).for_each(|n| zones.set_liveness(&id(n), Liveness::Unresponsive))
+        (0..4000).step_by(4).for_each(|n| zones.set_liveness(&id(n), Liveness::Unresponsive));
     });
     assert!(falling <= 1000, "{falling} steps for 1,000 machines");
     let mut lost = Vec::new();
--- a/src/coordination/zones/gradual_return.rs
+++ b/src/coordination/zones/gradual_return.rs
@@ -4,6 +4,7 @@
 use crate::coordination::jobs::usage::Start;
 use crate::types::{MachineId, Micros};
 use burlhatch_zones::Condition;
+use burlhatch_zones::condition::ZoneState;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What became of a task attempt in a zone that returns.
@@ -48,7 +49,7 @@
             return;
         }
         let Some(record) = self.store.replica.machines.get(attempt.machine()) else { return };
-        let returned_at = self.zones.tracker.state(&record.value.zone).map(|state| state.entered_at());
+        let returned_at = self.zones.tracker.state(&record.value.zone).map(ZoneState::entered_at);
         let is_since_return = |at: Micros| returned_at.is_some_and(|returned_at| at >= returned_at);
         if attempt.running_since.is_some_and(is_since_return) {
             self.note_zone_attempt(attempt.machine(), ZoneAttemptEvent::Lost);
