--- a/src/coordination/autoscaling/capacity_plan.rs
+++ b/src/coordination/autoscaling/capacity_plan.rs
@@ -26,26 +26,32 @@
 }
 
 impl CapacityPlan {
+    /// Whether the next plan is due.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.next_at
     }
 
+    /// The next plan is made after the usual interval.
     pub fn schedule_next(&mut self, now: Micros) {
         self.next_at = now + PLAN_INTERVAL;
     }
 
+    /// The next plan is made at the next tick.
     pub fn schedule_at_once(&mut self, now: Micros) {
         self.next_at = now;
     }
 
+    /// A machine was reassigned although lower work runs there.
     pub fn note_preemption(&mut self, machine: MachineId, now: Micros) {
         self.preempted_at.insert(machine, now);
     }
 
+    /// Whether a machine was reassigned a while ago although lower work ran there.
     pub fn was_preempted(&self, machine: &MachineId) -> bool {
         self.preempted_at.contains_key(machine)
     }
 
+    /// Forgets reassignments of that age, so that these machines may be chosen again.
     pub fn forget_preemptions(&mut self, now: Micros, max_age: Micros) {
         self.preempted_at.retain(|_, at| now.since(*at) < max_age);
     }
@@ -71,6 +77,7 @@
 }
 
 impl Controller {
+    /// Packs what waits in all shards into the machines, and acts on what is missing or left over.
     pub(super) fn plan_capacity(&mut self) {
         let mut unschedulable: Vec<UnschedulableTasks> = Vec::new();
         let mut capacity = CapacityByShard::new();
--- a/src/coordination/autoscaling/cloud_client.rs
+++ b/src/coordination/autoscaling/cloud_client.rs
@@ -153,6 +153,7 @@
 }
 
 impl Controller {
+    /// Sends a request to the cloud; its answer comes as an input.
     pub(crate) fn send_cloud_request(&mut self, request: CloudRequest) {
         let effect = self.autoscaling.cloud.send(request);
         self.out.push(effect);
--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -21,10 +21,12 @@
 }
 
 impl Deletions {
+    /// Whether the deletion of a machine was requested and is not settled.
     pub fn is_in_progress(&self, id: &MachineId) -> bool {
         self.in_progress.contains(id)
     }
 
+    /// Whether the cloud confirmed the deletion of a machine a while ago.
     pub fn is_confirmed(&self, id: &MachineId) -> bool {
         self.confirmed_at.contains_key(id)
     }
@@ -34,6 +36,7 @@
         ids.into_iter().filter(|id| self.in_progress.insert(id.clone())).collect()
     }
 
+    /// The cloud has confirmed the deletion of a machine.
     pub fn confirm(&mut self, id: MachineId, now: Micros) {
         self.confirmed_at.insert(id, now);
     }
@@ -48,6 +51,7 @@
         self.in_progress.clear();
     }
 
+    /// Forgets confirmations that no listing or heartbeat can contradict any more.
     pub fn forget_old_confirmations(&mut self, now: Micros) {
         self.confirmed_at.retain(|_, at| now.since(*at) < CONFIRMATION_RETENTION);
     }
--- a/src/coordination/autoscaling/demand.rs
+++ b/src/coordination/autoscaling/demand.rs
@@ -3,6 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks, pack_tasks};
 use crate::coordination::jobs::job::Job;
+use crate::coordination::scheduling::quota::TeamQuota;
 use crate::coordination::scheduling::zone_rules::TasksByZone;
 use crate::protocol::user::{Kind, Priority};
 use crate::types::{Micros, Resources};
@@ -107,12 +108,8 @@
     }
 
     fn tasks_within_quota(&self, team: &str, used: &Resources, each: &Resources) -> u64 {
-        let Some(team) = self.platform.deployment.team(team) else { return u64::MAX };
-        let quota = Resources::new(team.cpus_max, team.gpus_max, 0.0);
-        let by = |quota: u64, used: u64, each: u64| {
-            if quota == 0 || each == 0 { u64::MAX } else { quota.saturating_sub(used) / each }
-        };
-        by(quota.cpus, used.cpus, each.cpus).min(by(quota.gpus, used.gpus, each.gpus))
+        let team = self.platform.deployment.team(team);
+        team.map_or(u64::MAX, |team| TeamQuota::of_team(team).remaining_tasks(used, each))
     }
 
     /// Waiting tasks of a job that machines may be created or reassigned for. A job that fails wherever it runs gets one
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -18,6 +18,7 @@
         self.autoscaling.plan.schedule_next(now);
     }
 
+    /// Does what is due if this controller is the leader. Nothing is decided without a valid leadership lease.
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
--- a/src/coordination/autoscaling/machine_types.rs
+++ b/src/coordination/autoscaling/machine_types.rs
@@ -41,14 +41,17 @@
 }
 
 impl MachineTypeCatalog {
+    /// Whether no type is listed yet.
     pub fn is_empty(&self) -> bool {
         self.types.is_empty()
     }
 
+    /// All types, by name.
     pub fn iter(&self) -> impl Iterator<Item = &MachineTypeInfo> {
         self.types.values()
     }
 
+    /// A type by its name.
     pub fn get(&self, name: &str) -> Option<&MachineTypeInfo> {
         self.types.get(name)
     }
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -40,10 +40,12 @@
         self.request_count
     }
 
+    /// How many instances are being provisioned.
     pub fn count(&self) -> u64 {
         self.instances.len() as u64
     }
 
+    /// The same in one zone.
     pub fn count_in_zone(&self, zone: &str) -> u32 {
         self.instances.values().filter(|instance| instance.offer.zone == zone).count() as u32
     }
@@ -53,6 +55,7 @@
         self.instances.clear();
     }
 
+    /// An instance was deleted.
     pub fn remove(&mut self, id: &MachineId) {
         self.instances.remove(id);
     }
@@ -126,6 +129,7 @@
         self.instances.values().filter(move |instance| self.is_overdue(instance, types, now))
     }
 
+    /// How many instances should be up by now.
     pub fn overdue_count(&self, types: &MachineTypeCatalog, now: Micros) -> u64 {
         self.overdue(types, now).count() as u64
     }
@@ -156,6 +160,7 @@
         self.unavailable_until.contains_key(offer)
     }
 
+    /// Offers that were out of capacity a while ago may be asked for again.
     pub fn forget_expired_unavailability(&mut self, now: Micros) {
         self.unavailable_until.retain(|_, until| *until > now);
     }
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -38,6 +38,7 @@
 }
 
 impl Candidates {
+    /// Whether no machine could take the task.
     pub fn is_empty(&self) -> bool {
         self.machine_indexes.is_empty()
     }
@@ -67,6 +68,7 @@
 }
 
 impl Controller {
+    /// The machines of a shard that could take the next task of a job.
     pub(super) fn candidates_for(&self, id: &JobId, view: &ShardView, filter: PlacementFilter) -> Candidates {
         let mut candidates = Candidates::default();
         let Some(job) = self.jobs.by_id.get(id) else { return candidates };
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -82,6 +82,7 @@
         ShardViewSnapshot { machines: machines.collect(), fetch_queues: self.fetch_queues.clone() }
     }
 
+    /// Undoes what was placed since the snapshot.
     pub fn restore(&mut self, snapshot: ShardViewSnapshot) {
         for (machine, saved) in self.machines.iter_mut().zip(snapshot.machines) {
             machine.free = saved.free;
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -16,6 +16,7 @@
         self.policy.zones.enabled
     }
 
+    /// The present on both clocks.
     pub(super) fn moment(&self) -> Moment {
         Moment { steady: self.clock.steady, wall: self.clock.wall }
     }
@@ -50,6 +51,7 @@
         self.move_replicas();
     }
 
+    /// The shards that this controller holds.
     pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
         self.control.roles.held.keys().filter_map(|role| match role {
             Role::Shard(shard) => Some(*shard),
