--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -3,7 +3,7 @@
 use super::{Event, S, World};
 use burlhatch::coordination::{CloudCall, CloudOutcome};
 use burlhatch::protocol::cloud::{
-    ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes, Rental,
+    InstanceRequest, ListedMachine, ListedState, MachineList, MachineNames, MachineType, MachineTypes,
 };
 use burlhatch::types::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -113,7 +113,7 @@
     }
 
     /// A repeated request brings what the first one brought.
-    fn rent(&mut self, rental: Rental) -> CloudOutcome {
+    fn rent(&mut self, rental: InstanceRequest) -> CloudOutcome {
         if let Some(names) = self.cloud.charters.get(&rental.request) {
             return CloudOutcome::Rented(MachineNames { machines: names.clone() });
         }
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -3,8 +3,8 @@
 use super::network::Fate;
 use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, StoreCall, UserAnswer, UserRequest,
-    Waiter, WorkerAnswer,
+    Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, RequestId, StoreCall, UserAnswer,
+    UserRequest, WorkerAnswer,
 };
 use burlhatch::protocol::peer::{CancellationAck, Cancelled};
 use burlhatch::protocol::worker::DirectCommands;
@@ -51,9 +51,9 @@
     pub(super) fn carry_out(&mut self, node: usize, effect: Effect) {
         self.fingerprint.add(self.now, node, &effect);
         match effect {
-            Effect::AnswerUser(waiter, answer) => self.user_answer(node, waiter, answer),
-            Effect::AnswerWorker(waiter, answer) => self.answer_worker(node, waiter, answer),
-            Effect::AnswerPeer(waiter, answer) => self.answer_peer(node, waiter, answer),
+            Effect::AnswerUser(request_id, answer) => self.user_answer(node, request_id, answer),
+            Effect::AnswerWorker(request_id, answer) => self.answer_worker(node, request_id, answer),
+            Effect::AnswerPeer(request_id, answer) => self.answer_peer(node, request_id, answer),
             Effect::Peer { call, to, message } => self.call_peer(node, call, &to, &message),
             Effect::Store(request) => self.call_store(node, request),
             Effect::Cloud { call, request } => self.call_cloud(node, call, &request),
@@ -61,8 +61,8 @@
         }
     }
 
-    fn answer_worker(&mut self, node: usize, waiter: Waiter, answer: WorkerAnswer) {
-        let Some((machine, serial)) = self.nodes[node].workers.remove(&waiter) else { return };
+    fn answer_worker(&mut self, node: usize, request_id: RequestId, answer: WorkerAnswer) {
+        let Some((machine, serial)) = self.nodes[node].workers.remove(&request_id) else { return };
         self.check_renewal(node, &machine, serial, &answer);
         match self.fate(&Place::Node(node), &Place::Worker(machine.clone())) {
             Fate::Arrives(delay) | Fate::Held(delay) => {
@@ -72,8 +72,8 @@
         }
     }
 
-    fn answer_peer(&mut self, node: usize, waiter: Waiter, answer: CancellationAck) {
-        if let Some(caller) = self.nodes[node].peers.remove(&waiter) {
+    fn answer_peer(&mut self, node: usize, request_id: RequestId, answer: CancellationAck) {
+        if let Some(caller) = self.nodes[node].peers.remove(&request_id) {
             let input = Input::PeerAnswer { call: caller.number, answer: Some(answer) };
             self.reply(Place::Node(node), caller.node, caller.life, caller.call, input);
         }
