--- /dev/null
+++ b/src/coordination/store_sync/job_records/chunk_changes.rs
@@ -0,0 +1,177 @@
+//! Changes of one job's run chunks, as far as they fit a transaction.
+
+use crate::coordination::jobs::usage::Start;
+use crate::coordination::store_sync::ProposedTxn;
+use crate::storage::schema::{Key, Role, RunChunk, TaskAttemptRecord, to_value};
+use crate::storage::{Replica, Versioned};
+use crate::types::{JobId, MachineId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A job's run chunks as the replica has them.
+pub(super) type StoredChunks = BTreeMap<u32, Versioned<RunChunk>>;
+
+/// What one transaction may hold.
+#[derive(Clone, Copy)]
+pub(super) struct TxnLimits {
+    pub(super) writes: usize,
+    pub(super) preconditions: usize,
+    pub(super) value_bytes: usize,
+}
+
+/// What proves that a machine stays in its shard until an attempt on it is recorded.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum MachineGuard {
+    /// Its record is a precondition of each attempt there: the leader moves machines by itself.
+    Records,
+    /// The leader's role is a precondition: this leader leaves it to the shard's holder to move its machines, which is
+    /// this controller. One precondition, however many machines the attempts name.
+    Leadership,
+}
+
+/// Changes of one job's run chunks, as far as they fit a transaction.
+pub(super) struct ChunkChanges<'a> {
+    stored: &'a StoredChunks,
+    tasks_per_chunk: u32,
+    limits: TxnLimits,
+    guard: MachineGuard,
+    chunks: BTreeMap<u32, RunChunk>,
+    /// Machines on which attempts were added.
+    machines: BTreeSet<MachineId>,
+    /// Something did not fit and has to go with another transaction.
+    is_incomplete: bool,
+}
+
+impl<'a> ChunkChanges<'a> {
+    pub(super) fn new(
+        stored: &'a StoredChunks,
+        tasks_per_chunk: u32,
+        limits: TxnLimits,
+        guard: MachineGuard,
+    ) -> ChunkChanges<'a> {
+        let (chunks, machines) = (BTreeMap::new(), BTreeSet::new());
+        ChunkChanges { stored, tasks_per_chunk, limits, guard, chunks, machines, is_incomplete: false }
+    }
+
+    /// Whether something did not fit and has to go with another transaction.
+    pub(super) fn is_incomplete(&self) -> bool {
+        self.is_incomplete
+    }
+
+    /// The highest number of an attempt that the stored chunks have given out.
+    pub(super) fn last_stored_attempt(&self) -> u64 {
+        self.stored.values().map(|chunk| chunk.value.last_attempt).max().unwrap_or(0)
+    }
+
+    /// Preconditions besides those that the guard takes for each machine: the shard's role, the outcome, perhaps the
+    /// leader's role, and each chunk.
+    fn precondition_count(&self) -> usize {
+        let role_count = if self.guard == MachineGuard::Leadership { 2 } else { 1 };
+        role_count + 1 + self.chunks.len()
+    }
+
+    /// Whether so many machines' preconditions fit, with one more chunk if `chunk` isn't among those changed.
+    fn fits(&self, machine_count: usize, chunk: u32) -> bool {
+        let added_count = usize::from(!self.chunks.contains_key(&chunk));
+        let guarded_count = if self.guard == MachineGuard::Records { machine_count } else { 0 };
+        self.precondition_count() + added_count + guarded_count <= self.limits.preconditions
+    }
+
+    /// Whether the transaction takes a change of a task's chunk: beside the job's outcome, and with an attempt.
+    pub(super) fn admits_task(&mut self, task: u32) -> bool {
+        let chunk = task / self.tasks_per_chunk;
+        let fits = self.chunks.len() + 2 <= self.limits.writes && self.fits(self.machines.len() + 1, chunk);
+        let is_admitted = self.chunks.contains_key(&chunk) || fits;
+        self.is_incomplete |= !is_admitted;
+        is_admitted
+    }
+
+    /// Whether an attempt of the task on that machine fits.
+    pub(super) fn admits_attempt(&self, task: u32, machine: &MachineId) -> bool {
+        self.machines.contains(machine) || self.fits(self.machines.len() + 1, task / self.tasks_per_chunk)
+    }
+
+    fn chunk_mut(&mut self, task: u32) -> &mut RunChunk {
+        let number = task / self.tasks_per_chunk;
+        let stored = || self.stored.get(&number).map(|chunk| chunk.value.clone()).unwrap_or_default();
+        self.chunks.entry(number).or_insert_with(stored)
+    }
+
+    /// Adds an attempt, under the number of its gang or the next of its chunk; says which.
+    pub(super) fn add_attempt(&mut self, task: u32, live: &Start, gang_attempt: Option<u64>) -> u64 {
+        let machine = live.machine().clone();
+        self.machines.insert(machine.clone());
+        let chunk = self.chunk_mut(task);
+        let attempt = gang_attempt.unwrap_or(chunk.last_attempt + 1);
+        chunk.last_attempt = attempt;
+        chunk.task_attempts.push(TaskAttemptRecord { task, attempt, machine, incarnation: live.incarnation });
+        attempt
+    }
+
+    /// Removes a task's attempt, which has ended or is proven absent.
+    pub(super) fn remove_attempt(&mut self, task: u32, is_done: bool) {
+        let chunk = self.chunk_mut(task);
+        chunk.task_attempts.retain(|attempt| attempt.task != task);
+        if is_done {
+            chunk.mark_done(task);
+        }
+    }
+
+    /// Records that a task without an attempt is done.
+    pub(super) fn mark_done(&mut self, task: u32) {
+        self.chunk_mut(task).mark_done(task);
+    }
+
+    /// All chunks of the job as they will be.
+    fn resulting_chunks(&self) -> impl Iterator<Item = &RunChunk> {
+        let unchanged = self.stored.iter().filter(|(number, _)| !self.chunks.contains_key(number));
+        unchanged.map(|(_, chunk)| &chunk.value).chain(self.chunks.values())
+    }
+
+    /// Number of tasks that will be done.
+    pub(super) fn done_count(&self) -> u32 {
+        self.resulting_chunks().map(RunChunk::done_count).sum()
+    }
+
+    /// Whether any attempt will be recorded.
+    pub(super) fn has_attempts(&self) -> bool {
+        self.resulting_chunks().any(|chunk| !chunk.task_attempts.is_empty())
+    }
+
+    /// Leaves out chunks that are larger than may be written: those from under a larger limit, or with more done in
+    /// between than could be foreseen, wait until enough of their attempts have ended. Whether there were any.
+    pub(super) fn drop_too_large(&mut self) -> bool {
+        let before = self.chunks.len();
+        let max_bytes = self.limits.value_bytes;
+        self.chunks.retain(|_, chunk| serde_json::to_string(chunk).map_or(0, |text| text.len()) <= max_bytes);
+        self.chunks.len() < before
+    }
+
+    /// Deletes all stored chunks, as many as the transaction has space for.
+    pub(super) fn delete_all(&self, replica: &Replica, id: &JobId, proposal: &mut ProposedTxn) {
+        let writes_left = self.limits.writes - proposal.write_count();
+        for number in self.stored.keys().take(writes_left) {
+            proposal.unchanged(replica, Key::RunChunk(id.clone(), *number));
+            proposal.delete(Key::RunChunk(id.clone(), *number));
+        }
+    }
+
+    /// Writes the changed chunks, under the preconditions of the guard.
+    pub(super) fn write(self, replica: &Replica, id: &JobId, write_id: u64, proposal: &mut ProposedTxn) {
+        match self.guard {
+            MachineGuard::Leadership if !self.machines.is_empty() => {
+                proposal.unchanged(replica, Key::Role(Role::Leader));
+            }
+            MachineGuard::Leadership => {}
+            MachineGuard::Records => {
+                for machine in self.machines {
+                    proposal.unchanged(replica, Key::Machine(machine));
+                }
+            }
+        }
+        for (number, mut chunk) in self.chunks {
+            chunk.write_id = write_id;
+            proposal.unchanged(replica, Key::RunChunk(id.clone(), number));
+            proposal.put(Key::RunChunk(id.clone(), number), to_value(&chunk));
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/store_sync/job_records/mod.rs
@@ -0,0 +1,149 @@
+//! Recording what was decided and seen about jobs: attempts before their commands are sent, tasks done or lost, outcomes.
+//!
+//! An attempt is recorded under the preconditions that this controller still holds the job's shard, that the job is not
+//! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
+
+mod chunk_changes;
+mod job_changes;
+mod missing_record;
+
+pub(super) use missing_record::DueRecord;
+
+use crate::coordination::Controller;
+use crate::coordination::control::versions::leader_delegates_moves;
+use crate::coordination::store_sync::{PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
+use crate::storage::schema::Role;
+use crate::types::{JobId, Micros};
+use chunk_changes::{ChunkChanges, MachineGuard, TxnLimits};
+use job_changes::propose_changes;
+use missing_record::{MissingRecord, RecordingState};
+use std::collections::{BTreeMap, VecDeque};
+
+/// A transaction with at least so many writes is sent without further jobs, whatever the limits are.
+const MIN_ENOUGH_WRITES: usize = 4;
+
+/// Records of several jobs that go with one transaction.
+#[derive(Default)]
+struct RecordBatch {
+    proposal: ProposedTxn,
+    ids: Vec<JobId>,
+}
+
+impl RecordBatch {
+    /// Whether another job's records fit the same transaction.
+    fn fits(&self, part: &ProposedTxn, limits: TxnLimits) -> bool {
+        let write_count = self.proposal.write_count() + part.write_count();
+        let precondition_count = self.proposal.precondition_count() + part.precondition_count();
+        self.ids.is_empty() || (write_count <= limits.writes && precondition_count <= limits.preconditions)
+    }
+
+    fn add(&mut self, id: JobId, part: ProposedTxn) {
+        self.proposal.append(part);
+        self.ids.push(id);
+    }
+}
+
+impl Controller {
+    /// Jobs whose records are to be brought up to date, those that can wait least first.
+    pub(super) fn due_records(&mut self) -> Vec<DueRecord> {
+        let now = self.now();
+        let is_budget_idle = self.store.write_budget.is_idle(now);
+        let mut due = Vec::new();
+        let mut complete = Vec::new();
+        for id in &self.jobs.usage.touched {
+            let is_cascaded = self.jobs.cascaded.contains(id);
+            let Some(job) = self.jobs.by_id.get_mut(id) else {
+                complete.push(id.clone());
+                continue;
+            };
+            // Otherwise it is for the shard's holder; all are looked at again when the shard is acquired. Jobs cancelled
+            // with another have nothing in the records but the outcome that is written with others'.
+            let is_own = !is_cascaded && self.control.holds(Role::Shard(job.shard));
+            match RecordingState::of(id, job, is_own, now, is_budget_idle, &self.policy) {
+                RecordingState::Complete => complete.push(id.clone()),
+                RecordingState::Waiting => {}
+                RecordingState::Due(record) => due.push(record),
+            }
+        }
+        for id in complete {
+            self.jobs.usage.touched.remove(&id);
+        }
+        due.sort();
+        due
+    }
+
+    /// Records what was decided and seen about the first job of `due`, and about as many of the next ones as fit the
+    /// same transaction.
+    pub(super) fn send_job_records(&mut self, due: &mut VecDeque<DueRecord>) {
+        let limits = self.txn_limits();
+        // Near its limit the store rather refuses large transactions than small ones.
+        let rate = self.platform.deployment.store.write_rps;
+        let enough = ((rate * self.policy.txn_part) as usize).clamp(MIN_ENOUGH_WRITES, limits.writes);
+        let Some(shard) = due.front().map(|first| first.shard) else { return };
+        let mut batch = RecordBatch::default();
+        while due.front().is_some_and(|next| next.shard == shard) {
+            let Some(DueRecord { id, .. }) = due.pop_front() else { break };
+            let missing = self.jobs.by_id.get(&id).and_then(MissingRecord::of);
+            let part = self.propose_job_records(&id, limits);
+            let purpose = missing.map_or("nothing", MissingRecord::name);
+            self.store.write_budget.count_writes(purpose, part.write_count());
+            if part.write_count() == 0 {
+                self.job_txn_over(&id);
+                continue;
+            }
+            if !batch.fits(&part, limits) {
+                self.send_record_batch(std::mem::take(&mut batch));
+            }
+            batch.add(id, part);
+            if batch.proposal.write_count() >= enough {
+                break;
+            }
+        }
+        self.send_record_batch(batch);
+    }
+
+    fn send_record_batch(&mut self, batch: RecordBatch) {
+        if !batch.ids.is_empty() {
+            self.send_txn(batch.proposal, TxnPurpose::Jobs(batch.ids));
+        }
+    }
+
+    fn txn_limits(&self) -> TxnLimits {
+        let limits = &self.platform.deployment.store;
+        let writes = limits.ops();
+        TxnLimits { writes, preconditions: writes * PRECONDITIONS_PER_WRITE, value_bytes: limits.value_bytes() }
+    }
+
+    /// What proves that machines stay in their shards, by the rules that the leader follows.
+    fn machine_guard(&self) -> MachineGuard {
+        match leader_delegates_moves(&self.store.replica, self.record_version()) {
+            true => MachineGuard::Leadership,
+            false => MachineGuard::Records,
+        }
+    }
+
+    /// The part of a transaction that brings one job's records up to date. Locks the job until that has ended.
+    fn propose_job_records(&mut self, id: &JobId, limits: TxnLimits) -> ProposedTxn {
+        let write_id = self.nonce();
+        let now = self.now();
+        let max_progress_delay = Micros::from_millis(self.policy.progress_patience_ms);
+        let guard = self.machine_guard();
+        let tasks_per_chunk = self.store.tasks_per_chunk;
+        let replica = &self.store.replica;
+        let Some(job) = self.jobs.by_id.get_mut(id) else { return ProposedTxn::default() };
+        job.locked = true;
+        job.dirty_since = None;
+        let none = BTreeMap::new();
+        let stored = replica.run_chunks.get(id).unwrap_or(&none);
+        let mut changes = ChunkChanges::new(stored, tasks_per_chunk, limits, guard);
+        let tasks = job.tasks_to_record(now, tasks_per_chunk, max_progress_delay);
+        for task in job.change_chunks(tasks, replica, &mut changes) {
+            job.live.remove(task, &mut self.jobs.usage);
+            job.redo.insert(task);
+        }
+        if changes.is_incomplete() {
+            job.dirty_since = Some(Micros::ZERO);
+        }
+        propose_changes(id, job, changes, replica, write_id, now)
+    }
+}
--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -9,10 +9,10 @@
 pub(crate) mod evidence;
 mod garbage_collection;
 mod initial_sync;
+mod job_records;
 mod pending_txns;
 mod proposed_txn;
 mod reads;
-pub(crate) mod records;
 mod txn_outcomes;
 pub mod write_budget;
 
