--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -137,7 +137,7 @@
         }
         let mut txn = ProposedTxn::default();
         if let Some(known) = self.store.replica.jobs.get(&id) {
-            txn.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
+            txn.unchanged(&self.store.replica, Key::JobBatch(known.batch.clone()));
         }
         txn.unchanged(&self.store.replica, Key::Outcome(id.clone()));
         txn.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -12,7 +12,7 @@
 use crate::coordination::store_sync::{PRECONDITIONS_PER_WRITE, ProposedTxn, TxnEnd, TxnPurpose};
 use crate::coordination::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobSpec, Kind, Submission};
-use crate::storage::schema::{BatchMember, DependencyListParts, JobRecord, Key, to_value};
+use crate::storage::schema::{DependencyListParts, JobBatchMember, JobRecord, Key, to_value};
 use crate::types::{JobId, Micros, Resources, Revision};
 use std::collections::{HashMap, VecDeque};
 
@@ -25,9 +25,9 @@
 /// How a submission can be written down.
 pub(crate) enum Form {
     /// As an entry of a batch.
-    Entry(BatchMember),
+    Entry(JobBatchMember),
     /// Its list of dependencies under keys of its own, the rest as an entry.
-    Parts(BatchMember),
+    Parts(JobBatchMember),
     /// No value takes its names.
     TooLarge,
 }
@@ -44,14 +44,14 @@
 struct Partial {
     /// Transactions that still have to be carried out.
     left: usize,
-    member: BatchMember,
+    member: JobBatchMember,
 }
 
 /// A submission that waits for the next batch.
 struct Queued {
     /// By when it should go.
     latest: Micros,
-    member: BatchMember,
+    member: JobBatchMember,
 }
 
 #[derive(Default)]
@@ -96,7 +96,7 @@
 /// one's records, of which the commit tells nothing.
 fn taken_in_proof(submitted: &Submitted, asked: Asked, end: &TxnEnd) -> Option<Fresh> {
     match end {
-        TxnEnd::Committed(evidence) if !submitted.has_dependencies => evidence.of_taken_in(asked.at),
+        TxnEnd::Committed(evidence) if !submitted.has_dependencies => evidence.of_accepted_job(asked.at),
         _ => None,
     }
 }
@@ -122,8 +122,10 @@
     }
 
     pub(crate) fn form(&self, id: JobId, spec: JobSpec) -> Form {
-        let member =
-            BatchMember { id, record: JobRecord { accepted_at: self.clock.wall, dependency_list_parts: None, spec } };
+        let member = JobBatchMember {
+            id,
+            record: JobRecord { accepted_at: self.clock.wall, dependency_list_parts: None, spec },
+        };
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
         if size <= self.platform.deployment.store.value_bytes() {
             Form::Entry(member)
@@ -152,14 +154,14 @@
         }
     }
 
-    fn queue_submission(&mut self, member: BatchMember) {
+    fn queue_submission(&mut self, member: JobBatchMember) {
         let latest = self.now() + Micros::from_millis(self.policy.user_patience_ms);
         self.api.submissions.queue.push_back(Queued { latest, member });
     }
 
     /// A list too long for one value goes to keys of its own first, under a name that nobody else uses; the job's
     /// entry then says where it is.
-    fn write_dependency_list_parts(&mut self, mut member: BatchMember) {
+    fn write_dependency_list_parts(&mut self, mut member: JobBatchMember) {
         let limits = &self.platform.deployment.store;
         let (ops, bytes) = (limits.ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
@@ -212,7 +214,7 @@
     pub(crate) fn send_submissions(&mut self) {
         self.api.submissions.batch_at = self.now();
         let members = self.next_batch();
-        let name = Key::Batch(format!("{:x}", self.nonce()));
+        let name = Key::JobBatch(format!("{:x}", self.nonce()));
         let mut txn = ProposedTxn::default();
         txn.unchanged(&self.store.replica, name.clone());
         for member in &members {
@@ -222,7 +224,7 @@
             }
         }
         txn.put(name, to_value(&members));
-        let submitted = |member: BatchMember| {
+        let submitted = |member: JobBatchMember| {
             let has_dependencies =
                 member.record.dependency_list_parts.is_some() || !member.record.spec.depends_on.is_empty();
             Submitted { id: member.id, has_dependencies }
@@ -231,12 +233,12 @@
     }
 
     /// As many queued submissions as one value and one transaction's preconditions have resources for.
-    fn next_batch(&mut self) -> Vec<BatchMember> {
+    fn next_batch(&mut self) -> Vec<JobBatchMember> {
         let limits = &self.platform.deployment.store;
         let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let most = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
-        let mut members: Vec<BatchMember> = Vec::new();
+        let mut members: Vec<JobBatchMember> = Vec::new();
         let (mut size, mut named) = (0, 0);
         while let Some(Queued { member, .. }) = self.api.submissions.queue.front() {
             let mut member = member.clone();
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -218,7 +218,7 @@
                 let key = Key::Machine(id.clone());
                 proposal.unchanged(&self.store.replica, key.clone());
                 // As long as a fleet names it, a note must say that it is gone.
-                match (self.store.replica.fleet_of(id), self.store.replica.machines.get(id)) {
+                match (self.store.replica.machine_batch_of(id), self.store.replica.machines.get(id)) {
                     (Some(_), Some(held)) => {
                         let record = MachineRecord { cordon: Some(CordonReason::Deleted), ..held.value.clone() };
                         proposal.put(key, to_value(&record));
--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
-use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
+use crate::storage::schema::{ControllerRecord, Key, Role, RoleRecord, to_value};
 use crate::types::{FencingToken, Micros};
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     /// A transaction that acquires, renews or releases a role is in flight.
     is_role_write_in_flight: bool,
     /// A transaction that writes this controller's own entry is in flight.
-    is_node_write_in_flight: bool,
+    is_own_record_write_in_flight: bool,
     retry_at: Micros,
 }
 
@@ -64,7 +64,7 @@
         if self.now() < self.control.leases.retry_at {
             return;
         }
-        self.write_node_record(session);
+        self.write_own_record(session);
         if self.control.leases.is_role_write_in_flight {
             return;
         }
@@ -83,20 +83,20 @@
     }
 
     /// Writes this controller's own entry if it differs from the stored one.
-    fn write_node_record(&mut self, session: u64) {
-        let record = NodeRecord {
+    fn write_own_record(&mut self, session: u64) {
+        let record = ControllerRecord {
             incarnation: self.incarnation,
             is_isolated: self.control.isolation.is_isolated(),
             version: self.record_version(),
         };
-        let stored = self.store.replica.nodes.get(&self.label).map(|node| &node.value);
-        if stored == Some(&record) || self.control.leases.is_node_write_in_flight {
+        let stored = self.store.replica.controllers.get(&self.label).map(|stored| &stored.value);
+        if stored == Some(&record) || self.control.leases.is_own_record_write_in_flight {
             return;
         }
-        self.control.leases.is_node_write_in_flight = true;
+        self.control.leases.is_own_record_write_in_flight = true;
         let mut txn = ProposedTxn::default();
-        txn.put_bound(Key::Node(self.label.clone()), to_value(&record), session);
-        self.submit_txn(txn, TxnPurpose::Node);
+        txn.put_bound(Key::Controller(self.label.clone()), to_value(&record), session);
+        self.submit_txn(txn, TxnPurpose::ControllerRecord);
     }
 
     fn all_roles(&self) -> Vec<Role> {
@@ -108,7 +108,7 @@
         if let Some(record) = self.store.replica.roles.get(&role) {
             self.control.leases.vacant_since.remove(&role);
             // An earlier process under our label, which has certainly ended.
-            return record.value.owner == self.label && record.value.incarnation != self.incarnation;
+            return record.value.holder == self.label && record.value.incarnation != self.incarnation;
         }
         self.is_failover_due(role)
     }
@@ -155,7 +155,7 @@
     /// Writes this controller down as a role's holder under a new fencing token.
     fn acquire_role(&mut self, role: Role, session: u64, fencing_token: FencingToken) {
         let record = RoleRecord {
-            owner: self.label.clone(),
+            holder: self.label.clone(),
             incarnation: self.incarnation,
             fencing_token,
             version: self.record_version(),
@@ -191,8 +191,8 @@
     }
 
     /// The transaction that writes this controller's own entry has ended.
-    pub(crate) fn node_txn_ended(&mut self, is_committed: bool) {
-        self.control.leases.is_node_write_in_flight = false;
+    pub(crate) fn own_record_txn_ended(&mut self, is_committed: bool) {
+        self.control.leases.is_own_record_write_in_flight = false;
         self.lease_txn_ended(is_committed);
     }
 
@@ -212,7 +212,7 @@
     /// A role's record has changed: this process holds it from now on, no longer, or under another fencing token.
     pub(crate) fn role_changed(&mut self, role: Role) {
         let stored = self.store.replica.roles.get(&role).map(|stored| &stored.value);
-        let own = stored.filter(|record| record.owner == self.label && record.incarnation == self.incarnation);
+        let own = stored.filter(|record| record.holder == self.label && record.incarnation == self.incarnation);
         let (before, after) = (self.role_token(role), own.map(|record| record.fencing_token));
         if after == before {
             return;
--- a/src/coordination/control/mod.rs
+++ b/src/coordination/control/mod.rs
@@ -82,6 +82,6 @@
     /// Label of the controller that holds a role, if it is another one.
     pub(crate) fn other_holder(&self, role: Role) -> Option<String> {
         let record = self.store.replica.roles.get(&role)?;
-        Some(record.value.owner.clone()).filter(|owner| *owner != self.label)
+        Some(record.value.holder.clone()).filter(|holder| *holder != self.label)
     }
 }
--- a/src/coordination/control/rebalancing.rs
+++ b/src/coordination/control/rebalancing.rs
@@ -17,18 +17,18 @@
     /// Notes which siblings are alive. One that was isolated counts from when it no longer is.
     pub(super) fn observe_siblings(&mut self) {
         let now = self.now();
-        let nodes = &self.store.replica.nodes;
-        let is_connected = |label: &String| nodes.get(label).is_some_and(|node| !node.value.is_isolated);
+        let controllers = &self.store.replica.controllers;
+        let is_connected = |label: &String| controllers.get(label).is_some_and(|record| !record.value.is_isolated);
         let connected_since = &mut self.control.siblings.connected_since;
         connected_since.retain(|label, _| is_connected(label));
-        for label in nodes.keys().filter(|label| **label != self.label && is_connected(label)) {
+        for label in controllers.keys().filter(|label| **label != self.label && is_connected(label)) {
             connected_since.entry(label.clone()).or_insert(now);
         }
     }
 
     /// Whether any other controller can reach its machines.
     pub(super) fn has_connected_sibling(&self) -> bool {
-        self.store.replica.nodes.iter().any(|(label, node)| *label != self.label && !node.value.is_isolated)
+        self.store.replica.controllers.iter().any(|(label, record)| *label != self.label && !record.value.is_isolated)
     }
 
     /// Releases one shard if this controller holds several and a sibling that has been back for a while holds none.
@@ -49,7 +49,7 @@
         let min_uptime = Micros::from_millis(self.policy.hand_back_after_ms);
         let holds_shard = |label: &String| {
             let mut roles = self.store.replica.roles.iter();
-            roles.any(|(role, record)| matches!(role, Role::Shard(_)) && record.value.owner == *label)
+            roles.any(|(role, record)| matches!(role, Role::Shard(_)) && record.value.holder == *label)
         };
         let mut siblings = self.control.siblings.connected_since.iter();
         siblings.any(|(label, since)| now.since(*since) >= min_uptime && !holds_shard(label))
--- a/src/coordination/control/versions.rs
+++ b/src/coordination/control/versions.rs
@@ -49,7 +49,7 @@
 
 /// The oldest version among the controllers that are alive.
 fn oldest_record_version(replica: &Replica) -> Option<RecordVersion> {
-    replica.nodes.values().map(|node| node.value.version).min()
+    replica.controllers.values().map(|node| node.value.version).min()
 }
 
 impl Controller {
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -5,7 +5,7 @@
 use crate::coordination::store_sync::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect};
 use crate::protocol::worker::Heartbeat;
-use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
+use crate::storage::schema::{Key, MachineBatchMember, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 
 /// So long a machine's answer counts as a sign that it exists.
@@ -31,7 +31,7 @@
         let heartbeats: Vec<_> = self.fleet.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
         self.autoscaling.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
-        let mut members: Vec<FleetMember> = Vec::new();
+        let mut members: Vec<MachineBatchMember> = Vec::new();
         let mut refused = Vec::new();
         let mut size = 0;
         for heartbeat in heartbeats {
@@ -75,7 +75,7 @@
         if self.autoscaling.leader.alive.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
-    fn new_member(&mut self, heartbeat: &Heartbeat, members: &[FleetMember]) -> FleetMember {
+    fn new_member(&mut self, heartbeat: &Heartbeat, members: &[MachineBatchMember]) -> MachineBatchMember {
         let record = MachineRecord {
             shard: self.neediest_shard(heartbeat, members),
             fencing_token: FencingToken(0),
@@ -85,7 +85,7 @@
             addr: heartbeat.addr.clone().unwrap_or_default(),
             cordon: None,
         };
-        FleetMember { id: heartbeat.machine.clone(), record }
+        MachineBatchMember { id: heartbeat.machine.clone(), record }
     }
 
     fn refuse_heartbeats_of(&mut self, refused: &[MachineId]) {
@@ -99,7 +99,7 @@
     }
 
     /// Writes down machines that are not in the stored records, all in one value unless it is a single one.
-    fn record_registrations(&mut self, members: Vec<FleetMember>) {
+    fn record_registrations(&mut self, members: Vec<MachineBatchMember>) {
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::Role(Role::Leader));
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
@@ -111,7 +111,7 @@
         match &members[..] {
             [single] => proposal.put(Key::Machine(single.id.clone()), to_value(&single.record)),
             _ => {
-                let name = Key::Fleet(format!("{:x}", self.nonce()));
+                let name = Key::MachineBatch(format!("{:x}", self.nonce()));
                 proposal.unchanged(&self.store.replica, name.clone());
                 proposal.put(name, to_value(&members));
             }
@@ -128,7 +128,7 @@
     }
 
     /// The shard with the most unmet need, else the one with the least room for its teams.
-    fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
+    fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
         let cpus = self.autoscaling.types.get(&heartbeat.machine_type).map_or(1_000_000, |t| t.resources.cpus);
         // The most urgent tasks that it can really take decide, wherever else room is lacking.
         let mut slot = Slot {
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -88,8 +88,8 @@
             };
         }
         match self.store.replica.roles.get(&role) {
-            Some(held) if held.value.owner != self.label => {
-                Acknowledgement::Ask(job.shard, held.value.owner.clone(), held.value.fencing_token)
+            Some(held) if held.value.holder != self.label => {
+                Acknowledgement::Ask(job.shard, held.value.holder.clone(), held.value.fencing_token)
             }
             _ => Acknowledgement::Nobody,
         }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -195,7 +195,7 @@
                     self.job_changed(&id);
                     self.job_over(&id);
                 }
-                Change::Node(_) => self.record_versions_changed(),
+                Change::Controller(_) => self.record_versions_changed(),
                 Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
                 Change::ZoneHold(zone) => self.zone_hold_changed(&zone),
                 Change::Nothing => {}
--- a/src/coordination/store_sync/dispatcher.rs
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -20,7 +20,7 @@
     /// Queues a transaction for the write budget. Those about roles are sent at once: everything else depends on them.
     pub(crate) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
         let max_delay_ms = match purpose {
-            TxnPurpose::Node | TxnPurpose::Role => return self.send_txn(proposal, purpose),
+            TxnPurpose::ControllerRecord | TxnPurpose::Role => return self.send_txn(proposal, purpose),
             TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) | TxnPurpose::Cancel(_) => {
                 self.policy.user_patience_ms
             }
--- a/src/coordination/store_sync/evidence.rs
+++ b/src/coordination/store_sync/evidence.rs
@@ -48,14 +48,14 @@
     }
 
     /// The revision that the stored records had after the request came, if the call was sent after it.
-    pub fn revision_after(&self, asked: LogicalTime) -> Option<Revision> {
-        (asked < self.sent_at).then_some(self.revision)
+    pub fn revision_after(&self, requested_at: LogicalTime) -> Option<Revision> {
+        (requested_at < self.sent_at).then_some(self.revision)
     }
 
     /// About a job that the call itself accepted under the precondition that it has no outcome. That holds at the commit's
     /// revision whether or not the replica has reached it, unless other jobs' outcomes decide as well.
-    pub fn of_taken_in(&self, asked: LogicalTime) -> Option<Fresh> {
-        self.revision_after(asked).map(|_| Fresh(()))
+    pub fn of_accepted_job(&self, requested_at: LogicalTime) -> Option<Fresh> {
+        self.revision_after(requested_at).map(|_| Fresh(()))
     }
 }
 
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -48,21 +48,21 @@
 }
 
 /// Batches whose jobs are all over, with nothing of them left to run.
-fn finished_batches(replica: &Replica) -> impl Iterator<Item = Key> {
+fn finished_job_batches(replica: &Replica) -> impl Iterator<Item = Key> {
     let is_over = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
-    let finished = replica.batches.iter().filter(move |(_, batch)| batch.value.iter().all(is_over));
-    finished.map(|(name, _)| Key::Batch(name.clone()))
+    let finished = replica.job_batches.iter().filter(move |(_, batch)| batch.value.iter().all(is_over));
+    finished.map(|(name, _)| Key::JobBatch(name.clone()))
 }
 
-/// Fleets whose machines are all deleted.
-fn deleted_fleets(replica: &Replica) -> impl Iterator<Item = Key> {
-    let fleets = replica.fleets.iter();
-    let deleted = fleets.filter(|(_, fleet)| fleet.value.iter().all(|member| replica.is_machine_deleted(&member.id)));
-    deleted.map(|(name, _)| Key::Fleet(name.clone()))
+/// Batches whose machines are all deleted.
+fn deleted_machine_batches(replica: &Replica) -> impl Iterator<Item = Key> {
+    let batches = replica.machine_batches.iter();
+    let deleted = batches.filter(|(_, batch)| batch.value.iter().all(|member| replica.is_machine_deleted(&member.id)));
+    deleted.map(|(name, _)| Key::MachineBatch(name.clone()))
 }
 
 impl Controller {
-    /// Deletes a few records: batches whose jobs are over, fleets and machines long deleted, and lists of dependencies
+    /// Deletes a few records: batches whose jobs are over or whose machines are deleted, deleted machines, and lists of dependencies
     /// that no job names. For the leader.
     pub(crate) fn collect_garbage(&mut self) {
         let now = self.now();
@@ -88,10 +88,10 @@
     /// Up to so many keys that may be deleted.
     fn garbage(&self, max_count: usize) -> Vec<Key> {
         let replica = &self.store.replica;
-        // The record of a deleted machine may go only once no fleet brings the machine back.
+        // The record of a deleted machine may go only once no batch brings the machine back.
         let machines = replica.unreferenced_deleted_machines().map(|id| Key::Machine(id.clone()));
-        finished_batches(replica)
-            .chain(deleted_fleets(replica))
+        finished_job_batches(replica)
+            .chain(deleted_machine_batches(replica))
             .chain(machines)
             .chain(self.store.garbage_collection.unreferenced_list_parts(replica, self.now()))
             .take(max_count)
--- a/src/coordination/store_sync/pending_txns.rs
+++ b/src/coordination/store_sync/pending_txns.rs
@@ -31,7 +31,7 @@
     /// To cancel a job.
     Cancel(JobId),
     /// To write this controller's own entry.
-    Node,
+    ControllerRecord,
     /// To acquire, renew or release a role.
     Role,
     /// To change machines' records.
@@ -52,7 +52,7 @@
         match self {
             TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) => "submissions",
             TxnPurpose::Cancel(_) => "cancellations",
-            TxnPurpose::Node | TxnPurpose::Role => "role leases",
+            TxnPurpose::ControllerRecord | TxnPurpose::Role => "role leases",
             TxnPurpose::Machines(MachineChange::Register, _) => "machines registered",
             TxnPurpose::Machines(MachineChange::Move, _) => "machines moved",
             TxnPurpose::Machines(MachineChange::Retire, _) => "machines retired",
@@ -69,7 +69,7 @@
     pub(super) fn is_urgent(&self) -> bool {
         match self {
             TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) | TxnPurpose::Cancel(_) => true,
-            TxnPurpose::Node
+            TxnPurpose::ControllerRecord
             | TxnPurpose::Role
             | TxnPurpose::Machines(..)
             | TxnPurpose::Jobs(_)
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -94,7 +94,7 @@
         for ticket in self.store.txns.due_for_retry(now) {
             let Some(pending) = self.store.txns.get_mut(ticket) else { continue };
             match pending.purpose {
-                TxnPurpose::Node
+                TxnPurpose::ControllerRecord
                 | TxnPurpose::Role
                 | TxnPurpose::Submit(_)
                 | TxnPurpose::DependencyListParts(_)
@@ -140,7 +140,7 @@
             };
             match Key::parse(key) {
                 Some(Key::Role(_) | Key::FencingToken) | None => {}
-                Some(Key::Batch(_)) if !is_next => self.store.request_fresh_read(),
+                Some(Key::JobBatch(_)) if !is_next => self.store.request_fresh_read(),
                 Some(_) => changes.push(self.store.replica.apply(key, value, revision.0)),
             }
         }
@@ -153,7 +153,7 @@
             TxnPurpose::Submit(jobs) => jobs.iter().for_each(|job| self.submit_over(job, end)),
             TxnPurpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
             TxnPurpose::Cancel(id) => self.cancel_over(id),
-            TxnPurpose::Node => self.node_txn_ended(end.is_committed()),
+            TxnPurpose::ControllerRecord => self.own_record_txn_ended(end.is_committed()),
             TxnPurpose::Role => self.role_txn_ended(end.is_committed()),
             TxnPurpose::Machines(_, ids) => self.machines_txn_over(ids),
             TxnPurpose::Jobs(ids) => ids.iter().for_each(|id| self.job_txn_over(id)),
--- a/src/storage/replica/apply.rs
+++ b/src/storage/replica/apply.rs
@@ -2,7 +2,7 @@
 
 use super::{Change, KnownJob, Replica, Versioned, is_deleted};
 use crate::protocol::store::Event;
-use crate::storage::schema::{BatchMember, FleetMember, JobRecord, Key, from_value};
+use crate::storage::schema::{JobBatchMember, JobRecord, Key, MachineBatchMember, from_value};
 use crate::types::{JobId, MachineId, Revision};
 use ciborium::Value;
 use std::collections::BTreeMap;
@@ -64,13 +64,13 @@
                 replace(&mut self.roles, role, value.and_then(from_value), version);
                 Change::Role(role)
             }
-            Key::Node(label) => {
-                replace(&mut self.nodes, label.clone(), value.and_then(from_value), version);
-                Change::Node(label)
+            Key::Controller(label) => {
+                replace(&mut self.controllers, label.clone(), value.and_then(from_value), version);
+                Change::Controller(label)
             }
-            Key::Fleet(name) => self.apply_fleet(name, value, version),
+            Key::MachineBatch(name) => self.apply_machine_batch(name, value, version),
             Key::Machine(id) => self.apply_machine(id, value, version),
-            Key::Batch(name) => self.apply_batch(name, value, version),
+            Key::JobBatch(name) => self.apply_job_batch(name, value, version),
             Key::RunChunk(id, chunk) => self.apply_run_chunk(id, chunk, value, version),
             Key::DependencyListPart(name, number) => self.apply_dependency_list_part(name, number, value, version),
             Key::Zone(zone, shard) => {
@@ -91,31 +91,31 @@
         Change::Machines(vec![id])
     }
 
-    fn apply_fleet(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
-        let before = self.fleets.get(&name).map(|fleet| fleet.value.clone()).unwrap_or_default();
-        let now: Option<Vec<FleetMember>> = value.and_then(from_value);
+    fn apply_machine_batch(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
+        let before = self.machine_batches.get(&name).map(|batch| batch.value.clone()).unwrap_or_default();
+        let now: Option<Vec<MachineBatchMember>> = value.and_then(from_value);
         let members = before.into_iter().chain(now.iter().flatten().cloned());
         let mut ids: Vec<MachineId> = members.map(|member| member.id).collect();
         ids.dedup();
-        self.fleet_of.retain(|_, fleet| *fleet != name);
+        self.machine_batch_of.retain(|_, batch| *batch != name);
         for member in now.iter().flatten() {
-            self.fleet_of.insert(member.id.clone(), name.clone());
+            self.machine_batch_of.insert(member.id.clone(), name.clone());
         }
-        replace(&mut self.fleets, name, now, version);
+        replace(&mut self.machine_batches, name, now, version);
         for id in &ids {
             self.resolve_machine(id);
         }
         Change::Machines(ids)
     }
 
-    /// Works out how a machine stands: its own key precedes its fleet's.
+    /// Works out how a machine stands: its own key precedes its batch's.
     fn resolve_machine(&mut self, id: &MachineId) {
-        let of_fleet = || {
-            let fleet = self.fleets.get(self.fleet_of.get(id)?)?;
-            let member = fleet.value.iter().find(|member| member.id == *id)?;
+        let of_batch = || {
+            let batch = self.machine_batches.get(self.machine_batch_of.get(id)?)?;
+            let member = batch.value.iter().find(|member| member.id == *id)?;
             Some(Versioned { value: member.record.clone(), version: 0 })
         };
-        match self.own_machines.get(id).cloned().or_else(of_fleet) {
+        match self.own_machines.get(id).cloned().or_else(of_batch) {
             Some(machine) if !is_deleted(&machine.value) => {
                 self.machines.insert(id.clone(), machine);
             }
@@ -125,8 +125,8 @@
         }
     }
 
-    fn apply_batch(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
-        let now: Option<Vec<BatchMember>> = value.and_then(from_value);
+    fn apply_job_batch(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
+        let now: Option<Vec<JobBatchMember>> = value.and_then(from_value);
         let mut touched = self.remove_jobs_of_batch(&name);
         let mut member_ids = Vec::new();
         for member in now.iter().flatten() {
@@ -141,13 +141,13 @@
             self.jobs.insert(member.id.clone(), KnownJob { record, batch: name.clone(), version });
             touched.push(member.id.clone());
         }
-        replace(&mut self.batches, name, now.map(|_| member_ids), version);
+        replace(&mut self.job_batches, name, now.map(|_| member_ids), version);
         Change::Jobs(touched)
     }
 
     /// Forgets the jobs that are known from a batch; says which.
     fn remove_jobs_of_batch(&mut self, name: &str) -> Vec<JobId> {
-        let mut ids = self.batches.get(name).map(|batch| batch.value.clone()).unwrap_or_default();
+        let mut ids = self.job_batches.get(name).map(|batch| batch.value.clone()).unwrap_or_default();
         ids.retain(|id| self.jobs.get(id).is_some_and(|known| known.batch == name));
         for id in &ids {
             self.jobs.remove(id);
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -4,8 +4,8 @@
 mod apply;
 
 use super::schema::{
-    CordonReason, FleetMember, JobRecord, Key, MachineRecord, NodeRecord, OutcomeRecord, Role, RoleRecord, RunChunk,
-    ZoneHoldRecord,
+    ControllerRecord, CordonReason, JobRecord, Key, MachineBatchMember, MachineRecord, OutcomeRecord, Role, RoleRecord,
+    RunChunk, ZoneHoldRecord,
 };
 use crate::types::{FencingToken, JobId, MachineId, Revision};
 use burlhatch_zones::ZoneRecord;
@@ -26,7 +26,7 @@
     /// A role was acquired, renewed or released.
     Role(Role),
     /// A controller has come or gone.
-    Node(String),
+    Controller(String),
     /// Machines have records, or other records than before.
     Machines(Vec<MachineId>),
     /// Jobs were accepted, or their batches deleted.
@@ -67,18 +67,18 @@
     /// Roles that are held.
     pub roles: BTreeMap<Role, Versioned<RoleRecord>>,
     /// Controllers that are alive.
-    pub nodes: BTreeMap<String, Versioned<NodeRecord>>,
-    /// Machines as they stand: by their own keys, else by their fleets, then with version 0.
+    pub controllers: BTreeMap<String, Versioned<ControllerRecord>>,
+    /// Machines as they stand: by their own keys, else by their batches, then with version 0.
     pub machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
     /// The machines' own keys, also of those that are deleted.
     own_machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
     /// Machines registered together.
-    pub fleets: BTreeMap<String, Versioned<Vec<FleetMember>>>,
-    fleet_of: HashMap<MachineId, String>,
+    pub machine_batches: BTreeMap<String, Versioned<Vec<MachineBatchMember>>>,
+    machine_batch_of: HashMap<MachineId, String>,
     /// Jobs that were accepted and whose batches are not deleted.
     pub jobs: HashMap<JobId, KnownJob>,
     /// Names of the jobs of each batch.
-    pub batches: BTreeMap<String, Versioned<Vec<JobId>>>,
+    pub job_batches: BTreeMap<String, Versioned<Vec<JobId>>>,
     /// Task attempts and progress of each job, by chunk.
     pub run_chunks: HashMap<JobId, BTreeMap<u32, Versioned<RunChunk>>>,
     /// What became of jobs; never deleted.
@@ -99,10 +99,10 @@
         let version = match key {
             Key::FencingToken => self.fencing_token.as_ref().map(|stored| stored.version),
             Key::Role(role) => self.roles.get(role).map(|stored| stored.version),
-            Key::Node(label) => self.nodes.get(label).map(|stored| stored.version),
-            Key::Fleet(name) => self.fleets.get(name).map(|stored| stored.version),
+            Key::Controller(label) => self.controllers.get(label).map(|stored| stored.version),
+            Key::MachineBatch(name) => self.machine_batches.get(name).map(|stored| stored.version),
             Key::Machine(id) => self.own_machines.get(id).map(|stored| stored.version),
-            Key::Batch(name) => self.batches.get(name).map(|stored| stored.version),
+            Key::JobBatch(name) => self.job_batches.get(name).map(|stored| stored.version),
             Key::RunChunk(id, chunk) => {
                 self.run_chunks.get(id).and_then(|chunks| chunks.get(chunk)).map(|stored| stored.version)
             }
@@ -116,9 +116,9 @@
         version.unwrap_or(0)
     }
 
-    /// The fleet with which a machine was registered.
-    pub fn fleet_of(&self, id: &MachineId) -> Option<&String> {
-        self.fleet_of.get(id)
+    /// The batch with which a machine was registered.
+    pub fn machine_batch_of(&self, id: &MachineId) -> Option<&String> {
+        self.machine_batch_of.get(id)
     }
 
     /// Whether a machine's deletion was confirmed, as far as the stored records still tell.
@@ -126,10 +126,10 @@
         self.own_machines.get(id).is_some_and(|machine| is_deleted(&machine.value))
     }
 
-    /// Deleted machines that no fleet names any more: their records may be deleted as well.
+    /// Deleted machines that no batch names any more: their records may be deleted as well.
     pub fn unreferenced_deleted_machines(&self) -> impl Iterator<Item = &MachineId> {
         let deleted = self.own_machines.iter().filter(|(_, machine)| is_deleted(&machine.value));
-        deleted.map(|(id, _)| id).filter(|id| !self.fleet_of.contains_key(*id))
+        deleted.map(|(id, _)| id).filter(|id| !self.machine_batch_of.contains_key(*id))
     }
 
     /// Whether the stored records name any task attempt of a job: as long as they do, some of it may still run.
--- a/src/storage/schema/controllers.rs
+++ b/src/storage/schema/controllers.rs
@@ -31,21 +31,21 @@
 pub struct RoleRecord {
     /// Label of the controller.
     #[serde(rename = "o")]
-    pub owner: String,
-    /// Distinguishes the owner's process from earlier ones under the same label.
+    pub holder: String,
+    /// Distinguishes the holder's process from earlier ones under the same label.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Drawn when the role was acquired or its token renewed.
     #[serde(rename = "t")]
     pub fencing_token: FencingToken,
-    /// The version that the owner follows.
+    /// The version that the holder follows.
     #[serde(rename = "v", default, skip_serializing_if = "RecordVersion::is_first")]
     pub version: RecordVersion,
 }
 
 /// A controller that is alive.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     /// Distinguishes its process from earlier ones.
     #[serde(rename = "i")]
     pub incarnation: u64,
--- a/src/storage/schema/jobs.rs
+++ b/src/storage/schema/jobs.rs
@@ -7,7 +7,7 @@
 
 /// One job of a batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct BatchMember {
+pub struct JobBatchMember {
     /// The job.
     #[serde(rename = "j")]
     pub id: JobId,
--- a/src/storage/schema/keys.rs
+++ b/src/storage/schema/keys.rs
@@ -15,14 +15,14 @@
     /// Who holds a role.
     Role(Role),
     /// That a controller is alive, by its label.
-    Node(String),
+    Controller(String),
     /// Machines registered together. Written once; what changes about one of them goes to its own key, which precedes
     /// this.
-    Fleet(String),
-    /// One machine, as far as it differs from its fleet's entry.
+    MachineBatch(String),
+    /// One machine, as far as it differs from its entry in a batch.
     Machine(MachineId),
     /// Jobs accepted together. Written once, removed when all of them are over.
-    Batch(String),
+    JobBatch(String),
     /// Task attempts and progress of a job: one chunk of its tasks, by number.
     RunChunk(JobId, u32),
     /// What became of a job.
@@ -42,10 +42,10 @@
             Key::FencingToken => write!(f, "{ROOT}term"),
             Key::Role(Role::Leader) => write!(f, "{ROOT}leader"),
             Key::Role(Role::Shard(k)) => write!(f, "{ROOT}share/{k}"),
-            Key::Node(label) => write!(f, "{ROOT}node/{label}"),
-            Key::Fleet(name) => write!(f, "{ROOT}fleet/{name}"),
+            Key::Controller(label) => write!(f, "{ROOT}node/{label}"),
+            Key::MachineBatch(name) => write!(f, "{ROOT}fleet/{name}"),
             Key::Machine(id) => write!(f, "{ROOT}machine/{id}"),
-            Key::Batch(name) => write!(f, "{ROOT}batch/{name}"),
+            Key::JobBatch(name) => write!(f, "{ROOT}batch/{name}"),
             Key::RunChunk(id, chunk) => write!(f, "{ROOT}run/{id}/{chunk}"),
             Key::Outcome(id) => write!(f, "{ROOT}end/{id}"),
             Key::DependencyListPart(name, number) => write!(f, "{ROOT}awaits/{name}/{number}"),
@@ -63,10 +63,10 @@
             None if rest == "term" => Some(Key::FencingToken),
             None if rest == "leader" => Some(Key::Role(Role::Leader)),
             Some(("share", k)) => Some(Key::Role(Role::Shard(k.parse().ok()?))),
-            Some(("node", label)) => Some(Key::Node(label.to_string())),
-            Some(("fleet", name)) => Some(Key::Fleet(name.to_string())),
+            Some(("node", label)) => Some(Key::Controller(label.to_string())),
+            Some(("fleet", name)) => Some(Key::MachineBatch(name.to_string())),
             Some(("machine", id)) => Some(Key::Machine(MachineId::new(id))),
-            Some(("batch", name)) => Some(Key::Batch(name.to_string())),
+            Some(("batch", name)) => Some(Key::JobBatch(name.to_string())),
             Some(("end", id)) => Some(Key::Outcome(JobId::new(id))),
             Some(("awaits", rest)) => {
                 let (name, number) = rest.rsplit_once('/')?;
--- a/src/storage/schema/machines.rs
+++ b/src/storage/schema/machines.rs
@@ -41,14 +41,14 @@
     /// To be deleted with whatever may be on it.
     #[serde(rename = "k")]
     ForceDelete,
-    /// Its deletion was confirmed. The record stays as long as a fleet still names the machine.
+    /// Its deletion was confirmed. The record stays as long as a batch still names the machine.
     #[serde(rename = "g")]
     Deleted,
 }
 
-/// One machine of a fleet.
+/// One of several machines that were registered together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetMember {
+pub struct MachineBatchMember {
     /// The machine.
     #[serde(rename = "m")]
     pub id: MachineId,
--- a/src/storage/schema/mod.rs
+++ b/src/storage/schema/mod.rs
@@ -12,10 +12,10 @@
 mod task_attempts;
 mod zones;
 
-pub use controllers::{NodeRecord, RecordVersion, Role, RoleRecord};
-pub use jobs::{BatchMember, DependencyListParts, JobRecord};
+pub use controllers::{ControllerRecord, RecordVersion, Role, RoleRecord};
+pub use jobs::{DependencyListParts, JobBatchMember, JobRecord};
 pub use keys::{Key, ROOT};
-pub use machines::{CordonReason, FleetMember, MachineRecord};
+pub use machines::{CordonReason, MachineBatchMember, MachineRecord};
 pub use outcomes::{Outcome, OutcomeRecord};
 pub use task_attempts::{RunChunk, TaskAttemptRecord, chunk_tasks};
 pub use zones::{ZoneHoldRecord, is_zone_storable};
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -8,7 +8,7 @@
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority, Submission};
 use burlhatch::settings::{Platform, Policy};
-use burlhatch::storage::schema::{BatchMember, JobRecord, Key, OutcomeRecord, to_value};
+use burlhatch::storage::schema::{JobBatchMember, JobRecord, Key, OutcomeRecord, to_value};
 use burlhatch::types::{JobId, Micros};
 use ciborium::Value;
 use std::sync::Arc;
@@ -221,7 +221,7 @@
 pub fn batch(jobs: &[(JobId, JobSpec)]) -> Value {
     let member = |(id, spec): &(JobId, JobSpec)| {
         let record = JobRecord { accepted_at: Micros(1), dependency_list_parts: None, spec: spec.clone() };
-        BatchMember { id: id.clone(), record }
+        JobBatchMember { id: id.clone(), record }
     };
     to_value(&jobs.iter().map(member).collect::<Vec<_>>())
 }
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -125,7 +125,7 @@
                 let over = |jobs: &BTreeSet<u64>| jobs.iter().all(|job| self.ends.contains_key(job));
                 if let Some(at) = self.batches.iter().position(|(_, jobs)| over(jobs)).filter(|at| at % 8 <= *nth) {
                     let (name, _) = self.batches.remove(at);
-                    self.write(Key::Batch(name), None);
+                    self.write(Key::JobBatch(name), None);
                 }
             }
         }
@@ -146,7 +146,7 @@
         let name = format!("{}", self.revision + 1);
         let of = |depends_on: &[u64]| spec(&depends_on.iter().map(|job| id(*job)).collect::<Vec<_>>());
         let specs: Vec<_> = members.iter().map(|(job, depends_on)| (id(*job), of(depends_on))).collect();
-        self.write(Key::Batch(name.clone()), Some(batch(&specs)));
+        self.write(Key::JobBatch(name.clone()), Some(batch(&specs)));
         self.batches.push((name, members.keys().copied().collect()));
         for (job, depends_on) in members {
             self.depends_on.entry(job).or_insert(depends_on);
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -9,7 +9,7 @@
 use burlhatch::coordination::{Input, ReadOutcome, UserAnswer, UserRequest};
 use burlhatch::protocol::store::{Changes, Event};
 use burlhatch::protocol::user::{JobSpec, JobState};
-use burlhatch::storage::schema::{BatchMember, DependencyListParts, JobRecord, Key, to_value};
+use burlhatch::storage::schema::{DependencyListParts, JobBatchMember, JobRecord, Key, to_value};
 use burlhatch::types::{JobId, Micros};
 use controller::{ControllerHarness, FIRST, batch, cancelled, id, item, put, spec, written};
 
@@ -53,7 +53,7 @@
 #[test]
 fn a_commit_tells_nothing_of_the_jobs_that_one_needs() {
     let known = batch(&[(id(1), spec(&[]))]);
-    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), known, 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known, 5)]);
     let repeat = controller.submit(&id(2), spec(&[id(1)]));
     let (ticket, txn) = controller.take_batch();
     controller.commit(ticket, 13);
@@ -68,11 +68,11 @@
 #[test]
 fn an_own_batch_does_not_count_before_an_earlier_one_is_read() {
     let known = batch(&[(id(1), spec(&[])), (id(2), spec(&[]))]);
-    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), known, 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known, 5)]);
     let repeat = controller.submit(&id(3), spec(&[id(2)]));
     let (ticket, txn) = controller.take_batch();
     controller.commit(ticket, 13);
-    let earlier = put(Key::Batch("2".into()), batch(&[(id(3), spec(&[id(1)]))]), 11);
+    let earlier = put(Key::JobBatch("2".into()), batch(&[(id(3), spec(&[id(1)]))]), 11);
     controller.answer_changes(|_| true, 13, vec![earlier, cancelled(&id(2), 12), written(&txn, 13)]);
     controller.pass(500);
     assert_eq!(controller.state_told(repeat), Some(JobState::Queued), "its user did not cancel it");
@@ -86,7 +86,11 @@
     let mut large = spec(&[]);
     large.image = "x".repeat(5000);
     let repeat = controller.submit(&id(1), large);
-    controller.answer_changes(|fresh| fresh, 11, vec![put(Key::Batch("1".into()), batch(&[(id(1), spec(&[]))]), 11)]);
+    controller.answer_changes(
+        |fresh| fresh,
+        11,
+        vec![put(Key::JobBatch("1".into()), batch(&[(id(1), spec(&[]))]), 11)],
+    );
     assert_eq!(controller.state_told(repeat), Some(JobState::Queued));
 }
 
@@ -95,13 +99,13 @@
 #[test]
 fn an_answer_to_a_read_of_before_counts_for_no_later_one() {
     let known = batch(&[(id(1), spec(&[]))]);
-    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), known.clone(), 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known.clone(), 5)]);
     controller.ask(UserRequest::Get(id(1)));
     let early = controller.take_changes(|fresh| fresh);
     let watch = controller.take_changes(|fresh| !fresh);
     controller.feed(Input::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
     controller.pass(100);
-    controller.answer_page(vec![item(Key::Batch("1".into()), known, 5)], false);
+    controller.answer_page(vec![item(Key::JobBatch("1".into()), known, 5)], false);
     controller.answer_changes(|_| true, FIRST, Vec::new());
     controller.settle();
     // Elsewhere the job is cancelled at 12 and its user told so.
@@ -129,9 +133,9 @@
         spec: spec(&[]),
     };
     record.spec.depends_on.clear();
-    let member = BatchMember { id: id(2), record };
-    controller.answer_page(vec![item(Key::Batch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
-    controller.answer_page(vec![item(Key::Batch("2".into()), to_value(&vec![member]), 12)], false);
+    let member = JobBatchMember { id: id(2), record };
+    controller.answer_page(vec![item(Key::JobBatch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
+    controller.answer_page(vec![item(Key::JobBatch("2".into()), to_value(&vec![member]), 12)], false);
     assert!(!controller.controller.is_ready(), "ready with pages of different times");
     let list = put(Key::DependencyListPart("7".into(), 0), to_value(&vec![id(1)]), 11);
     controller.answer_changes(|_| true, 13, vec![list, cancelled(&id(1), 13)]);
@@ -148,7 +152,7 @@
 fn a_late_commit_brings_no_deleted_record_back() {
     let many: Vec<JobId> = (1..=400).map(id).collect();
     let jobs: Vec<(JobId, JobSpec)> = many.iter().map(|id| (id.clone(), spec(&[]))).collect();
-    let mut controller = ControllerHarness::started(vec![item(Key::Batch("1".into()), batch(&jobs), 5)]);
+    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), batch(&jobs), 5)]);
     controller.submit(&id(500), spec(&many));
     let (ticket, txn) = controller.take_txn("/awaits/");
     let put = written(&txn, 11);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -322,10 +322,10 @@
         Key::FencingToken,
         Key::Role(Role::Leader),
         Key::Role(Role::Shard(2)),
-        Key::Node("node-a".into()),
-        Key::Fleet("5f".into()),
+        Key::Controller("node-a".into()),
+        Key::MachineBatch("5f".into()),
         Key::Machine(MachineId::new("m-000001")),
-        Key::Batch("3a".into()),
+        Key::JobBatch("3a".into()),
         Key::RunChunk(JobId::new("wk-1"), 7),
         Key::Outcome(JobId::new("wk-1")),
     ];
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -7,8 +7,9 @@
 use burlhatch::protocol::{decode, encode};
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{
-    BatchMember, CordonReason, DependencyListParts, FleetMember, JobRecord, Key, MachineRecord, NodeRecord, Outcome,
-    OutcomeRecord, RecordVersion, Role, RoleRecord, RunChunk, TaskAttemptRecord, from_value, to_value,
+    ControllerRecord, CordonReason, DependencyListParts, JobBatchMember, JobRecord, Key, MachineBatchMember,
+    MachineRecord, Outcome, OutcomeRecord, RecordVersion, Role, RoleRecord, RunChunk, TaskAttemptRecord, from_value,
+    to_value,
 };
 use burlhatch::types::{FencingToken, JobId, MachineId, Micros};
 use ciborium::Value;
@@ -105,8 +106,8 @@
     }
 }
 
-fn member(spec: JobSpec) -> BatchMember {
-    BatchMember {
+fn member(spec: JobSpec) -> JobBatchMember {
+    JobBatchMember {
         id: JobId::new("wk-000412"),
         record: JobRecord { accepted_at: AT, dependency_list_parts: None, spec },
     }
@@ -117,11 +118,11 @@
     both_ways(TERM, FencingToken(41));
     both_ways(
         SEAT,
-        RoleRecord { owner: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version: FIRST },
+        RoleRecord { holder: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version: FIRST },
     );
-    both_ways(NODE, NodeRecord { incarnation: 77, is_isolated: true, version: FIRST });
+    both_ways(NODE, ControllerRecord { incarnation: 77, is_isolated: true, version: FIRST });
     both_ways(MACHINE, machine(Some(CordonReason::MoveToShard(1))));
-    let fleet_member = |id, cordon| FleetMember { id: MachineId::new(id), record: machine(cordon) };
+    let fleet_member = |id, cordon| MachineBatchMember { id: MachineId::new(id), record: machine(cordon) };
     both_ways(FLEET, vec![fleet_member("m-000231", None), fleet_member("m-000232", Some(CordonReason::ForceDelete))]);
     both_ways(BATCH, vec![member(spec())]);
     let task_attempts =
@@ -135,9 +136,9 @@
     vec![JobId::new("wk-000398"), JobId::new("wk-000405")]
 }
 
-fn split_member() -> BatchMember {
+fn split_member() -> JobBatchMember {
     let whole = member(spec());
-    BatchMember {
+    JobBatchMember {
         record: JobRecord {
             dependency_list_parts: Some(DependencyListParts { name: "4d2".into(), count: 2 }),
             ..whole.record
@@ -165,9 +166,9 @@
     let version = RecordVersion(1);
     both_ways(
         ANNOUNCED_SEAT,
-        RoleRecord { owner: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version },
+        RoleRecord { holder: "hatchling-0".into(), incarnation: 77, fencing_token: FencingToken(41), version },
     );
-    both_ways(ANNOUNCED_NODE, NodeRecord { incarnation: 77, is_isolated: false, version });
+    both_ways(ANNOUNCED_NODE, ControllerRecord { incarnation: 77, is_isolated: false, version });
     let stored: Value = decode(&bytes(ANNOUNCED_SEAT)).expect("CBOR");
     let earlier: EarlierRole = from_value(&stored).expect("readable");
     assert_eq!((earlier.o.as_str(), earlier.i, earlier.t), ("hatchling-0", 77, FencingToken(41)));
@@ -182,7 +183,7 @@
     let keys = [
         (Key::DependencyListPart("4d2".into(), 0), DEPENDENCY_LIST),
         (Key::DependencyListPart("4d2".into(), 1), "8169776b2d303030343036"),
-        (Key::Batch("b1".into()), SPLIT_BATCH),
+        (Key::JobBatch("b1".into()), SPLIT_BATCH),
     ];
     for (n, (key, hex)) in keys.into_iter().enumerate() {
         let value: Value = decode(&bytes(hex)).expect("CBOR");
@@ -227,7 +228,7 @@
     let read: Vec<ProductionMember> = value.deserialized().expect("readable");
     let known = (read[0].j.clone(), read[0].at, read[0].lot.as_str(), read[0].pieces, read[0].due_s);
     assert_eq!(known, (JobId::new("wk-000412"), AT, "train", 16, Some(900.0)));
-    let read: Vec<BatchMember> = from_value(&value).expect("readable");
+    let read: Vec<JobBatchMember> = from_value(&value).expect("readable");
     assert_eq!(read[0].record.spec.depends_on, depends_on);
 }
 
@@ -239,10 +240,10 @@
     let keys = [
         (Key::FencingToken, TERM),
         (Key::Role(Role::Shard(2)), SEAT),
-        (Key::Node("hatchling-0".into()), NODE),
-        (Key::Fleet("f1".into()), FLEET),
+        (Key::Controller("hatchling-0".into()), NODE),
+        (Key::MachineBatch("f1".into()), FLEET),
         (Key::Machine(MachineId::new("m-000231")), MACHINE),
-        (Key::Batch("b1".into()), BATCH),
+        (Key::JobBatch("b1".into()), BATCH),
         (Key::RunChunk(id.clone(), 0), RUN),
         (Key::Outcome(JobId::new("wk-000398")), DONE),
         (Key::Outcome(JobId::new("wk-000399")), CANCELLED),
@@ -252,7 +253,7 @@
         replica.apply(&key.to_string(), Some(&value), n as u64 + 1);
     }
     assert_eq!(replica.latest_fencing_token(), FencingToken(41));
-    assert_eq!(replica.roles[&Role::Shard(2)].value.owner, "hatchling-0");
+    assert_eq!(replica.roles[&Role::Shard(2)].value.holder, "hatchling-0");
     assert_eq!(replica.machines[&MachineId::new("m-000231")].value.cordon, Some(CordonReason::MoveToShard(1)));
     assert_eq!(replica.machines[&MachineId::new("m-000232")].value.cordon, Some(CordonReason::ForceDelete));
     assert_eq!(replica.jobs[&id].record.spec, spec());
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -12,7 +12,8 @@
     let mut replica = Replica::default();
     for (role, version) in [(Role::Leader, leader), (Role::Shard(2), holder)] {
         if let Some(version) = version {
-            let record = RoleRecord { owner: "node-1".into(), incarnation: 1, fencing_token: FencingToken(1), version };
+            let record =
+                RoleRecord { holder: "node-1".into(), incarnation: 1, fencing_token: FencingToken(1), version };
             replica.apply(&Key::Role(role).to_string(), Some(&to_value(&record)), 1);
         }
     }
