--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -74,7 +74,7 @@
         }
         for role in self.all_roles() {
             if self.should_acquire(role) {
-                let next_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
+                let next_token = self.store.replica.next_fencing_token();
                 self.acquire_role(role, session, next_token);
                 return;
             }
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -112,6 +112,6 @@
             "shard lease renewed so that agents may forget exited tasks"
         );
         self.control.next_token_renewal_at = self.now() + Micros::from_millis(self.policy.exited_every_ms);
-        self.renew_shard_token(shard, FencingToken(self.store.replica.latest_fencing_token().0 + 1));
+        self.renew_shard_token(shard, self.store.replica.next_fencing_token());
     }
 }
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -13,7 +13,7 @@
 use crate::coordination::control::versions::{Mover, mover};
 use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, RecordVersion, Role, to_value};
-use crate::types::{FencingToken, MachineId, Micros};
+use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
 /// Machines that are to leave a shard.
@@ -98,7 +98,7 @@
     /// Gives machines to their new shards, as many as one transaction takes.
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
         moves.truncate(self.platform.deployment.store.ops() - 1);
-        let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
+        let fencing_token = self.store.replica.next_fencing_token();
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::FencingToken);
         for role in roles {
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -134,8 +134,8 @@
 
     /// Whether the stored records name any task attempt of a job: as long as they do, some of it may still run.
     pub fn has_recorded_attempts(&self, id: &JobId) -> bool {
-        let chunks = self.run_chunks.get(id).into_iter().flat_map(BTreeMap::values);
-        chunks.into_iter().any(|chunk| !chunk.value.task_attempts.is_empty())
+        let mut chunks = self.run_chunks.get(id).into_iter().flat_map(BTreeMap::values);
+        chunks.any(|chunk| !chunk.value.task_attempts.is_empty())
     }
 
     /// The latest fencing token drawn.
@@ -143,6 +143,11 @@
         self.fencing_token.as_ref().map(|token| token.value).unwrap_or_default()
     }
 
+    /// The token that a transaction on the counter of fencing tokens would draw.
+    pub fn next_fencing_token(&self) -> FencingToken {
+        FencingToken(self.latest_fencing_token().0 + 1)
+    }
+
     /// The jobs in a list of dependencies, as far as its parts have been read.
     fn listed_dependencies(&self, list: &str) -> impl Iterator<Item = JobId> {
         let parts = self.dependency_list_parts.get(list).into_iter().flat_map(BTreeMap::values);
