--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -196,8 +196,8 @@
                     self.job_over(&id);
                 }
                 Change::Controller(_) => self.record_versions_changed(),
-                Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
-                Change::ZoneHold(zone) => self.zone_hold_changed(&zone),
+                Change::ZoneView(zone, shard) => self.zone_view_changed(&zone, shard),
+                Change::ZoneCordon(zone) => self.zone_hold_changed(&zone),
                 Change::Nothing => {}
             }
         }
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -110,7 +110,8 @@
     }
 
     fn is_held_for_long(&self, zone: &str) -> bool {
-        let since = self.store.replica.zone_holds.get(zone).map(|held| held.value.map_or(Micros::ZERO, |hold| hold.at));
+        let since =
+            self.store.replica.zone_cordons.get(zone).map(|held| held.value.map_or(Micros::ZERO, |hold| hold.at));
         let patience = Micros::from_millis(self.policy.zones.hold_wait_ms);
         since.is_some_and(|since| self.clock.wall.since(since) >= patience)
     }
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -67,11 +67,11 @@
 
     /// All views and holds, once the stored records are read.
     pub(crate) fn zones_read(&mut self) {
-        let views: Vec<(String, u32)> = self.store.replica.zones.keys().cloned().collect();
+        let views: Vec<(String, u32)> = self.store.replica.zone_views.keys().cloned().collect();
         for (zone, shard) in views {
             self.zone_view_changed(&zone, shard);
         }
-        let holds: Vec<String> = self.store.replica.zone_holds.keys().cloned().collect();
+        let holds: Vec<String> = self.store.replica.zone_cordons.keys().cloned().collect();
         for zone in holds {
             self.zone_hold_changed(&zone);
         }
@@ -83,7 +83,7 @@
             return;
         }
         let now = self.moment();
-        let stored = self.store.replica.zones.get(&(zone.to_string(), shard));
+        let stored = self.store.replica.zone_views.get(&(zone.to_string(), shard));
         if stored.is_some_and(|stored| stored.value.is_none()) {
             tracing::warn!(zone, shard, "a stored view of a zone can't be read; it is ignored and written anew");
         }
@@ -97,7 +97,7 @@
     pub(crate) fn zone_views_of_role_changed(&mut self, role: Role) {
         let Role::Shard(shard) = role else { return };
         let zones: Vec<String> =
-            self.store.replica.zones.keys().filter(|(_, of)| *of == shard).map(|(zone, _)| zone.clone()).collect();
+            self.store.replica.zone_views.keys().filter(|(_, of)| *of == shard).map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
             self.zone_view_changed(&zone, shard);
         }
@@ -105,7 +105,7 @@
 
     /// Operators hold a zone, or have released it.
     pub(crate) fn zone_hold_changed(&mut self, zone: &str) {
-        let on_hold = self.store.replica.zone_holds.contains_key(zone);
+        let on_hold = self.store.replica.zone_cordons.contains_key(zone);
         if self.judges_zones() && self.zones.zones.is_on_hold(zone) != on_hold {
             tracing::info!(zone, on_hold, "zone held or released by operators");
             self.zones.zones.set_on_hold(zone, on_hold);
@@ -167,7 +167,7 @@
             if !is_zone_storable(&zone) || !self.zones.writing.insert(name.clone()) {
                 continue;
             }
-            let key = Key::Zone(zone, shard);
+            let key = Key::ZoneView(zone, shard);
             let mut proposal = ProposedTxn::default();
             proposal.unchanged(&self.store.replica, Key::Role(Role::Shard(shard)));
             proposal.unchanged(&self.store.replica, key.clone());
@@ -181,7 +181,7 @@
 
     /// Views of our shards that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<RecordDue> {
-        let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
+        let unreadable = self.store.replica.zone_views.iter().filter(|(_, stored)| stored.value.is_none());
         let ours = unreadable.filter(|((_, shard), _)| self.holds(Role::Shard(*shard)));
         ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
--- a/src/storage/replica/apply.rs
+++ b/src/storage/replica/apply.rs
@@ -73,13 +73,13 @@
             Key::JobBatch(name) => self.apply_job_batch(name, value, version),
             Key::RunChunk(id, chunk) => self.apply_run_chunk(id, chunk, value, version),
             Key::DependencyListPart(name, number) => self.apply_dependency_list_part(name, number, value, version),
-            Key::Zone(zone, shard) => {
-                replace(&mut self.zones, (zone.clone(), shard), value.map(from_value), version);
-                Change::Zone(zone, shard)
+            Key::ZoneView(zone, shard) => {
+                replace(&mut self.zone_views, (zone.clone(), shard), value.map(from_value), version);
+                Change::ZoneView(zone, shard)
             }
-            Key::ZoneHold(zone) => {
-                replace(&mut self.zone_holds, zone.clone(), value.map(from_value), version);
-                Change::ZoneHold(zone)
+            Key::ZoneCordon(zone) => {
+                replace(&mut self.zone_cordons, zone.clone(), value.map(from_value), version);
+                Change::ZoneCordon(zone)
             }
             Key::Outcome(id) => self.apply_outcome(id, value, version),
         }
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -5,7 +5,7 @@
 
 use super::schema::{
     ControllerRecord, CordonReason, JobRecord, Key, MachineBatchMember, MachineRecord, OutcomeRecord, Role, RoleRecord,
-    RunChunk, ZoneHoldRecord,
+    RunChunk, ZoneCordonRecord,
 };
 use crate::types::{FencingToken, JobId, MachineId, Revision};
 use burlhatch_zones::ZoneRecord;
@@ -36,9 +36,9 @@
     /// What became of a job.
     Outcome(JobId),
     /// How a shard's holder finds a zone.
-    Zone(String, u32),
-    /// Whether operators hold a zone.
-    ZoneHold(String),
+    ZoneView(String, u32),
+    /// Whether operators have cordoned a zone.
+    ZoneCordon(String),
     /// Nothing that anybody acts on.
     Nothing,
 }
@@ -86,9 +86,9 @@
     /// Lists of dependencies that are not in a batch, by name.
     pub dependency_list_parts: BTreeMap<String, ListParts>,
     /// How shards' holders find zones. A record that can't be read is kept as that, so that it can be written anew.
-    pub zones: BTreeMap<(String, u32), Versioned<Option<ZoneRecord>>>,
-    /// Zones that operators hold. Whatever the key's value is, the zone is held.
-    pub zone_holds: BTreeMap<String, Versioned<Option<ZoneHoldRecord>>>,
+    pub zone_views: BTreeMap<(String, u32), Versioned<Option<ZoneRecord>>>,
+    /// Zones that operators have cordoned. Whatever the key's value is, the zone is cordoned.
+    pub zone_cordons: BTreeMap<String, Versioned<Option<ZoneCordonRecord>>>,
     /// Own deletions ahead of `applied_revision`, so that older puts don't bring the keys back.
     deleted_ahead: HashMap<Key, u64>,
 }
@@ -110,8 +110,8 @@
             Key::DependencyListPart(name, number) => {
                 self.dependency_list_parts.get(name).and_then(|parts| parts.get(number)).map(|stored| stored.version)
             }
-            Key::Zone(zone, shard) => self.zones.get(&(zone.clone(), *shard)).map(|stored| stored.version),
-            Key::ZoneHold(zone) => self.zone_holds.get(zone).map(|stored| stored.version),
+            Key::ZoneView(zone, shard) => self.zone_views.get(&(zone.clone(), *shard)).map(|stored| stored.version),
+            Key::ZoneCordon(zone) => self.zone_cordons.get(zone).map(|stored| stored.version),
         };
         version.unwrap_or(0)
     }
--- a/src/storage/schema/keys.rs
+++ b/src/storage/schema/keys.rs
@@ -31,9 +31,9 @@
     /// list's name and the part's number.
     DependencyListPart(String, u32),
     /// How a shard's holder finds a zone, by zone and shard. Versions that do not judge zones ignore it.
-    Zone(String, u32),
-    /// Operators hold a zone.
-    ZoneHold(String),
+    ZoneView(String, u32),
+    /// Operators have cordoned a zone.
+    ZoneCordon(String),
 }
 
 impl fmt::Display for Key {
@@ -49,8 +49,8 @@
             Key::RunChunk(id, chunk) => write!(f, "{ROOT}run/{id}/{chunk}"),
             Key::Outcome(id) => write!(f, "{ROOT}end/{id}"),
             Key::DependencyListPart(name, number) => write!(f, "{ROOT}awaits/{name}/{number}"),
-            Key::Zone(zone, shard) => write!(f, "{ROOT}zone/{zone}/{shard}"),
-            Key::ZoneHold(zone) => write!(f, "{ROOT}zone-hold/{zone}"),
+            Key::ZoneView(zone, shard) => write!(f, "{ROOT}zone/{zone}/{shard}"),
+            Key::ZoneCordon(zone) => write!(f, "{ROOT}zone-hold/{zone}"),
         }
     }
 }
@@ -74,9 +74,9 @@
             }
             Some(("zone", rest)) => {
                 let (zone, shard) = rest.rsplit_once('/')?;
-                Some(Key::Zone(zone.to_string(), shard.parse().ok()?))
+                Some(Key::ZoneView(zone.to_string(), shard.parse().ok()?))
             }
-            Some(("zone-hold", zone)) => Some(Key::ZoneHold(zone.to_string())),
+            Some(("zone-hold", zone)) => Some(Key::ZoneCordon(zone.to_string())),
             Some(("run", rest)) => {
                 let (id, chunk) = rest.rsplit_once('/')?;
                 Some(Key::RunChunk(JobId::new(id), chunk.parse().ok()?))
--- a/src/storage/schema/mod.rs
+++ b/src/storage/schema/mod.rs
@@ -18,7 +18,7 @@
 pub use machines::{CordonReason, MachineBatchMember, MachineRecord};
 pub use outcomes::{Outcome, OutcomeRecord};
 pub use task_attempts::{RunChunk, TaskAttemptRecord, chunk_tasks};
-pub use zones::{ZoneHoldRecord, is_zone_storable};
+pub use zones::{ZoneCordonRecord, is_zone_storable};
 
 use ciborium::Value;
 use serde::Serialize;
--- a/src/storage/schema/zones.rs
+++ b/src/storage/schema/zones.rs
@@ -3,17 +3,19 @@
 use crate::types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a zone's name at most, so that its keys stay within the store's limit.
-const ZONE_NAME_MOST: usize = 128;
+/// Longest name of a zone in bytes, so that its keys stay within the store's limit.
+const MAX_ZONE_NAME_BYTES: usize = 128;
 
 /// Whether a zone's name can be part of a key.
 pub fn is_zone_storable(zone: &str) -> bool {
-    !zone.is_empty() && zone.len() <= ZONE_NAME_MOST && !zone.contains(|c: char| c.is_whitespace() || c.is_control())
+    !zone.is_empty()
+        && zone.len() <= MAX_ZONE_NAME_BYTES
+        && !zone.contains(|c: char| c.is_whitespace() || c.is_control())
 }
 
-/// That operators hold a zone.
+/// That operators have cordoned a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneHoldRecord {
+pub struct ZoneCordonRecord {
     /// Time of day since when.
     #[serde(rename = "at")]
     pub at: Micros,
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -5,7 +5,7 @@
 use crate::protocol::{decode, encode};
 use crate::settings::Platform;
 use crate::storage::Replica;
-use crate::storage::schema::{Key, ROOT, ZoneHoldRecord, to_value};
+use crate::storage::schema::{Key, ROOT, ZoneCordonRecord, to_value};
 use crate::types::Micros;
 use burlhatch_zones::ZoneRecord;
 use hyper::Method;
@@ -74,9 +74,9 @@
         let records = self.read_records().await?;
         let mut text = String::new();
         for zone in &self.platform.deployment.zones {
-            let hold = if records.zone_holds.contains_key(zone) { "on hold" } else { "-" };
+            let hold = if records.zone_cordons.contains_key(zone) { "on hold" } else { "-" };
             let views: Vec<String> = records
-                .zones
+                .zone_views
                 .iter()
                 .filter(|((name, _), _)| name == zone)
                 .map(|((_, shard), stored)| describe_view(*shard, stored.value.as_ref()))
@@ -90,8 +90,8 @@
 
     async fn hold(&self, zone: &str, now: Micros) -> Result<String, ZoneAdminError> {
         self.check(zone)?;
-        let key = Key::ZoneHold(zone.to_string()).to_string();
-        let record = to_value(&ZoneHoldRecord { at: now });
+        let key = Key::ZoneCordon(zone.to_string()).to_string();
+        let record = to_value(&ZoneCordonRecord { at: now });
         let write = Write::Put { key: key.clone(), value: record, lease: None };
         let txn = Txn { preconditions: vec![Precondition { key, version: 0 }], writes: vec![write] };
         let done = if self.commit(&txn).await? { "is on hold" } else { "was on hold already" };
@@ -100,7 +100,7 @@
 
     async fn release(&self, zone: &str) -> Result<String, ZoneAdminError> {
         self.check(zone)?;
-        let key = Key::ZoneHold(zone.to_string()).to_string();
+        let key = Key::ZoneCordon(zone.to_string()).to_string();
         let txn = Txn { preconditions: Vec::new(), writes: vec![Write::Delete { key }] };
         self.commit(&txn).await?;
         Ok(format!("{zone} is released\n"))
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -91,7 +91,7 @@
 
     /// What the shards' holders have stored of a zone.
     pub fn stored_conditions(&self, zone: &str) -> Vec<Condition> {
-        let views = self.stored().zones.into_iter().filter(|((name, _), _)| name == zone);
+        let views = self.stored().zone_views.into_iter().filter(|((name, _), _)| name == zone);
         views.filter_map(|(_, stored)| Some(stored.value?.condition)).collect()
     }
 
