--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -1,9 +1,9 @@
 //! The replica of the store, and everything that is asked of the store or written to it.
 //!
-//! Owns [`StoreSync`]: the replica, the initial sync, the watch and fresh reads, pending transactions, the write budget
+//! Owns `StoreSync`: the replica, the initial sync, the watch and fresh reads, pending transactions, the write budget
 //! and garbage collection. Reads the jobs for what is to be recorded of them. Promises that the replica only moves
 //! forward, that a transaction in doubt is sent again unchanged until its end is known or nobody waits for it, and that
-//! no request is answered by a replica older than what [`evidence`] allows.
+//! no request is answered by a replica older than what `evidence` allows.
 
 mod dispatcher;
 pub(crate) mod evidence;
