--- a/src/coordination/control/isolation.rs
+++ b/src/coordination/control/isolation.rs
@@ -5,7 +5,7 @@
 //! answer, and a sibling would reach the lost ones no better: the shard would only go to and fro.
 
 use crate::coordination::Controller;
-use crate::coordination::fleet::machines::Machine;
+use crate::coordination::fleet::machine::Machine;
 use crate::types::{MachineId, Micros};
 
 /// Pause between two probes while it is in doubt whether any machine can be reached.
@@ -131,7 +131,7 @@
         if self.control.isolation.try_recover() {
             tracing::info!("controller isolation ended: machines answer again");
         } else if self.control.isolation.take_due_probe(now) {
-            self.look_for_machines();
+            self.probe_sample();
         }
     }
 
@@ -142,10 +142,10 @@
         let lease_s = self.platform.deployment.workers.lease_s;
         let tolerated = self.control.isolation.tolerated_silence(now, initial, lease_s);
         let is_silent = |machine: &Machine| {
-            (machine.probes_failed >= MIN_FAILED_PROBES && now.since(machine.heard) >= tolerated)
-                || machine.is_unreachable(now, self.policy.unreachable_probes, tolerated)
+            (machine.contact.failed_probe_count() >= MIN_FAILED_PROBES && machine.contact.silence(now) >= tolerated)
+                || machine.contact.is_unreachable(now, self.policy.unreachable_probes, tolerated)
         };
-        let machines = own_machines.iter().filter_map(|id| self.fleet.machines.get(id));
+        let machines = own_machines.iter().filter_map(|id| self.fleet.machine(id));
         let silent_count = machines.filter(|machine| is_silent(machine)).count();
         !own_machines.is_empty() && silent_count * 3 >= own_machines.len() * 2
     }
@@ -158,7 +158,7 @@
         }
         self.control.isolation.suspect(now);
         if self.control.isolation.take_due_probe(now) {
-            self.look_for_machines();
+            self.probe_sample();
         }
         self.control.isolation.is_suspicion_confirmed(now)
     }
--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -231,7 +231,7 @@
                 revision,
                 "shard lease renewed with new fencing token"
             );
-            return self.shard_renewed(shard);
+            return self.shard_token_renewed(shard);
         }
         tracing::info!(?role, fencing_token = fencing_token.0, revision, "role lease acquired");
         self.notify_role_changed(role);
--- a/src/coordination/control/session.rs
+++ b/src/coordination/control/session.rs
@@ -121,8 +121,8 @@
     /// Tells the parts that act by a role that it was acquired or lost.
     pub(super) fn notify_role_changed(&mut self, role: Role) {
         match role {
-            Role::Leader => self.leader_changed(),
-            Role::Shard(shard) => self.shard_changed(shard),
+            Role::Leader => self.leadership_changed(),
+            Role::Shard(shard) => self.shard_holder_changed(shard),
         }
     }
 }
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -16,7 +16,7 @@
 
 pub use messages::{
     Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, LeaseOutcome, ReadKind, ReadOutcome,
-    StoreCall, TxnOutcome, UserAnswer, UserRequest, Waiter, WorkerAnswer,
+    RequestId, StoreCall, TxnOutcome, UserAnswer, UserRequest, WorkerAnswer,
 };
 
 use crate::settings::{Platform, Policy};
@@ -42,10 +42,10 @@
     store: store_sync::StoreSync,
     fleet: fleet::Fleet,
     jobs: jobs::Jobs,
-    api: api::requests::Users,
+    api: api::Api,
     scheduling: scheduling::Scheduling,
     autoscaling: autoscaling::Autoscaling,
-    zones: zones::zone_control::ZoneControl,
+    zones: zones::ZoneControl,
 }
 
 /// Without any input for so long a process has stood still.
@@ -62,10 +62,10 @@
             store: store_sync::StoreSync::new(&platform, &policy),
             fleet: fleet::Fleet::new(&platform, &policy),
             jobs: jobs::Jobs::default(),
-            api: api::requests::Users::default(),
+            api: api::Api::default(),
             scheduling: scheduling::Scheduling::default(),
             autoscaling: autoscaling::Autoscaling::default(),
-            zones: zones::zone_control::ZoneControl::default(),
+            zones: zones::ZoneControl::default(),
             platform,
             policy,
             incarnation,
@@ -104,15 +104,15 @@
             self.store.record_answer(clock.steady);
         }
         match input {
-            Input::User(waiter, request) => self.user_request(waiter, request),
-            Input::Heartbeat { waiter, heartbeat, relayed } => self.heartbeat(waiter, heartbeat, relayed),
+            Input::User(request_id, request) => self.user_request(request_id, request),
+            Input::Heartbeat { request_id, heartbeat, relayed } => self.heartbeat(request_id, heartbeat, relayed),
             Input::Txn { ticket, outcome } => self.txn_outcome(ticket, outcome),
             Input::Changes { ticket, outcome } => self.changes_outcome(ticket, outcome),
             Input::Page { ticket, outcome } => self.page_outcome(ticket, outcome),
             Input::Lease { ticket, outcome } => self.lease_outcome(ticket, outcome),
             Input::DirectCommands { machine, outcome } => self.direct_commands_outcome(&machine, outcome),
             Input::Cloud { call, outcome } => self.cloud_outcome(call, outcome),
-            Input::Peer(waiter, message) => self.cancellation_notified(waiter, &message),
+            Input::Peer(request_id, message) => self.cancellation_notified(request_id, &message),
             Input::PeerAnswer { call, answer } => self.cancellation_acknowledged(call, answer),
             Input::Tick => self.tick(),
         }
@@ -124,11 +124,7 @@
     fn stood_still(&mut self, pause: Micros) {
         tracing::warn!(ms = pause.millis(), "stood still");
         let now = self.now();
-        for machine in self.fleet.machines.values_mut() {
-            machine.excuse(now, pause);
-        }
-        self.fleet.many_unreachable_at = self.fleet.many_unreachable_at.map(|_| now);
-        self.fleet.many_unreported_at = self.fleet.many_unreported_at.map(|_| now);
+        self.fleet.discount_stall(now, pause);
         self.renew_session_at_once();
         self.store.request_fresh_read();
     }
@@ -143,11 +139,11 @@
         self.store.log_write_usage(self.clock.steady);
         self.tick_leases();
         self.tick_machines();
-        self.tick_types();
+        self.tick_machine_types();
         self.tick_leader();
-        self.write_cascaded();
-        self.audit_summary();
-        self.scheduling.cycle_wanted = true;
+        self.write_cascaded_cancellations();
+        self.log_open_cancellations();
+        self.scheduling.request_cycle();
     }
 
     /// To be called after each batch of inputs: makes the decisions the batch allows.
@@ -156,8 +152,8 @@
     pub fn round(&mut self, clock: Clock, time_left: &mut dyn FnMut() -> bool) -> Vec<Effect> {
         self.clock = clock;
         if self.store.is_synced() {
-            self.answer_open_questions();
-            self.place(time_left);
+            self.answer_pending_requests();
+            self.run_scheduling_cycle(time_left);
             self.dispatch_writes();
             self.send_pending_direct_commands();
             self.confirm_cancellations();
@@ -168,7 +164,7 @@
 
     /// True if the last round ran out of time.
     pub fn has_more(&self) -> bool {
-        !self.scheduling.queue.is_empty()
+        self.scheduling.has_jobs_left()
     }
 
     fn now(&self) -> Micros {
@@ -188,16 +184,16 @@
                     self.role_changed(role);
                     self.zone_views_of_role_changed(role);
                 }
-                Change::Machines(ids) => ids.iter().for_each(|id| self.machine_changed(id)),
-                Change::Jobs(ids) => ids.iter().for_each(|id| self.job_changed(id)),
-                Change::RunChunk(id, chunk) => self.run_changed(&id, chunk),
+                Change::Machines(ids) => ids.iter().for_each(|id| self.machine_record_changed(id)),
+                Change::Jobs(ids) => ids.iter().for_each(|id| self.reconcile_job(id)),
+                Change::RunChunk(id, chunk) => self.reconcile_chunk(&id, chunk),
                 Change::Outcome(id) => {
-                    self.job_changed(&id);
-                    self.job_over(&id);
+                    self.reconcile_job(&id);
+                    self.propagate_outcome(&id);
                 }
                 Change::Controller(_) => self.record_versions_changed(),
                 Change::ZoneView(zone, shard) => self.zone_view_changed(&zone, shard),
-                Change::ZoneCordon(zone) => self.zone_hold_changed(&zone),
+                Change::ZoneCordon(zone) => self.zone_cordon_changed(&zone),
                 Change::Nothing => {}
             }
         }
@@ -210,16 +206,15 @@
         let mut fresh = Controller::new(self.platform.clone(), self.policy.clone(), seed);
         fresh.clock = self.clock;
         fresh.out = std::mem::take(&mut self.out);
-        fresh.autoscaling.types = std::mem::take(&mut self.autoscaling.types);
-        fresh.autoscaling.next_call = self.autoscaling.next_call;
-        fresh.fleet.direct_open = self.fleet.direct_open;
-        fresh.jobs.cancellations.next_call = self.jobs.cancellations.next_call;
-        let waiters = self.api.all_waiters().into_iter().chain(self.jobs.cancellations.all_waiters());
-        for waiter in waiters {
-            fresh.out.push(Effect::AnswerUser(waiter, UserAnswer::Unavailable { retry_after_s: 1 }));
+        fresh.autoscaling.carry_over_from(&mut self.autoscaling);
+        fresh.fleet.adopt_open_direct_messages(&self.fleet);
+        fresh.jobs.cancellations.continue_call_numbers(&self.jobs.cancellations);
+        let waiters = self.api.drain_pending().into_iter().chain(self.jobs.cancellations.drain_pending());
+        for request_id in waiters {
+            fresh.out.push(Effect::AnswerUser(request_id, UserAnswer::Unavailable { retry_after_s: 1 }));
         }
-        for held in self.fleet.unregistered.drain(..) {
-            fresh.out.push(Effect::AnswerWorker(held.waiter, WorkerAnswer::Unavailable));
+        for unregistered in self.fleet.take_unregistered() {
+            fresh.out.push(Effect::AnswerWorker(unregistered.request_id, WorkerAnswer::Unavailable));
         }
         // Tickets go on counting, so that answers to old calls match nothing.
         fresh.store.continue_tickets_of(&self.store);
--- a/src/coordination/store_sync/dispatcher.rs
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -59,8 +59,8 @@
     /// together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
     pub(crate) fn dispatch_writes(&mut self) {
         let now = self.now();
-        if self.api.submissions.batch_due(now, self.store.write_budget.batch_interval()) {
-            self.send_submissions();
+        if self.api.submissions().is_batch_due(now, self.store.write_budget.batch_interval()) {
+            self.write_submission_batch();
         }
         if !self.store.write_budget.allows(now) {
             return;
@@ -68,12 +68,12 @@
         let mut due: VecDeque<_> = self.due_records().into();
         while self.store.write_budget.allows(now) {
             let queued = self.store.txns.first_queued().map(|(send_by, ticket)| (send_by, NextWrite::Queued(ticket)));
-            let moves = self.fleet.moves_due.map(|send_by| (send_by, NextWrite::ShardMoves));
+            let moves = self.fleet.shard_moves_due_at().map(|send_by| (send_by, NextWrite::ShardMoves));
             let records = due.front().map(|first| (first.send_by, NextWrite::JobRecords));
             // Of equals the first: what is queued is ready to be sent.
             match [queued, moves, records].into_iter().flatten().min_by_key(|(send_by, _)| *send_by) {
                 Some((_, NextWrite::Queued(ticket))) => self.send_pending_txn(ticket),
-                Some((_, NextWrite::ShardMoves)) => self.send_moves(),
+                Some((_, NextWrite::ShardMoves)) => self.send_shard_moves(),
                 Some((_, NextWrite::JobRecords)) => self.send_job_records(&mut due),
                 None => break,
             }
--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -144,12 +144,12 @@
         jobs.sort_unstable();
         jobs.dedup();
         for id in machines {
-            self.machine_changed(&id);
+            self.machine_record_changed(&id);
         }
         for id in jobs {
-            self.job_changed(&id);
+            self.reconcile_job(&id);
         }
-        self.zones_read();
+        self.load_zones();
         self.start_watch_if_due();
         self.tick_leases();
     }
--- a/src/coordination/store_sync/job_records/chunk_changes.rs
+++ b/src/coordination/store_sync/job_records/chunk_changes.rs
@@ -1,6 +1,6 @@
 //! Changes of one job's run chunks, as far as they fit a transaction.
 
-use crate::coordination::jobs::usage::Start;
+use crate::coordination::jobs::attempt::TaskAttempt;
 use crate::coordination::store_sync::ProposedTxn;
 use crate::storage::schema::{Key, Role, RunChunk, TaskAttemptRecord, to_value};
 use crate::storage::{Replica, Versioned};
@@ -97,14 +97,15 @@
     }
 
     /// Adds an attempt, under the number of its gang or the next of its chunk; says which.
-    pub(super) fn add_attempt(&mut self, task: u32, live: &Start, gang_attempt: Option<u64>) -> u64 {
-        let machine = live.machine().clone();
+    pub(super) fn add_attempt(&mut self, task: u32, attempt: &TaskAttempt, gang_attempt: Option<u64>) -> u64 {
+        let machine = attempt.machine().clone();
         self.machines.insert(machine.clone());
         let chunk = self.chunk_mut(task);
-        let attempt = gang_attempt.unwrap_or(chunk.last_attempt + 1);
-        chunk.last_attempt = attempt;
-        chunk.task_attempts.push(TaskAttemptRecord { task, attempt, machine, incarnation: live.incarnation });
-        attempt
+        let number = gang_attempt.unwrap_or(chunk.last_attempt + 1);
+        chunk.last_attempt = number;
+        let incarnation = attempt.incarnation;
+        chunk.task_attempts.push(TaskAttemptRecord { task, attempt: number, machine, incarnation });
+        number
     }
 
     /// Removes a task's attempt, which has ended or is proven absent.
--- a/src/coordination/store_sync/job_records/job_changes.rs
+++ b/src/coordination/store_sync/job_records/job_changes.rs
@@ -1,7 +1,7 @@
 //! What is to be changed in one job's records.
 
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::store_sync::ProposedTxn;
 use crate::coordination::store_sync::job_records::chunk_changes::ChunkChanges;
 use crate::coordination::store_sync::job_records::missing_record::{MissingRecord, is_lost};
@@ -28,44 +28,46 @@
             None | Some(MissingRecord::Outcome | MissingRecord::ChunkSpace | MissingRecord::Progress) => true,
             Some(MissingRecord::UrgentAttempt | MissingRecord::BatchAttempt) => false,
         };
-        let all = is_nothing_pressing || self.progress_since.is_some_and(|at| now.since(at) >= max_progress_delay);
+        let all = is_nothing_pressing
+            || self.recording.first_unrecorded_completion_at.is_some_and(|at| now.since(at) >= max_progress_delay);
         if all {
-            self.progress_since = None;
-            self.blocked = false;
+            self.recording.first_unrecorded_completion_at = None;
+            self.scheduling.is_blocked_by_full_chunks = false;
         }
-        let is_pressing = |live: &Start| live.phase() == Phase::Decided || is_lost(live);
-        let pressing = self.live.iter().filter(|(_, live)| is_pressing(live));
+        let is_pressing = |attempt: &TaskAttempt| attempt.state() == AttemptState::Decided || is_lost(attempt);
+        let pressing = self.attempts.iter().filter(|(_, attempt)| is_pressing(attempt));
         let pressing_chunks: BTreeSet<u32> = pressing.map(|(task, _)| task / tasks_per_chunk).collect();
-        let is_due = |task: u32, live: &Start| {
-            is_pressing(live) || (!live.occupies() && (all || pressing_chunks.contains(&(task / tasks_per_chunk))))
+        let is_due = |task: u32, attempt: &TaskAttempt| {
+            is_pressing(attempt)
+                || (!attempt.occupies_resources() && (all || pressing_chunks.contains(&(task / tasks_per_chunk))))
         };
-        self.live.iter().filter(|(task, live)| is_due(*task, live)).map(|(task, _)| task).collect()
+        self.attempts.iter().filter(|(task, attempt)| is_due(*task, attempt)).map(|(task, _)| task).collect()
     }
 
     /// Adds what is to be recorded of these tasks. Says which attempts can't be recorded: their machines have been
     /// cordoned or have left the shard since, the job is over, or no more machines fit.
     pub(super) fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
         let gang_attempt = (self.spec.kind == Kind::Gang).then_some(changes.last_stored_attempt() + 1);
-        let gang_done = self.gang_done();
+        let is_gang_done = self.is_gang_done();
         let mut dropped = Vec::new();
         for task in tasks {
             if !changes.admits_task(task) {
                 continue;
             }
-            let Some(live) = self.live.get_mut(task) else { continue };
-            if live.phase() != Phase::Decided {
-                changes.remove_attempt(task, gang_done || live.phase() == Phase::Ended(ExitCause::Done));
+            let Some(attempt) = self.attempts.get_mut(task) else { continue };
+            if attempt.state() != AttemptState::Decided {
+                changes.remove_attempt(task, is_gang_done || attempt.state() == AttemptState::Ended(ExitCause::Done));
                 continue;
             }
-            let machine = replica.machines.get(live.machine());
+            let machine = replica.machines.get(attempt.machine());
             let is_usable = machine.is_some_and(|m| m.value.cordon.is_none() && m.value.shard == self.shard);
-            if !is_usable || self.over.is_some() || !changes.admits_attempt(task, live.machine()) {
+            if !is_usable || self.outcome.is_some() || !changes.admits_attempt(task, attempt.machine()) {
                 dropped.push(task);
                 continue;
             }
-            live.attempt = changes.add_attempt(task, live, gang_attempt);
+            attempt.number = changes.add_attempt(task, attempt, gang_attempt);
         }
-        if gang_done {
+        if is_gang_done {
             self.complete_gang(changes);
         }
         dropped
@@ -73,7 +75,7 @@
 
     /// The tasks of a gang that is done which have no attempt are done as well.
     fn complete_gang(&self, changes: &mut ChunkChanges) {
-        for task in self.redo.iter().copied().chain(self.fresh_from..self.spec.tasks) {
+        for task in self.progress.to_restart.iter().copied().chain(self.progress.first_unstarted..self.spec.tasks) {
             if changes.admits_task(task) {
                 changes.mark_done(task);
             }
@@ -93,14 +95,14 @@
 ) -> ProposedTxn {
     let mut proposal = ProposedTxn::default();
     proposal.unchanged(replica, Key::Role(Role::Shard(job.shard)));
-    if job.over.is_none() {
+    if job.outcome.is_none() {
         proposal.unchanged(replica, Key::Outcome(id.clone()));
     }
-    let finishes = job.over.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
+    let finishes = job.outcome.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
     if finishes {
         proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::done()));
     }
-    if (finishes || job.over.is_some()) && !changes.has_attempts() && !changes.is_incomplete() {
+    if (finishes || job.outcome.is_some()) && !changes.has_attempts() && !changes.is_incomplete() {
         // Over and nothing left of it. The outcome stays, and so does the job's entry in its batch until all of that
         // are over.
         changes.delete_all(replica, id, &mut proposal);
@@ -108,8 +110,8 @@
     }
     if changes.drop_too_large() {
         tracing::debug!(job = %id, "job record too large to be written now");
-        job.too_large_until = now + TOO_LARGE_PAUSE;
-        job.dirty_since = Some(Micros::ZERO);
+        job.recording.retry_too_large_at = now + TOO_LARGE_PAUSE;
+        job.recording.first_unrecorded_change_at = Some(Micros::ZERO);
         if finishes {
             // The outcome goes with the record of its last tasks or not at all.
             return ProposedTxn::default();
--- a/src/coordination/store_sync/job_records/missing_record.rs
+++ b/src/coordination/store_sync/job_records/missing_record.rs
@@ -1,7 +1,7 @@
 //! What a job's records lack, and how long it may wait for the write budget.
 
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::jobs::usage::{Phase, Start};
 use crate::protocol::user::Kind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
@@ -29,16 +29,18 @@
             return Some(MissingRecord::Outcome);
         }
         // Tasks done press in no job; taken for urgent they'd be looked at in vain in every round.
-        if job.live.decided() > 0 || (job.live.settled() > 0 && job.live.values().any(is_lost)) {
+        if job.attempts.decided_count() > 0 || (job.attempts.settled_count() > 0 && job.attempts.values().any(is_lost))
+        {
             return Some(match job.is_urgent() {
                 true => MissingRecord::UrgentAttempt,
                 false => MissingRecord::BatchAttempt,
             });
         }
-        if job.blocked && job.live.settled() > 0 && job.waiting() > 0 {
+        if job.scheduling.is_blocked_by_full_chunks && job.attempts.settled_count() > 0 && job.waiting_count() > 0 {
             return Some(MissingRecord::ChunkSpace);
         }
-        (job.live.settled() > 0 || job.dirty_since == Some(Micros::ZERO)).then_some(MissingRecord::Progress)
+        (job.attempts.settled_count() > 0 || job.recording.first_unrecorded_change_at == Some(Micros::ZERO))
+            .then_some(MissingRecord::Progress)
     }
 
     /// The name under which writes are counted that add it.
@@ -93,17 +95,23 @@
 
 /// Whether nothing of the job is left to run or to wait for, but the records don't say so.
 fn is_outcome_missing(job: &Job) -> bool {
-    let is_finished = job.spec.kind != Kind::Service && job.done + job.done_unrecorded.len() as u32 >= job.spec.tasks;
-    let is_gang_rest_missing = job.over.is_none() && job.gang_done() && job.waiting() > 0;
-    job.live.occupying() == 0 && (job.over.is_some() || is_finished) || is_gang_rest_missing
+    let is_finished = job.spec.kind != Kind::Service
+        && job.progress.done_count + job.progress.unrecorded_done.len() as u32 >= job.spec.tasks;
+    let is_gang_rest_missing = job.outcome.is_none() && job.is_gang_done() && job.waiting_count() > 0;
+    job.attempts.occupying_count() == 0 && (job.outcome.is_some() || is_finished) || is_gang_rest_missing
 }
 
 /// Whether the attempt's task has to start once more.
-pub(super) fn is_lost(live: &Start) -> bool {
-    match live.phase() {
-        Phase::Gone => true,
-        Phase::Ended(why) => why != ExitCause::Done,
-        _ => false,
+pub(super) fn is_lost(attempt: &TaskAttempt) -> bool {
+    match attempt.state() {
+        AttemptState::ProvenAbsent => true,
+        AttemptState::Ended(why) => why != ExitCause::Done,
+        AttemptState::Decided
+        | AttemptState::Recorded
+        | AttemptState::Fetching
+        | AttemptState::Waiting
+        | AttemptState::Running
+        | AttemptState::Checkpointing => false,
     }
 }
 
@@ -136,13 +144,13 @@
         is_budget_idle: bool,
         policy: &Policy,
     ) -> RecordingState {
-        if job.locked || now < job.too_large_until {
+        if job.recording.is_txn_in_flight || now < job.recording.retry_too_large_at {
             return RecordingState::Waiting;
         }
         let Some(missing) = MissingRecord::of(job).filter(|_| is_own) else {
             return RecordingState::Complete;
         };
-        let since = *job.dirty_since.get_or_insert(now);
+        let since = *job.recording.first_unrecorded_change_at.get_or_insert(now);
         let send_by = since + missing.priority(job.is_urgent()).max_delay(policy);
         if missing.should_wait(now, since, send_by, is_budget_idle, policy) {
             return RecordingState::Waiting;
--- a/src/coordination/store_sync/job_records/mod.rs
+++ b/src/coordination/store_sync/job_records/mod.rs
@@ -50,9 +50,9 @@
         let is_budget_idle = self.store.write_budget.is_idle(now);
         let mut due = Vec::new();
         let mut complete = Vec::new();
-        for id in &self.jobs.usage.touched {
-            let is_cascaded = self.jobs.cascaded.contains(id);
-            let Some(job) = self.jobs.by_id.get_mut(id) else {
+        for id in &self.jobs.changed_ids() {
+            let is_cascaded = self.jobs.is_cascaded(id);
+            let Some(job) = self.jobs.get_mut(id) else {
                 complete.push(id.clone());
                 continue;
             };
@@ -66,7 +66,7 @@
             }
         }
         for id in complete {
-            self.jobs.usage.touched.remove(&id);
+            self.jobs.mark_unchanged(&id);
         }
         due.sort();
         due
@@ -83,12 +83,12 @@
         let mut batch = RecordBatch::default();
         while due.front().is_some_and(|next| next.shard == shard) {
             let Some(DueRecord { id, .. }) = due.pop_front() else { break };
-            let missing = self.jobs.by_id.get(&id).and_then(MissingRecord::of);
+            let missing = self.jobs.get(&id).and_then(MissingRecord::of);
             let part = self.propose_job_records(&id, limits);
             let purpose = missing.map_or("nothing", MissingRecord::name);
             self.store.write_budget.count_writes(purpose, part.write_count());
             if part.write_count() == 0 {
-                self.job_txn_over(&id);
+                self.job_txn_finished(&id);
                 continue;
             }
             if !batch.fits(&part, limits) {
@@ -130,19 +130,19 @@
         let guard = self.machine_guard();
         let tasks_per_chunk = self.store.tasks_per_chunk;
         let replica = &self.store.replica;
-        let Some(job) = self.jobs.by_id.get_mut(id) else { return ProposedTxn::default() };
-        job.locked = true;
-        job.dirty_since = None;
+        let Some(job) = self.jobs.get_mut(id) else { return ProposedTxn::default() };
+        job.recording.is_txn_in_flight = true;
+        job.recording.first_unrecorded_change_at = None;
         let none = BTreeMap::new();
         let stored = replica.run_chunks.get(id).unwrap_or(&none);
         let mut changes = ChunkChanges::new(stored, tasks_per_chunk, limits, guard);
         let tasks = job.tasks_to_record(now, tasks_per_chunk, max_progress_delay);
         for task in job.change_chunks(tasks, replica, &mut changes) {
-            job.live.remove(task, &mut self.jobs.usage);
-            job.redo.insert(task);
+            self.jobs.withdraw_attempt(id, task);
         }
+        let Some(job) = self.jobs.get_mut(id) else { return ProposedTxn::default() };
         if changes.is_incomplete() {
-            job.dirty_since = Some(Micros::ZERO);
+            job.recording.first_unrecorded_change_at = Some(Micros::ZERO);
         }
         propose_changes(id, job, changes, replica, write_id, now)
     }
--- a/src/coordination/store_sync/pending_txns.rs
+++ b/src/coordination/store_sync/pending_txns.rs
@@ -1,6 +1,6 @@
 //! Transactions that have not ended yet: what each is for, and whether it waits, is in flight or is to be sent again.
 
-use crate::coordination::api::submissions::Submitted;
+use crate::coordination::api::submissions::SubmittedJob;
 use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
 use crate::protocol::store::Txn;
 use crate::types::{JobId, MachineId, Micros, Revision};
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TxnPurpose {
     /// To accept jobs.
-    Submit(Vec<Submitted>),
+    Submit(Vec<SubmittedJob>),
     /// To store parts of the list of dependencies of that name.
     DependencyListParts(String),
     /// To cancel a job.
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -90,7 +90,7 @@
     pub(crate) fn start_fresh_read(&mut self) {
         let now = self.now();
         let min_interval = self.min_read_interval(FRESH_READ_PART);
-        let is_wanted = self.store.reads.is_fresh_wanted || self.api.wants_read();
+        let is_wanted = self.store.reads.is_fresh_wanted || self.api.needs_read();
         if !is_wanted || !self.store.is_synced() || !self.store.reads.may_send_fresh(now, min_interval) {
             return;
         }
@@ -140,11 +140,11 @@
     fn apply_changes(&mut self, sent_at: LogicalTime, changes: &Changes) {
         let revision = Revision(changes.revision);
         let changed = self.store.replica.advance(&changes.events, revision);
-        self.api.submissions.reached(self.store.replica.applied_revision);
+        self.api.replica_reached(self.store.replica.applied_revision);
         self.changed(changed);
         self.settle_conflicts();
-        self.read_proves(&Evidence::new(sent_at, revision));
-        self.answer_open_questions();
-        self.scheduling.cycle_wanted = true;
+        self.api.note_read_evidence(&Evidence::new(sent_at, revision));
+        self.answer_pending_requests();
+        self.scheduling.request_cycle();
     }
 }
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -107,7 +107,7 @@
                 | TxnPurpose::CascadedCancellations => pending.stage = TxnStage::Queued { send_by: now },
             }
         }
-        self.give_up_submissions();
+        self.reject_overdue_submissions();
         if self.store.txns.is_any_awaiting_replica() {
             self.store.request_fresh_read();
         }
@@ -150,16 +150,16 @@
     /// Tells the part that proposed a transaction how it has ended.
     fn txn_ended(&mut self, purpose: &TxnPurpose, end: &TxnEnd) {
         match purpose {
-            TxnPurpose::Submit(jobs) => jobs.iter().for_each(|job| self.submit_over(job, end)),
-            TxnPurpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
-            TxnPurpose::Cancel(id) => self.cancel_over(id),
+            TxnPurpose::Submit(jobs) => jobs.iter().for_each(|job| self.submission_txn_finished(job, end)),
+            TxnPurpose::DependencyListParts(name) => self.dependency_list_parts_txn_finished(name, end.is_committed()),
+            TxnPurpose::Cancel(id) => self.cancellation_txn_finished(id),
             TxnPurpose::ControllerRecord => self.own_record_txn_ended(end.is_committed()),
             TxnPurpose::Role => self.role_txn_ended(end.is_committed()),
-            TxnPurpose::Machines(_, ids) => self.machines_txn_over(ids),
-            TxnPurpose::Jobs(ids) => ids.iter().for_each(|id| self.job_txn_over(id)),
-            TxnPurpose::ZoneView(name) => self.zone_view_txn_over(name),
+            TxnPurpose::Machines(_, ids) => self.machine_txn_finished(ids),
+            TxnPurpose::Jobs(ids) => ids.iter().for_each(|id| self.job_txn_finished(id)),
+            TxnPurpose::ZoneView(name) => self.zone_view_txn_finished(name),
             TxnPurpose::GarbageCollection | TxnPurpose::CascadedCancellations => {}
         }
-        self.scheduling.cycle_wanted = true;
+        self.scheduling.request_cycle();
     }
 }
