--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -29,8 +29,8 @@
 }
 
 impl Controller {
-    /// Machines with an in-flight command get a new fencing token once they are heard again: a heartbeat that carries it
-    /// proves the command superseded. A few get one each; for many in one shard it is the shard's, which costs two
+    /// Machines with an in-flight command get a new fencing token once they are heard again: a heartbeat that carries
+    /// it proves the command superseded. A few get one each; for many in one shard it is the shard's, which costs two
     /// writes however many they are.
     pub(crate) fn renew_fencing_tokens(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
@@ -94,8 +94,8 @@
         self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::FencingToken, ids));
     }
 
-    /// Agents report exited tasks in every heartbeat until these may be forgotten, which takes a new fencing token. Where
-    /// they make up most of the heartbeats, reading them costs more than the fencing token.
+    /// Agents report exited tasks in every heartbeat until these may be forgotten, which takes a new fencing token.
+    /// Where they make up most of the heartbeats, reading them costs more than the fencing token.
     fn supersede_exited_tasks(&mut self, own_machines: &[MachineId]) {
         let mut by_shard: BTreeMap<u32, ExitedTasks> = BTreeMap::new();
         for machine in own_machines.iter().filter_map(|id| self.fleet.machine(id)) {
--- a/src/coordination/control/mod.rs
+++ b/src/coordination/control/mod.rs
@@ -1,8 +1,8 @@
 //! The rights of this controller and what they rest on: its session in the store, the leadership and shard leases bound
 //! to that session, the fencing tokens it issues, and whether it is isolated from its machines.
 //!
-//! Owns `Control`. Reads the replica for who holds which role, and the fleet for which machines answer. Promises that
-//! a role counts as held only while the replica shows this process as its holder, and that all roles are dropped at once
+//! Owns `Control`. Reads the replica for who holds which role, and the fleet for which machines answer. Promises that a
+//! role counts as held only while the replica shows this process as its holder, and that all roles are dropped at once
 //! when the session is known to have expired.
 
 mod isolation;
--- a/src/coordination/control/rebalancing.rs
+++ b/src/coordination/control/rebalancing.rs
@@ -1,5 +1,5 @@
-//! Shards that this controller releases for others: to balance them after a sibling has come back, and all of them while
-//! it is isolated from its machines.
+//! Shards that this controller releases for others: to balance them after a sibling has come back, and all of them
+//! while it is isolated from its machines.
 
 use crate::coordination::Controller;
 use crate::storage::schema::Role;
--- a/src/coordination/control/session.rs
+++ b/src/coordination/control/session.rs
@@ -9,8 +9,8 @@
 const RETRY_PAUSE: Micros = Micros::from_millis(200);
 /// The session is renewed this many times within its time to live.
 const RENEWALS_PER_TTL: u64 = 4;
-/// Tenths of the time to live after a renewal in which the session is taken to be certainly valid: the rest makes up for
-/// clocks that run at different speeds.
+/// Tenths of the time to live after a renewal in which the session is taken to be certainly valid: the rest makes up
+/// for clocks that run at different speeds.
 const CERTAIN_TTL_TENTHS: u64 = 9;
 
 /// A call about the session that has not been answered yet.
--- a/src/coordination/control/versions.rs
+++ b/src/coordination/control/versions.rs
@@ -1,7 +1,7 @@
 //! Which version of the rules for stored records each controller follows, and what that allows.
 //!
-//! A controller writes its version down with each role it acquires and with its own entry; one from before versions were
-//! announced counts as the first. What a version changes may be relied on only where the record that says so is a
+//! A controller writes its version down with each role it acquires and with its own entry; one from before versions
+//! were announced counts as the first. What a version changes may be relied on only where the record that says so is a
 //! precondition of the same transaction: then an older controller that acquires the role in between makes it fail.
 
 use crate::coordination::Controller;
--- a/src/coordination/store_sync/dispatcher.rs
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -55,8 +55,8 @@
         self.out.push(Effect::Store(StoreCall::Txn { ticket, txn, urgent }));
     }
 
-    /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are put
-    /// together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
+    /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are
+    /// put together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
     pub(crate) fn dispatch_writes(&mut self) {
         let now = self.now();
         if self.api.submissions().is_batch_due(now, self.store.write_budget.batch_interval()) {
--- a/src/coordination/store_sync/evidence.rs
+++ b/src/coordination/store_sync/evidence.rs
@@ -52,8 +52,8 @@
         (requested_at < self.sent_at).then_some(self.revision)
     }
 
-    /// About a job that the call itself accepted under the precondition that it has no outcome. That holds at the commit's
-    /// revision whether or not the replica has reached it, unless other jobs' outcomes decide as well.
+    /// About a job that the call itself accepted under the precondition that it has no outcome. That holds at the
+    /// commit's revision whether or not the replica has reached it, unless other jobs' outcomes decide as well.
     pub fn of_accepted_job(&self, requested_at: LogicalTime) -> Option<Fresh> {
         self.revision_after(requested_at).map(|_| Fresh(()))
     }
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -62,8 +62,8 @@
 }
 
 impl Controller {
-    /// Deletes a few records: batches whose jobs are over or whose machines are deleted, deleted machines, and lists of dependencies
-    /// that no job names. For the leader.
+    /// Deletes a few records: batches whose jobs are over or whose machines are deleted, deleted machines, and lists of
+    /// dependencies that no job names. For the leader.
     pub(crate) fn collect_garbage(&mut self) {
         let now = self.now();
         let is_pending = self.store.txns.has_purpose(&TxnPurpose::GarbageCollection);
--- a/src/coordination/store_sync/job_records/missing_record.rs
+++ b/src/coordination/store_sync/job_records/missing_record.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// As what it counts when writes are short. What an urgent job waits for is over no sooner than its outcome is in the
-    /// stored records.
+    /// As what it counts when writes are short. What an urgent job waits for is over no sooner than its outcome is in
+    /// the stored records.
     fn priority(self, is_job_urgent: bool) -> MissingRecord {
         match self {
             MissingRecord::Outcome if is_job_urgent => MissingRecord::UrgentAttempt,
--- a/src/coordination/store_sync/job_records/mod.rs
+++ b/src/coordination/store_sync/job_records/mod.rs
@@ -1,4 +1,5 @@
-//! Recording what was decided and seen about jobs: attempts before their commands are sent, tasks done or lost, outcomes.
+//! Recording what was decided and seen about jobs: attempts before their commands are sent, tasks done or lost,
+//! outcomes.
 //!
 //! An attempt is recorded under the preconditions that this controller still holds the job's shard, that the job is not
 //! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
@@ -56,8 +57,8 @@
                 complete.push(id.clone());
                 continue;
             };
-            // Otherwise it is for the shard's holder; all are looked at again when the shard is acquired. Jobs cancelled
-            // with another have nothing in the records but the outcome that is written with others'.
+            // Otherwise it is for the shard's holder; all are looked at again when the shard is acquired. Jobs
+            // cancelled with another have nothing in the records but the outcome that is written with others'.
             let is_own = !is_cascaded && self.control.holds(Role::Shard(job.shard));
             match RecordingState::of(id, job, is_own, now, is_budget_idle, &self.policy) {
                 RecordingState::Complete => complete.push(id.clone()),
--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -42,6 +42,7 @@
 }
 
 impl StoreSync {
+    /// Nothing read yet, within the limits of the deployment.
     pub(crate) fn new(platform: &Platform, policy: &Policy) -> StoreSync {
         let limits = &platform.deployment.store;
         StoreSync {
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A controller's copy of the store, exact as of `applied_revision`, with the controller's own commits possibly ahead of
-//! that. For each key, the higher version wins.
+//! A controller's copy of the store, exact as of `applied_revision`, with the controller's own commits possibly ahead
+//! of that. For each key, the higher version wins.
 
 mod apply;
 
