--- a/src/coordination/api/batches.rs
+++ b/src/coordination/api/batches.rs
@@ -5,7 +5,7 @@
 use crate::coordination::api::submissions::{DependencyListInProgress, QueuedSubmission, SubmittedJob};
 use crate::coordination::store_sync::{PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, UserAnswer};
-use crate::storage::schema::{BatchMember, DependencyListParts, Key, to_value};
+use crate::storage::schema::{DependencyListParts, JobBatchMember, Key, to_value};
 use crate::types::{JobId, Micros};
 
 /// Part of the allowed size that a value of several entries is filled to.
@@ -35,14 +35,14 @@
 }
 
 impl Controller {
-    pub(super) fn queue_submission(&mut self, member: BatchMember) {
+    pub(super) fn queue_submission(&mut self, member: JobBatchMember) {
         let due_at = self.now() + Micros::from_millis(self.policy.user_patience_ms);
         self.api.submissions.queue.push_back(QueuedSubmission { due_at, member });
     }
 
     /// Writes a list that is too long for one value to keys of its own, under a name that nobody else uses; the job's
     /// entry then says where it is.
-    pub(super) fn write_dependency_list_parts(&mut self, mut member: BatchMember) {
+    pub(super) fn write_dependency_list_parts(&mut self, mut member: JobBatchMember) {
         let limits = &self.platform.deployment.store;
         let (ops, bytes) = (limits.ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
@@ -90,7 +90,7 @@
     pub(crate) fn write_submission_batch(&mut self) {
         self.api.submissions.last_batch_at = self.now();
         let members = self.next_batch();
-        let name = Key::Batch(format!("{:x}", self.nonce()));
+        let name = Key::JobBatch(format!("{:x}", self.nonce()));
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, name.clone());
         for member in &members {
@@ -100,7 +100,7 @@
             }
         }
         proposal.put(name, to_value(&members));
-        let submitted = |member: BatchMember| {
+        let submitted = |member: JobBatchMember| {
             let has_dependencies =
                 member.record.dependency_list_parts.is_some() || !member.record.spec.depends_on.is_empty();
             SubmittedJob { id: member.id, has_dependencies }
@@ -109,12 +109,12 @@
     }
 
     /// Takes from the queue as many submissions as one value and one transaction's preconditions have space for.
-    fn next_batch(&mut self) -> Vec<BatchMember> {
+    fn next_batch(&mut self) -> Vec<JobBatchMember> {
         let limits = &self.platform.deployment.store;
         let max_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
         let max_preconditions = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
-        let mut members: Vec<BatchMember> = Vec::new();
+        let mut members: Vec<JobBatchMember> = Vec::new();
         let (mut bytes, mut precondition_count) = (0, 0);
         while let Some(QueuedSubmission { member, .. }) = self.api.submissions.queue.front() {
             let mut member = member.clone();
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -86,7 +86,7 @@
         }
         let mut proposal = ProposedTxn::default();
         if let Some(known) = self.store.replica.jobs.get(&id) {
-            proposal.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
+            proposal.unchanged(&self.store.replica, Key::JobBatch(known.batch.clone()));
         }
         proposal.unchanged(&self.store.replica, Key::Outcome(id.clone()));
         proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -12,16 +12,16 @@
 use crate::coordination::store_sync::evidence::Fresh;
 use crate::coordination::{Controller, RequestId, UserAnswer};
 use crate::protocol::user::{JobSpec, Kind, Submission};
-use crate::storage::schema::{BatchMember, JobRecord};
+use crate::storage::schema::{JobBatchMember, JobRecord};
 use crate::types::{JobId, Micros, Resources, Revision};
 use std::collections::{HashMap, VecDeque};
 
 /// How a submission can be written.
 pub(crate) enum StoredForm {
     /// As an entry of a batch.
-    Entry(BatchMember),
+    Entry(JobBatchMember),
     /// Its list of dependencies under keys of its own, the rest as an entry.
-    WithDependencyListParts(BatchMember),
+    WithDependencyListParts(JobBatchMember),
 }
 
 impl StoredForm {
@@ -48,14 +48,14 @@
 /// A submission whose list of dependencies is being written.
 pub(super) struct DependencyListInProgress {
     pub(super) txns_left_count: usize,
-    pub(super) member: BatchMember,
+    pub(super) member: JobBatchMember,
 }
 
 /// A submission that waits for the next batch.
 pub(super) struct QueuedSubmission {
     /// By when it should be written.
     pub(super) due_at: Micros,
-    pub(super) member: BatchMember,
+    pub(super) member: JobBatchMember,
 }
 
 /// Submissions that are being written, and the requests that wait for them.
@@ -110,7 +110,7 @@
 /// dependency follows from the dependency's records, of which the commit tells nothing.
 fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<Fresh> {
     match end {
-        TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.of_taken_in(request.received_at),
+        TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.of_accepted_job(request.received_at),
         _ => None,
     }
 }
@@ -141,8 +141,10 @@
     }
 
     pub(super) fn stored_form(&self, id: JobId, spec: JobSpec) -> Result<StoredForm, SubmissionTooLarge> {
-        let member =
-            BatchMember { id, record: JobRecord { accepted_at: self.clock.wall, dependency_list_parts: None, spec } };
+        let member = JobBatchMember {
+            id,
+            record: JobRecord { accepted_at: self.clock.wall, dependency_list_parts: None, spec },
+        };
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
         if size <= self.platform.deployment.store.value_bytes() {
             Ok(StoredForm::Entry(member))
--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -132,7 +132,7 @@
         let key = Key::Machine(id.clone());
         proposal.unchanged(replica, key.clone());
         // As long as a fleet record names the machine, a record of its own must say that it is gone.
-        match (replica.fleet_of(id), replica.machines.get(id)) {
+        match (replica.machine_batch_of(id), replica.machines.get(id)) {
             (Some(_), Some(machine)) => {
                 let record = MachineRecord { cordon: Some(CordonReason::Deleted), ..machine.value.clone() };
                 proposal.put(key, to_value(&record));
--- a/src/coordination/control/versions.rs
+++ b/src/coordination/control/versions.rs
@@ -1,7 +1,7 @@
 //! Which version of the rules for stored records each controller follows, and what that allows.
 //!
-//! A controller writes its version down with each role it acquires and with its own entry; one from before versions were
-//! announced counts as the first. What a version changes may be relied on only where the record that says so is a
+//! A controller writes its version down with each role it acquires and with its own entry; one from before versions
+//! were announced counts as the first. What a version changes may be relied on only where the record that says so is a
 //! precondition of the same transaction: then an older controller that acquires the role in between makes it fail.
 
 use crate::coordination::Controller;
@@ -49,7 +49,7 @@
 
 /// The oldest version among the controllers that are alive.
 fn oldest_record_version(replica: &Replica) -> Option<RecordVersion> {
-    replica.nodes.values().map(|node| node.value.version).min()
+    replica.controllers.values().map(|node| node.value.version).min()
 }
 
 impl Controller {
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -7,7 +7,7 @@
 use crate::coordination::store_sync::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect, WorkerAnswer};
 use crate::protocol::worker::Heartbeat;
-use crate::storage::schema::{FleetMember, Key, MachineRecord, Role, to_value};
+use crate::storage::schema::{Key, MachineBatchMember, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 
 /// So long a machine's answer counts as a sign that it exists.
@@ -38,7 +38,7 @@
             self.fleet.unregistered.iter().map(|unregistered| unregistered.heartbeat.clone()).collect();
         let now = self.now();
         self.fleet.unregistered_alive_at.retain(|_, at| now.since(*at) < ALIVE_SPAN);
-        let mut members: Vec<FleetMember> = Vec::new();
+        let mut members: Vec<MachineBatchMember> = Vec::new();
         let mut refused = Vec::new();
         let mut bytes = 0;
         for heartbeat in heartbeats {
@@ -81,7 +81,7 @@
         if self.fleet.unregistered_alive_at.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
-    fn new_member(&mut self, heartbeat: &Heartbeat, members: &[FleetMember]) -> FleetMember {
+    fn new_member(&mut self, heartbeat: &Heartbeat, members: &[MachineBatchMember]) -> MachineBatchMember {
         let record = MachineRecord {
             shard: self.neediest_shard(heartbeat, members),
             fencing_token: FencingToken(0),
@@ -91,7 +91,7 @@
             addr: heartbeat.addr.clone().unwrap_or_default(),
             cordon: None,
         };
-        FleetMember { id: heartbeat.machine.clone(), record }
+        MachineBatchMember { id: heartbeat.machine.clone(), record }
     }
 
     fn refuse_heartbeats_of(&mut self, refused: &[MachineId]) {
@@ -105,7 +105,7 @@
     }
 
     /// Records machines that are not in the stored records, all in one value unless it is a single one.
-    fn record_registrations(&mut self, members: Vec<FleetMember>) {
+    fn record_registrations(&mut self, members: Vec<MachineBatchMember>) {
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::Role(Role::Leader));
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
@@ -117,7 +117,7 @@
         match &members[..] {
             [single] => proposal.put(Key::Machine(single.id.clone()), to_value(&single.record)),
             _ => {
-                let name = Key::Fleet(format!("{:x}", self.nonce()));
+                let name = Key::MachineBatch(format!("{:x}", self.nonce()));
                 proposal.unchanged(&self.store.replica, name.clone());
                 proposal.put(name, to_value(&members));
             }
@@ -132,7 +132,7 @@
     }
 
     /// The shard with the most urgent tasks that the machine can take, else the one with the fewest CPUs for its teams.
-    fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
+    fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
         match self.assign_to_unschedulable_tasks(heartbeat) {
             Some(shard) => shard,
             None => self.shard_with_fewest_cpus(heartbeat, registered),
@@ -152,7 +152,7 @@
     }
 
     /// The shard that would have the fewest CPUs for its teams with the machine.
-    fn shard_with_fewest_cpus(&self, heartbeat: &Heartbeat, registered: &[FleetMember]) -> u32 {
+    fn shard_with_fewest_cpus(&self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
         let more = self.cpus_of_type(&heartbeat.machine_type);
         let weights = self.team_weights();
         let cpus = self.cpus_of_shards(registered);
@@ -185,7 +185,7 @@
     }
 
     /// CPUs of each shard's machines, those with a record and those that are just being registered.
-    fn cpus_of_shards(&self, registered: &[FleetMember]) -> Vec<u64> {
+    fn cpus_of_shards(&self, registered: &[MachineBatchMember]) -> Vec<u64> {
         let mut cpus = vec![0u64; self.shard_count() as usize];
         let recorded = self.store.replica.machines.values().map(|held| &held.value);
         for record in recorded.chain(registered.iter().map(|member| &member.record)) {
--- a/src/coordination/fleet/shard_moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -14,7 +14,7 @@
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, RecordVersion, Role, to_value};
-use crate::types::{FencingToken, MachineId, Micros};
+use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
 /// A machine and the shard that it goes to.
@@ -105,7 +105,7 @@
     /// Gives machines to their new shards, as many as one transaction takes, provided that we still have those roles.
     fn send_moves_under(&mut self, roles: &[Role], mut moves: Vec<ShardMove>) {
         moves.truncate(self.platform.deployment.store.ops() - 1);
-        let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
+        let fencing_token = self.store.replica.next_fencing_token();
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::FencingToken);
         for role in roles {
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -134,9 +134,9 @@
             };
         }
         match self.store.replica.roles.get(&role) {
-            Some(held) if held.value.owner != self.label => ConfirmationState::OwnedElsewhere(ShardOwner {
+            Some(held) if held.value.holder != self.label => ConfirmationState::OwnedElsewhere(ShardOwner {
                 shard,
-                label: held.value.owner.clone(),
+                label: held.value.holder.clone(),
                 fencing_token: held.value.fencing_token,
             }),
             _ => ConfirmationState::NoOwner,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -191,9 +191,9 @@
                     self.reconcile_job(&id);
                     self.propagate_outcome(&id);
                 }
-                Change::Node(_) => self.record_versions_changed(),
-                Change::Zone(zone, shard) => self.zone_view_changed(&zone, shard),
-                Change::ZoneHold(zone) => self.zone_cordon_changed(&zone),
+                Change::Controller(_) => self.record_versions_changed(),
+                Change::ZoneView(zone, shard) => self.zone_view_changed(&zone, shard),
+                Change::ZoneCordon(zone) => self.zone_cordon_changed(&zone),
                 Change::Nothing => {}
             }
         }
--- a/src/coordination/store_sync/dispatcher.rs
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -20,7 +20,7 @@
     /// Queues a transaction for the write budget. Those about roles are sent at once: everything else depends on them.
     pub(crate) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
         let max_delay_ms = match purpose {
-            TxnPurpose::Node | TxnPurpose::Role => return self.send_txn(proposal, purpose),
+            TxnPurpose::ControllerRecord | TxnPurpose::Role => return self.send_txn(proposal, purpose),
             TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) | TxnPurpose::Cancel(_) => {
                 self.policy.user_patience_ms
             }
@@ -55,8 +55,8 @@
         self.out.push(Effect::Store(StoreCall::Txn { ticket, txn, urgent }));
     }
 
-    /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are put
-    /// together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
+    /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are
+    /// put together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
     pub(crate) fn dispatch_writes(&mut self) {
         let now = self.now();
         if self.api.submissions().is_batch_due(now, self.store.write_budget.batch_interval()) {
