--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -4,7 +4,7 @@
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::AttemptState;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::coordination::jobs::failures::Failure;
+use crate::coordination::jobs::failures::TaskFailure;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::zones::zone_control::ZoneStart;
 use crate::protocol::user::Kind;
@@ -28,13 +28,13 @@
             ExitCause::Done => {
                 self.progress.unrecorded_done.insert(task);
                 self.recording.first_unrecorded_completion_at.get_or_insert(now);
-                self.failures.succeeded(task);
+                self.failures.note_success(task);
                 None
             }
             ExitCause::Error => {
                 let first_running_at = self.attempts.get(task).and_then(|attempt| attempt.first_running_at);
                 let ran_for = first_running_at.map_or(Micros::ZERO, |at| now.since(at));
-                Some(self.failures.failed(&Failure { task, machine, ran_for }, now, max_retry_delay))
+                Some(self.failures.note_failure(&TaskFailure { task, machine, ran_for }, now, max_retry_delay))
             }
             ExitCause::InsufficientResources | ExitCause::Busy | ExitCause::Unknown => Some(now + REFUSED_RETRY_DELAY),
             ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => None,
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -47,7 +47,7 @@
         self.late_deletion_count += count as u64;
     }
 
-    /// Counts a heartbeat's response that had to be completed by stops that nothing else would have given.
+    /// Counts a stop that a response to a heartbeat would have lacked without a last look at the cancelled jobs.
     pub(crate) fn note_added_stop(&mut self) {
         self.added_stop_count += 1;
     }
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -249,12 +249,12 @@
         }
     }
 
-    /// Another controller tells of cancelled jobs and asks whether we see to their end. What it says counts at once as
+    /// Another controller tells of cancelled jobs and asks whether we enforce that. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
     pub(crate) fn cancellation_notified(&mut self, request_id: RequestId, message: &Cancelled) {
         let holds = self.store.sync.done && {
             self.apply_cancellations(message);
-            self.sees_to_cancellations(message)
+            self.enforces_cancellations(message)
         };
         self.out.push(Effect::AnswerPeer(request_id, CancellationAck { holds }));
     }
@@ -272,7 +272,7 @@
     }
 
     /// Whether we own the shard under the token that the sender has seen, or a later one, and the machines obey.
-    fn sees_to_cancellations(&self, message: &Cancelled) -> bool {
+    fn enforces_cancellations(&self, message: &Cancelled) -> bool {
         let mut jobs = message.jobs.iter().filter(|job| valid_id(&job.id));
         jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
             && self
--- a/src/coordination/jobs/failures.rs
+++ b/src/coordination/jobs/failures.rs
@@ -27,7 +27,7 @@
 const ATTEMPTS_PER_PROVEN: u32 = 2;
 
 /// One failed task.
-pub struct Failure<'a> {
+pub struct TaskFailure<'a> {
     /// Its number.
     pub task: u32,
     /// Where it failed.
@@ -51,7 +51,7 @@
 
 impl FailureHistory {
     /// Notes a failure, and returns from when on the task may be tried again.
-    pub fn failed(&mut self, failure: &Failure, now: Micros, max_retry_delay: Micros) -> Micros {
+    pub fn note_failure(&mut self, failure: &TaskFailure, now: Micros, max_retry_delay: Micros) -> Micros {
         self.longest_run = self.longest_run.max(failure.ran_for);
         if self.machines.len() < MAX_MACHINES_KEPT {
             self.machines.insert(failure.machine.clone());
@@ -68,7 +68,7 @@
 
     /// Notes that a task is done. The retry delays of other tasks that failed stay as they are: some arrays have a
     /// mistake in a part of their tasks only.
-    pub fn succeeded(&mut self, task: u32) {
+    pub fn note_success(&mut self, task: u32) {
         self.consecutive_failures.remove(&task);
         self.machines.clear();
         self.round_count = 0;
--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -9,7 +9,7 @@
 use crate::coordination::jobs::usage::Usage;
 use crate::protocol::user::{Kind, Priority};
 use crate::storage::schema::{Outcome, RunChunk};
-use crate::types::{JobId, MachineId};
+use crate::types::{JobId, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -73,6 +73,23 @@
         machines
     }
 
+    /// A machine without a record was deleted: nothing is on it.
+    fn end_attempts_on_deleted_machines(
+        &mut self,
+        tasks: Range<u32>,
+        is_deleted: impl Fn(&MachineId) -> bool,
+        now: Micros,
+        usage: &mut Usage,
+    ) {
+        let is_lost = |attempt: &TaskAttempt| attempt.occupies_resources() && is_deleted(attempt.machine());
+        let attempts = self.attempts.range(tasks);
+        let lost: Vec<u32> = attempts.filter(|(_, attempt)| is_lost(attempt)).map(|(task, _)| task).collect();
+        for task in lost {
+            self.attempts.set_state(task, AttemptState::ProvenAbsent, usage);
+            self.recording.mark_changed(now);
+        }
+    }
+
     /// Forgets what was seen of the attempts: another controller commanded them meanwhile. Each recorded attempt may
     /// be anywhere between not sent and ended.
     fn reset_attempts(&mut self, usage: &mut Usage) {
@@ -211,17 +228,8 @@
         job.progress.done_count = chunks.values().map(|stored| stored.value.done_count()).sum();
         let is_recorded = |task: u32| chunks.get(&(task / size)).is_some_and(|stored| stored.value.names(task));
         let machines = job.reconcile_chunk(chunk, tasks.clone(), is_recorded, &mut self.jobs.usage);
-        // A machine without a record was deleted: nothing is on it.
-        let is_deleted = |attempt: &TaskAttempt| !self.store.replica.machines.contains_key(attempt.machine());
-        let attempts = job.attempts.range(tasks);
-        let lost: Vec<u32> = attempts
-            .filter(|(_, attempt)| attempt.occupies_resources() && is_deleted(attempt))
-            .map(|(task, _)| task)
-            .collect();
-        for task in lost {
-            job.attempts.set_state(task, AttemptState::ProvenAbsent, &mut self.jobs.usage);
-            job.recording.mark_changed(now);
-        }
+        let is_deleted = |machine: &MachineId| !self.store.replica.machines.contains_key(machine);
+        job.end_attempts_on_deleted_machines(tasks, is_deleted, now, &mut self.jobs.usage);
         let may_wait = job.outcome.is_none() && job.spec.kind == Kind::Array && !job.is_urgent();
         for machine in machines {
             self.machine_freed(&machine);
