--- a/src/coordination/api/batches.rs
+++ b/src/coordination/api/batches.rs
@@ -5,7 +5,7 @@
 use crate::coordination::api::submissions::{DependencyListInProgress, QueuedSubmission, SubmittedJob};
 use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
 use crate::coordination::{Controller, UserAnswer};
-use crate::storage::schema::{BatchMember, Key, to_value};
+use crate::storage::schema::{BatchMember, DependencyListParts, Key, to_value};
 use crate::types::{JobId, Micros};
 
 /// Part of the allowed size that a value of several entries is filled to.
@@ -47,7 +47,8 @@
         let (ops, bytes) = (limits.ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
         let lists = split_dependency_list(std::mem::take(&mut member.record.spec.depends_on), bytes);
-        member.record.pieces = Some((name.clone(), lists.len() as u32));
+        let count = lists.len() as u32;
+        member.record.dependency_list_parts = Some(DependencyListParts { name: name.clone(), count });
         let numbered: Vec<(u32, Vec<JobId>)> = (0..).zip(lists).collect();
         let txns = numbered.chunks(ops);
         let in_progress = DependencyListInProgress { txns_left_count: txns.len(), member };
@@ -93,14 +94,15 @@
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, name.clone());
         for member in &members {
-            proposal.unchanged(&self.store.replica, Key::End(member.id.clone()));
-            if let Some((name, _)) = &member.record.pieces {
-                proposal.unchanged(&self.store.replica, Key::DependencyListPart(name.clone(), 0));
+            proposal.unchanged(&self.store.replica, Key::Outcome(member.id.clone()));
+            if let Some(parts) = &member.record.dependency_list_parts {
+                proposal.unchanged(&self.store.replica, Key::DependencyListPart(parts.name.clone(), 0));
             }
         }
         proposal.put(name, to_value(&members));
         let submitted = |member: BatchMember| {
-            let has_dependencies = member.record.pieces.is_some() || !member.record.spec.depends_on.is_empty();
+            let has_dependencies =
+                member.record.dependency_list_parts.is_some() || !member.record.spec.depends_on.is_empty();
             SubmittedJob { id: member.id, has_dependencies }
         };
         self.send_txn(proposal, Purpose::Submit(members.into_iter().map(submitted).collect()));
@@ -116,10 +118,10 @@
         let (mut bytes, mut precondition_count) = (0, 0);
         while let Some(QueuedSubmission { member, .. }) = self.api.submissions.queue.front() {
             let mut member = member.clone();
-            member.record.accepted = accepted;
+            member.record.accepted_at = accepted;
             let more_bytes = serde_json::to_string(&member).map_or(max_bytes, |text| text.len() + 1);
             // On its outcome, and perhaps on the first part of its list of dependencies.
-            let more_preconditions = 1 + usize::from(member.record.pieces.is_some());
+            let more_preconditions = 1 + usize::from(member.record.dependency_list_parts.is_some());
             let fits = bytes + more_bytes <= max_bytes && precondition_count + more_preconditions <= max_preconditions;
             if !members.is_empty() && !fits {
                 break;
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -9,7 +9,7 @@
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer, UserRequest};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
-use crate::storage::schema::{EndRecord, Key, Outcome, to_value};
+use crate::storage::schema::{Key, Outcome, OutcomeRecord, to_value};
 use crate::types::JobId;
 
 impl Controller {
@@ -88,8 +88,8 @@
         if let Some(known) = self.store.replica.jobs.get(&id) {
             proposal.unchanged(&self.store.replica, Key::Batch(known.batch.clone()));
         }
-        proposal.unchanged(&self.store.replica, Key::End(id.clone()));
-        proposal.put(Key::End(id.clone()), to_value(&EndRecord::cancelled(self.clock.wall)));
+        proposal.unchanged(&self.store.replica, Key::Outcome(id.clone()));
+        proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
         self.submit_txn(proposal, Purpose::Cancel(id));
     }
 
@@ -116,7 +116,7 @@
 
     /// Answers every pending request that the replica is fresh enough for.
     pub(crate) fn answer_pending_requests(&mut self) {
-        let applied = self.store.replica.applied;
+        let applied = self.store.replica.applied_revision;
         for pending in std::mem::take(&mut self.api.pending) {
             match reached(pending.known_revision, applied) {
                 Some(fresh) => self.answer_query(pending.request, pending.query, &fresh),
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -141,7 +141,8 @@
     }
 
     pub(super) fn stored_form(&self, id: JobId, spec: JobSpec) -> Result<StoredForm, SubmissionTooLarge> {
-        let member = BatchMember { id, record: JobRecord { accepted: self.clock.wall, pieces: None, spec } };
+        let member =
+            BatchMember { id, record: JobRecord { accepted_at: self.clock.wall, dependency_list_parts: None, spec } };
         let size = serde_json::to_string(&member).map_or(0, |text| text.len());
         if size <= self.platform.deployment.store.value_bytes() {
             Ok(StoredForm::Entry(member))
@@ -167,7 +168,7 @@
     pub(crate) fn submission_txn_finished(&mut self, job: &SubmittedJob, end: &TxnEnd) {
         let id = &job.id;
         if let TxnEnd::Committed(evidence) = end
-            && evidence.revision() > self.store.replica.applied
+            && evidence.revision() > self.store.replica.applied_revision
         {
             self.api.submissions.note_committed(id, evidence.revision());
         }
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -124,8 +124,8 @@
         if !self.jobs.cancellation_log.admits_line(now) {
             return;
         }
-        let revision = self.store.replica.applied.0;
-        let cancellation_revision = self.store.replica.ends.get(job).map_or(0, |end| end.version);
+        let revision = self.store.replica.applied_revision.0;
+        let cancellation_revision = self.store.replica.outcomes.get(job).map_or(0, |end| end.version);
         tracing::info!(
             %job,
             ?basis,
@@ -149,7 +149,7 @@
         if self.outcome(job) != Some(Outcome::Cancelled) || !self.jobs.cancellation_log.admits_line(now) {
             return;
         }
-        let revision = self.store.replica.applied.0;
+        let revision = self.store.replica.applied_revision.0;
         tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task attempt proven absent");
     }
 
@@ -175,7 +175,7 @@
             late_deletion_count = log.late_deletion_count,
             added_stop_count = log.added_stop_count,
             left_out_count,
-            revision = self.store.replica.applied.0,
+            revision = self.store.replica.applied_revision.0,
             store_silence_ms = self.store_silence_ms(),
             "cancelled task attempts not proven absent"
         );
@@ -189,7 +189,7 @@
             let Some(job) = self.jobs.get(id).filter(|job| job.attempts.occupying_count() > 0) else { continue };
             open.task_count += job.attempts.occupying_count();
             open.unseen_count += job.attempts.values().filter(is_unseen).count();
-            let end = self.store.replica.ends.get(id);
+            let end = self.store.replica.outcomes.get(id);
             let age = end.map_or(Micros::ZERO, |end| self.clock.wall.since(end.value.at));
             open.oldest_age = open.oldest_age.max(age);
         }
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -14,7 +14,7 @@
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
 use crate::protocol::user::valid_id;
-use crate::storage::schema::{EndRecord, Key, Role, to_value};
+use crate::storage::schema::{Key, OutcomeRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -103,7 +103,7 @@
 
 impl Controller {
     fn confirmation_state(&self, id: &JobId) -> ConfirmationState {
-        let Some(end) = self.store.replica.ends.get(id) else {
+        let Some(end) = self.store.replica.outcomes.get(id) else {
             return match self.jobs.is_cascaded(id) {
                 true => ConfirmationState::Confirmed(ConfirmationBasis::CancelledDependency),
                 false => ConfirmationState::ReplicaTooOld,
@@ -114,12 +114,12 @@
         }
         // Who owns the shard is only known as of what was read. An owner from before the cancellation may have a
         // successor by now, and the stored records may name an attempt that is not seen here yet.
-        if self.store.replica.applied.0 < end.version {
+        if self.store.replica.applied_revision.0 < end.version {
             return ConfirmationState::ReplicaTooOld;
         }
         // Attempts are recorded on the precondition that the job isn't over, and leave the stored records only when
         // proven absent: without any, nothing of the job runs or ever will.
-        if !self.store.replica.has_starts(id) {
+        if !self.store.replica.has_recorded_attempts(id) {
             return ConfirmationState::Confirmed(ConfirmationBasis::NoAttempts);
         }
         let Some(job) = self.jobs.get(id) else { return ConfirmationState::ReplicaTooOld };
@@ -130,7 +130,7 @@
     fn confirmation_by_owner(&self, id: &JobId, shard: u32) -> ConfirmationState {
         let role = Role::Shard(shard);
         // Owned here, and the replica shows no later owner.
-        if self.held(role).is_some() {
+        if self.holds(role) {
             return match self.is_obeyed_by_machines_of(id) {
                 true => ConfirmationState::Confirmed(ConfirmationBasis::OwnShard),
                 false => ConfirmationState::MachinesNotObeying,
@@ -220,7 +220,7 @@
 
     fn notify_owner(&mut self, owner: ShardOwner, ids: Vec<JobId>) {
         let cancelled_job = |id: &JobId| {
-            let end = self.store.replica.ends.get(id)?;
+            let end = self.store.replica.outcomes.get(id)?;
             Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
         };
         let jobs = ids.iter().filter_map(cancelled_job).collect();
@@ -236,7 +236,7 @@
         if answer.is_some_and(|ack| ack.holds) {
             cancellations.acknowledged.extend(ids);
             if cancellations.acknowledged.len() > PRUNE_ABOVE {
-                cancellations.acknowledged.retain(|id| self.store.replica.has_starts(id));
+                cancellations.acknowledged.retain(|id| self.store.replica.has_recorded_attempts(id));
             }
             return;
         }
@@ -263,9 +263,9 @@
         let mut changes = Vec::new();
         for job in message.jobs.iter().filter(|job| valid_id(&job.id)) {
             let id = JobId::new(&job.id);
-            if !self.store.replica.ends.contains_key(&id) {
-                let end = to_value(&EndRecord::cancelled(Micros(job.at)));
-                changes.push(self.store.replica.apply(&Key::End(id).to_string(), Some(&end), job.revision));
+            if !self.store.replica.outcomes.contains_key(&id) {
+                let end = to_value(&OutcomeRecord::cancelled(Micros(job.at)));
+                changes.push(self.store.replica.apply(&Key::Outcome(id).to_string(), Some(&end), job.revision));
             }
         }
         self.changed(changes);
@@ -276,7 +276,7 @@
         let mut jobs = message.jobs.iter().filter(|job| valid_id(&job.id));
         jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
             && self
-                .held(Role::Shard(message.shard))
+                .role_token(Role::Shard(message.shard))
                 .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token)
     }
 }
--- a/src/coordination/jobs/chunk_space.rs
+++ b/src/coordination/jobs/chunk_space.rs
@@ -20,9 +20,9 @@
     /// most, which is shorter.
     pub(crate) fn chunk_has_space(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
         let tasks = chunk * self.store.chunk_tasks..(chunk + 1).saturating_mul(self.store.chunk_tasks);
-        let stored = self.store.replica.runs.get(id).and_then(|chunks| chunks.get(&chunk));
+        let stored = self.store.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
         // One that is decided gets one of the next attempt numbers.
-        let max_attempt = stored.map_or(0, |stored| stored.value.attempts) + u64::from(self.store.chunk_tasks);
+        let max_attempt = stored.map_or(0, |stored| stored.value.last_attempt) + u64::from(self.store.chunk_tasks);
         let (mut total_bytes, mut longest_attempt) = (0, 0);
         for (task, attempt) in job.attempts.range(tasks) {
             let bytes = attempt_bytes(task, attempt, max_attempt);
@@ -32,7 +32,7 @@
         let task_digits = digit_count(u64::from(job.spec.tasks));
         let unknown_attempt = ATTEMPT_OVERHEAD_BYTES + task_digits + digit_count(max_attempt) + UNKNOWN_MACHINE_BYTES;
         let next_attempt = longest_attempt.max(unknown_attempt);
-        let range_count = stored.map_or(0, |stored| stored.value.done.len());
+        let range_count = stored.map_or(0, |stored| stored.value.done_ranges.len());
         let ranges = range_count * (RANGE_OVERHEAD_BYTES + 2 * task_digits);
         let size = CHUNK_OVERHEAD_BYTES + total_bytes + next_attempt + ranges;
         size <= self.platform.deployment.store.value_bytes()
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -9,7 +9,7 @@
 use crate::coordination::jobs::dependency_graph::Urgency;
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
 use crate::protocol::user::{JobSpec, Priority};
-use crate::storage::schema::{EndRecord, JobRecord, Key, Outcome, Role, to_value};
+use crate::storage::schema::{JobRecord, Key, Outcome, OutcomeRecord, Role, to_value};
 use crate::types::{JobId, Micros};
 
 /// How the dependencies of a job stand when it becomes known.
@@ -23,14 +23,14 @@
 impl Controller {
     /// The outcome of a job, whether its own records say so or those of a dependency.
     pub(crate) fn outcome(&self, id: &JobId) -> Option<Outcome> {
-        let recorded = self.store.replica.ends.get(id).map(|end| end.value.outcome);
+        let recorded = self.store.replica.outcomes.get(id).map(|end| end.value.outcome);
         recorded.or_else(|| self.jobs.is_cascaded(id).then_some(Outcome::Cancelled))
     }
 
     /// Whether all jobs that it depends on are known to have been accepted.
     pub(crate) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
         let replica = &self.store.replica;
-        spec.depends_on.iter().all(|id| replica.jobs.contains_key(id) || replica.ends.contains_key(id))
+        spec.depends_on.iter().all(|id| replica.jobs.contains_key(id) || replica.outcomes.contains_key(id))
     }
 
     /// Estimate of how long a job takes once it is ready, which its dependencies have to be done ahead of its due time.
@@ -99,7 +99,7 @@
 
     /// A job whose dependency was cancelled is over.
     fn cascade_cancellation(&mut self, id: &JobId) {
-        if self.store.replica.ends.contains_key(id) {
+        if self.store.replica.outcomes.contains_key(id) {
             return;
         }
         if let Some(job) = self.jobs.get_mut(id) {
@@ -112,7 +112,7 @@
     pub(crate) fn propagate_outcome(&mut self, id: &JobId) {
         let mut to_visit = vec![id.clone()];
         while let Some(id) = to_visit.pop() {
-            if self.store.replica.ends.contains_key(&id) {
+            if self.store.replica.outcomes.contains_key(&id) {
                 self.jobs.cascaded.remove(&id);
             }
             let Some(outcome) = self.outcome(&id) else { continue };
@@ -144,15 +144,15 @@
             return;
         }
         let max_count = self.platform.deployment.store.ops();
-        let is_owned = |id: &&JobId| self.jobs.get(id).is_some_and(|job| self.held(Role::Shard(job.shard)).is_some());
+        let is_owned = |id: &&JobId| self.jobs.get(id).is_some_and(|job| self.holds(Role::Shard(job.shard)));
         let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(is_owned).take(max_count).cloned().collect();
         if ids.is_empty() {
             return;
         }
         let mut proposal = ProposedTxn::default();
         for id in ids {
-            proposal.unchanged(&self.store.replica, Key::End(id.clone()));
-            proposal.put(Key::End(id), to_value(&EndRecord::cancelled(self.clock.wall)));
+            proposal.unchanged(&self.store.replica, Key::Outcome(id.clone()));
+            proposal.put(Key::Outcome(id), to_value(&OutcomeRecord::cancelled(self.clock.wall)));
         }
         self.submit_txn(proposal, Purpose::Cascade);
     }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -78,7 +78,7 @@
     pub(super) fn new(id: &JobId, record: &JobRecord, shard: u32) -> Job {
         Job {
             spec: Arc::new(record.spec.clone()),
-            accepted_at: record.accepted,
+            accepted_at: record.accepted_at,
             resources: record.spec.resources(),
             shard,
             attempts: JobAttempts::new(id.clone(), &record.spec),
@@ -87,7 +87,7 @@
             recording: RecordingState::of_recorded_job(),
             scheduling: SchedulingState::default(),
             outcome: None,
-            ready_at: record.accepted,
+            ready_at: record.accepted_at,
             urgency: record.urgency(),
         }
     }
--- a/src/coordination/jobs/progress.rs
+++ b/src/coordination/jobs/progress.rs
@@ -91,10 +91,10 @@
     /// Brings the tasks of one chunk in line with its stored record. `is_recorded`: whether any chunk names a task.
     pub(super) fn reconcile(&mut self, chunk: &RunChunk, tasks: Range<u32>, is_recorded: impl Fn(u32) -> bool) {
         self.unrecorded_done.retain(|task| !tasks.contains(task) || !chunk.is_done(*task));
-        let first_unstarted = self.first_unstarted.max(chunk.next_fresh());
+        let first_unstarted = self.first_unstarted.max(chunk.first_unstarted_task());
         self.to_restart.extend((self.first_unstarted..first_unstarted).filter(|task| !is_recorded(*task)));
         self.first_unstarted = first_unstarted;
-        let recorded = chunk.starts_by_task();
+        let recorded = chunk.attempts_by_task();
         let is_settled = |task: &u32| recorded.contains_key(task) || chunk.is_done(*task);
         self.to_restart.retain(|task| !tasks.contains(task) || !is_settled(task));
     }
--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -31,7 +31,7 @@
 
     /// Removes attempts that are gone from their chunk, or never got into it; returns their machines.
     fn remove_vanished_attempts(&mut self, chunk: &RunChunk, tasks: Range<u32>, usage: &mut Usage) -> Vec<MachineId> {
-        let recorded = chunk.starts_by_task();
+        let recorded = chunk.attempts_by_task();
         let is_being_recorded =
             |attempt: &TaskAttempt| self.recording.is_txn_in_flight && attempt.state() == AttemptState::Decided;
         let has_vanished = |task: u32, attempt: &TaskAttempt| match recorded.get(&task) {
@@ -55,7 +55,7 @@
     /// The attempts that a chunk names are recorded; returns the machines where that is news.
     fn add_recorded_attempts(&mut self, chunk: &RunChunk, usage: &mut Usage) -> Vec<MachineId> {
         let mut machines = Vec::new();
-        for start in &chunk.starts {
+        for start in &chunk.task_attempts {
             match self.attempts.get(start.task).map(TaskAttempt::state) {
                 Some(AttemptState::Decided) => self.attempts.set_state(start.task, AttemptState::Recorded, usage),
                 Some(_) => continue,
@@ -133,7 +133,7 @@
         if !self.reconcile_job_record(id) {
             return;
         }
-        let runs = self.store.replica.runs.get(id);
+        let runs = self.store.replica.run_chunks.get(id);
         let chunks: BTreeSet<u32> = match self.jobs.get(id) {
             Some(job) => {
                 let of_attempts = job.attempts.iter().map(|(task, _)| task / self.store.chunk_tasks);
@@ -157,7 +157,7 @@
 
     /// Adds a job that is new, and notes its outcome. Returns whether the job is known now.
     fn reconcile_job_record(&mut self, id: &JobId) -> bool {
-        let outcome = self.store.replica.ends.get(id).map(|end| end.value.outcome);
+        let outcome = self.store.replica.outcomes.get(id).map(|end| end.value.outcome);
         if !self.jobs.contains_key(id) && !self.add_job(id, outcome) {
             return false;
         }
@@ -175,7 +175,7 @@
     /// Adds a job from its record. One that is over with nothing left of it is named only by its batch, and is not
     /// added.
     fn add_job(&mut self, id: &JobId, outcome: Option<Outcome>) -> bool {
-        if outcome.is_some() && !self.store.replica.runs.contains_key(id) {
+        if outcome.is_some() && !self.store.replica.run_chunks.contains_key(id) {
             return false;
         }
         let Some(known) = self.store.replica.jobs.get(id) else { return false };
@@ -204,9 +204,9 @@
     }
 
     fn forget_if_settled(&mut self, id: &JobId) {
-        let has_chunks = self.store.replica.runs.contains_key(id);
+        let has_chunks = self.store.replica.run_chunks.contains_key(id);
         // One that is over because another was cancelled is known by its entry here until that is written down.
-        let is_ended = self.store.replica.ends.contains_key(id);
+        let is_ended = self.store.replica.outcomes.contains_key(id);
         let is_settled = |job: &Job| {
             let needs_no_more_records = is_ended && job.outcome.is_some() || !job.recording.has_record;
             needs_no_more_records && !has_chunks && job.attempts.is_empty() && !job.recording.is_txn_in_flight
@@ -221,12 +221,12 @@
         let size = self.store.chunk_tasks;
         let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let no_chunks = BTreeMap::new();
-        let chunks = self.store.replica.runs.get(id).unwrap_or(&no_chunks);
+        let chunks = self.store.replica.run_chunks.get(id).unwrap_or(&no_chunks);
         let empty = RunChunk::default();
         let chunk = chunks.get(&number).map_or(&empty, |stored| &stored.value);
         let tasks = number * size..(number + 1).saturating_mul(size);
         job.progress.done_count = chunks.values().map(|stored| stored.value.done_count()).sum();
-        let is_recorded = |task: u32| chunks.get(&(task / size)).is_some_and(|stored| stored.value.names(task));
+        let is_recorded = |task: u32| chunks.get(&(task / size)).is_some_and(|stored| stored.value.mentions(task));
         let machines = job.reconcile_chunk(chunk, tasks.clone(), is_recorded, &mut self.jobs.usage);
         let is_deleted = |machine: &MachineId| !self.store.replica.machines.contains_key(machine);
         job.end_attempts_on_deleted_machines(tasks, is_deleted, now, &mut self.jobs.usage);
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -119,7 +119,7 @@
         if job.recording.is_txn_in_flight
             || !job.recording.has_record
             || job.outcome.is_some()
-            || self.held(Role::Shard(shard)).is_none()
+            || !self.holds(Role::Shard(shard))
         {
             return;
         }
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -51,7 +51,7 @@
                 j.recording.has_record
                     && !j.recording.is_txn_in_flight
                     && j.waiting_count() > 0
-                    && self.held(Role::Shard(j.shard)).is_some()
+                    && self.holds(Role::Shard(j.shard))
             })
             .map(|(id, job)| {
                 let (overdue, within) = (self.is_overdue(job), self.within_guarantee(job));
