--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -1,13 +1,13 @@
 //! Jobs: their attempts, dependencies, cancellations, failures, and the resources that they use.
 //!
 //! Owns what this controller knows of the jobs of all shards. Reads the replica of the stored records, which
-//! [`reconciliation`] brings the jobs in line with after each change. Promises that
+//! `reconciliation` brings the jobs in line with after each change. Promises that
 //!
 //! - an attempt takes resources until a heartbeat, a lease or the cloud proves that it is off its machine
-//!   ([`attempt_events`]), and that the sums in [`usage`] always equal what counting the attempts would give;
-//! - no task of a job starts before all jobs that it depends on are done ([`dependencies`]);
+//!   (`attempt_events`), and that the sums in [`usage`] always equal what counting the attempts would give;
+//! - no task of a job starts before all jobs that it depends on are done (`dependencies`);
 //! - a user is told that a job is cancelled only when its tasks are certain to be stopped in a bounded time
-//!   ([`cancellations`]).
+//!   (`cancellations`).
 
 pub mod attempt;
 pub(crate) mod attempt_events;
