--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -85,7 +85,7 @@
         let (own_urgency, duration) = match self.store.replica.jobs.get(dependency) {
             Some(known) => (known.record.urgency(), self.estimated_duration(&known.record)),
             // It was accepted, as a job names it, but its record was not read yet.
-            None => (Urgency { priority: Priority::Low, due: None }, Micros::ZERO),
+            None => (Urgency { priority: Priority::Low, due_at: None }, Micros::ZERO),
         };
         self.jobs.dependency_graph.note(dependency, own_urgency, duration);
     }
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -15,17 +15,17 @@
     /// The highest of its own and that of its dependents.
     pub priority: Priority,
     /// Time of day by which it should be done.
-    pub due: Option<Micros>,
+    pub due_at: Option<Micros>,
 }
 
 impl Urgency {
     /// The higher priority and the earlier due time of both.
     pub fn max(self, other: Urgency) -> Urgency {
-        let due = match (self.due, other.due) {
+        let due_at = match (self.due_at, other.due_at) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-        Urgency { priority: self.priority.max(other.priority), due }
+        Urgency { priority: self.priority.max(other.priority), due_at }
     }
 }
 
@@ -85,8 +85,8 @@
         let mut to_visit = vec![id.clone()];
         while let Some(id) = to_visit.pop() {
             let Some(node) = self.nodes.get(&id) else { continue };
-            let due = node.urgency.due.map(|due| due - node.duration);
-            let wanted = Urgency { priority: node.urgency.priority, due };
+            let due_at = node.urgency.due_at.map(|at| at - node.duration);
+            let wanted = Urgency { priority: node.urgency.priority, due_at };
             for dependency in node.dependencies.clone() {
                 let Some(node) = self.nodes.get_mut(&dependency) else { continue };
                 let urgency = node.urgency.max(wanted);
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -274,7 +274,7 @@
 
     fn chosen(&self, job: &Job, choices: &Choices) -> Option<usize> {
         let now = self.clock.wall;
-        let slack = match job.urgency.due {
+        let slack = match job.urgency.due_at {
             Some(due) => due.since(now + job.spec.estimate()),
             None => Micros::from_millis(self.policy.default_slack_ms),
         };
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -11,7 +11,7 @@
     /// order of submission makes all late; this way the small ones are on time, and as the time of
     /// submission counts too, no large one waits for ever.
     fn scheduling_time(&self, job: &Job) -> Micros {
-        if let Some(due) = job.urgency.due {
+        if let Some(due) = job.urgency.due_at {
             return due;
         }
         let left =
--- a/src/storage/schema/jobs.rs
+++ b/src/storage/schema/jobs.rs
@@ -58,7 +58,7 @@
 impl JobRecord {
     /// Its own urgency, regardless of the jobs that depend on it.
     pub fn urgency(&self) -> Urgency {
-        let due = self.spec.deadline_s.map(|s| self.accepted_at + Micros::from_secs_f64(s));
-        Urgency { priority: self.spec.priority, due }
+        let due_at = self.spec.deadline_s.map(|s| self.accepted_at + Micros::from_secs_f64(s));
+        Urgency { priority: self.spec.priority, due_at }
     }
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -376,7 +376,7 @@
     let later = (n + 1..jobs.len()).filter(|l| jobs[*l].depends_on.contains(&n));
     later.fold(jobs[n].own, |sum, l| {
         let urgency = plain_urgency(jobs, l);
-        sum.max(Urgency { priority: urgency.priority, due: urgency.due.map(|due| due - jobs[l].span) })
+        sum.max(Urgency { priority: urgency.priority, due_at: urgency.due_at.map(|due| due - jobs[l].span) })
     })
 }
 
@@ -402,7 +402,7 @@
                     depends_on.dedup();
                     let priorities = [Priority::Low, Priority::Normal, Priority::High, Priority::Production];
                     let due = due.map(|due| Micros(u64::from(due)));
-                    let own = Urgency { priority: priorities[usize::from(priority)], due };
+                    let own = Urgency { priority: priorities[usize::from(priority)], due_at: due };
                     let span = Micros(u64::from(span));
                     plain.push(PlainJob { depends_on: depends_on.clone(), own, span, over: None });
                     if plain_over(&plain, count).is_some() {
