--- a/src/coordination/jobs/attempt.rs
+++ b/src/coordination/jobs/attempt.rs
@@ -90,6 +90,12 @@
         self.state.occupies_resources()
     }
 
+    /// Whether it may be on its machine, or get there by a command that has left: only a proof of absence or its end
+    /// says otherwise.
+    pub fn may_be_on_machine(&self) -> bool {
+        self.occupies_resources() && self.state != AttemptState::Decided
+    }
+
     /// Sets the state and returns the earlier one. Only [`JobAttempts`](super::job_attempts::JobAttempts) may call
     /// this: it keeps the sums that depend on the state.
     pub(super) fn replace_state(&mut self, state: AttemptState) -> AttemptState {
--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -75,8 +75,7 @@
     pub(crate) fn attempt_proven_absent(&mut self, id: &JobId, task: u32, proof: AbsenceProof) {
         let now = self.now();
         let attempt = self.jobs.get(id).and_then(|job| job.attempts.get(task));
-        let may_be_on_machine = |state: AttemptState| state.occupies_resources() && state != AttemptState::Decided;
-        let Some(attempt) = attempt.filter(|attempt| may_be_on_machine(attempt.state())).cloned() else { return };
+        let Some(attempt) = attempt.filter(|attempt| attempt.may_be_on_machine()).cloned() else { return };
         let machine = attempt.machine();
         let last_inconclusive_seq = attempt.last_inconclusive_seq;
         tracing::debug!(
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -9,7 +9,6 @@
 
 use crate::coordination::api::UNAVAILABLE;
 use crate::coordination::fleet::clearing::Clearing;
-use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::ConfirmationBasis;
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
@@ -150,8 +149,7 @@
     /// no earlier owner can renew their leases, nor have an attempt started there.
     fn is_obeyed_by_machines_of(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
-        let may_run = |attempt: &&TaskAttempt| attempt.occupies_resources() && attempt.state() != AttemptState::Decided;
-        job.attempts.values().filter(may_run).all(|attempt| {
+        job.attempts.values().filter(|attempt| attempt.may_be_on_machine()).all(|attempt| {
             let machine = attempt.machine();
             self.is_cleared(machine) || self.fleet.machines.get(machine).is_some_and(|m| m.obeys_holder)
         })
