--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -8,7 +8,6 @@
 //! are gone, their machines are deleted (see [`crate::coordination::fleet::cancellation_enforcement`]).
 
 use crate::coordination::api::UNAVAILABLE;
-use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::ConfirmationBasis;
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer};
 use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
@@ -147,8 +146,7 @@
     /// no earlier owner can renew their leases, nor have an attempt started there.
     fn is_obeyed_by_machines_of(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
-        let may_run = |attempt: &&TaskAttempt| attempt.occupies_resources() && attempt.state() != AttemptState::Decided;
-        job.attempts.values().filter(may_run).all(|attempt| {
+        job.attempts.values().filter(|attempt| attempt.may_be_on_machine()).all(|attempt| {
             let machine = attempt.machine();
             self.is_deleted_for_cancellation(machine)
                 || self.fleet.machine(machine).is_some_and(|m| m.ownership.is_holder_confirmed())
@@ -247,12 +245,12 @@
         }
     }
 
-    /// Another controller tells of cancelled jobs and asks whether we see to their end. What it says counts at once as
+    /// Another controller tells of cancelled jobs and asks whether we enforce that. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
     pub(crate) fn cancellation_notified(&mut self, request_id: RequestId, message: &Cancelled) {
         let holds = self.store.is_synced() && {
             self.apply_cancellations(message);
-            self.sees_to_cancellations(message)
+            self.enforces_cancellations(message)
         };
         self.out.push(Effect::AnswerPeer(request_id, CancellationAck { holds }));
     }
@@ -270,7 +268,7 @@
     }
 
     /// Whether we own the shard under the token that the sender has seen, or a later one, and the machines obey.
-    fn sees_to_cancellations(&self, message: &Cancelled) -> bool {
+    fn enforces_cancellations(&self, message: &Cancelled) -> bool {
         let mut jobs = message.jobs.iter().filter(|job| valid_id(&job.id));
         jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
             && self
--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -125,7 +125,7 @@
 
     /// Steps 3 to 5 for the next task of a job.
     pub(super) fn best_candidate(&self, job: &Job, candidates: &Candidates) -> Option<usize> {
-        let slack = match job.urgency.due {
+        let slack = match job.urgency.due_at {
             Some(due) => due.since(self.clock.wall + job.spec.estimate()),
             None => Micros::from_millis(self.policy.default_slack_ms),
         };
--- a/src/coordination/scheduling/job_order.rs
+++ b/src/coordination/scheduling/job_order.rs
@@ -25,7 +25,7 @@
     /// more the more work is left. With more asked than can be done, pure order of submission makes all late; this way
     /// the small ones are on time, and as the time of submission counts too, no large one waits for ever.
     fn turn_at(&self, job: &Job) -> Micros {
-        if let Some(due) = job.urgency.due {
+        if let Some(due) = job.urgency.due_at {
             return due;
         }
         let tasks_left = job.spec.tasks.saturating_sub(job.progress.done_count);
