--- a/src/coordination/autoscaling/capacity_plan.rs
+++ b/src/coordination/autoscaling/capacity_plan.rs
@@ -5,7 +5,7 @@
 use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks};
 use crate::coordination::autoscaling::machine_types::InstanceOffer;
 use crate::protocol::user::Priority;
-use crate::storage::schema::{Hold, MachineRecord};
+use crate::storage::schema::{CordonReason, MachineRecord};
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
@@ -109,7 +109,7 @@
             .machines
             .iter()
             .map(|(id, versioned)| (id, &versioned.value))
-            .filter(|(_, record)| record.shard == shard && record.hold.is_none())
+            .filter(|(_, record)| record.shard == shard && record.cordon.is_none())
             .filter(|(_, record)| self.zone_takes_work(&record.zone))
             .map(|(id, record)| self.capacity_of_machine(id, record))
             .collect()
@@ -126,7 +126,7 @@
     fn reassign_idle_machines(&mut self, capacity: &mut CapacityByShard, unschedulable: &mut [UnschedulableTasks]) {
         for MachineMove { machine, from_shard, to_shard } in self.idle_machine_moves(capacity, unschedulable) {
             tracing::debug!(%machine, from_shard, to_shard, "idle machine reassigned to another shard");
-            self.cordon_as_leader(&machine, Hold::Move(to_shard));
+            self.cordon_as_leader(&machine, CordonReason::MoveToShard(to_shard));
         }
     }
 
@@ -174,7 +174,7 @@
     /// submissions need more.
     pub(crate) fn remaining_machine_moves(&self) -> usize {
         let machines = self.store.replica.machines.values();
-        let moving_count = machines.filter(|machine| matches!(machine.value.hold, Some(Hold::Move(_)))).count();
+        let moving_count = machines.filter(|machine| matches!(machine.value.cordon, Some(CordonReason::MoveToShard(_)))).count();
         let max_moves = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
         max_moves.saturating_sub(moving_count)
     }
--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::cloud_client::CloudRequest;
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
-use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, Purpose};
+use crate::storage::schema::{CordonReason, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -76,10 +76,10 @@
             }
             // The cordon is seen by whoever records starts. A start that crosses with it is lost with the machine, and
             // starts again elsewhere.
-            let is_empty = self.store.replica.applied.0 >= machine.version && self.jobs.usage.is_empty(id);
-            match machine.value.hold {
-                Some(Hold::Doomed) => ids.push(id.clone()),
-                Some(Hold::Retire) if is_empty => ids.push(id.clone()),
+            let is_empty = self.store.replica.applied_revision.0 >= machine.version && self.jobs.usage.is_empty(id);
+            match machine.value.cordon {
+                Some(CordonReason::ForceDelete) => ids.push(id.clone()),
+                Some(CordonReason::Retire) if is_empty => ids.push(id.clone()),
                 _ => {}
             }
         }
@@ -106,10 +106,10 @@
     /// Removes the records of deleted machines, which proves to their shards that nothing is left on them.
     pub(crate) fn delete_machine_records(&mut self, ids: Vec<MachineId>) {
         let is_retired = |id: &MachineId| {
-            self.store.replica.machines.get(id).is_some_and(|machine| machine.value.hold == Some(Hold::Retire))
+            self.store.replica.machines.get(id).is_some_and(|machine| machine.value.cordon == Some(CordonReason::Retire))
         };
         let (retired, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(is_retired);
-        self.delete_machine_records_as(MachineChange::Return, &retired);
+        self.delete_machine_records_as(MachineChange::Retire, &retired);
         self.delete_machine_records_as(MachineChange::Replace, &lost);
     }
 
@@ -130,7 +130,7 @@
         // As long as a fleet record names the machine, a record of its own must say that it is gone.
         match (replica.fleet_of(id), replica.machines.get(id)) {
             (Some(_), Some(machine)) => {
-                let record = MachineRecord { hold: Some(Hold::Gone), ..machine.value.clone() };
+                let record = MachineRecord { cordon: Some(CordonReason::Deleted), ..machine.value.clone() };
                 proposal.put(key, to_value(&record));
             }
             _ => proposal.delete(key),
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::cloud_client::CloudRequest;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::MachineId;
 
 impl Controller {
@@ -25,7 +25,7 @@
             self.autoscaling.cloud.clear_retries();
             return;
         }
-        if !self.surely_leads() {
+        if !self.has_valid_leadership_lease() {
             return;
         }
         self.send_due_cloud_retries();
@@ -45,7 +45,7 @@
     }
 
     /// Cordons a machine of any shard for the leader's plan.
-    pub(crate) fn cordon_as_leader(&mut self, id: &MachineId, reason: Hold) {
+    pub(crate) fn cordon_as_leader(&mut self, id: &MachineId, reason: CordonReason) {
         self.fleet.machines.entry(id.clone()).or_default();
         self.set_hold(id, reason);
     }
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -5,7 +5,7 @@
 use crate::coordination::autoscaling::machine_types::{InstanceOffer, MachineTypeCatalog};
 use crate::coordination::autoscaling::provisioning_history::{ProvisioningHistory, Reliability};
 use crate::protocol::cloud::{InstanceRequest, ListedMachine, ListedState};
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, HashMap};
 
@@ -214,15 +214,15 @@
             let is_recorded = self.store.replica.machines.contains_key(id);
             if machine.state == ListedState::Failed {
                 if is_recorded {
-                    self.cordon_as_leader(id, Hold::Doomed);
+                    self.cordon_as_leader(id, CordonReason::ForceDelete);
                 } else if !self.autoscaling.was_deleted(id) {
                     // The listing lags: one that was deleted stays on it as failed for a while.
                     failed.push(id.clone());
                 }
                 continue;
             }
-            let is_gone = self.autoscaling.was_deleted(id) || self.store.replica.is_gone(id);
-            if !is_recorded && !is_gone {
+            let is_machine_deleted = self.autoscaling.was_deleted(id) || self.store.replica.is_machine_deleted(id);
+            if !is_recorded && !is_machine_deleted {
                 self.autoscaling.provisioning.listed(machine, now);
             }
         }
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::UnschedulableTasks;
 use crate::coordination::autoscaling::capacity_plan::CapacityByShard;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 
 /// One in so many machines is retired at a time, but no fewer than the minimum, so that a short lull doesn't empty the
@@ -26,7 +26,7 @@
             .take(max_count)
             .collect();
         for id in retired {
-            self.cordon_as_leader(&id, Hold::Retire);
+            self.cordon_as_leader(&id, CordonReason::Retire);
         }
     }
 
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -139,7 +139,7 @@
     }
 
     fn request_instances(&mut self, counts: BTreeMap<InstanceOffer, u32>) {
-        let fencing_token = self.held(Role::Leader).unwrap_or_default();
+        let fencing_token = self.role_token(Role::Leader).unwrap_or_default();
         for (offer, count) in counts {
             let number = self.autoscaling.provisioning.next_request_number();
             // The fencing token is this process's alone, so the name is never used again.
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -34,7 +34,7 @@
     fn schedule_job(&mut self, id: &JobId, views: &mut HashMap<u32, ShardView>) {
         let Some(job) = self.jobs.by_id.get(id) else { return };
         let shard = job.shard;
-        if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
+        if job.locked || !job.recorded || job.over.is_some() || !self.holds(Role::Shard(shard)) {
             return;
         }
         let is_gang = job.spec.kind == Kind::Gang;
--- a/src/coordination/scheduling/job_order.rs
+++ b/src/coordination/scheduling/job_order.rs
@@ -70,7 +70,7 @@
     /// long ago, then those within their team's guaranteed quota, then by turn.
     pub(super) fn jobs_in_scheduling_order(&self) -> Vec<JobId> {
         let may_be_scheduled =
-            |job: &Job| job.recorded && !job.locked && job.waiting() > 0 && self.held(Role::Shard(job.shard)).is_some();
+            |job: &Job| job.recorded && !job.locked && job.waiting() > 0 && self.holds(Role::Shard(job.shard));
         let waiting = self.jobs.by_id.iter().filter(|(_, job)| may_be_scheduled(job));
         let mut keys: Vec<OrderingKey> = waiting.map(|(id, job)| self.ordering_key(id, job)).collect();
         keys.sort();
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -112,7 +112,7 @@
             .machines
             .iter()
             .map(|(id, versioned)| (id, &versioned.value))
-            .filter(|(_, record)| record.shard == shard && record.hold.is_none())
+            .filter(|(_, record)| record.shard == shard && record.cordon.is_none())
             .filter(|(id, record)| !self.is_cleared(id) && self.zone_takes_work(&record.zone))
             .filter_map(|(id, record)| {
                 let machine = self.fleet.machines.get(id).filter(|machine| self.is_schedulable(machine))?;
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -39,7 +39,7 @@
             return;
         }
         self.zones.next_evaluation_at = now + EVALUATION_INTERVAL;
-        let held_shards: BTreeSet<u32> = self.held_shards().collect();
+        let held_shards: BTreeSet<u32> = self.control.held_shards().collect();
         self.zones.tracker.set_held_shards(&held_shards, now);
         self.update_liveness(ours);
         for transition in self.zones.tracker.evaluate(now, &self.policy.zones) {
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -9,7 +9,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::protocol::user::Kind;
-use crate::storage::schema::{Hold, Role};
+use crate::storage::schema::{CordonReason, Role};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
         if !self.policy.zones.evacuate || self.zones.displaced_counts.is_empty() {
             return;
         }
-        let shards: Vec<u32> = self.held_shards().collect();
+        let shards: Vec<u32> = self.control.held_shards().collect();
         for shard in shards {
             self.evacuate_shard(shard);
         }
@@ -134,7 +134,7 @@
             let services = self.services_on(&id);
             if take_capacity(&mut available, &services) {
                 tracing::info!(machine = %id, replica_count = services.len(), "machine evacuated from lost zone");
-                self.set_hold(&id, Hold::Doomed);
+                self.set_hold(&id, CordonReason::ForceDelete);
                 in_flight.push(id);
             }
         }
@@ -160,7 +160,7 @@
 
     /// Unresponsive machines of a shard in zones that have been lost for long enough, with services, not yet to be deleted.
     fn machines_to_evacuate(&self, shard: u32) -> Vec<MachineId> {
-        if self.held(Role::Shard(shard)).is_none() {
+        if !self.holds(Role::Shard(shard)) {
             return Vec::new();
         }
         let now = self.now();
@@ -171,7 +171,7 @@
         let zones = tracker.in_condition(Condition::Lost).filter(is_lost_for_long);
         let is_due = |id: &&MachineId| {
             let is_in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
-                record.value.shard == shard && !matches!(record.value.hold, Some(Hold::Doomed | Hold::Gone))
+                record.value.shard == shard && !matches!(record.value.cordon, Some(CordonReason::ForceDelete | CordonReason::Deleted))
             });
             let is_unchanging = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
             is_in_shard && is_unchanging && tracker.is_unresponsive(id) && self.jobs.usage.serves(id)
@@ -184,7 +184,7 @@
         let machines = tracker.in_condition(Condition::Lost).flat_map(|zone| tracker.machines(zone));
         let is_being_deleted = |id: &MachineId| {
             let record = self.store.replica.machines.get(id).map(|record| &record.value);
-            record.is_some_and(|record| record.shard == shard && record.hold == Some(Hold::Doomed))
+            record.is_some_and(|record| record.shard == shard && record.cordon == Some(CordonReason::ForceDelete))
         };
         let is_being_changed = |id: &MachineId| {
             self.fleet.machines.get(id).is_some_and(|machine| machine.shard == Some(shard) && machine.writing)
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -59,7 +59,7 @@
         let last = searched.last().map(|id| (*id).clone());
         let is_our_service = |id: &&JobId| {
             let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
-            job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
+            job.is_some_and(|job| self.holds(Role::Shard(job.shard)))
         };
         let services = searched.into_iter().filter(is_our_service).cloned().collect();
         self.zones.last_searched_job = last;
--- a/src/coordination/zones/stored_views.rs
+++ b/src/coordination/zones/stored_views.rs
@@ -2,7 +2,7 @@
 //! here. Also the cordons that operators put on zones.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::{ProposedTxn, Purpose};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
 use burlhatch_zones::OutdatedRecord;
 
@@ -65,7 +65,7 @@
             if !is_zone_storable(&zone) || !self.zones.views_being_written.insert(name.clone()) {
                 continue;
             }
-            let key = Key::Zone(zone, shard);
+            let key = Key::ZoneView(zone, shard);
             let mut proposal = ProposedTxn::default();
             proposal.unchanged(&self.store.replica, Key::Role(Role::Shard(shard)));
             proposal.unchanged(&self.store.replica, key.clone());
@@ -80,7 +80,7 @@
     /// Views of the shards held here that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<OutdatedRecord> {
         let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
-        let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
+        let ours = unreadable.filter(|((_, shard), _)| self.holds(Role::Shard(*shard)));
         ours.map(|((zone, shard), _)| OutdatedRecord { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
