--- a/src/coordination/autoscaling/capacity_plan.rs
+++ b/src/coordination/autoscaling/capacity_plan.rs
@@ -174,7 +174,8 @@
     /// submissions need more.
     pub(crate) fn remaining_machine_moves(&self) -> usize {
         let machines = self.store.replica.machines.values();
-        let moving_count = machines.filter(|machine| matches!(machine.value.cordon, Some(CordonReason::MoveToShard(_)))).count();
+        let moving_count =
+            machines.filter(|machine| matches!(machine.value.cordon, Some(CordonReason::MoveToShard(_)))).count();
         let max_moves = ((self.platform.deployment.store.write_rps * self.policy.shift_part) as usize).max(1);
         max_moves.saturating_sub(moving_count)
     }
--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::cloud_client::CloudRequest;
-use crate::coordination::store_sync::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,10 +106,14 @@
     /// Removes the records of deleted machines, which proves to their shards that nothing is left on them.
     pub(crate) fn delete_machine_records(&mut self, ids: Vec<MachineId>) {
         let is_retired = |id: &MachineId| {
-            self.store.replica.machines.get(id).is_some_and(|machine| machine.value.cordon == Some(CordonReason::Retire))
+            self.store
+                .replica
+                .machines
+                .get(id)
+                .is_some_and(|machine| machine.value.cordon == Some(CordonReason::Retire))
         };
         let (retired, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(is_retired);
-        self.delete_machine_records_as(MachineChange::Retire, &retired);
+        self.delete_machine_records_as(MachineChange::Return, &retired);
         self.delete_machine_records_as(MachineChange::Replace, &lost);
     }
 
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -2,7 +2,6 @@
 
 use crate::coordination::Controller;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
-use crate::storage::schema::Role;
 use crate::types::{MachineId, Micros};
 use burlhatch_zones::{Condition, Liveness, Moment, Transition};
 use std::collections::BTreeSet;
@@ -51,14 +50,6 @@
         self.move_replicas();
     }
 
-    /// The shards that this controller holds.
-    pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
-        self.control.roles.held.keys().filter_map(|role| match role {
-            Role::Shard(shard) => Some(*shard),
-            Role::Leader => None,
-        })
-    }
-
     fn update_liveness(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let max_silence = Micros::from_millis(self.policy.zones.silent_after_ms);
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -171,7 +171,8 @@
         let zones = tracker.in_condition(Condition::Lost).filter(is_lost_for_long);
         let is_due = |id: &&MachineId| {
             let is_in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
-                record.value.shard == shard && !matches!(record.value.cordon, Some(CordonReason::ForceDelete | CordonReason::Deleted))
+                record.value.shard == shard
+                    && !matches!(record.value.cordon, Some(CordonReason::ForceDelete | CordonReason::Deleted))
             });
             let is_unchanging = self.fleet.machines.get(*id).is_some_and(|machine| !machine.writing);
             is_in_shard && is_unchanging && tracker.is_unresponsive(id) && self.jobs.usage.serves(id)
