--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::cloud_client::CloudRequest;
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::storage::schema::{CordonReason, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -113,7 +113,7 @@
                 .is_some_and(|machine| machine.value.cordon == Some(CordonReason::Retire))
         };
         let (retired, lost): (Vec<_>, Vec<_>) = ids.into_iter().partition(is_retired);
-        self.delete_machine_records_as(MachineChange::Return, &retired);
+        self.delete_machine_records_as(MachineChange::Retire, &retired);
         self.delete_machine_records_as(MachineChange::Replace, &lost);
     }
 
@@ -123,7 +123,7 @@
             for id in ids {
                 self.propose_record_removal(&mut proposal, id);
             }
-            self.submit_txn(proposal, Purpose::Machines(change, ids.to_vec()));
+            self.submit_txn(proposal, TxnPurpose::Machines(change, ids.to_vec()));
         }
     }
 
@@ -132,7 +132,7 @@
         let key = Key::Machine(id.clone());
         proposal.unchanged(replica, key.clone());
         // As long as a fleet record names the machine, a record of its own must say that it is gone.
-        match (replica.fleet_of(id), replica.machines.get(id)) {
+        match (replica.machine_batch_of(id), replica.machines.get(id)) {
             (Some(_), Some(machine)) => {
                 let record = MachineRecord { cordon: Some(CordonReason::Deleted), ..machine.value.clone() };
                 proposal.put(key, to_value(&record));
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -36,7 +36,7 @@
         self.register_machines();
         self.delete_cordoned_machines();
         self.enforce_provisioning_timeout();
-        self.tidy();
+        self.collect_garbage();
         let can_plan = self.autoscaling.cloud.has_listed_machines() && self.autoscaling.has_machine_types();
         if can_plan && self.autoscaling.plan.is_due(now) {
             self.autoscaling.plan.schedule_next(now);
--- a/src/coordination/autoscaling/scale_in.rs
+++ b/src/coordination/autoscaling/scale_in.rs
@@ -34,7 +34,7 @@
     /// writes are scarce.
     fn idle_span_before_scale_in(&mut self) -> Micros {
         let now = self.now();
-        let has_writes_to_spare = self.store.budget.is_idle(now);
+        let has_writes_to_spare = self.store.has_spare_write_budget(now);
         let span_ms = if has_writes_to_spare { self.policy.idle_return_ms } else { self.policy.idle_return_short_ms };
         Micros::from_millis(span_ms)
     }
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -62,7 +62,7 @@
             if !job.may_start(now) {
                 return;
             }
-            let next = job.next_task(now, self.store.chunk_tasks, |chunk| self.chunk_has_room(id, job, chunk));
+            let next = job.next_task(now, self.store.tasks_per_chunk(), |chunk| self.chunk_has_room(id, job, chunk));
             let Some(task) = next else {
                 self.note_blocked(id);
                 return;
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -120,7 +120,7 @@
     }
 
     fn is_cordoned_for_long(&self, zone: &str) -> bool {
-        let cordon = self.store.replica.zone_holds.get(zone);
+        let cordon = self.store.replica.zone_cordons.get(zone);
         let cordoned_at = cordon.map(|cordon| cordon.value.map_or(Micros::ZERO, |record| record.at));
         let min_span = Micros::from_millis(self.policy.zones.hold_wait_ms);
         cordoned_at.is_some_and(|at| self.clock.wall.since(at) >= min_span)
--- a/src/coordination/zones/stored_views.rs
+++ b/src/coordination/zones/stored_views.rs
@@ -2,18 +2,18 @@
 //! here. Also the cordons that operators put on zones.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
+use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
 use burlhatch_zones::OutdatedRecord;
 
 impl Controller {
     /// All views and cordons, once the stored records are read.
     pub(crate) fn load_zones(&mut self) {
-        let views: Vec<(String, u32)> = self.store.replica.zones.keys().cloned().collect();
+        let views: Vec<(String, u32)> = self.store.replica.zone_views.keys().cloned().collect();
         for (zone, shard) in views {
             self.zone_view_changed(&zone, shard);
         }
-        let cordoned: Vec<String> = self.store.replica.zone_holds.keys().cloned().collect();
+        let cordoned: Vec<String> = self.store.replica.zone_cordons.keys().cloned().collect();
         for zone in cordoned {
             self.zone_cordon_changed(&zone);
         }
@@ -25,7 +25,7 @@
             return;
         }
         let now = self.moment();
-        let stored = self.store.replica.zones.get(&(zone.to_string(), shard));
+        let stored = self.store.replica.zone_views.get(&(zone.to_string(), shard));
         if stored.is_some_and(|stored| stored.value.is_none()) {
             tracing::warn!(zone, shard, "stored zone view unreadable, rewriting it");
         }
@@ -38,7 +38,7 @@
     /// A shard has another holder: which views count as votes follows from that.
     pub(crate) fn zone_views_of_role_changed(&mut self, role: Role) {
         let Role::Shard(shard) = role else { return };
-        let views = self.store.replica.zones.keys().filter(|(_, of_shard)| *of_shard == shard);
+        let views = self.store.replica.zone_views.keys().filter(|(_, of_shard)| *of_shard == shard);
         let zones: Vec<String> = views.map(|(zone, _)| zone.clone()).collect();
         for zone in zones {
             self.zone_view_changed(&zone, shard);
@@ -47,7 +47,7 @@
 
     /// Operators have cordoned a zone, or lifted the cordon.
     pub(crate) fn zone_cordon_changed(&mut self, zone: &str) {
-        let is_cordoned = self.store.replica.zone_holds.contains_key(zone);
+        let is_cordoned = self.store.replica.zone_cordons.contains_key(zone);
         if self.handles_zone_failures() && self.zones.tracker.is_cordoned(zone) != is_cordoned {
             tracing::info!(zone, is_cordoned, "zone cordon changed by operators");
             self.zones.tracker.set_cordoned(zone, is_cordoned);
@@ -65,7 +65,7 @@
             if !is_zone_storable(&zone) || !self.zones.views_being_written.insert(name.clone()) {
                 continue;
             }
-            let key = Key::Zone(zone, shard);
+            let key = Key::ZoneView(zone, shard);
             let mut proposal = ProposedTxn::default();
             proposal.unchanged(&self.store.replica, Key::Role(Role::Shard(shard)));
             proposal.unchanged(&self.store.replica, key.clone());
@@ -73,13 +73,13 @@
                 Some(record) => proposal.put(key, to_value(&record)),
                 None => proposal.delete(key),
             }
-            self.submit_txn(proposal, Purpose::ZoneView(name));
+            self.submit_txn(proposal, TxnPurpose::ZoneView(name));
         }
     }
 
     /// Views of the shards held here that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<OutdatedRecord> {
-        let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
+        let unreadable = self.store.replica.zone_views.iter().filter(|(_, stored)| stored.value.is_none());
         let ours = unreadable.filter(|((_, shard), _)| self.holds(Role::Shard(*shard)));
         ours.map(|((zone, shard), _)| OutdatedRecord { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
