--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::protocol::worker::AgentCommand;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{JobId, MachineId};
 
 /// Commands in one message at most, so that it stays below the size limit.
@@ -58,7 +58,8 @@
         let Some(machine) = self.fleet.machine(id) else { return Vec::new() };
         let incarnation = machine.incarnation();
         let mut commands = commands_for_unrecorded(machine);
-        let is_doomed = self.store.replica.machines.get(id).is_none_or(|m| m.value.hold == Some(Hold::Doomed));
+        let is_doomed =
+            self.store.replica.machines.get(id).is_none_or(|m| m.value.cordon == Some(CordonReason::ForceDelete));
         let mut never_sent: Vec<(JobId, u32)> = Vec::new();
         for (job_id, index) in self.jobs.usage.starts_on(id) {
             let job = self.jobs.by_id.get_mut(&job_id);
--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -85,7 +85,7 @@
     /// Notes by when a cancelled job's tasks have to be proven gone. Counted from what the stored records say, so it holds
     /// for a successor as well.
     pub(crate) fn note_cancellation_deadline(&mut self, id: &JobId) {
-        let Some(end) = self.store.replica.ends.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
+        let Some(end) = self.store.replica.outcomes.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
             return;
         };
         if !self.jobs.by_id.contains_key(id) {
@@ -182,7 +182,7 @@
     /// does, and as long as the store is away nobody can take it.
     fn enforces_cancellations_of(&self, shard: u32) -> bool {
         let role = Role::Shard(shard);
-        self.held(role).is_some() || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
+        self.holds(role) || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
     }
 
     /// The cloud did not confirm a deletion. It is asked for again as long as it is due.
--- a/src/coordination/fleet/direct_commands.rs
+++ b/src/coordination/fleet/direct_commands.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::machine::{Machine, MessagePosition};
 use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
 use crate::protocol::worker::{DirectCommands, Heartbeat};
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{FencingToken, MachineId, Micros};
 use std::net::SocketAddr;
 
@@ -109,9 +109,7 @@
                 return;
             }
         }
-        if self.control.roles.unfit || self.control.roles.looking_since.is_some() {
-            self.control.roles.answered += 1;
-        }
+        self.control.record_machine_answer();
         let shows_later_token = fencing_token.is_none_or(|token| heartbeat.fencing_token > token);
         if !is_from_machine || shows_later_token {
             if let Some(machine) = self.fleet.machine_mut(id).filter(|_| is_from_machine) {
@@ -129,7 +127,7 @@
         // what was on it is gone. Incarnations can't tell, a deletion can.
         if machine.commands.precedes_last_message(MessagePosition::from(heartbeat)) {
             tracing::warn!(machine = %id, "agent lost its incarnation");
-            self.cordon(id, Hold::Doomed);
+            self.cordon(id, CordonReason::ForceDelete);
             return;
         }
         let has_other_incarnation = heartbeat.incarnation != machine.incarnation();
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -3,14 +3,14 @@
 
 use crate::coordination::Controller;
 use crate::protocol::user::Kind;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::MachineId;
 
 impl Controller {
     /// A machine to be returned is emptied first.
     pub(super) fn drain_retired(&mut self, own_machines: &[MachineId]) {
         for id in own_machines {
-            if self.store.replica.machines.get(id).is_some_and(|held| held.value.hold == Some(Hold::Retire)) {
+            if self.store.replica.machines.get(id).is_some_and(|held| held.value.cordon == Some(CordonReason::Retire)) {
                 self.drain(id);
             }
         }
--- a/src/coordination/fleet/failure_detection/missing_heartbeats.rs
+++ b/src/coordination/fleet/failure_detection/missing_heartbeats.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::fleet::Fleet;
 use crate::coordination::fleet::machine::Machine;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 
 /// Heartbeat intervals after which the next heartbeat is overdue.
@@ -41,7 +41,7 @@
             return;
         }
         for id in &missing {
-            self.cordon(id, Hold::Doomed);
+            self.cordon(id, CordonReason::ForceDelete);
         }
     }
 }
--- a/src/coordination/fleet/failure_detection/probes.rs
+++ b/src/coordination/fleet/failure_detection/probes.rs
@@ -143,7 +143,7 @@
     /// Probes a few machines, of shards that are not held here if there are any.
     pub(crate) fn probe_sample(&mut self) {
         let machines = &self.store.replica.machines;
-        let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
+        let is_ours = |shard: u32| self.holds(Role::Shard(shard));
         let mut ids: Vec<&MachineId> =
             machines.iter().filter(|(_, m)| !is_ours(m.value.shard)).map(|(id, _)| id).collect();
         if ids.is_empty() {
--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::Fleet;
 use crate::coordination::fleet::failure_detection::ExpiryMargin;
 use crate::coordination::fleet::machine::Machine;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
@@ -134,7 +134,7 @@
         }
         for verdict in verdicts {
             if let Verdict::Failed(id) = verdict {
-                self.cordon(&id, Hold::Doomed);
+                self.cordon(&id, CordonReason::ForceDelete);
             }
         }
     }
@@ -149,7 +149,7 @@
                 !machine.ownership.is_token_confirmed() && machine.contact.silence(now) >= bound
             });
             if is_never_seen {
-                self.cordon(id, Hold::Doomed);
+                self.cordon(id, CordonReason::ForceDelete);
             }
         }
     }
--- a/src/coordination/fleet/failure_detection/unreachable_machines.rs
+++ b/src/coordination/fleet/failure_detection/unreachable_machines.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::fleet::Fleet;
 use crate::coordination::fleet::machine::Machine;
-use crate::storage::schema::Hold;
+use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 
 /// In a small shard so many machines may fail independently.
@@ -81,7 +81,7 @@
             return;
         }
         for id in &unreachable {
-            self.cordon(id, Hold::Doomed);
+            self.cordon(id, CordonReason::ForceDelete);
         }
     }
 }
--- a/src/coordination/fleet/faulty_machines.rs
+++ b/src/coordination/fleet/faulty_machines.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::{JobFailures, TaskFailures};
 use crate::coordination::jobs::usage::Start;
-use crate::storage::schema::{Hold, Outcome};
+use crate::storage::schema::{CordonReason, Outcome};
 use crate::types::{JobId, MachineId};
 
 /// A job that failed so often on one machine, and on no other, was tried there again after a pause.
@@ -21,10 +21,10 @@
             if !self.is_faulty(id, &machine.task_failures) {
                 continue;
             }
-            let hold = self.store.replica.machines.get(id).and_then(|held| held.value.hold);
-            if hold.is_none() {
+            let cordon = self.store.replica.machines.get(id).and_then(|held| held.value.cordon);
+            if cordon.is_none() {
                 tracing::warn!(machine = %id, "machine faulty: tasks of several jobs fail there");
-                self.cordon(id, Hold::Retire);
+                self.cordon(id, CordonReason::Retire);
             }
         }
     }
@@ -69,10 +69,10 @@
     /// on another machine than any that failed.
     fn succeeds_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &JobFailures) -> bool {
         let Some(job) = self.jobs.by_id.get(job_id) else {
-            return self.store.replica.ends.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
+            return self.store.replica.outcomes.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
         };
         let task = failures.last_task;
-        let chunks = self.store.replica.runs.get(job_id);
+        let chunks = self.store.replica.run_chunks.get(job_id);
         let chunk = chunks.and_then(|chunks| chunks.get(&(task / self.store.chunk_tasks))).map(|c| &c.value);
         let runs_on = |start: &Start| start.machine() != id && job.failures.got_further(start, self.now());
         job.is_task_done(task, chunk) || job.live.get(task).is_some_and(runs_on)
--- a/src/coordination/fleet/fleet_checks.rs
+++ b/src/coordination/fleet/fleet_checks.rs
@@ -21,7 +21,7 @@
         let own_machines = self.machines_of_held_shards();
         let recorded = &self.store.replica.machines;
         self.fleet.machines.retain(|id, machine| recorded.contains_key(id) || machine.awaits_outcome());
-        self.judge_contact(&own_machines);
+        self.update_isolation(&own_machines);
         self.expire_leases(&own_machines);
         self.enforce_cancellation_deadlines();
         self.probe(&own_machines);
@@ -39,7 +39,7 @@
 
     fn machines_of_held_shards(&self) -> Vec<MachineId> {
         let machines = self.store.replica.machines.iter();
-        let is_ours = |shard: u32| self.held(Role::Shard(shard)).is_some();
+        let is_ours = |shard: u32| self.holds(Role::Shard(shard));
         machines.filter(|(_, record)| is_ours(record.value.shard)).map(|(id, _)| id.clone()).collect()
     }
 
--- a/src/coordination/fleet/machine_records.rs
+++ b/src/coordination/fleet/machine_records.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
-use crate::storage::schema::{Hold, Key, MachineRecord, Role, to_value};
+use crate::storage::schema::{CordonReason, Key, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Resources};
 
 impl Controller {
@@ -16,7 +16,7 @@
     /// The fencing token for commands to a machine of a shard we hold.
     pub(crate) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
         let record = &self.store.replica.machines.get(id)?.value;
-        let fencing_token = self.held(Role::Shard(record.shard))?;
+        let fencing_token = self.role_token(Role::Shard(record.shard))?;
         Some(fencing_token.max(record.fencing_token))
     }
 
@@ -143,7 +143,7 @@
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         let Some(held) = self.store.replica.machines.get(id) else { return };
         let shard = Role::Shard(held.value.shard);
-        let role = [shard, Role::Leader].into_iter().find(|role| self.control.roles.held.contains_key(role));
+        let role = [shard, Role::Leader].into_iter().find(|role| self.control.holds(*role));
         let Some(role) = role.filter(|_| !machine.is_record_changing()) else { return };
         let mut record = held.value.clone();
         change(&mut record);
@@ -160,18 +160,18 @@
 
     /// Cordons a machine, so that nothing more starts there, unless its record is just being changed or it is already to
     /// be deleted.
-    pub(crate) fn cordon(&mut self, id: &MachineId, reason: Hold) {
-        let before = self.store.replica.machines.get(id).and_then(|m| m.value.hold);
+    pub(crate) fn cordon(&mut self, id: &MachineId, reason: CordonReason) {
+        let before = self.store.replica.machines.get(id).and_then(|m| m.value.cordon);
         let is_changing = self.fleet.machine(id).is_none_or(Machine::is_record_changing);
-        if before == Some(Hold::Doomed) || before == Some(reason) || is_changing {
+        if before == Some(CordonReason::ForceDelete) || before == Some(reason) || is_changing {
             return;
         }
         tracing::info!(machine = %id, ?reason, "machine cordoned");
         let what = match reason {
-            Hold::Move(_) => MachineChange::Move,
-            Hold::Retire => MachineChange::Return,
-            Hold::Doomed | Hold::Gone => MachineChange::Replace,
+            CordonReason::MoveToShard(_) => MachineChange::Move,
+            CordonReason::Retire => MachineChange::Return,
+            CordonReason::ForceDelete | CordonReason::Deleted => MachineChange::Replace,
         };
-        self.write_machine(id, what, |record| record.hold = Some(reason));
+        self.write_machine(id, what, |record| record.cordon = Some(reason));
     }
 }
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -72,7 +72,7 @@
         }
         let leader = &self.autoscaling.leader;
         let is_deleted = leader.deleting.contains(id) || leader.deleted.contains_key(id);
-        if is_deleted || self.store.replica.is_gone(id) {
+        if is_deleted || self.store.replica.is_machine_deleted(id) {
             return Registration::Deleted;
         }
         if self.fleet.machine(id).is_some_and(Machine::is_registering) {
@@ -89,7 +89,7 @@
             zone: heartbeat.zone.clone(),
             spot: heartbeat.spot,
             addr: heartbeat.addr.clone().unwrap_or_default(),
-            hold: None,
+            cordon: None,
         };
         FleetMember { id: heartbeat.machine.clone(), record }
     }
--- a/src/coordination/fleet/shard_moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -13,7 +13,7 @@
 use crate::coordination::control::versions::{Mover, mover};
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
-use crate::storage::schema::{Hold, Key, MachineRecord, RecordVersion, Role, to_value};
+use crate::storage::schema::{CordonReason, Key, MachineRecord, RecordVersion, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use std::collections::BTreeMap;
 
@@ -42,10 +42,10 @@
             }
             has_moves |= !departing.empty.is_empty();
             for ShardMove { machine, to } in departing.occupied {
-                if self.held(Role::Shard(shard)).is_some() && self.should_drain_for(&machine, to) {
+                if self.holds(Role::Shard(shard)) && self.should_drain_for(&machine, to) {
                     self.drain(&machine);
                 } else {
-                    self.write_machine(&machine, MachineChange::Move, |record| record.hold = None);
+                    self.write_machine(&machine, MachineChange::Move, |record| record.cordon = None);
                 }
             }
         }
@@ -68,12 +68,12 @@
     /// The roles by which this controller may move machines out of a shard, which must last; none if it is not for it to do.
     fn roles_for_moves(&self, shard: u32) -> Vec<Role> {
         let holder = Role::Shard(shard);
-        let leads = self.is_leader() && self.surely_leads();
+        let leads = self.is_leader() && self.has_valid_leadership_lease();
         if self.record_version() == RecordVersion::FIRST {
             return if leads { vec![Role::Leader] } else { Vec::new() };
         }
         match mover(&self.store.replica, shard) {
-            Mover::Holder if self.held(holder).is_some() => vec![holder],
+            Mover::Holder if self.holds(holder) => vec![holder],
             // Its holder is of the first version, and must still be when the machine moves.
             Mover::Leader if leads => vec![Role::Leader, holder],
             _ => Vec::new(),
@@ -84,9 +84,9 @@
     fn departing_machines(&self) -> BTreeMap<u32, DepartingMachines> {
         let mut by_shard: BTreeMap<u32, DepartingMachines> = BTreeMap::new();
         for (id, held) in &self.store.replica.machines {
-            let Some(Hold::Move(to)) = held.value.hold else { continue };
+            let Some(CordonReason::MoveToShard(to)) = held.value.cordon else { continue };
             // From the revision of the cordon on the replica shows every start that others recorded there.
-            let is_visible = self.store.replica.applied.0 >= held.version;
+            let is_visible = self.store.replica.applied_revision.0 >= held.version;
             let is_changing = self.fleet.machine(id).is_some_and(Machine::is_record_changing);
             if !is_visible || is_changing || self.autoscaling.leader.deleting.contains(id) {
                 continue;
@@ -115,7 +115,7 @@
         let mut ids = Vec::new();
         for ShardMove { machine: id, to } in moves {
             let Some(held) = self.store.replica.machines.get(&id) else { continue };
-            let record = MachineRecord { shard: to, fencing_token, hold: None, ..held.value.clone() };
+            let record = MachineRecord { shard: to, fencing_token, cordon: None, ..held.value.clone() };
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
             self.fleet.machine_or_insert(&id).record_change_started();
--- a/src/coordination/store_sync/txns.rs
+++ b/src/coordination/store_sync/txns.rs
@@ -267,7 +267,7 @@
             }
             TxnOutcome::NoLease => {
                 let Some(pending) = self.store.txns.pending.remove(&ticket) else { return };
-                self.session_ended();
+                self.session_expired();
                 self.txn_over(&pending.purpose, &TxnEnd::Unknown);
             }
             TxnOutcome::Invalid => {
@@ -320,7 +320,7 @@
 
     /// Settles conflicts that the replica has caught up with.
     pub(crate) fn txns_read(&mut self) {
-        let applied = self.store.replica.applied.0;
+        let applied = self.store.replica.applied_revision.0;
         let reached = |pending: &Pending| match pending.stage {
             Stage::Reading(revision) if revision <= applied => Some(Revision(revision)),
             _ => None,
@@ -340,10 +340,10 @@
     /// earlier counts. A commit that the replica has passed already is in it, with
     /// whatever happened to its keys since.
     fn apply_own(&mut self, txn: &Txn, revision: u64) {
-        if revision <= self.store.replica.applied.0 {
+        if revision <= self.store.replica.applied_revision.0 {
             return;
         }
-        let is_next = revision == self.store.replica.applied.0 + 1;
+        let is_next = revision == self.store.replica.applied_revision.0 + 1;
         let mut changes = Vec::new();
         for write in &txn.writes {
             let (key, value) = match write {
@@ -364,7 +364,8 @@
             Purpose::Submit(jobs) => jobs.iter().for_each(|job| self.submit_over(job, end)),
             Purpose::DependencyListParts(name) => self.dependency_list_parts_over(name, end.is_committed()),
             Purpose::Cancel(id) => self.cancel_over(id),
-            Purpose::Node | Purpose::Role => self.role_txn_over(purpose, !end.is_committed()),
+            Purpose::Node => self.node_txn_ended(end.is_committed()),
+            Purpose::Role => self.role_txn_ended(end.is_committed()),
             Purpose::Machines(_, ids) => self.machine_txn_finished(ids),
             Purpose::Tidy | Purpose::Cascade => {}
             Purpose::ZoneView(name) => self.zone_view_txn_over(name),
