--- a/src/coordination/store_sync/dispatcher.rs
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -1,5 +1,6 @@
 //! Which writes are sent when: the write budget goes to what can wait least.
 
+use crate::coordination::store_sync::StoreSync;
 use crate::coordination::store_sync::pending_txns::{PendingTxn, TxnPurpose, TxnStage};
 use crate::coordination::store_sync::proposed_txn::ProposedTxn;
 use crate::coordination::{Controller, Effect, StoreCall};
@@ -16,6 +17,28 @@
     JobRecords,
 }
 
+impl StoreSync {
+    /// Adds a transaction to those that have not ended; says its ticket.
+    fn add_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose, stage: TxnStage) -> u64 {
+        let ticket = self.next_ticket();
+        self.txns.insert(ticket, PendingTxn::new(proposal.into_txn(), purpose, stage));
+        ticket
+    }
+
+    /// The call that sends a transaction, with its writes taken off the write budget.
+    fn start_txn(&mut self, ticket: u64, now: Micros) -> Option<StoreCall> {
+        let pending = self.txns.get_mut(ticket)?;
+        pending.stage = TxnStage::InFlight;
+        pending.sent_at = self.logical_clock.tick();
+        pending.attempt_count += 1;
+        let write_count = pending.txn.writes.len();
+        self.write_budget.spend(now, write_count);
+        self.write_budget.count_writes(pending.purpose.name(), write_count);
+        let (txn, urgent) = (pending.txn.clone(), pending.purpose.is_urgent());
+        Some(StoreCall::Txn { ticket, txn, urgent })
+    }
+}
+
 impl Controller {
     /// Queues a transaction for the write budget. Those about roles are sent at once: everything else depends on them.
     pub(crate) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
@@ -29,30 +52,19 @@
             TxnPurpose::GarbageCollection | TxnPurpose::CascadedCancellations => self.policy.tidy_patience_ms,
         };
         let send_by = self.now() + Micros::from_millis(max_delay_ms);
-        let ticket = self.store.next_ticket();
-        let pending = PendingTxn::new(proposal.into_txn(), purpose, TxnStage::Queued { send_by });
-        self.store.txns.insert(ticket, pending);
+        self.store.add_txn(proposal, purpose, TxnStage::Queued { send_by });
     }
 
     /// Sends a transaction at once.
     pub(crate) fn send_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
-        let ticket = self.store.next_ticket();
-        self.store.txns.insert(ticket, PendingTxn::new(proposal.into_txn(), purpose, TxnStage::InFlight));
+        let ticket = self.store.add_txn(proposal, purpose, TxnStage::InFlight);
         self.send_pending_txn(ticket);
     }
 
     /// Sends a transaction, for the first time or again.
     pub(super) fn send_pending_txn(&mut self, ticket: u64) {
-        let now = self.now();
-        let Some(pending) = self.store.txns.get_mut(ticket) else { return };
-        pending.stage = TxnStage::InFlight;
-        pending.sent_at = self.store.logical_clock.tick();
-        pending.attempt_count += 1;
-        let write_count = pending.txn.writes.len();
-        self.store.write_budget.spend(now, write_count);
-        self.store.write_budget.count_writes(pending.purpose.name(), write_count);
-        let (txn, urgent) = (pending.txn.clone(), pending.purpose.is_urgent());
-        self.out.push(Effect::Store(StoreCall::Txn { ticket, txn, urgent }));
+        let call = self.store.start_txn(ticket, self.clock.steady);
+        self.out.extend(call.map(Effect::Store));
     }
 
     /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are
--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -1,6 +1,7 @@
 //! The initial sync: all records, page by page, then what changed since the first page. Only then is the replica what
 //! the store held at one moment, and anything decided or answered by it.
 
+use crate::coordination::store_sync::StoreSync;
 use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
 use crate::protocol::store::{Changes, Page};
 use crate::types::{Micros, Revision};
@@ -83,25 +84,40 @@
     }
 }
 
-impl Controller {
-    /// Sends the next call of the initial sync if none is in flight.
-    pub(super) fn tick_initial_sync(&mut self) {
-        if self.store.initial_sync.is_call_due(self.now()) {
-            self.continue_initial_sync();
-        }
+impl StoreSync {
+    /// The next call of the initial sync, if none is in flight.
+    pub(super) fn due_sync_call(&mut self, now: Micros) -> Option<StoreCall> {
+        self.initial_sync.is_call_due(now).then(|| self.next_sync_call())
     }
 
-    fn continue_initial_sync(&mut self) {
-        let ticket = self.store.next_ticket();
-        let applied = self.store.replica.applied_revision;
-        let call = self.store.initial_sync.start_call(ticket, applied);
-        self.out.push(Effect::Store(call));
+    fn next_sync_call(&mut self) -> StoreCall {
+        let ticket = self.next_ticket();
+        self.initial_sync.start_call(ticket, self.replica.applied_revision)
+    }
+
+    fn retry_sync_later(&mut self, now: Micros) {
+        self.initial_sync.retry_at = now + PAUSE_AFTER_FAILURE;
+    }
+
+    /// Takes up a page; after the last one the replica is as of the first.
+    fn apply_page(&mut self, page: &Page) {
+        for item in &page.items {
+            self.replica.apply(&item.key, Some(&item.value), item.version);
+        }
+        if let Some(first_revision) = self.initial_sync.page_read(page) {
+            self.replica.applied_revision = first_revision;
+        }
     }
 
-    fn retry_initial_sync_later(&mut self) {
-        self.store.initial_sync.retry_at = self.now() + PAUSE_AFTER_FAILURE;
+    /// Takes up what changed since the first page: the replica is complete.
+    fn catch_up(&mut self, changes: &Changes, now: Micros) {
+        self.replica.advance(&changes.events, Revision(changes.revision));
+        self.replica.complete_dependency_lists();
+        self.initial_sync.stage = SyncStage::Synced { since: now };
     }
+}
 
+impl Controller {
     /// A page of records has been read, or has failed.
     pub(crate) fn page_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Page>) {
         if !self.store.initial_sync.is_in_flight(ticket) {
@@ -109,15 +125,11 @@
         }
         self.store.initial_sync.in_flight = None;
         let ReadOutcome::Got(page) = outcome else {
-            return self.retry_initial_sync_later();
+            return self.store.retry_sync_later(self.clock.steady);
         };
-        for item in &page.items {
-            self.store.replica.apply(&item.key, Some(&item.value), item.version);
-        }
-        if let Some(first_revision) = self.store.initial_sync.page_read(&page) {
-            self.store.replica.applied_revision = first_revision;
-        }
-        self.continue_initial_sync();
+        self.store.apply_page(&page);
+        let call = self.store.next_sync_call();
+        self.out.push(Effect::Store(call));
     }
 
     /// The changes since the first page have been read, or this has failed.
@@ -125,18 +137,16 @@
         self.store.initial_sync.in_flight = None;
         match outcome {
             ReadOutcome::Got(changes) => {
-                self.store.replica.advance(&changes.events, Revision(changes.revision));
-                self.store.replica.complete_dependency_lists();
+                self.store.catch_up(&changes, self.clock.steady);
                 self.initial_sync_done();
             }
             ReadOutcome::TooOld => self.start_over(),
-            ReadOutcome::Failed => self.retry_initial_sync_later(),
+            ReadOutcome::Failed => self.store.retry_sync_later(self.clock.steady),
         }
     }
 
     /// The replica is complete: each part takes up what it finds there.
     fn initial_sync_done(&mut self) {
-        self.store.initial_sync.stage = SyncStage::Synced { since: self.now() };
         let replica = &self.store.replica;
         tracing::info!(revision = replica.applied_revision.0, job_count = replica.jobs.len(), "initial sync done");
         let machines: Vec<_> = replica.machines.keys().cloned().collect();
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -4,6 +4,7 @@
 //! afterwards. One is in flight at a time, shared by all who wait. An answer counts only for the call that its ticket
 //! names.
 
+use crate::coordination::store_sync::StoreSync;
 use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
 use crate::coordination::store_sync::initial_sync::PAUSE_AFTER_FAILURE;
 use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
@@ -54,23 +55,54 @@
     read.is_some_and(|read| read.ticket == ticket)
 }
 
+impl StoreSync {
+    fn start_read(&mut self, kind: ReadKind, wait_ms: u64) -> (InFlightRead, StoreCall) {
+        let (ticket, sent_at) = (self.next_ticket(), self.next_logical_time());
+        let after = self.replica.applied_revision.0;
+        (InFlightRead { ticket, sent_at }, StoreCall::Changes { ticket, kind, after, wait_ms })
+    }
+
+    /// The next call of the watch, if it is due.
+    fn due_watch_call(&mut self, now: Micros, wait_ms: u64) -> Option<StoreCall> {
+        if !self.is_synced() || !self.reads.is_watch_due(now) {
+            return None;
+        }
+        let (read, call) = self.start_read(ReadKind::Watch, wait_ms);
+        self.reads.watch = Some(read);
+        Some(call)
+    }
+
+    /// A fresh read, if anybody waits for one and it may be sent.
+    fn due_fresh_read(&mut self, now: Micros, do_users_wait: bool, min_interval: Micros) -> Option<StoreCall> {
+        let is_wanted = self.reads.is_fresh_wanted || do_users_wait;
+        if !is_wanted || !self.is_synced() || !self.reads.may_send_fresh(now, min_interval) {
+            return None;
+        }
+        self.reads.last_fresh_at = now;
+        self.reads.is_fresh_wanted = false;
+        let (read, call) = self.start_read(ReadKind::Fresh, 0);
+        self.reads.fresh = Some(read);
+        Some(call)
+    }
+
+    /// A fresh read has failed: what waits for it goes on waiting.
+    fn fresh_read_failed(&mut self, now: Micros) {
+        self.reads.fresh_retry_at = now + PAUSE_AFTER_FAILURE;
+        self.reads.is_fresh_wanted |= self.txns.is_any_awaiting_replica();
+    }
+}
+
 impl Controller {
     /// Goes on with the initial sync, or else with the watch.
     pub(crate) fn tick_reads(&mut self) {
         if self.store.is_synced() {
             self.start_watch_if_due();
         } else {
-            self.tick_initial_sync();
+            let call = self.store.due_sync_call(self.clock.steady);
+            self.out.extend(call.map(Effect::Store));
         }
     }
 
-    fn send_read(&mut self, kind: ReadKind, wait_ms: u64) -> InFlightRead {
-        let (ticket, sent_at) = (self.store.next_ticket(), self.store.logical_clock.tick());
-        let after = self.store.replica.applied_revision.0;
-        self.out.push(Effect::Store(StoreCall::Changes { ticket, kind, after, wait_ms }));
-        InFlightRead { ticket, sent_at }
-    }
-
     /// Shortest pause between two reads, so that those of all controllers stay within a part of the limit.
     fn min_read_interval(&self, part: f64) -> Micros {
         let limits = &self.platform.deployment;
@@ -80,23 +112,15 @@
 
     /// Sends the next call of the watch.
     pub(super) fn start_watch_if_due(&mut self) {
-        if self.store.is_synced() && self.store.reads.is_watch_due(self.now()) {
-            let wait_ms = self.policy.watch_ms;
-            self.store.reads.watch = Some(self.send_read(ReadKind::Watch, wait_ms));
-        }
+        let call = self.store.due_watch_call(self.clock.steady, self.policy.watch_ms);
+        self.out.extend(call.map(Effect::Store));
     }
 
     /// Sends a fresh read if anybody waits for one.
     pub(crate) fn start_fresh_read(&mut self) {
-        let now = self.now();
         let min_interval = self.min_read_interval(FRESH_READ_PART);
-        let is_wanted = self.store.reads.is_fresh_wanted || self.api.needs_read();
-        if !is_wanted || !self.store.is_synced() || !self.store.reads.may_send_fresh(now, min_interval) {
-            return;
-        }
-        self.store.reads.last_fresh_at = now;
-        self.store.reads.is_fresh_wanted = false;
-        self.store.reads.fresh = Some(self.send_read(ReadKind::Fresh, 0));
+        let call = self.store.due_fresh_read(self.clock.steady, self.api.needs_read(), min_interval);
+        self.out.extend(call.map(Effect::Store));
     }
 
     /// A read of changes has been answered, or has failed.
@@ -129,8 +153,7 @@
             ReadOutcome::Got(changes) => self.apply_changes(read.sent_at, &changes),
             ReadOutcome::TooOld => self.start_over(),
             ReadOutcome::Failed => {
-                self.store.reads.fresh_retry_at = self.now() + PAUSE_AFTER_FAILURE;
-                self.store.reads.is_fresh_wanted |= self.store.txns.is_any_awaiting_replica();
+                self.store.fresh_read_failed(self.clock.steady);
                 self.read_failed(read.sent_at);
             }
         }
