--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -5,7 +5,7 @@
 
 use crate::coordination::api::{PendingRequest, Query, ReceivedRequest, UNAVAILABLE};
 use crate::coordination::jobs::job::Job;
-use crate::coordination::store_sync::evidence::{Fresh, LogicalTime, reached};
+use crate::coordination::store_sync::evidence::{FreshnessProof, LogicalTime, proof_once_reached};
 use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer, UserRequest};
 use crate::protocol::user::{JobSpec, JobState, JobStatus};
@@ -37,7 +37,7 @@
     }
 
     /// How a job stands, whether or not it is over; nothing if it was never accepted.
-    fn status(&self, id: &JobId, _: &Fresh) -> Option<JobStatus> {
+    fn status(&self, id: &JobId, _: &FreshnessProof) -> Option<JobStatus> {
         if let Some(status) = self.final_status(id) {
             return Some(status);
         }
@@ -118,7 +118,7 @@
     pub(crate) fn answer_pending_requests(&mut self) {
         let applied = self.store.replica.applied_revision;
         for pending in std::mem::take(&mut self.api.pending) {
-            match reached(pending.known_revision, applied) {
+            match proof_once_reached(pending.known_revision, applied) {
                 Some(fresh) => self.answer_query(pending.request, pending.query, &fresh),
                 None => self.api.pending.push(pending),
             }
@@ -126,7 +126,7 @@
     }
 
     /// The one place where a user is told something that is not final.
-    pub(crate) fn answer_query(&mut self, request: ReceivedRequest, query: Query, fresh: &Fresh) {
+    pub(crate) fn answer_query(&mut self, request: ReceivedRequest, query: Query, fresh: &FreshnessProof) {
         let request_id = request.request_id;
         match self.status(query.job(), fresh) {
             Some(status) if status.is_final() => self.answer_status(request_id, status),
@@ -147,7 +147,7 @@
     }
 
     /// No controller has accepted the job.
-    fn accept_or_refuse(&mut self, request: ReceivedRequest, id: JobId, spec: JobSpec, _: &Fresh) {
+    fn accept_or_refuse(&mut self, request: ReceivedRequest, id: JobId, spec: JobSpec, _: &FreshnessProof) {
         if let Some(answer) = self.refusal(&spec) {
             return self.answer(request.request_id, answer);
         }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -9,7 +9,7 @@
 
 use crate::coordination::api::{Query, ReceivedRequest, UNAVAILABLE};
 use crate::coordination::store_sync::TxnEnd;
-use crate::coordination::store_sync::evidence::Fresh;
+use crate::coordination::store_sync::evidence::FreshnessProof;
 use crate::coordination::{Controller, RequestId, UserAnswer};
 use crate::protocol::user::{JobSpec, Kind, Submission};
 use crate::storage::schema::{JobBatchMember, JobRecord};
@@ -108,7 +108,7 @@
 
 /// Evidence that a batch's commit gives about one of its jobs: the job was not over then. Whether it is cancelled with a
 /// dependency follows from the dependency's records, of which the commit tells nothing.
-fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<Fresh> {
+fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<FreshnessProof> {
     match end {
         TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.of_accepted_job(request.received_at),
         _ => None,
--- a/src/coordination/store_sync/evidence.rs
+++ b/src/coordination/store_sync/evidence.rs
@@ -5,7 +5,8 @@
 //! than what any controller answered anybody before the request came. So it needs a call to the store that was sent
 //! after the request had come, and a replica that has reached the revision which that call was answered with.
 //!
-//! [`Fresh`] stands for both. Nothing but [`Evidence`] makes one, and nothing but a call's answer makes evidence.
+//! [`FreshnessProof`] stands for both. Nothing but [`Evidence`] makes one, and nothing but a call's answer makes
+//! evidence.
 
 use crate::types::Revision;
 
@@ -34,7 +35,7 @@
 
 /// Permission to answer one request from the replica as it stands.
 #[derive(Debug)]
-pub(crate) struct Fresh(());
+pub(crate) struct FreshnessProof(());
 
 impl Evidence {
     /// From a read, a commit or a refused condition, each with the revision that its answer names.
@@ -54,12 +55,12 @@
 
     /// About a job that the call itself accepted under the precondition that it has no outcome. That holds at the
     /// commit's revision whether or not the replica has reached it, unless other jobs' outcomes decide as well.
-    pub fn of_accepted_job(&self, requested_at: LogicalTime) -> Option<Fresh> {
-        self.revision_after(requested_at).map(|_| Fresh(()))
+    pub fn of_accepted_job(&self, requested_at: LogicalTime) -> Option<FreshnessProof> {
+        self.revision_after(requested_at).map(|_| FreshnessProof(()))
     }
 }
 
 /// About any job, once the replica has reached a revision that the stored records had after the request came.
-pub(crate) fn reached(known: Option<Revision>, applied: Revision) -> Option<Fresh> {
-    known.is_some_and(|revision| revision <= applied).then_some(Fresh(()))
+pub(crate) fn proof_once_reached(known: Option<Revision>, applied: Revision) -> Option<FreshnessProof> {
+    known.is_some_and(|revision| revision <= applied).then_some(FreshnessProof(()))
 }
