--- a/crates/testbed/src/users.rs
+++ b/crates/testbed/src/users.rs
@@ -125,7 +125,7 @@
             if let Some(target) = targets.get(n % targets.len().max(1)) {
                 let asked_us = self.history.now_us();
                 if let Ok(answer) = self.client.call(*target, Method::POST, path, body.to_vec(), CALL_LIMIT).await
-                    && matches!(answer.status, 200 | 201)
+                    && matches!(answer.status.as_u16(), 200 | 201)
                 {
                     note(&self.told, &self.history, id, 200, &answer.body, asked_us);
                     return true;
@@ -159,9 +159,9 @@
         let path = format!("/api/jobs/{id}");
         let call = client.call(target, Method::GET, &path, Vec::new(), Duration::from_secs(2));
         if let Ok(answer) = call.await
-            && matches!(answer.status, 200 | 404)
+            && matches!(answer.status.as_u16(), 200 | 404)
         {
-            note(&told, &history, id, answer.status, &answer.body, asked_us);
+            note(&told, &history, id, answer.status.as_u16(), &answer.body, asked_us);
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -171,11 +171,7 @@
         Ok(runtime) => runtime,
         Err(e) => return fail(&e),
     };
-    match runtime.block_on(daemon::run(platform, policy)) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            tracing::error!(error = %e, "can't go on");
-            ExitCode::FAILURE
-        }
-    }
+    let Err(error) = runtime.block_on(daemon::run(platform, policy));
+    tracing::error!(%error, "controller failed to start");
+    ExitCode::FAILURE
 }
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -133,6 +133,8 @@
     }
 }
 
+/// Text in the body of a refusal because no machine of the requested kind is to be had.
+pub const NO_CAPACITY: &str = "no capacity";
 /// Where types are listed.
 pub const TYPES_PATH: &str = "/flavors";
 /// Where machines are rented and listed.
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -10,6 +10,10 @@
 use serde::{Deserializer, Serialize};
 use std::fmt;
 
+/// Content type of all bodies but those between controllers.
+pub const CONTENT_TYPE_CBOR: &str = "application/cbor";
+/// Path of the load balancer's health check.
+pub const HEALTH_PATH: &str = "/healthz";
 /// Limit of request bodies and of answers to users and workers.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -14,8 +14,12 @@
     pub body: Vec<u8>,
 }
 
-/// Where notices of cancellations go.
+/// Path of requests that are relayed.
+pub const RELAY_PATH: &str = "/relay";
+/// Path of cancellation notices.
 pub const CANCELLED_PATH: &str = "/cancelled";
+/// Path at which a controller says whether it reaches the store; the answer is a `bool`.
+pub const STORE_REACHABILITY_PATH: &str = "/standing";
 
 /// Jobs of one shard that are surely cancelled, to whoever holds the shard.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -133,6 +133,8 @@
     pub lease: u64,
 }
 
+/// Text in the body of a refusal because the lease named in a transaction has expired.
+pub const NO_SUCH_LEASE: &str = "no such lease";
 /// Where transactions go.
 pub const TXN_PATH: &str = "/txn";
 /// Where sessions begin.
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -5,6 +5,13 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
 
+/// Path of submissions.
+pub const JOBS_PATH: &str = "/api/jobs";
+/// What precedes a job's id in the path of its status.
+pub const JOB_PATH_PREFIX: &str = "/api/jobs/";
+/// What follows a job's id in the path of its cancellation.
+pub const ABORT_SUFFIX: &str = "/abort";
+
 const MAX_TASKS: u64 = 100_000;
 const MAX_TEXT: usize = 200;
 
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -4,6 +4,11 @@
 use crate::types::{FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
+/// Path of heartbeats, at a controller.
+pub const HEARTBEAT_PATH: &str = "/checkin";
+/// Path of direct commands, at an agent.
+pub const DIRECT_COMMANDS_PATH: &str = "/orders";
+
 /// How far a task on a machine has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
--- /dev/null
+++ b/src/transport/calls/cloud.rs
@@ -0,0 +1,88 @@
+//! Calls to the cloud.
+
+use super::decode_or_log;
+use crate::coordination::{CloudCall, CloudOutcome, Input};
+use crate::protocol::{cloud, encode};
+use crate::transport::client::{Client, HttpResponse};
+use crate::transport::rate_limit::{CallPriority, RateLimiter};
+use hyper::{Method, StatusCode};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Limit of a call, and of waiting for its turn.
+const CLOUD_TIMEOUT: Duration = Duration::from_millis(5000);
+
+/// Calls the cloud within a rate limit.
+pub(in crate::transport) struct CloudClient {
+    client: Client,
+    address: SocketAddr,
+    rate_limiter: RateLimiter,
+}
+
+impl CloudClient {
+    /// A client of the cloud at an address, with so many calls a second.
+    pub(in crate::transport) fn new(client: Client, address: SocketAddr, calls_per_second: f64) -> CloudClient {
+        CloudClient { client, address, rate_limiter: RateLimiter::new(calls_per_second, calls_per_second) }
+    }
+
+    /// Carries out a call.
+    pub(in crate::transport) async fn call(&self, call: u64, request: CloudCall) -> Input {
+        let outcome = self.outcome(&request).await;
+        Input::Cloud { call, outcome }
+    }
+
+    async fn outcome(&self, request: &CloudCall) -> CloudOutcome {
+        if !self.rate_limiter.acquire(1.0, priority(request), CLOUD_TIMEOUT).await {
+            return CloudOutcome::Failed;
+        }
+        let CloudRequest { method, path, body } = CloudRequest::from(request);
+        match self.client.call(self.address, method, &path, body, CLOUD_TIMEOUT).await {
+            Ok(response) => outcome_of(request, &response).unwrap_or(CloudOutcome::Failed),
+            Err(_) => CloudOutcome::Failed,
+        }
+    }
+}
+
+fn priority(request: &CloudCall) -> CallPriority {
+    match request {
+        CloudCall::Delete(_) => CallPriority::Critical,
+        CloudCall::Rent(_) => CallPriority::Write,
+        CloudCall::Types | CloudCall::List { .. } => CallPriority::Read,
+    }
+}
+
+/// A call as an HTTP request.
+struct CloudRequest {
+    method: Method,
+    path: String,
+    body: Vec<u8>,
+}
+
+impl From<&CloudCall> for CloudRequest {
+    fn from(call: &CloudCall) -> CloudRequest {
+        let get = |path: String| CloudRequest { method: Method::GET, path, body: Vec::new() };
+        let post = |path: &str, body| CloudRequest { method: Method::POST, path: path.to_string(), body };
+        match call {
+            CloudCall::Types => get(cloud::TYPES_PATH.to_string()),
+            CloudCall::List { after } => get(cloud::list_path(after.as_ref())),
+            CloudCall::Rent(request) => post(cloud::RENT_PATH, encode(request)),
+            CloudCall::Delete(machines) => {
+                post(cloud::DELETE_PATH, encode(&cloud::MachineNames { machines: machines.clone() }))
+            }
+        }
+    }
+}
+
+/// What a response means; nothing if it is none of those expected.
+fn outcome_of(request: &CloudCall, response: &HttpResponse) -> Option<CloudOutcome> {
+    match (request, response.status) {
+        (CloudCall::Types, StatusCode::OK) => decode_or_log(response).map(CloudOutcome::Types),
+        (CloudCall::List { .. }, StatusCode::OK) => decode_or_log(response).map(CloudOutcome::List),
+        (CloudCall::Rent(_), StatusCode::OK) => decode_or_log(response).map(CloudOutcome::Rented),
+        (CloudCall::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if response.body_contains(cloud::NO_CAPACITY) => {
+            Some(CloudOutcome::NoCapacity)
+        }
+        (CloudCall::Delete(_), StatusCode::OK) => Some(CloudOutcome::Deleted),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/transport/calls/store.rs
@@ -0,0 +1,153 @@
+//! Calls to the store.
+
+use super::decode_or_log;
+use crate::coordination::{Failure, Input, LeaseOutcome, ReadKind, ReadOutcome, StoreCall, TxnOutcome};
+use crate::protocol::{encode, store};
+use crate::transport::client::{Client, HttpResponse};
+use crate::transport::rate_limit::{CallPriority, RateLimiter};
+use hyper::{Method, StatusCode};
+use serde::de::DeserializeOwned;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A renewal of the session's lease that hangs must leave time for another.
+const MAX_KEEP_ALIVE_TIMEOUT: Duration = Duration::from_millis(700);
+
+/// Calls the store within a rate limit.
+pub(in crate::transport) struct StoreClient {
+    client: Client,
+    address: SocketAddr,
+    rate_limiter: RateLimiter,
+    timeout: Duration,
+    key_prefix: &'static str,
+}
+
+impl StoreClient {
+    /// A client of the store at an address, with so many calls a second, each of which may wait and last `timeout`.
+    pub(in crate::transport) fn new(
+        client: Client,
+        address: SocketAddr,
+        calls_per_second: f64,
+        timeout: Duration,
+    ) -> StoreClient {
+        let rate_limiter = RateLimiter::new(calls_per_second, calls_per_second);
+        StoreClient { client, address, rate_limiter, timeout, key_prefix: crate::storage::schema::ROOT }
+    }
+
+    /// Carries out a call.
+    pub(in crate::transport) async fn call(&self, call: StoreCall) -> Input {
+        match call {
+            StoreCall::Txn { ticket, txn, urgent } => Input::Txn { ticket, outcome: self.commit(&txn, urgent).await },
+            StoreCall::Changes { ticket, kind, after, wait_ms } => {
+                Input::Changes { ticket, outcome: self.read_changes(kind, after, wait_ms).await }
+            }
+            StoreCall::Page { ticket, after } => {
+                Input::Page { ticket, outcome: self.read_page(after.as_deref()).await }
+            }
+            StoreCall::GrantLease { ticket, ttl_ms } => {
+                Input::Lease { ticket, outcome: self.grant_lease(ttl_ms).await }
+            }
+            StoreCall::KeepAlive { ticket, lease } => Input::Lease { ticket, outcome: self.keep_alive(lease).await },
+        }
+    }
+
+    async fn commit(&self, txn: &store::Txn, is_urgent: bool) -> TxnOutcome {
+        // Records can wait a moment for the next free write, users can't.
+        let priority = if is_urgent { CallPriority::Critical } else { CallPriority::Write };
+        match self.post(priority, store::TXN_PATH, encode(txn), self.timeout).await {
+            Ok(response) => txn_outcome(&response),
+            Err(failure) => TxnOutcome::Failed(failure),
+        }
+    }
+
+    async fn read_changes(&self, kind: ReadKind, after: u64, wait_ms: u64) -> ReadOutcome<store::Changes> {
+        let path = store::changes_path(self.key_prefix, after, wait_ms);
+        let timeout = match kind {
+            ReadKind::Watch => Duration::from_millis(wait_ms) + self.timeout,
+            ReadKind::Fresh => self.timeout,
+        };
+        read_outcome(self.get(&path, timeout).await)
+    }
+
+    async fn read_page(&self, after: Option<&str>) -> ReadOutcome<store::Page> {
+        let path = store::page_path(self.key_prefix, after);
+        read_outcome(self.get(&path, self.timeout * 2).await)
+    }
+
+    async fn grant_lease(&self, ttl_ms: u64) -> LeaseOutcome {
+        let body = encode(&store::GrantLease { ttl_ms });
+        match self.post(CallPriority::Critical, store::LEASES_PATH, body, self.timeout).await {
+            Ok(response) if response.status == StatusCode::OK => {
+                let granted = decode_or_log::<store::Lease>(&response);
+                granted.map_or(LeaseOutcome::Failed, |granted| LeaseOutcome::New(granted.lease))
+            }
+            _ => LeaseOutcome::Failed,
+        }
+    }
+
+    async fn keep_alive(&self, lease: u64) -> LeaseOutcome {
+        let path = store::keep_alive_path(lease);
+        let timeout = self.timeout.min(MAX_KEEP_ALIVE_TIMEOUT);
+        match self.post(CallPriority::Critical, &path, Vec::new(), timeout).await {
+            Ok(response) if response.status == StatusCode::OK => LeaseOutcome::KeptAlive,
+            Ok(response) if response.status == StatusCode::NOT_FOUND => LeaseOutcome::Gone,
+            _ => LeaseOutcome::Failed,
+        }
+    }
+
+    async fn get(&self, path: &str, timeout: Duration) -> Result<HttpResponse, Failure> {
+        self.send(CallPriority::Read, Method::GET, path, Vec::new(), timeout).await
+    }
+
+    async fn post(
+        &self,
+        priority: CallPriority,
+        path: &str,
+        body: Vec<u8>,
+        timeout: Duration,
+    ) -> Result<HttpResponse, Failure> {
+        self.send(priority, Method::POST, path, body, timeout).await
+    }
+
+    async fn send(
+        &self,
+        priority: CallPriority,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+        timeout: Duration,
+    ) -> Result<HttpResponse, Failure> {
+        if !self.rate_limiter.acquire(1.0, priority, self.timeout).await {
+            return Err(Failure::NotDone);
+        }
+        Ok(self.client.call(self.address, method, path, body, timeout).await?)
+    }
+}
+
+fn txn_outcome(response: &HttpResponse) -> TxnOutcome {
+    match response.status {
+        StatusCode::OK | StatusCode::CONFLICT => match decode_or_log::<store::Committed>(response) {
+            Some(committed) if response.status == StatusCode::OK => TxnOutcome::Committed(committed.revision),
+            Some(conflict) => {
+                tracing::debug!(failed_keys = ?conflict.failed, "transaction conflict");
+                TxnOutcome::Conflict(conflict.revision)
+            }
+            None => TxnOutcome::Failed(Failure::Unknown),
+        },
+        StatusCode::TOO_MANY_REQUESTS => TxnOutcome::Limited,
+        StatusCode::SERVICE_UNAVAILABLE => TxnOutcome::Failed(Failure::NotDone),
+        StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::NoLease,
+        StatusCode::BAD_REQUEST => TxnOutcome::Invalid,
+        _ => TxnOutcome::Failed(Failure::Unknown),
+    }
+}
+
+fn read_outcome<T: DeserializeOwned>(response: Result<HttpResponse, Failure>) -> ReadOutcome<T> {
+    match response {
+        Ok(response) if response.status == StatusCode::OK => {
+            decode_or_log(&response).map_or(ReadOutcome::Failed, ReadOutcome::Got)
+        }
+        Ok(response) if response.status == StatusCode::GONE => ReadOutcome::TooOld,
+        _ => ReadOutcome::Failed,
+    }
+}
--- /dev/null
+++ b/src/transport/daemon/effects.rs
@@ -0,0 +1,56 @@
+//! Carries out the controller's effects: answers at once, calls in tasks of their own.
+
+use super::pending_responses::PendingResponses;
+use crate::coordination::{Effect, Input};
+use crate::transport::calls::{AgentClient, CloudClient, StoreClient};
+use crate::transport::siblings::Siblings;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+/// Clients of everything that a controller calls.
+pub(super) struct ServiceClients {
+    pub(super) store: StoreClient,
+    pub(super) cloud: CloudClient,
+    pub(super) agents: AgentClient,
+    pub(super) siblings: Arc<Siblings>,
+}
+
+/// Carries out effects and returns the outcomes of calls as inputs.
+pub(super) struct EffectExecutor {
+    services: Arc<ServiceClients>,
+    outcomes: mpsc::UnboundedSender<Input>,
+}
+
+impl EffectExecutor {
+    /// An executor that sends outcomes to a queue.
+    pub(super) fn new(services: ServiceClients, outcomes: mpsc::UnboundedSender<Input>) -> EffectExecutor {
+        EffectExecutor { services: Arc::new(services), outcomes }
+    }
+
+    /// Carries out an effect, or starts to.
+    pub(super) fn execute(&self, effect: Effect, pending: &mut PendingResponses) {
+        let services = self.services.clone();
+        match effect {
+            Effect::AnswerUser(waiter, answer) => pending.answer_user(waiter, answer),
+            Effect::AnswerWorker(waiter, answer) => pending.answer_agent(waiter, answer),
+            Effect::AnswerPeer(waiter, answer) => pending.answer_peer(waiter, answer),
+            Effect::Peer { call, to, message } => self.spawn(async move {
+                Input::PeerAnswer { call, answer: services.siblings.notify_of_cancellations(&to, &message).await }
+            }),
+            Effect::Store(call) => self.spawn(async move { services.store.call(call).await }),
+            Effect::DirectCommands { machine, addr, commands } => {
+                self.spawn(async move { services.agents.send(machine, addr, commands).await });
+            }
+            Effect::Cloud { call, request } => self.spawn(async move { services.cloud.call(call, request).await }),
+        }
+    }
+
+    /// Runs a call as a task of its own and queues its outcome. Each call has a timeout, so the task ends by itself.
+    fn spawn(&self, call: impl Future<Output = Input> + Send + 'static) {
+        let outcomes = self.outcomes.clone();
+        tokio::spawn(async move {
+            // Fails only when the main loop has ended.
+            let _ = outcomes.send(call.await);
+        });
+    }
+}
--- /dev/null
+++ b/src/transport/server/peer_requests.rs
@@ -0,0 +1,34 @@
+//! Requests of siblings: requests that they forward, cancellation notices, and checks of store reachability.
+
+use super::ServerContext;
+use super::routes::{Origin, ReceivedRequest, route};
+use crate::protocol::peer::{Cancelled, Relay, Relayed};
+use crate::transport::reply::Reply;
+use hyper::{Method, StatusCode};
+
+/// Tells a sibling whether the store answers this controller.
+pub(super) fn store_reachability(context: &ServerContext) -> Reply {
+    Reply::new(StatusCode::OK, bitcode::encode(&context.health.reaches_store()))
+}
+
+/// Serves a request that a sibling forwarded.
+pub(super) async fn relayed_request(context: &ServerContext, body: &[u8]) -> Reply {
+    let Ok(relay) = bitcode::decode::<Relay>(body) else {
+        return Reply::malformed();
+    };
+    let method = if relay.post { Method::POST } else { Method::GET };
+    let request = ReceivedRequest { method: &method, path: &relay.path, body: &relay.body };
+    let reply = route(context, request, Origin::Sibling).await;
+    Reply::new(StatusCode::OK, bitcode::encode(&Relayed::from(reply)))
+}
+
+/// A sibling notifies this controller of cancelled jobs and waits to hear whether it sees to them.
+pub(super) async fn cancellation_notice(context: &ServerContext, body: &[u8]) -> Reply {
+    let Ok(notice) = bitcode::decode::<Cancelled>(body) else {
+        return Reply::malformed();
+    };
+    match context.cancellation_notices.try_request(notice).await {
+        Ok(acknowledgement) => Reply::new(StatusCode::OK, bitcode::encode(&acknowledgement)),
+        Err(_) => Reply::unavailable(1),
+    }
+}
--- /dev/null
+++ b/src/transport/siblings/mod.rs
@@ -0,0 +1,93 @@
+//! Calls to the other controllers.
+//!
+//! Owns: the siblings' addresses, what is known of whether they reach the store (`health`), and the agents that were
+//! lately redirected to them (`redirects`). Promises: what a sibling answered is returned as it came, so that it
+//! carries the sibling's fencing token.
+
+mod health;
+mod redirects;
+
+pub(super) use health::{NodeHealth, monitor_store_reachability};
+use redirects::RedirectHistory;
+
+use super::client::{Client, HttpResponse};
+use super::reply::Reply;
+use crate::protocol::peer::{CANCELLED_PATH, CancellationAck, Cancelled, RELAY_PATH, Relay, Relayed};
+use crate::protocol::worker::HEARTBEAT_PATH;
+use crate::settings::Sibling;
+use crate::types::MachineId;
+use hyper::{Method, StatusCode};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1500);
+const CANCELLATION_NOTICE_TIMEOUT: Duration = Duration::from_millis(700);
+/// Siblings that are tried before the user is refused.
+const MAX_RELAY_ATTEMPTS: usize = 2;
+
+/// The other controllers, as this one reaches them.
+pub(super) struct Siblings {
+    client: Client,
+    /// In the order of the settings.
+    siblings: Vec<Sibling>,
+    redirects: RedirectHistory,
+}
+
+impl Siblings {
+    /// The siblings that the settings name.
+    pub(super) fn new(siblings: Vec<Sibling>, client: Client) -> Siblings {
+        Siblings { client, siblings, redirects: RedirectHistory::default() }
+    }
+
+    fn address_of(&self, label: &str) -> Option<SocketAddr> {
+        self.siblings.iter().find(|sibling| sibling.label == label).map(|sibling| sibling.address)
+    }
+
+    /// Notifies a sibling of cancelled jobs. Without an answer nothing is known.
+    pub(super) async fn notify_of_cancellations(&self, label: &str, notice: &Cancelled) -> Option<CancellationAck> {
+        let address = self.address_of(label)?;
+        let body = bitcode::encode(notice);
+        let call = self.client.call(address, Method::POST, CANCELLED_PATH, body, CANCELLATION_NOTICE_TIMEOUT);
+        let response = call.await.ok()?;
+        if response.status == StatusCode::OK { bitcode::decode(&response.body).ok() } else { None }
+    }
+
+    /// Forwards a heartbeat to the agent's owner if the agent was redirected there a short while ago and came back:
+    /// it can't reach its owner, but both reach this controller, and without this its lease would expire.
+    pub(super) async fn forward_heartbeat(&self, machine: &MachineId, owner: &str, body: &[u8]) -> Option<Reply> {
+        if !self.redirects.was_redirected_recently(machine) {
+            return None;
+        }
+        let address = self.address_of(owner)?;
+        let relay = Relay { path: HEARTBEAT_PATH.to_string(), post: true, body: body.to_vec() };
+        let response = self.relay(address, bitcode::encode(&relay)).await?;
+        let relayed = bitcode::decode::<Relayed>(&response.body).ok()?;
+        let is_answered = response.status == StatusCode::OK && relayed.status == StatusCode::OK.as_u16();
+        is_answered.then(|| Reply::new(StatusCode::OK, relayed.body))
+    }
+
+    /// Forwards a user's request to the first of some siblings that serves it. Without any the user is refused at
+    /// once.
+    pub(super) async fn forward_user_request(
+        &self,
+        candidates: Vec<SocketAddr>,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Option<Reply> {
+        let relay = Relay { path: path.to_string(), post: method == Method::POST, body: body.to_vec() };
+        let message = bitcode::encode(&relay);
+        for address in candidates.into_iter().take(MAX_RELAY_ATTEMPTS) {
+            let Some(response) = self.relay(address, message.clone()).await else { continue };
+            let Ok(relayed) = bitcode::decode::<Relayed>(&response.body) else { continue };
+            if response.status == StatusCode::OK && relayed.status != StatusCode::SERVICE_UNAVAILABLE.as_u16() {
+                return Some(relayed.into());
+            }
+        }
+        None
+    }
+
+    async fn relay(&self, address: SocketAddr, message: Vec<u8>) -> Option<HttpResponse> {
+        self.client.call(address, Method::POST, RELAY_PATH, message, RELAY_TIMEOUT).await.ok()
+    }
+}
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -1,60 +1,80 @@
-//! The operators' view of zones and their holds, read from and written to the store: `burlhatch zones`.
+//! The command `burlhatch zones`: shows the recorded condition of zones, and sets or removes operators' holds.
+//!
+//! Reads and writes the store's records directly, so that it works while no controller answers.
 
-use super::client::{Answer, Client};
+use super::client::{CallError, Client, HttpResponse};
 use crate::protocol::store::{Committed, Page, Precondition, TXN_PATH, Txn, Write, page_path};
-use crate::protocol::{decode, encode};
+use crate::protocol::{WireError, encode};
 use crate::settings::Platform;
 use crate::storage::Replica;
 use crate::storage::schema::{Key, ROOT, ZoneHoldRecord, to_value};
 use crate::types::Micros;
 use burlhatch_zones::ZoneRecord;
-use hyper::Method;
+use hyper::{Method, StatusCode};
 use std::fmt::Write as _;
+use std::net::SocketAddr;
 use std::time::Duration;
 
 /// How long one call to the store may take.
-const CALL_LIMIT: Duration = Duration::from_secs(5);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// What an operator asks for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneAction {
-    /// How all zones stand.
+    /// To show the condition of all zones.
     List,
-    /// Nothing new goes to a zone, and its services leave it.
+    /// To start nothing new in a zone, and move its services elsewhere.
     Hold(String),
-    /// It takes work again.
+    /// To let a zone take work again.
     Release(String),
 }
 
-/// Why it could not be done.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+/// Why a zone action failed.
+#[derive(Debug, thiserror::Error)]
 pub enum ZoneAdminError {
     /// The deployment has no such zone.
     #[error("zone: unknown zone '{zone}', known are {known}")]
     UnknownZone {
-        /// As it was named.
+        /// The name that was given.
         zone: String,
-        /// All that there are.
+        /// The deployment's zones.
         known: String,
     },
     /// The store did not answer, or refused.
-    #[error("the state service at {address} {problem}")]
+    #[error("the state service at {address} {source}")]
     Store {
-        /// Where it was called.
-        address: std::net::SocketAddr,
-        /// What it did.
-        problem: String,
+        /// The store's address.
+        address: SocketAddr,
+        /// What went wrong.
+        source: StoreError,
     },
 }
 
+/// What went wrong in a call to the store.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// No response.
+    #[error("did not answer")]
+    NoResponse(#[source] CallError),
+    /// A refusal.
+    #[error("answered {}", .0.as_u16())]
+    Refused(StatusCode),
+    /// The response to a read can't be decoded.
+    #[error("gave no page: {0}")]
+    MalformedPage(#[source] WireError),
+    /// The response to a transaction can't be decoded.
+    #[error("gave no answer: {0}")]
+    MalformedOutcome(#[source] WireError),
+}
+
 impl ZoneAdminError {
-    /// Whether what was asked for is wrong in itself.
+    /// Whether the error is in the operator's input.
     pub fn is_bad_input(&self) -> bool {
         matches!(self, ZoneAdminError::UnknownZone { .. })
     }
 }
 
-/// Carries out what an operator asks for; what is to be printed.
+/// Carries out an action; returns what is to be printed.
 pub async fn administer(platform: &Platform, action: &ZoneAction, now: Micros) -> Result<String, ZoneAdminError> {
     let admin = ZoneAdmin { platform, client: Client::default() };
     match action {
@@ -89,24 +109,25 @@
     }
 
     async fn hold(&self, zone: &str, now: Micros) -> Result<String, ZoneAdminError> {
-        self.check(zone)?;
+        self.check_zone(zone)?;
         let key = Key::ZoneHold(zone.to_string()).to_string();
         let record = to_value(&ZoneHoldRecord { at: now });
         let write = Write::Put { key: key.clone(), value: record, lease: None };
+        // Version 0: an earlier hold keeps its time.
         let txn = Txn { preconditions: vec![Precondition { key, version: 0 }], writes: vec![write] };
         let done = if self.commit(&txn).await? { "is on hold" } else { "was on hold already" };
         Ok(format!("{zone} {done}\n"))
     }
 
     async fn release(&self, zone: &str) -> Result<String, ZoneAdminError> {
-        self.check(zone)?;
+        self.check_zone(zone)?;
         let key = Key::ZoneHold(zone.to_string()).to_string();
         let txn = Txn { preconditions: Vec::new(), writes: vec![Write::Delete { key }] };
         self.commit(&txn).await?;
         Ok(format!("{zone} is released\n"))
     }
 
-    fn check(&self, zone: &str) -> Result<(), ZoneAdminError> {
+    fn check_zone(&self, zone: &str) -> Result<(), ZoneAdminError> {
         let known = &self.platform.deployment.zones;
         if known.iter().any(|name| name == zone) {
             return Ok(());
@@ -119,8 +140,8 @@
         let mut after: Option<String> = None;
         loop {
             let path = page_path(&format!("{ROOT}zone"), after.as_deref());
-            let answer = self.call(Method::GET, &path, Vec::new()).await?;
-            let page: Page = decode(&answer.body).map_err(|e| self.problem(format!("gave no page: {e}")))?;
+            let response = self.call(Method::GET, &path, Vec::new()).await?;
+            let page: Page = response.decode().map_err(|error| self.error(StoreError::MalformedPage(error)))?;
             for item in &page.items {
                 records.apply(&item.key, Some(&item.value), item.version);
             }
@@ -131,24 +152,24 @@
         }
     }
 
-    /// Whether the transaction was carried out; not if a condition failed.
+    /// Whether the transaction was committed; false if a precondition failed.
     async fn commit(&self, txn: &Txn) -> Result<bool, ZoneAdminError> {
-        let answer = self.call(Method::POST, TXN_PATH, encode(txn)).await?;
-        decode::<Committed>(&answer.body).map_err(|e| self.problem(format!("gave no answer: {e}")))?;
-        Ok(answer.status == 200)
+        let response = self.call(Method::POST, TXN_PATH, encode(txn)).await?;
+        response.decode::<Committed>().map_err(|error| self.error(StoreError::MalformedOutcome(error)))?;
+        Ok(response.status == StatusCode::OK)
     }
 
-    async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Answer, ZoneAdminError> {
+    async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<HttpResponse, ZoneAdminError> {
         let store = self.platform.external.store;
-        match self.client.call(store, method, path, body, CALL_LIMIT).await {
-            Ok(answer) if matches!(answer.status, 200 | 409) => Ok(answer),
-            Ok(answer) => Err(self.problem(format!("answered {}", answer.status))),
-            Err(_) => Err(self.problem("did not answer".to_string())),
+        match self.client.call(store, method, path, body, CALL_TIMEOUT).await {
+            Ok(response) if matches!(response.status, StatusCode::OK | StatusCode::CONFLICT) => Ok(response),
+            Ok(response) => Err(self.error(StoreError::Refused(response.status))),
+            Err(error) => Err(self.error(StoreError::NoResponse(error))),
         }
     }
 
-    fn problem(&self, problem: String) -> ZoneAdminError {
-        ZoneAdminError::Store { address: self.platform.external.store, problem }
+    fn error(&self, source: StoreError) -> ZoneAdminError {
+        ZoneAdminError::Store { address: self.platform.external.store, source }
     }
 }
 
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,11 +1,10 @@
 //! One controller over real sockets on loopback, with stand-ins for the services and a worker.
 
-use burlhatch::coordination::Failure;
 use burlhatch::protocol::store::{Txn, Write};
 use burlhatch::protocol::worker::{AgentCommand, DirectCommands, HeartbeatResponse};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::settings::{Platform, Policy};
-use burlhatch::transport::client::{Answer, Client};
+use burlhatch::transport::client::{CallError, Client, HttpResponse};
 use burlhatch::transport::daemon;
 use burlhatch_testbed::http::free_address;
 use bytes::Bytes;
@@ -158,8 +157,8 @@
     loop {
         let heartbeat = state.lock().expect("no panic").heartbeat(addr);
         let answer = call(&client, controller, Method::POST, "/checkin", &heartbeat).await;
-        if let Ok(Answer { status: 200, body, .. }) = answer {
-            let commands: HeartbeatResponse = decode(&body).expect("orders");
+        if let Some(accepted) = answer.ok().filter(|answer| answer.status == 200) {
+            let commands: HeartbeatResponse = accepted.decode().expect("orders");
             let mut state = state.lock().expect("no panic");
             state.fencing_token = commands.fencing_token.0;
             state.obey(commands.commands);
@@ -192,7 +191,13 @@
     }
 }
 
-async fn call(client: &Client, to: SocketAddr, method: Method, path: &str, body: &Value) -> Result<Answer, Failure> {
+async fn call(
+    client: &Client,
+    to: SocketAddr,
+    method: Method,
+    path: &str,
+    body: &Value,
+) -> Result<HttpResponse, CallError> {
     let body = if body.is_null() { Vec::new() } else { encode(body) };
     client.call(to, method, path, body, Duration::from_secs(4)).await
 }
@@ -247,11 +252,11 @@
     let health = call(&client, public, Method::GET, "/healthz", &Value::Null).await.expect("an answer");
     assert_eq!(health.status, 200);
     let user = call(&client, public, Method::GET, "/api/jobs/wk-000001", &Value::Null).await.expect("an answer");
-    assert_eq!((user.status, user.retry_after_s), (503, Some(1)));
+    assert_eq!((user.status.as_u16(), user.retry_after_s), (503, Some(1)));
     let heartbeat = json!({"host": "m-000009", "addr": "127.0.0.1:1", "hull": "s", "berth": "a", "driftwood": false,
         "watch": 1, "tally": 1, "helm": 0, "warning_s": null, "pieces": []});
     let worker = call(&client, public, Method::POST, "/checkin", &heartbeat).await.expect("an answer");
-    assert!(matches!(worker.status, 200 | 421 | 503), "{}", worker.status);
+    assert!(matches!(worker.status.as_u16(), 200 | 421 | 503), "{}", worker.status);
     for _ in 0..10 {
         held.push(TcpStream::connect(public).await.expect("accepted or queued"));
     }
@@ -270,7 +275,7 @@
 /// used last stay.
 #[tokio::test]
 async fn idle_connections_keep_within_their_bound() {
-    let client = Client::keeping(4);
+    let client = Client::with_max_idle_connections(4);
     let mut addresses = Vec::new();
     for _ in 0..10 {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
@@ -281,10 +286,10 @@
         for addr in &addresses {
             let answer = call(&client, *addr, Method::GET, "/rentals", &Value::Null).await;
             assert_eq!(answer.expect("an answer").status, 200);
-            assert!(client.idle() <= 4, "{} idle", client.idle());
+            assert!(client.idle_connection_count() <= 4, "{} idle", client.idle_connection_count());
         }
     }
-    assert_eq!(client.idle(), 4);
+    assert_eq!(client.idle_connection_count(), 4);
 }
 
 #[tokio::test]
@@ -296,7 +301,7 @@
         let client = client.clone();
         async move {
             let answer = call(&client, public, method, path, &body).await;
-            answer.map_or((0, Value::Null), |a| (a.status, decode::<Value>(&a.body).unwrap_or(Value::Null)))
+            answer.map_or((0, Value::Null), |a| (a.status.as_u16(), decode::<Value>(&a.body).unwrap_or(Value::Null)))
         }
     };
     assert!(becomes_healthy(&client, public).await);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -9,7 +9,7 @@
 use burlhatch::protocol::worker::ExitCause;
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, Outcome, RunChunk, StartRecord, to_value};
-use burlhatch::transport::limits::{Bucket, Class};
+use burlhatch::transport::rate_limit::{CallPriority, TokenBucket};
 use burlhatch::types::{JobId, MachineId, Micros, Resources, Revision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -154,20 +154,20 @@
     #[test]
     fn a_limit_is_kept(steps in proptest::collection::vec((0u64..50_000, 0u8..3, 1u32..5), 1..200)) {
         let (rate, burst) = (50.0, 20.0);
-        let mut bucket = Bucket::new(rate, burst);
+        let mut bucket = TokenBucket::new(rate, burst);
         let mut now = Micros::ZERO;
         let mut through = 0.0;
         for (wait, class, cost) in steps {
             now = now + Micros(wait);
-            let class = [Class::Renewal, Class::Transaction, Class::Read][class as usize];
+            let class = [CallPriority::Critical, CallPriority::Write, CallPriority::Read][class as usize];
             if bucket.take(now, f64::from(cost), class).is_ok() {
                 through += f64::from(cost);
             }
             prop_assert!(through <= burst + rate * now.secs() + 1e-6);
         }
         now = now + Micros(10_000_000);
-        while bucket.take(now, 1.0, Class::Read).is_ok() {}
-        prop_assert!(bucket.take(now, 1.0, Class::Renewal).is_ok());
+        while bucket.take(now, 1.0, CallPriority::Read).is_ok() {}
+        prop_assert!(bucket.take(now, 1.0, CallPriority::Critical).is_ok());
     }
 }
 
