--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Call, Reply, serve};
 use crate::worker::{Link, Machine, RunningMachine, Surroundings, WorkerTrouble, ZoneLink, start};
-use burlhatch::protocol::cloud::{MachineNames, Rental};
+use burlhatch::protocol::cloud::{InstanceRequest, MachineNames};
 use burlhatch::protocol::decode;
 use burlhatch::types::MachineId;
 use hyper::Method;
@@ -160,7 +160,7 @@
             (&Method::GET, "/flavors") => Some((200, self.types())),
             (&Method::GET, "/rentals") => Some((200, self.list(call.query.get("after").map_or("", String::as_str)))),
             (&Method::POST, "/rentals") => {
-                let Ok(rental) = decode::<Rental>(&call.body) else { return Some((400, Value::Null)) };
+                let Ok(rental) = decode::<InstanceRequest>(&call.body) else { return Some((400, Value::Null)) };
                 Some(self.answer_rental(rental))
             }
             (&Method::POST, "/rentals/delete") => {
@@ -173,7 +173,7 @@
         }
     }
 
-    fn answer_rental(&self, rental: Rental) -> (u16, Value) {
+    fn answer_rental(&self, rental: InstanceRequest) -> (u16, Value) {
         let before = self.locked().requests.get(&rental.request).cloned();
         let names = before.unwrap_or_else(|| self.rent(&rental.zone, rental.spot, rental.count));
         if names.is_empty() {
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -4,7 +4,7 @@
 use crate::history::violations;
 use crate::users::Users;
 use crate::worker::Link;
-use burlhatch::protocol::user::{JobSpec, Kind, Priority};
+use burlhatch::protocol::user::{JobKind, JobSpec, Priority};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -62,12 +62,12 @@
     }
 }
 
-pub(crate) fn spec(kind: Kind, team: &str, tasks: u32) -> JobSpec {
+pub(crate) fn spec(kind: JobKind, team: &str, tasks: u32) -> JobSpec {
     JobSpec {
         class: team.into(),
         team: Some(team.into()),
         kind,
-        priority: if kind == Kind::Service { Priority::Production } else { Priority::Normal },
+        priority: if kind == JobKind::Service { Priority::Production } else { Priority::Normal },
         tasks,
         cpus: 1.0,
         gpus: 0.0,
@@ -77,11 +77,11 @@
         types: None,
         zone: None,
         one_zone: false,
-        spread: kind == Kind::Service,
+        spread: kind == JobKind::Service,
         spot: false,
-        estimate_s: if kind == Kind::Service { 0.0 } else { 3.0 },
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_runtime_s: if kind == JobKind::Service { 0.0 } else { 3.0 },
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
         depends_on: Vec::new(),
     }
@@ -105,7 +105,7 @@
     let mut cluster = Cluster::start(plan).await?;
     let mut users = Users::new(&cluster);
     for n in 0..SERVICES {
-        users.submit(&cluster, &service(n), spec(Kind::Service, "auction", 2)).await;
+        users.submit(&cluster, &service(n), spec(JobKind::Service, "auction", 2)).await;
     }
     let all = |cluster: &Cluster| replicas_outside(cluster, "") == SERVICES * 2;
     cluster.wait_for("all services at work", START_LIMIT, all).await?;
@@ -114,7 +114,7 @@
     };
     cluster.wait_for("machines recorded", START_LIMIT, machines).await?;
     for n in 0..BATCHES {
-        users.submit(&cluster, &batch(n), spec(Kind::Array, "invoices", 6)).await;
+        users.submit(&cluster, &batch(n), spec(JobKind::Array, "invoices", 6)).await;
     }
     let restored = cause(&mut cluster, &mut users, trouble).await?;
     let in_zone = watch_return(&mut cluster, &mut users, trouble).await?;
@@ -180,7 +180,7 @@
         cluster.revive_zone(LOST)?;
         users.follow(cluster);
     }
-    let bound = JobSpec { zone: Some(LOST.into()), estimate_s: 1.5, ..spec(Kind::Array, "invoices", 16) };
+    let bound = JobSpec { zone: Some(LOST.into()), estimated_runtime_s: 1.5, ..spec(JobKind::Array, "invoices", 16) };
     users.submit(cluster, "wk-invoice-quay", bound).await;
     let mut in_zone = Vec::new();
     let mut next = tokio::time::Instant::now();
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -6,7 +6,7 @@
 use crate::scenarios::spec;
 use crate::troubles::{Planned, bring_about};
 use crate::users::Users;
-use burlhatch::protocol::user::{JobSpec, Kind};
+use burlhatch::protocol::user::{JobKind, JobSpec};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
@@ -210,9 +210,9 @@
         let id = format!("wk-soak-{:04}", self.next);
         let tasks = self.rng.random_range(1..5);
         let spec = match self.rng.random_range(0..3) {
-            0 => JobSpec { spread: false, ..spec(Kind::Service, "auction", tasks.min(2)) },
-            1 => JobSpec { estimate_s: 60.0, ..spec(Kind::Array, "invoices", tasks) },
-            _ => JobSpec { estimate_s: 2.0, ..spec(Kind::Array, "invoices", tasks) },
+            0 => JobSpec { spread: false, ..spec(JobKind::Service, "auction", tasks.min(2)) },
+            1 => JobSpec { estimated_runtime_s: 60.0, ..spec(JobKind::Array, "invoices", tasks) },
+            _ => JobSpec { estimated_runtime_s: 2.0, ..spec(JobKind::Array, "invoices", tasks) },
         };
         (id, spec)
     }
--- a/crates/testbed/src/worker.rs
+++ b/crates/testbed/src/worker.rs
@@ -2,7 +2,7 @@
 
 use crate::history::{Event, History};
 use crate::http::{Call, Reply, serve};
-use burlhatch::protocol::user::{JobSpec, Kind};
+use burlhatch::protocol::user::{JobKind, JobSpec};
 use burlhatch::protocol::worker::{
     AgentCommand, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
@@ -301,7 +301,13 @@
             state.exited.iter().map(|((name, attempt), why)| (name.clone(), *attempt, TaskState::Exited, Some(*why)));
         let tasks = running
             .chain(exited)
-            .map(|(task, attempt, state, why)| TaskStatus { task, attempt, state, why, saved: None })
+            .map(|(task, attempt, state, exit_cause)| TaskStatus {
+                task,
+                attempt,
+                state,
+                exit_cause,
+                checkpointed: None,
+            })
             .collect();
         Heartbeat {
             machine: self.machine.id.clone(),
@@ -312,7 +318,7 @@
             incarnation: state.incarnation,
             seq: state.seq,
             fencing_token: state.fencing_token,
-            notice_s: None,
+            termination_notice_s: None,
             tasks,
         }
     }
@@ -399,7 +405,7 @@
         }
         let held = self.spec_of(name).is_some_and(|spec| state.images.contains(&spec.image));
         let due = Instant::now() + if held { Duration::ZERO } else { FETCH };
-        state.tasks.insert(name.to_string(), Task { attempt, state: TaskState::Fetching, due: Some(due) });
+        state.tasks.insert(name.to_string(), Task { attempt, state: TaskState::FetchingImage, due: Some(due) });
     }
 
     fn step(&self) {
@@ -422,14 +428,14 @@
         let due: Vec<String> = due.map(|(name, _)| name.clone()).collect();
         for name in due {
             let Some(spec) = self.spec_of(&name) else { continue };
-            let fetched = state.tasks.get(&name).is_some_and(|task| task.state == TaskState::Fetching);
+            let fetched = state.tasks.get(&name).is_some_and(|task| task.state == TaskState::FetchingImage);
             state.changed = true;
             if !fetched {
-                self.exit(&mut state, &name, ExitCause::Done);
+                self.exit(&mut state, &name, ExitCause::Completed);
                 continue;
             }
             state.images.insert(spec.image.clone());
-            let runs = (spec.kind != Kind::Service).then(|| now + Duration::from_secs_f64(spec.estimate_s));
+            let runs = (spec.kind != JobKind::Service).then(|| now + Duration::from_secs_f64(spec.estimated_runtime_s));
             if let Some(task) = state.tasks.get_mut(&name) {
                 (task.state, task.due) = (TaskState::Running, runs);
             }
@@ -441,11 +447,11 @@
         let Some(task) = state.tasks.remove(name) else { return };
         state.changed = true;
         state.exited.insert((name.to_string(), task.attempt), why);
-        self.note_left(name, &task, why == ExitCause::Done);
+        self.note_left(name, &task, why == ExitCause::Completed);
     }
 
     fn note_left(&self, name: &str, task: &Task, done: bool) {
-        if task.state != TaskState::Fetching {
+        if task.state != TaskState::FetchingImage {
             let machine = self.machine.id.to_string();
             self.around.history.add(Event::Left { machine, task: name.to_string(), done });
         }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -11,7 +11,7 @@
 use crate::coordination::store_sync::evidence::Fresh;
 use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose, TxnEnd};
 use crate::coordination::{Controller, UserAnswer, Waiter};
-use crate::protocol::user::{JobSpec, Kind, Submission};
+use crate::protocol::user::{JobKind, JobSpec, Submission};
 use crate::storage::schema::{BatchMember, JobRecord, Key, to_value};
 use crate::types::{JobId, Micros, Resources, Revision};
 use std::collections::{HashMap, VecDeque};
@@ -300,8 +300,8 @@
         let never = |why| Some(UserAnswer::CanNeverRun(why));
         let resources = spec.resources();
         let all = match spec.kind {
-            Kind::Array => resources,
-            Kind::Gang | Kind::Service => resources.times(u64::from(spec.tasks)),
+            JobKind::Array => resources,
+            JobKind::Gang | JobKind::Service => resources.times(u64::from(spec.tasks)),
         };
         if let Some(name) = &spec.team {
             let Some(team) = self.platform.deployment.team(name) else {
--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
-use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::protocol::user::{JobKind, JobSpec, Priority};
 use crate::storage::schema::Hold;
 use crate::types::{MachineId, Micros, Resources};
 use std::collections::{BTreeMap, HashMap};
@@ -54,7 +54,7 @@
 
 impl Backlog {
     fn add(&mut self, job: &Job, tasks: u64) {
-        self.cpu_seconds += tasks as f64 * job.spec.cpus * job.spec.estimate_s.max(ESTIMATE_LEAST_S);
+        self.cpu_seconds += tasks as f64 * job.spec.cpus * job.spec.estimated_runtime_s.max(ESTIMATE_LEAST_S);
     }
 }
 
@@ -128,7 +128,7 @@
                 *sum = sum.plus(&job.resources.times(count));
             }
             // What its team's limit keeps back queues as well, and would be worked off sooner with more machines.
-            if job.spec.kind == Kind::Array {
+            if job.spec.kind == JobKind::Array {
                 batch.add(job, waiting - count);
             }
             if count == 0 {
@@ -140,7 +140,7 @@
                 continue;
             }
             let rest = Unmet { shard, spec: (*job.spec).clone(), count: left, worth_renting: true, zones };
-            if job.spec.kind == Kind::Array {
+            if job.spec.kind == JobKind::Array {
                 batch.add(job, left);
                 batch.unmet.push((rest, job.ready));
             } else {
@@ -186,7 +186,7 @@
         let drain = Micros::from_millis(self.policy.drain_ms).secs();
         let running: f64 = jobs
             .iter()
-            .filter(|j| j.spec.kind == Kind::Array)
+            .filter(|j| j.spec.kind == JobKind::Array)
             .map(|j| j.spec.cpus * f64::from(j.live.occupying()))
             .sum();
         let mut wanted = batch.cpu_seconds / drain - running;
@@ -218,12 +218,12 @@
 
     /// Room for a few more of the largest services, so that the next one starts at once.
     fn add_spare(&self, jobs: &[&Job], shard: u32, slots: &mut [Slot], unmet: &mut Vec<Unmet>) {
-        let services = jobs.iter().filter(|j| j.spec.kind == Kind::Service);
+        let services = jobs.iter().filter(|j| j.spec.kind == JobKind::Service);
         let Some(largest) = services.max_by_key(|j| j.resources.cpus) else { return };
         // Lower work running there can make way as well.
         let preemptible = jobs
             .iter()
-            .filter(|j| j.spec.kind == Kind::Array && j.spec.priority < Priority::High)
+            .filter(|j| j.spec.kind == JobKind::Array && j.spec.priority < Priority::High)
             .map(|j| j.resources.cpus * u64::from(j.live.occupying()))
             .sum::<u64>()
             / largest.resources.cpus.max(1);
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -5,7 +5,7 @@
 use crate::coordination::autoscaling::provisioning::BootHistory;
 use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
 use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect};
-use crate::protocol::cloud::{ListedMachine, ListedState, MachineList, MachineTypes, Rental};
+use crate::protocol::cloud::{InstanceRequest, ListedMachine, ListedState, MachineList, MachineTypes};
 use crate::storage::schema::{Hold, Key, MachineRecord, to_value};
 use crate::types::{MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -30,7 +30,7 @@
 pub(crate) enum Call {
     Types,
     List,
-    Rent(Rental, u32),
+    Rent(InstanceRequest, u32),
     Delete(Vec<MachineId>),
     /// By their shard's holder, as nothing else proved in time that cancelled tasks are gone.
     Clear(Vec<MachineId>),
@@ -165,7 +165,7 @@
     }
 
     /// Machines that were rented boot now.
-    fn rented(&mut self, rental: Rental, machines: Vec<MachineId>) {
+    fn rented(&mut self, rental: InstanceRequest, machines: Vec<MachineId>) {
         let now = self.now();
         let offer = (rental.machine_type.clone(), rental.zone.clone(), rental.spot);
         tracing::info!(offer = ?offer, asked = rental.count, got = machines.len(), "rented");
@@ -343,7 +343,7 @@
         let mut late = Vec::new();
         let (types, recorded) = (&self.autoscaling.types, &self.store.replica.machines);
         self.autoscaling.leader.boots.retain(|id, boot| {
-            let usual = types.get(&boot.machine_type).map_or(60.0, |t| t.wire.boot_s);
+            let usual = types.get(&boot.machine_type).map_or(60.0, |t| t.wire.typical_startup_s);
             let came_up = recorded.contains_key(id);
             let given_up = !came_up && now.since(boot.since) > Micros::from_secs_f64(usual * patience);
             if given_up {
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -4,7 +4,7 @@
 use crate::coordination::autoscaling::capacity::{Slot, Unmet, count_in, fit};
 use crate::coordination::autoscaling::leader::{Boot, Call, Offer};
 use crate::coordination::autoscaling::provisioning::{Reliability, overdue};
-use crate::protocol::cloud::Rental;
+use crate::protocol::cloud::InstanceRequest;
 use crate::protocol::user::JobSpec;
 use crate::storage::schema::Role;
 use crate::types::{Micros, Resources};
@@ -27,7 +27,8 @@
 impl Controller {
     /// When a machine that boots should be up.
     fn boot_span(&self, boot: &Boot) -> Micros {
-        let usual_s = self.autoscaling.types.get(&boot.machine_type).map_or(USUAL_BOOT_S, |info| info.wire.boot_s);
+        let usual_s =
+            self.autoscaling.types.get(&boot.machine_type).map_or(USUAL_BOOT_S, |info| info.wire.typical_startup_s);
         self.autoscaling.leader.boot_history.ordinary_span(&boot.machine_type, usual_s)
     }
 
@@ -133,7 +134,7 @@
             // The fencing token is this process's alone, so the name never comes again.
             let request = format!("r-{}-{}", fencing_token.0, self.autoscaling.leader.rental_requests);
             let (machine_type, zone, spot) = offer;
-            let rental = Rental { request, machine_type, zone, spot, count: count.min(RENTAL_MOST) };
+            let rental = InstanceRequest { request, machine_type, zone, spot, count: count.min(RENTAL_MOST) };
             self.cloud(Call::Rent(rental, 0));
         }
     }
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::fleet::machines::{Failures, Machine};
 use crate::coordination::jobs::usage::{Phase, Start};
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::{Hold, Outcome};
 use crate::types::{JobId, MachineId};
 
@@ -85,10 +85,10 @@
     }
 
     fn stop_services(&mut self, id: &MachineId) {
-        self.stop_where(id, |kind| kind == Kind::Service);
+        self.stop_where(id, |kind| kind == JobKind::Service);
     }
 
-    fn stop_where(&mut self, id: &MachineId, wanted: impl Fn(Kind) -> bool) {
+    fn stop_where(&mut self, id: &MachineId, wanted: impl Fn(JobKind) -> bool) {
         let grace = self.policy.stop_grace_s;
         let mut push = false;
         for (job, task) in self.jobs.usage.starts_on(id) {
@@ -101,7 +101,7 @@
                 && live.phase() != Phase::Decided
                 && live.stop.is_none()
             {
-                live.stop = Some(if job.spec.checkpoint_s > 0.0 { grace } else { 0.0 });
+                live.stop = Some(if job.spec.checkpoint_interval_s > 0.0 { grace } else { 0.0 });
                 push = true;
             }
         }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -6,7 +6,7 @@
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::zones::zone_control::ZoneStart;
 use crate::coordination::{Controller, Effect, Waiter, WorkerAnswer};
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState};
 use crate::storage::schema::Role;
 use crate::types::{FencingToken, JobId, MachineId, TaskId};
@@ -132,7 +132,7 @@
         machine.incarnation = heartbeat.incarnation;
         machine.seq = heartbeat.seq;
         machine.highest_token_seen = heartbeat.fencing_token;
-        machine.notice = heartbeat.notice_s.is_some();
+        machine.notice = heartbeat.termination_notice_s.is_some();
         if let Some(addr) = heartbeat.addr.as_ref().and_then(|a| a.parse().ok()) {
             machine.addr = Some(addr);
         }
@@ -159,7 +159,8 @@
         let mut unrecorded = Vec::new();
         let mut seen: BTreeSet<(JobId, u32)> = BTreeSet::new();
         for reported in &heartbeat.tasks {
-            let exited = (reported.state == TaskState::Exited).then(|| reported.why.unwrap_or(ExitCause::Unknown));
+            let exited =
+                (reported.state == TaskState::Exited).then(|| reported.exit_cause.unwrap_or(ExitCause::Unknown));
             let known = TaskId::parse(&reported.task).filter(|t| {
                 self.jobs.by_id.get(&t.job).and_then(|j| j.live.get(t.index)).is_some_and(|l| {
                     *l.machine() == *id && l.attempt == reported.attempt && l.phase() != Phase::Decided
@@ -219,10 +220,10 @@
         live.sent = true;
         live.seq = live.seq.max(seq);
         let phase = match state {
-            TaskState::Fetching => Phase::Fetching,
+            TaskState::FetchingImage => Phase::Fetching,
             TaskState::Waiting => Phase::Waiting,
             TaskState::Running => Phase::Running,
-            TaskState::Saving => Phase::Saving,
+            TaskState::Checkpointing => Phase::Saving,
             TaskState::Exited => return,
         };
         let before = live.phase();
@@ -282,15 +283,15 @@
             return;
         }
         let elsewhere = |live: &Start| live.machine() != id && live.phase().on_machine();
-        let alone_in_gang = job.spec.kind == Kind::Gang && job.live.values().any(elsewhere);
-        if matches!(why, ExitCause::Done) {
+        let alone_in_gang = job.spec.kind == JobKind::Gang && job.live.values().any(elsewhere);
+        if matches!(why, ExitCause::Completed) {
             let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
             self.image_seen(id, &image, megabytes);
         }
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             match why {
-                ExitCause::Done => machine.failed_jobs.clear(),
-                ExitCause::Error => {
+                ExitCause::Completed => machine.failed_jobs.clear(),
+                ExitCause::Failed => {
                     let none = Failures { count: 0, last: now, task: task.index, alone_in_gang: 0 };
                     let failures = machine.failed_jobs.entry(task.job.clone()).or_insert(none);
                     failures.count += 1;
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -12,8 +12,8 @@
 use crate::coordination::jobs::cancellation_log::AcknowledgedBy;
 use crate::coordination::jobs::usage::Phase;
 use crate::coordination::{Controller, Effect, UserAnswer, Waiter};
-use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
-use crate::protocol::user::valid_id;
+use crate::protocol::peer::{CancellationAck, CancellationNotice, CancelledJob};
+use crate::protocol::user::is_valid_job_id;
 use crate::storage::schema::{EndRecord, Key, Role, to_value};
 use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -173,7 +173,7 @@
     fn notify_holder(&mut self, shard: u32, holder: String, fencing_token: FencingToken, ids: Vec<JobId>) {
         let told = |id: &JobId| {
             let end = self.store.replica.ends.get(id)?;
-            Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
+            Some(CancelledJob { id: id.to_string(), cancelled_at: end.value.at.0, revision: end.version })
         };
         let jobs: Vec<CancelledJob> = ids.iter().filter_map(told).collect();
         self.jobs.cancellations.next_call += 1;
@@ -182,13 +182,13 @@
         self.out.push(Effect::Peer {
             call,
             to: holder,
-            message: Cancelled { shard, fencing_token: fencing_token.0, jobs },
+            message: CancellationNotice { shard, fencing_token: fencing_token.0, jobs },
         });
     }
 
     pub(crate) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
         let Some(ids) = self.jobs.cancellations.notifying.remove(&call) else { return };
-        if answer.is_some_and(|a| a.holds) {
+        if answer.is_some_and(|ack| ack.holds_shard) {
             self.jobs.cancellations.confirmed.extend(ids);
             if self.jobs.cancellations.confirmed.len() > PRUNE_AT {
                 let replica = &self.store.replica;
@@ -212,25 +212,28 @@
 
     /// A sibling saw jobs cancelled and wants to know whether we see to it. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
-    pub(crate) fn cancellation_notified(&mut self, waiter: Waiter, message: &Cancelled) {
+    pub(crate) fn cancellation_notified(&mut self, waiter: Waiter, message: &CancellationNotice) {
         if !self.store.sync.done {
-            return self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds: false }));
+            return self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds_shard: false }));
         }
         let mut changes = Vec::new();
-        for job in message.jobs.iter().filter(|job| valid_id(&job.id)) {
+        for job in message.jobs.iter().filter(|job| is_valid_job_id(&job.id)) {
             let id = JobId::new(&job.id);
             if !self.store.replica.ends.contains_key(&id) {
-                let end = to_value(&EndRecord::cancelled(Micros(job.at)));
+                let end = to_value(&EndRecord::cancelled(Micros(job.cancelled_at)));
                 changes.push(self.store.replica.apply(&Key::End(id).to_string(), Some(&end), job.revision));
             }
         }
         self.changed(changes);
-        let obeyed =
-            message.jobs.iter().filter(|job| valid_id(&job.id)).all(|job| self.is_obeyed_on(&JobId::new(&job.id)));
+        let obeyed = message
+            .jobs
+            .iter()
+            .filter(|job| is_valid_job_id(&job.id))
+            .all(|job| self.is_obeyed_on(&JobId::new(&job.id)));
         let holds = obeyed
             && self
                 .held(Role::Shard(message.shard))
                 .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token);
-        self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds }));
+        self.out.push(Effect::AnswerPeer(waiter, CancellationAck { holds_shard: holds }));
     }
 }
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -43,7 +43,7 @@
     /// How long a job takes once it is ready, for those that have to be done before it. Estimates are often wrong by
     /// half, and tasks don't all start at once.
     fn span(&self, record: &JobRecord) -> Micros {
-        let estimate = record.spec.estimate_s * self.policy.stage_estimate_factor;
+        let estimate = record.spec.estimated_runtime_s * self.policy.stage_estimate_factor;
         Micros::from_secs_f64(estimate) + Micros::from_millis(self.policy.stage_overhead_ms)
     }
 
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -6,7 +6,7 @@
 use crate::coordination::jobs::failures::{Failure, FailureHistory};
 use crate::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
 use crate::coordination::zones::zone_control::ZoneStart;
-use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::protocol::user::{JobKind, JobSpec, Priority};
 use crate::protocol::worker::ExitCause;
 use crate::storage::schema::{JobRecord, Outcome, RunChunk};
 use crate::types::{JobId, MachineId, Micros, Resources};
@@ -151,12 +151,12 @@
     /// A gang completes as a whole: one task done means that all are, also those whose machine was
     /// lost before it could say so.
     pub fn gang_done(&self) -> bool {
-        self.spec.kind == Kind::Gang && (self.done > 0 || !self.done_unrecorded.is_empty())
+        self.spec.kind == JobKind::Gang && (self.done > 0 || !self.done_unrecorded.is_empty())
     }
 
     /// By itself, or because an urgent job needs it.
     pub fn is_urgent(&self) -> bool {
-        self.spec.kind == Kind::Service || self.urgency.priority > Priority::Normal
+        self.spec.kind == JobKind::Service || self.urgency.priority > Priority::Normal
     }
 
     /// Starts of some tasks that are gone from their chunk, or never got there, vanish; says on which machines.
@@ -331,7 +331,7 @@
             job.live.set_phase(task, Phase::Gone, &mut self.jobs.usage);
             job.dirty(now);
         }
-        let patient = job.over.is_none() && job.spec.kind == Kind::Array && !job.is_urgent();
+        let patient = job.over.is_none() && job.spec.kind == JobKind::Array && !job.is_urgent();
         for machine in touched {
             self.machine_freed(&machine);
             if patient {
@@ -353,27 +353,27 @@
         }
         let machine = live.machine().clone();
         let ran = live.running_since.map_or(Micros::ZERO, |since| now.since(since));
-        if why != ExitCause::Done {
+        if why != ExitCause::Completed {
             tracing::debug!(job = %id, task, %machine, phase = ?live.phase(), ?why, "ended early");
         }
-        let came_to_work = why == ExitCause::Done && live.running_since.is_none();
+        let came_to_work = why == ExitCause::Completed && live.running_since.is_none();
         job.live.set_phase(task, Phase::Ended(why), &mut self.jobs.usage);
         let not_before = match why {
-            ExitCause::Done => {
+            ExitCause::Completed => {
                 job.done_unrecorded.insert(task);
                 job.progress_since.get_or_insert(now);
                 job.failures.succeeded(task);
                 None
             }
-            ExitCause::Error => Some(job.failures.failed(&Failure { task, machine: &machine, ran }, now, retry_max)),
+            ExitCause::Failed => Some(job.failures.failed(&Failure { task, machine: &machine, ran }, now, retry_max)),
             ExitCause::InsufficientResources | ExitCause::Busy | ExitCause::Unknown => Some(now + REFUSED_PAUSE),
-            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => None,
+            ExitCause::Stopped | ExitCause::GangPeerLost | ExitCause::GangIncomplete => None,
         };
         if let Some(at) = not_before {
             job.not_before.insert(task, at);
         }
         job.dirty(now);
-        if job.spec.kind == Kind::Gang && why != ExitCause::Done {
+        if job.spec.kind == JobKind::Gang && why != ExitCause::Completed {
             // The attempt is lost; the next begins when all of it has gone.
             for live in job.live.values_mut().filter(|l| l.occupies()) {
                 live.stop.get_or_insert(0.0);
--- a/src/coordination/jobs/usage.rs
+++ b/src/coordination/jobs/usage.rs
@@ -1,7 +1,7 @@
 //! Starts not proven gone and out of the stored records, with the sums kept over them: what each machine
 //! has and gives, what each team uses. A start's phase changes only here, so that no sum is missed.
 
-use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::protocol::user::{JobKind, JobSpec, Priority};
 use crate::protocol::worker::ExitCause;
 use crate::types::{JobId, MachineId, Micros, Resources};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -193,8 +193,8 @@
     /// None yet, of that job.
     pub fn new(job: JobId, spec: &JobSpec) -> JobStarts {
         let team = spec.team.clone();
-        let service = spec.kind == Kind::Service;
-        let lowest = spec.kind == Kind::Array && spec.priority == Priority::Low;
+        let service = spec.kind == JobKind::Service;
+        let lowest = spec.kind == JobKind::Array && spec.priority == Priority::Low;
         JobStarts {
             job,
             resources: spec.resources(),
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,7 +1,7 @@
 //! What reaches a controller's state machine and what it has carried out: inputs in, effects out.
 
-use crate::protocol::cloud::{MachineList, MachineNames, MachineTypes, Rental};
-use crate::protocol::peer::{CancellationAck, Cancelled};
+use crate::protocol::cloud::{InstanceRequest, MachineList, MachineNames, MachineTypes};
+use crate::protocol::peer::{CancellationAck, CancellationNotice};
 use crate::protocol::store::{Changes, Page, Txn};
 use crate::protocol::user::{JobStatus, Submission};
 use crate::protocol::worker::{DirectCommands, Heartbeat, HeartbeatResponse};
@@ -129,7 +129,7 @@
         after: Option<MachineId>,
     },
     /// To rent machines.
-    Rent(Rental),
+    Rent(InstanceRequest),
     /// To delete machines.
     Delete(Vec<MachineId>),
 }
@@ -191,7 +191,7 @@
         outcome: CloudOutcome,
     },
     /// A sibling tells of cancelled jobs.
-    Peer(Waiter, Cancelled),
+    Peer(Waiter, CancellationNotice),
     /// What a sibling says that we told; nothing if no answer came.
     PeerAnswer {
         /// Which notice it answers.
@@ -325,7 +325,7 @@
         /// The sibling's label.
         to: String,
         /// What it is told.
-        message: Cancelled,
+        message: CancellationNotice,
     },
     /// An answer to a sibling.
     AnswerPeer(Waiter, CancellationAck),
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -7,7 +7,7 @@
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::scheduling::shard_view::{ShardView, Spot};
 use crate::coordination::zones::zone_control::ZoneStart;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, MachineId, Micros, Resources};
 use std::collections::{BTreeSet, HashMap};
@@ -119,7 +119,7 @@
         if job.locked || !job.recorded || job.over.is_some() || self.held(Role::Shard(shard)).is_none() {
             return;
         }
-        let gang = job.spec.kind == Kind::Gang;
+        let gang = job.spec.kind == JobKind::Gang;
         let mut view = field.shards.remove(&shard).unwrap_or_else(|| self.view_of(shard));
         if gang {
             self.place_gang(id, &mut view);
@@ -132,7 +132,7 @@
     fn place_tasks(&mut self, id: &JobId, view: &mut ShardView) {
         let now = self.now();
         let Some(job) = self.jobs.by_id.get(id) else { return };
-        let begins = job.spec.kind == Kind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
+        let begins = job.spec.kind == JobKind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
         let none = BTreeSet::new();
         let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted);
         let mut search = Search { zone: None, avoided_zones: &avoided_zones, avoid_failed: true };
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::Start;
 use crate::coordination::scheduling::shard_view::Spot;
-use crate::protocol::user::{Kind, Priority};
+use crate::protocol::user::{JobKind, Priority};
 use crate::types::{JobId, Micros, Resources};
 
 /// A job that made others leave does so again only after this.
@@ -26,7 +26,7 @@
     pub(crate) fn make_room(&mut self, id: &JobId, spots: &[Spot]) {
         let now = self.now();
         let Some(job) = self.jobs.by_id.get(id) else { return };
-        if now < job.preempting_until || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
+        if now < job.preempting_until || job.spec.kind == JobKind::Gang || !self.may_preempt(job) {
             return;
         }
         let mut allowance = self.allowance(job, None);
@@ -58,7 +58,7 @@
         let grace = self.policy.stop_grace_s;
         for (other, task) in chosen {
             let Some(victim) = self.jobs.by_id.get_mut(&other) else { continue };
-            let stop = if victim.spec.checkpoint_s > 0.0 { grace } else { 0.0 };
+            let stop = if victim.spec.checkpoint_interval_s > 0.0 { grace } else { 0.0 };
             if let Some(live) = victim.live.get_mut(task) {
                 live.stop = Some(stop);
                 let machine = live.machine().clone();
@@ -118,12 +118,13 @@
             .filter_map(|(other, task)| {
                 let victim = self.jobs.by_id.get(other)?;
                 let live = victim.live.get(*task)?;
-                let below = victim.urgency.priority < job.spec.priority && victim.spec.kind == Kind::Array;
+                let below = victim.urgency.priority < job.spec.priority && victim.spec.kind == JobKind::Array;
                 let stoppable = live.phase().on_machine() && live.stop.is_none();
                 let ran = now.since(live.running_since.unwrap_or(now));
                 // One that saves when it is stopped goes on from there.
-                let saves = victim.spec.checkpoint_s > 0.0 && victim.spec.save_s <= self.policy.stop_grace_s;
-                let loss = if saves { ran.min(Micros::from_secs_f64(victim.spec.save_s)) } else { ran };
+                let saves = victim.spec.checkpoint_interval_s > 0.0
+                    && victim.spec.checkpoint_duration_s <= self.policy.stop_grace_s;
+                let loss = if saves { ran.min(Micros::from_secs_f64(victim.spec.checkpoint_duration_s)) } else { ran };
                 (below && stoppable && !self.has_just_begun(victim, live))
                     .then(|| (loss, other.clone(), *task, victim.resources))
             })
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -14,7 +14,7 @@
         if let Some(due) = job.urgency.due {
             return due;
         }
-        let left = f64::from(job.spec.tasks.saturating_sub(job.done)) * job.spec.cpus * job.spec.estimate_s;
+        let left = f64::from(job.spec.tasks.saturating_sub(job.done)) * job.spec.cpus * job.spec.estimated_runtime_s;
         job.ready + self.put_off(left)
     }
 
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
-use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::protocol::user::{JobKind, JobSpec, Priority};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::fetches::FetchQueues;
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,7 @@
         let window = Micros::from_millis(self.policy.reserve_window_ms);
         let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
         let mut wanted: BTreeMap<&str, (f64, Resources)> = BTreeMap::new();
-        for job in self.jobs.by_id.values().filter(|j| j.shard == shard && j.spec.kind == Kind::Service) {
+        for job in self.jobs.by_id.values().filter(|j| j.shard == shard && j.spec.kind == JobKind::Service) {
             if self.clock.wall.since(job.accepted) < window {
                 let entry = wanted.entry(&job.spec.image).or_default();
                 *entry = (entry.0 + f64::from(job.spec.tasks) * part, job.resources);
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -8,7 +8,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::{Phase, Start};
 use crate::coordination::store_sync::txns::{PRECONDITIONS_PER_WRITE, ProposedTxn, Purpose};
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
 use crate::storage::schema::{EndRecord, Key, Role, RunChunk, StartRecord, to_value};
@@ -192,7 +192,7 @@
     /// hold or have left the shard since, the job is over, or no more machines fit.
     fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
         let highest = changes.stored.values().map(|c| c.value.attempts).max().unwrap_or(0);
-        let gang_attempt = (self.spec.kind == Kind::Gang).then_some(highest + 1);
+        let gang_attempt = (self.spec.kind == JobKind::Gang).then_some(highest + 1);
         let gang_done = self.gang_done();
         let mut dropped = Vec::new();
         for task in tasks {
@@ -201,7 +201,7 @@
             }
             let Some(live) = self.live.get_mut(task) else { continue };
             if live.phase() != Phase::Decided {
-                changes.remove_start(task, gang_done || live.phase() == Phase::Ended(ExitCause::Done));
+                changes.remove_start(task, gang_done || live.phase() == Phase::Ended(ExitCause::Completed));
                 continue;
             }
             let machine = replica.machines.get(live.machine());
@@ -357,7 +357,8 @@
         if job.over.is_none() {
             proposal.unchanged(&self.store.replica, end.clone());
         }
-        let finishes = job.over.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
+        let finishes =
+            job.over.is_none() && job.spec.kind != JobKind::Service && changes.done_count() >= job.spec.tasks;
         if finishes {
             proposal.put(end, to_value(&EndRecord::done()));
         }
@@ -388,7 +389,7 @@
 fn is_lost(live: &Start) -> bool {
     match live.phase() {
         Phase::Gone => true,
-        Phase::Ended(why) => why != ExitCause::Done,
+        Phase::Ended(why) => why != ExitCause::Completed,
         _ => false,
     }
 }
@@ -411,7 +412,8 @@
 impl Need {
     fn of(job: &Job) -> Option<Need> {
         let urgent = job.is_urgent();
-        let finished = job.spec.kind != Kind::Service && job.done + job.done_unrecorded.len() as u32 >= job.spec.tasks;
+        let finished =
+            job.spec.kind != JobKind::Service && job.done + job.done_unrecorded.len() as u32 >= job.spec.tasks;
         let gang_rest = job.over.is_none() && job.gang_done() && job.waiting() > 0;
         if job.live.occupying() == 0 && (job.over.is_some() || finished) || gang_rest {
             return Some(Need::Outcome);
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -8,7 +8,7 @@
 use crate::coordination::autoscaling::capacity::count_in;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::Spot;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::{Hold, Role};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::Condition;
@@ -45,7 +45,7 @@
         }
         let starts = self.jobs.usage.placed(machine).into_iter().flat_map(|placed| &placed.starts);
         let goes_on = |id: &JobId, task: u32| {
-            let job = self.jobs.by_id.get(id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
+            let job = self.jobs.by_id.get(id).filter(|job| job.spec.kind == JobKind::Service && job.over.is_none());
             job.and_then(|job| job.live.get(task)).is_some_and(|live| live.occupies() && live.stop.is_none())
         };
         starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
@@ -140,7 +140,7 @@
     }
 
     fn waiting_services(&self, shard: u32) -> Places {
-        let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting() > 0;
+        let waits = |job: &&Job| job.shard == shard && job.spec.kind == JobKind::Service && job.waiting() > 0;
         self.jobs.by_id.values().filter(waits).map(|job| (job.live.job().clone(), job.waiting())).collect()
     }
 
--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -10,7 +10,7 @@
 use crate::coordination::jobs::usage::Phase;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::coordination::zones::zone_control::MovingReplica;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
 use burlhatch_zones::Condition;
@@ -57,7 +57,7 @@
             self.jobs.by_id.range((from, Bound::Unbounded)).take(LOOKED_AT).map(|(id, _)| id).collect();
         let last = looked.last().map(|id| (*id).clone());
         let is_ours = |id: &&JobId| {
-            let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == Kind::Service && job.over.is_none());
+            let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == JobKind::Service && job.over.is_none());
             job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
         };
         let services = looked.into_iter().filter(is_ours).cloned().collect();
@@ -119,7 +119,7 @@
         let Move { job: id, task, from } = found;
         let now = self.now();
         let Some(job) = self.jobs.by_id.get_mut(&id) else { return };
-        let grace = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
+        let grace = if job.spec.checkpoint_interval_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
         let Some(live) = job.live.get_mut(task) else { return };
         live.stop = Some(grace);
         let machine = live.machine().clone();
@@ -132,7 +132,7 @@
     /// again and again if all of its replicas would be there.
     pub(crate) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
         let mut avoided = BTreeSet::new();
-        if !self.judges_zones() || job.spec.kind != Kind::Service {
+        if !self.judges_zones() || job.spec.kind != JobKind::Service {
             return avoided;
         }
         avoided.extend(self.zones.moving.get(id).map(|moving| moving.from.clone()));
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -9,7 +9,7 @@
 use crate::coordination::jobs::usage::Start;
 use crate::coordination::scheduling::shard_view::Spot;
 use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
-use crate::protocol::user::{Kind, Priority};
+use crate::protocol::user::{JobKind, Priority};
 use crate::storage::schema::{Key, Role, is_zone_storable, to_value};
 use crate::types::{JobId, MachineId, Micros};
 use burlhatch_zones::disruption::DisruptionBudget;
@@ -278,9 +278,9 @@
         Some(Waiting {
             key: id,
             kind: match job.spec.kind {
-                Kind::Service => WorkKind::Service,
-                Kind::Gang => WorkKind::Gang,
-                Kind::Array => WorkKind::Array,
+                JobKind::Service => WorkKind::Service,
+                JobKind::Gang => WorkKind::Gang,
+                JobKind::Array => WorkKind::Array,
             },
             priority: match job.urgency.priority {
                 Priority::Low => 0,
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,73 +1,90 @@
-//! Messages of the cloud.
+//! Messages of the cloud's API, which provisions, lists and deletes machines.
 
-use super::{list, maybe_number, number};
+use super::{list_or_null, number, optional_number};
 use crate::types::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// A kind of machine.
+/// Text in the body of a refusal because no machine of the requested kind is to be had.
+pub const NO_CAPACITY: &str = "no capacity";
+/// Path of the list of machine types.
+pub const TYPES_PATH: &str = "/flavors";
+/// Path of requests for machines, and of the list of machines.
+pub const RENT_PATH: &str = "/rentals";
+/// Path of requests to delete machines.
+pub const DELETE_PATH: &str = "/rentals/delete";
+
+/// Path of one page of the list of machines, which begins after the given one.
+pub fn list_path(after: Option<&MachineId>) -> String {
+    match after {
+        Some(id) => format!("{RENT_PATH}?after={id}&most=500"),
+        None => format!("{RENT_PATH}?most=500"),
+    }
+}
+
+/// A type of machine, with its resources and price.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// Processors of one.
+    /// CPUs.
     #[serde(rename = "cores", deserialize_with = "number")]
     pub cpus: f64,
-    /// GPUs of one.
+    /// GPUs.
     #[serde(default, deserialize_with = "number")]
     pub gpus: f64,
-    /// Memory of one.
+    /// Memory.
     #[serde(deserialize_with = "number")]
     pub memory_gb: f64,
-    /// Room for images.
+    /// Capacity of the cache of images.
     #[serde(deserialize_with = "number")]
     pub cache_gb: f64,
-    /// Rate at which it fetches them.
+    /// Rate at which a machine fetches images.
     #[serde(rename = "pull_gb_per_s", deserialize_with = "number")]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price per hour.
     #[serde(rename = "hourly", deserialize_with = "number")]
     pub price: f64,
-    /// Price an hour of one that may be taken back at any moment.
-    #[serde(rename = "market_price", default, deserialize_with = "maybe_number")]
+    /// Price per hour of a spot instance, if there are any of this type.
+    #[serde(rename = "market_price", default, deserialize_with = "optional_number")]
     pub spot_price: Option<f64>,
-    /// Usual time until it is up.
+    /// Typical time from the request until the machine runs.
     #[serde(rename = "startup_s", deserialize_with = "number")]
-    pub boot_s: f64,
-    /// Where it is offered.
-    #[serde(rename = "berths", default, deserialize_with = "list")]
+    pub typical_startup_s: f64,
+    /// Zones in which the type is offered.
+    #[serde(rename = "berths", default, deserialize_with = "list_or_null")]
     pub zones: Vec<String>,
 }
 
-/// All kinds of machines.
+/// The list of machine types.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MachineTypes {
-    /// Each of them.
+    /// All types.
     #[serde(rename = "hulls")]
     pub types: Vec<MachineType>,
 }
 
-/// A request for machines.
+/// A request for machines. It is idempotent: the same request id gets the same machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rental {
-    /// Names the request; never used again.
+pub struct InstanceRequest {
+    /// Id of the request, never used again.
     #[serde(rename = "charter")]
     pub request: String,
-    /// Which type.
+    /// Name of the machine type.
     #[serde(rename = "hull")]
     pub machine_type: String,
-    /// In which zone.
+    /// Zone of the machines.
     #[serde(rename = "berth")]
     pub zone: String,
-    /// Whether they may be taken back at any moment.
+    /// Whether to request spot instances, which the cloud may interrupt at any moment.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// How many at most.
+    /// How many machines at most.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Machines by name.
+/// Machines by name: those provisioned for a request, or those to delete.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MachineNames {
     /// Their names.
@@ -75,41 +92,41 @@
     pub machines: Vec<MachineId>,
 }
 
-/// How far a listed machine has come.
+/// State of a listed machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub enum ListedState {
-    /// Not up yet.
+    /// It is being provisioned.
     #[serde(rename = "starting")]
     Booting,
-    /// Up.
+    /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// Stopped by itself.
+    /// It failed, or is in a state not known here.
     #[serde(rename = "failed", other)]
     Failed,
 }
 
-/// A machine as the cloud lists it.
+/// A machine in the cloud's list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     pub id: MachineId,
-    /// Address of its worker.
+    /// Address of its agent, once it has one.
     #[serde(default)]
     pub addr: Option<String>,
-    /// Its type.
+    /// Name of its type.
     #[serde(rename = "hull")]
     pub machine_type: String,
     /// Its zone.
     #[serde(rename = "berth")]
     pub zone: String,
-    /// Whether it may be taken back at any moment.
+    /// Whether it is a spot instance.
     #[serde(rename = "driftwood", default)]
     pub spot: bool,
-    /// How far it has come.
+    /// Its state.
     #[serde(rename = "status")]
     pub state: ListedState,
-    /// Time since it was rented.
+    /// Time since it was requested.
     #[serde(rename = "held_s", default, deserialize_with = "number")]
     pub age_s: f64,
 }
@@ -117,27 +134,10 @@
 /// A page of the list of machines.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MachineList {
-    /// In the order of their names.
+    /// Machines in the order of their names.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// Whether there are further ones.
+    /// Whether another page follows.
     #[serde(default)]
     pub more: bool,
 }
-
-/// Path of one page of the machine list.
-pub fn list_path(after: Option<&MachineId>) -> String {
-    match after {
-        Some(id) => format!("/rentals?after={id}&most=500"),
-        None => "/rentals?most=500".to_string(),
-    }
-}
-
-/// Text in the body of a refusal because no machine of the requested kind is to be had.
-pub const NO_CAPACITY: &str = "no capacity";
-/// Where types are listed.
-pub const TYPES_PATH: &str = "/flavors";
-/// Where machines are rented and listed.
-pub const RENT_PATH: &str = "/rentals";
-/// Where machines are deleted.
-pub const DELETE_PATH: &str = "/rentals/delete";
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,13 @@
-//! Wire messages. The names that only the wire knows live here and nowhere else.
+//! Messages as they look on the wire, and what makes them valid.
+//!
+//! Owns: the names that only the wire knows (fields by `serde(rename)`, paths and texts by constants) and the bounds
+//! that messages must keep. Promises: decoding any bytes gives a message or a [`WireError`], never a panic.
+//!
+//! * [`user`]: submissions, status and cancellation of jobs;
+//! * [`worker`]: heartbeats of agents and commands to them;
+//! * [`store`]: the key-value store's API;
+//! * [`cloud`]: the cloud's API;
+//! * [`peer`]: messages between controllers.
 
 pub mod cloud;
 pub mod peer;
@@ -7,34 +16,40 @@
 pub mod worker;
 
 use serde::de::{DeserializeOwned, Error as _, Visitor};
-use serde::{Deserializer, Serialize};
-use std::fmt;
+use serde::{Deserialize, Deserializer, Serialize};
+use std::{fmt, io};
 
 /// Content type of all bodies but those between controllers.
 pub const CONTENT_TYPE_CBOR: &str = "application/cbor";
 /// Path of the load balancer's health check.
 pub const HEALTH_PATH: &str = "/healthz";
-/// Limit of request bodies and of answers to users and workers.
+/// Limit of request bodies and of responses to users and agents, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Why a body could not be read.
+/// Why a body is not a valid message.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// It is no CBOR, or of another form.
+    /// It is not CBOR, or a field is missing or of another type.
     #[error("not a valid message: {0}")]
-    Malformed(String),
+    Malformed(#[source] ciborium::de::Error<io::Error>),
+    /// Something follows the message.
+    #[error("not a valid message: trailing bytes")]
+    TrailingBytes,
+    /// A value is out of its bounds.
+    #[error("not a valid message: {0}")]
+    OutOfBounds(&'static str),
 }
 
 /// Decodes one CBOR item that must fill the whole body.
 pub fn decode<T: DeserializeOwned>(mut body: &[u8]) -> Result<T, WireError> {
-    let value = ciborium::from_reader(&mut body).map_err(|e| WireError::Malformed(e.to_string()))?;
-    if body.is_empty() { Ok(value) } else { Err(WireError::Malformed("trailing bytes".into())) }
+    let value = ciborium::from_reader(&mut body).map_err(WireError::Malformed)?;
+    if body.is_empty() { Ok(value) } else { Err(WireError::TrailingBytes) }
 }
 
-/// A message as it goes over the wire.
+/// Encodes a message as CBOR.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let mut body = Vec::with_capacity(256);
-    // Writing to a Vec can't fail and all our types have text keys.
+    // Writing to a Vec can't fail, and all message types have text keys.
     let _ = ciborium::into_writer(value, &mut body);
     body
 }
@@ -57,21 +72,24 @@
     }
 }
 
-/// Amounts come as decimal numbers or, where whole, perhaps as integers.
-pub(crate) fn number<'de, D: Deserializer<'de>>(d: D) -> Result<f64, D::Error> {
-    let v = d.deserialize_any(NumberVisitor)?;
-    if v.is_finite() { Ok(v) } else { Err(D::Error::custom("not finite")) }
+/// Reads a finite number. Amounts come as decimal numbers or, where whole, perhaps as integers.
+pub(crate) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let value = deserializer.deserialize_any(NumberVisitor)?;
+    if value.is_finite() { Ok(value) } else { Err(D::Error::custom("not finite")) }
 }
 
-pub(crate) fn maybe_number<'de, D: Deserializer<'de>>(d: D) -> Result<Option<f64>, D::Error> {
-    #[derive(serde::Deserialize)]
-    struct N(#[serde(deserialize_with = "number")] f64);
-    let v: Option<N> = serde::Deserialize::deserialize(d)?;
-    Ok(v.map(|n| n.0))
+/// Reads a finite number that may be null.
+pub(crate) fn optional_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<f64>, D::Error> {
+    #[derive(Deserialize)]
+    struct Number(#[serde(deserialize_with = "number")] f64);
+    let value: Option<Number> = Deserialize::deserialize(deserializer)?;
+    Ok(value.map(|number| number.0))
 }
 
-/// Lists that may be null or left out.
-pub(crate) fn list<'de, D: Deserializer<'de>, T: serde::Deserialize<'de>>(d: D) -> Result<Vec<T>, D::Error> {
-    let v: Option<Vec<T>> = serde::Deserialize::deserialize(d)?;
-    Ok(v.unwrap_or_default())
+/// Reads a list that may be null, which counts as empty.
+pub(crate) fn list_or_null<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
+    deserializer: D,
+) -> Result<Vec<T>, D::Error> {
+    let value: Option<Vec<T>> = Deserialize::deserialize(deserializer)?;
+    Ok(value.unwrap_or_default())
 }
--- a/src/protocol/peer.rs
+++ b/src/protocol/peer.rs
@@ -1,19 +1,10 @@
-//! Messages between controllers, in bitcode. An encoding does not describe itself, so a message whose form changes
-//! gets a path of its own; a sibling that doesn't know a path answers 404.
+//! Messages between controllers, encoded with bitcode.
+//!
+//! The encoding does not describe itself, so fields keep their order and types. A message whose form changes gets a
+//! path of its own; a sibling that does not know a path answers 404.
 
 use bitcode::{Decode, Encode};
 
-/// A request that reached a controller which can't serve it, passed on as it came.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Relay {
-    /// Where the request went.
-    pub path: String,
-    /// Whether it is a POST; a GET otherwise.
-    pub post: bool,
-    /// As it came.
-    pub body: Vec<u8>,
-}
-
 /// Path of requests that are relayed.
 pub const RELAY_PATH: &str = "/relay";
 /// Path of cancellation notices.
@@ -21,43 +12,54 @@
 /// Path at which a controller says whether it reaches the store; the answer is a `bool`.
 pub const STORE_REACHABILITY_PATH: &str = "/standing";
 
-/// Jobs of one shard that are surely cancelled, to whoever holds the shard.
+/// A request that reached a controller which can't serve it, passed on unchanged.
+#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
+pub struct RelayedRequest {
+    /// Path of the request.
+    pub path: String,
+    /// Whether it is a POST; a GET otherwise.
+    pub is_post: bool,
+    /// Body of the request.
+    pub body: Vec<u8>,
+}
+
+/// The response to a relayed request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Cancelled {
+pub struct RelayedResponse {
+    /// Status code.
+    pub status: u16,
+    /// Value of the `Retry-After` header, if there is one.
+    pub retry_after_s: Option<u32>,
+    /// Body of the response.
+    pub body: Vec<u8>,
+}
+
+/// Notifies the holder of a shard that jobs of the shard are durably cancelled.
+#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
+pub struct CancellationNotice {
     /// Shard that the jobs belong to.
     pub shard: u32,
-    /// The fencing token under which the sender saw it held.
+    /// Fencing token under which the sender saw the shard held.
     pub fencing_token: u64,
-    /// The jobs.
+    /// The cancelled jobs.
     pub jobs: Vec<CancelledJob>,
 }
 
 /// One cancelled job.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CancelledJob {
-    /// Its id.
+    /// Id of the job.
     pub id: String,
-    /// Time of day at which it was cancelled, in microseconds.
-    pub at: u64,
-    /// Revision of the store that made it so.
+    /// Time of day of the cancellation, in microseconds.
+    pub cancelled_at: u64,
+    /// Revision of the store that holds the cancellation.
     pub revision: u64,
 }
 
-/// The answer to that: whether it holds the shard under that fencing token or a later one, and so sees to it that
-/// all tasks of the jobs end.
+/// The response to a cancellation notice.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CancellationAck {
-    /// Whether it holds the shard.
-    pub holds: bool,
-}
-
-/// The answer to a request that was passed on.
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Relayed {
-    /// Status of the answer.
-    pub status: u16,
-    /// When the caller should come back.
-    pub retry_after_s: Option<u32>,
-    /// As it is to be returned.
-    pub body: Vec<u8>,
+    /// Whether the receiver holds the shard under that fencing token or a later one, and so makes sure that all tasks
+    /// of the jobs end.
+    pub holds_shard: bool,
 }
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,63 +1,88 @@
-//! Messages of the store.
+//! Messages of the store: a key-value store with transactions on preconditions, leases, and a log of changes.
 
-use super::list;
+use super::list_or_null;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// What must hold for a transaction.
+/// Text in the body of a refusal because the lease named in a transaction has expired.
+pub const NO_SUCH_LEASE: &str = "no such lease";
+/// Path of transactions.
+pub const TXN_PATH: &str = "/txn";
+/// Path of requests for a lease.
+pub const LEASES_PATH: &str = "/leases";
+
+/// Path at which a lease is renewed.
+pub fn keep_alive_path(lease: u64) -> String {
+    format!("{LEASES_PATH}/{lease}/touch")
+}
+
+/// Path of one page of the keys with a prefix, which begins after the given key.
+pub fn page_path(prefix: &str, after: Option<&str>) -> String {
+    match after {
+        Some(key) => format!("/store?starts={prefix}&after={key}&most=1000"),
+        None => format!("/store?starts={prefix}&most=1000"),
+    }
+}
+
+/// Path of the changes of keys with a prefix after a revision; the store waits so long for one if there is none yet.
+pub fn changes_path(prefix: &str, after: u64, wait_ms: u64) -> String {
+    format!("/changes?starts={prefix}&after={after}&block_ms={wait_ms}")
+}
+
+/// A condition on which a transaction is committed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// Of this key.
+    /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// That its latest change is of this revision; 0 for no such key.
+    /// Revision that its latest change must have; 0 if the key must not exist.
     #[serde(rename = "mark")]
     pub version: u64,
 }
 
-/// A change of a transaction.
+/// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
     /// Stores a value.
     Put {
-        /// Under this key.
+        /// The key.
         #[serde(rename = "write")]
         key: String,
         /// The value.
         #[serde(rename = "v")]
         value: Value,
-        /// The session that the key ends with, if any.
+        /// The lease with whose expiry the key is deleted, if any.
         #[serde(rename = "tether", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
-        /// Which one.
+        /// The key.
         #[serde(rename = "remove")]
         key: String,
     },
 }
 
-/// Changes that are made together or not at all.
+/// A transaction: all writes are made if all preconditions hold, none otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     /// What must hold.
     #[serde(rename = "if")]
     pub preconditions: Vec<Precondition>,
-    /// What is changed.
+    /// What is written.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
 }
 
-/// The answer to a transaction.
+/// The response to a transaction, whether committed or not.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Committed {
-    /// As of which revision.
+pub struct TxnResponse {
+    /// Revision of the commit, or the store's revision at the conflict.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// Keys whose condition did not hold.
-    #[serde(default, deserialize_with = "list")]
+    /// Keys whose preconditions did not hold.
+    #[serde(default, deserialize_with = "list_or_null")]
     pub failed: Vec<String>,
 }
 
@@ -78,27 +103,27 @@
 /// A page of stored keys.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Page {
-    /// In order.
-    #[serde(rename = "rows", default, deserialize_with = "list")]
+    /// Items in the order of their keys.
+    #[serde(rename = "rows", default, deserialize_with = "list_or_null")]
     pub items: Vec<Item>,
-    /// Whether there are further ones.
+    /// Whether another page follows.
     #[serde(default)]
     pub more: bool,
-    /// As of which revision.
+    /// The store's revision when the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// One change.
+/// One change in the store's log.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Event {
-    /// The key that was stored.
+    /// The key, if a value was stored.
     #[serde(rename = "write", default)]
     pub put: Option<String>,
-    /// The key that was removed.
+    /// The key, if it was deleted.
     #[serde(rename = "remove", default)]
     pub delete: Option<String>,
-    /// What was stored.
+    /// The stored value.
     #[serde(rename = "v", default)]
     pub value: Option<Value>,
     /// Revision of the change.
@@ -106,18 +131,18 @@
     pub version: u64,
 }
 
-/// Changes since some revision.
+/// Changes after a revision.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Changes {
-    /// Up to which revision.
+    /// Revision up to which the list is complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// In order.
-    #[serde(rename = "log", default, deserialize_with = "list")]
+    /// Changes in the order of their revisions.
+    #[serde(rename = "log", default, deserialize_with = "list_or_null")]
     pub events: Vec<Event>,
 }
 
-/// A request for a session.
+/// A request for a lease.
 #[derive(Clone, Debug, Serialize)]
 pub struct GrantLease {
     /// How long it lasts without renewal.
@@ -125,35 +150,10 @@
     pub ttl_ms: u64,
 }
 
-/// A session.
+/// A granted lease.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Lease {
     /// Its number.
     #[serde(rename = "tether")]
     pub lease: u64,
 }
-
-/// Text in the body of a refusal because the lease named in a transaction has expired.
-pub const NO_SUCH_LEASE: &str = "no such lease";
-/// Where transactions go.
-pub const TXN_PATH: &str = "/txn";
-/// Where sessions begin.
-pub const LEASES_PATH: &str = "/leases";
-
-/// Where a session is renewed.
-pub fn keep_alive_path(lease: u64) -> String {
-    format!("/leases/{lease}/touch")
-}
-
-/// Where a page of keys with a prefix is read.
-pub fn page_path(prefix: &str, after: Option<&str>) -> String {
-    match after {
-        Some(key) => format!("/store?starts={prefix}&after={key}&most=1000"),
-        None => format!("/store?starts={prefix}&most=1000"),
-    }
-}
-
-/// Where changes of keys with a prefix are read.
-pub fn changes_path(prefix: &str, after: u64, wait_ms: u64) -> String {
-    format!("/changes?starts={prefix}&after={after}&block_ms={wait_ms}")
-}
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -1,6 +1,8 @@
-//! Messages of users.
+//! Messages of users: submissions, and the status of jobs.
+//!
+//! A job's description is stored as it came, so that the names on the wire are those of the stored records, too.
 
-use super::{WireError, decode, maybe_number, number};
+use super::{WireError, decode, number, optional_number};
 use crate::types::{JobId, Micros, Resources};
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -13,58 +15,64 @@
 pub const ABORT_SUFFIX: &str = "/abort";
 
 const MAX_TASKS: u64 = 100_000;
-const MAX_TEXT: usize = 200;
+const MAX_TEXT_BYTES: usize = 200;
+/// Bound of all amounts and times in a job's description.
+const MAX_AMOUNT: f64 = 1e9;
+const MAX_MACHINE_TYPES: usize = 32;
+const MAX_MACHINE_TYPE_BYTES: usize = 64;
+const JOB_ID_PREFIX: &str = "wk-";
+const MAX_JOB_ID_BYTES: usize = 64;
 
-/// Shape of a job.
+/// How a job's tasks run together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
-    /// Independent tasks, each runs to completion.
+pub enum JobKind {
+    /// A job array: independent tasks that run to completion.
     #[serde(rename = "array")]
     Array,
-    /// All tasks run at the same time or none does.
+    /// Gang-scheduled: all tasks run at the same time or none does.
     #[serde(rename = "ensemble")]
     Gang,
-    /// Tasks run until the job is cancelled.
+    /// A service: tasks run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
 }
 
-/// Which work goes first.
+/// Priority of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Whenever there is room.
+    /// Runs on resources that nothing else needs, and is preempted for others.
     #[serde(rename = "low")]
     Low,
-    /// As a rule.
+    /// The usual priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Before ordinary work.
+    /// Scheduled before normal work.
     #[serde(rename = "high")]
     High,
-    /// Before all other.
+    /// Scheduled before all other work.
     #[serde(rename = "prod")]
     Production,
 }
 
-/// A job as submitted. The wire's names double as the stored ones.
+/// A job's description as submitted.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class that aims are stated for.
+    /// Class of the job, which service-level objectives refer to.
     #[serde(rename = "lot")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose quota applies.
     #[serde(rename = "crew", default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// Its shape.
+    /// How its tasks run together.
     #[serde(rename = "shape")]
-    pub kind: Kind,
-    /// Which work it goes before.
+    pub kind: JobKind,
+    /// Its priority.
     #[serde(rename = "rank")]
     pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// Processors of each task.
+    /// CPUs of each task.
     #[serde(rename = "cores", deserialize_with = "number")]
     pub cpus: f64,
     /// GPUs of each task.
@@ -73,38 +81,38 @@
     /// Memory of each task.
     #[serde(deserialize_with = "number")]
     pub memory_gb: f64,
-    /// Image that a machine must have first.
+    /// Image that a machine fetches before it starts a task.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Size of the image.
     #[serde(rename = "pull_gb", deserialize_with = "number")]
     pub image_gb: f64,
-    /// Allowed types of machines, or any.
+    /// Allowed types of machines; any if there is no list.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone, or any.
+    /// The only allowed zone; any if there is none.
     #[serde(rename = "berth", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks must be in one zone.
+    /// Whether all tasks must be in one zone.
     pub one_zone: bool,
-    /// At most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks may be in one zone.
     pub spread: bool,
-    /// Whether it may run on machines that may be taken back at any moment.
+    /// Whether it may run on spot instances.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time.
     #[serde(rename = "expect_s", deserialize_with = "number")]
-    pub estimate_s: f64,
-    /// Interval after which a task saves; 0 for never.
+    pub estimated_runtime_s: f64,
+    /// Interval between checkpoints; 0 if the task writes none.
     #[serde(rename = "stow_every_s", deserialize_with = "number")]
-    pub checkpoint_s: f64,
-    /// Time it needs to save when it is stopped.
+    pub checkpoint_interval_s: f64,
+    /// Time to write a checkpoint when the task is stopped.
     #[serde(rename = "stow_s", deserialize_with = "number")]
-    pub save_s: f64,
-    /// When it should be complete, from its submission.
-    #[serde(rename = "due_s", default, deserialize_with = "maybe_number", skip_serializing_if = "Option::is_none")]
+    pub checkpoint_duration_s: f64,
+    /// Deadline, as a time from its submission.
+    #[serde(rename = "due_s", default, deserialize_with = "optional_number", skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any of its tasks starts, each once.
+    /// Jobs that must be done before any of its tasks starts: sorted, each once.
     #[serde(rename = "awaits", default, deserialize_with = "job_ids", skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<JobId>,
 }
@@ -112,7 +120,7 @@
 fn job_ids<'de, D: Deserializer<'de>>(d: D) -> Result<Vec<JobId>, D::Error> {
     let ids: Option<Vec<String>> = Deserialize::deserialize(d)?;
     let mut ids = ids.unwrap_or_default();
-    if !ids.iter().all(|id| valid_id(id)) {
+    if !ids.iter().all(|id| is_valid_job_id(id)) {
         return Err(D::Error::custom("not a job's id"));
     }
     ids.sort_unstable();
@@ -121,126 +129,135 @@
 }
 
 impl JobSpec {
-    /// What each task takes of its machine.
+    /// Resources of each task.
     pub fn resources(&self) -> Resources {
         Resources::new(self.cpus, self.gpus, self.memory_gb)
     }
 
-    /// Whether a machine of that type, zone and kind is allowed, wherever the job's other tasks are.
+    /// Whether tasks may run on a machine of that type in that zone, wherever the job's other tasks are.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
             && self.zone.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
 
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time.
     pub fn estimate(&self) -> Micros {
-        Micros::from_secs_f64(self.estimate_s)
+        Micros::from_secs_f64(self.estimated_runtime_s)
     }
 
     fn check(&self) -> Result<(), WireError> {
-        let bad = |what: &str| Err(WireError::Malformed(what.to_string()));
         if self.tasks == 0 || u64::from(self.tasks) > MAX_TASKS {
-            return bad("pieces out of range");
+            return Err(WireError::OutOfBounds("pieces out of range"));
         }
-        let amounts = [
-            self.cpus,
-            self.gpus,
-            self.memory_gb,
-            self.image_gb,
-            self.estimate_s,
-            self.checkpoint_s,
-            self.save_s,
-            self.deadline_s.unwrap_or(0.0),
-        ];
-        if amounts.iter().any(|x| !x.is_finite() || *x < 0.0 || *x > 1e9) {
-            return bad("an amount is out of range");
+        if !self.amounts().iter().all(|amount| (0.0..=MAX_AMOUNT).contains(amount)) {
+            return Err(WireError::OutOfBounds("an amount is out of range"));
         }
         let texts = [Some(&self.class), self.team.as_ref(), Some(&self.image), self.zone.as_ref()];
-        if texts.into_iter().flatten().any(|t| t.is_empty() || t.len() > MAX_TEXT) {
-            return bad("a text is empty or too long");
+        if !texts.into_iter().flatten().all(|text| has_length_up_to(text, MAX_TEXT_BYTES)) {
+            return Err(WireError::OutOfBounds("a text is empty or too long"));
         }
-        if let Some(types) = &self.types
-            && (types.len() > 32 || types.iter().any(|t| t.is_empty() || t.len() > 64))
-        {
-            return bad("types out of range");
+        if !self.types.as_deref().is_none_or(are_machine_types_in_bounds) {
+            return Err(WireError::OutOfBounds("types out of range"));
         }
         Ok(())
     }
+
+    fn amounts(&self) -> [f64; 8] {
+        [
+            self.cpus,
+            self.gpus,
+            self.memory_gb,
+            self.image_gb,
+            self.estimated_runtime_s,
+            self.checkpoint_interval_s,
+            self.checkpoint_duration_s,
+            self.deadline_s.unwrap_or(0.0),
+        ]
+    }
+}
+
+fn are_machine_types_in_bounds(types: &[String]) -> bool {
+    types.len() <= MAX_MACHINE_TYPES && types.iter().all(|name| has_length_up_to(name, MAX_MACHINE_TYPE_BYTES))
+}
+
+fn has_length_up_to(text: &str, max_bytes: usize) -> bool {
+    (1..=max_bytes).contains(&text.len())
 }
 
-/// Ids that could ever have been given to a job.
-pub fn valid_id(id: &str) -> bool {
-    id.len() > 3
-        && id.len() <= 64
-        && id.starts_with("wk-")
-        && id.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-' || b == b'_' || b == b'.')
+/// Whether a text has the form of a job's id. Others were never given to a job.
+pub fn is_valid_job_id(id: &str) -> bool {
+    id.len() > JOB_ID_PREFIX.len()
+        && id.len() <= MAX_JOB_ID_BYTES
+        && id.starts_with(JOB_ID_PREFIX)
+        && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'))
 }
 
-/// A submission as far as it could be read: a known id is answered whatever the rest holds.
+/// A submission as far as it could be decoded: a repeated submission of a known job is answered whatever the rest
+/// of the message holds.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The job's id, if it is a valid one.
+    /// Id of the job, if it is a valid one.
     pub id: Option<JobId>,
-    /// The job, if it is described in full.
+    /// Description of the job, if it is complete and valid.
     pub spec: Option<JobSpec>,
 }
 
-/// Reads a submission as far as it can be read.
+/// Decodes a submission as far as possible.
 pub fn submission(body: &[u8]) -> Submission {
     #[derive(Deserialize)]
     struct OnlyId {
         id: String,
     }
-    let id = decode::<OnlyId>(body).ok().filter(|o| valid_id(&o.id)).map(|o| JobId::from(o.id));
-    let itself = |s: &JobSpec| id.as_ref().is_some_and(|id| s.depends_on.contains(id));
-    let spec = decode::<JobSpec>(body).ok().filter(|s| s.check().is_ok() && !itself(s));
+    let id = decode::<OnlyId>(body).ok().filter(|only| is_valid_job_id(&only.id)).map(|only| JobId::from(only.id));
+    let depends_on_itself = |spec: &JobSpec| id.as_ref().is_some_and(|id| spec.depends_on.contains(id));
+    let spec = decode::<JobSpec>(body).ok().filter(|spec| spec.check().is_ok() && !depends_on_itself(spec));
     Submission { id, spec }
 }
 
-/// How a job stands.
+/// State of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum JobState {
-    /// No task is running.
+    /// No task runs.
     #[serde(rename = "queued")]
     Queued,
-    /// Some task is.
+    /// At least one task runs.
     #[serde(rename = "running")]
     Running,
     /// All tasks have completed.
     #[serde(rename = "done")]
     Done,
-    /// Called off.
+    /// It was cancelled.
     #[serde(rename = "withdrawn")]
     Cancelled,
 }
 
-/// What a user is told of a job.
+/// Status of a job, as a user sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     pub id: JobId,
-    /// How it stands.
+    /// Its state.
     #[serde(rename = "status")]
     pub state: JobState,
-    /// Tasks done.
+    /// Number of tasks that are done.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks running.
+    /// Number of tasks that run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
 impl JobStatus {
-    /// Whether it can't change any more.
+    /// Whether the state is final.
     pub fn is_final(&self) -> bool {
         matches!(self.state, JobState::Done | JobState::Cancelled)
     }
 }
 
-/// Why a request is refused.
+/// Body of a response that refuses a request.
 #[derive(Serialize)]
-pub struct Refusal<'a> {
-    /// In a few words.
+pub struct ErrorBody<'a> {
+    /// Reason of the refusal.
     pub error: &'a str,
 }
--- a/src/protocol/worker.rs
+++ b/src/protocol/worker.rs
@@ -1,6 +1,6 @@
-//! Messages of workers.
+//! Messages between controllers and agents: heartbeats, and the commands that answer them or are sent directly.
 
-use super::{list, maybe_number};
+use super::{list_or_null, optional_number};
 use crate::types::{FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
@@ -9,22 +9,22 @@
 /// Path of direct commands, at an agent.
 pub const DIRECT_COMMANDS_PATH: &str = "/orders";
 
-/// How far a task on a machine has come.
+/// State of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Its image is being fetched.
     #[serde(rename = "pulling")]
-    Fetching,
-    /// Waits for the rest of its gang.
+    FetchingImage,
+    /// It waits for the rest of its gang.
     #[serde(rename = "waiting")]
     Waiting,
-    /// At work.
+    /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves.
+    /// It was told to stop and writes a checkpoint.
     #[serde(rename = "saving")]
-    Saving,
-    /// Ended.
+    Checkpointing,
+    /// It has ended.
     #[serde(rename = "ended")]
     Exited,
 }
@@ -32,59 +32,59 @@
 /// Why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
-    /// Completed.
+    /// It ran to completion.
     #[serde(rename = "done")]
-    Done,
-    /// Stopped by command.
+    Completed,
+    /// It was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
     /// Another task of its gang is gone.
     #[serde(rename = "peers")]
-    Peers,
+    GangPeerLost,
     /// Its gang was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
-    /// Failed.
+    GangIncomplete,
+    /// It failed.
     #[serde(rename = "error")]
-    Error,
-    /// Refused: not enough room.
+    Failed,
+    /// It was rejected: the machine has not enough free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Refused: the task is there with another attempt.
+    /// It was rejected: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     Busy,
-    /// Refused, or ended for a reason not known here.
+    /// It was rejected, or ended for a cause not known here.
     #[serde(rename = "unknown", other)]
     Unknown,
 }
 
-/// A task as its worker reports it.
+/// Status of a task in a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskStatus {
-    /// Job and index.
+    /// Id of the task: job and index.
     #[serde(rename = "piece")]
     pub task: String,
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How far it has come.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
     /// Why it ended, if it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitCause>,
-    /// Whether its progress was saved.
+    pub exit_cause: Option<ExitCause>,
+    /// Whether a checkpoint was written before it ended.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpointed: Option<bool>,
 }
 
-/// A worker's account of itself.
+/// An agent's heartbeat, with the status of all tasks on its machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its machine.
+    /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: MachineId,
-    /// Where it listens.
+    /// Address at which the agent takes direct commands.
     #[serde(default)]
     pub addr: Option<String>,
     /// Type of the machine.
@@ -93,34 +93,34 @@
     /// Zone of the machine.
     #[serde(rename = "berth")]
     pub zone: String,
-    /// Whether the machine may be taken back at any moment.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "driftwood", default)]
     pub spot: bool,
-    /// Begins anew each time its lease runs out.
+    /// Incarnation of the agent: a new one begins each time its lease expires.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// Number of the message in its incarnation.
+    /// Sequence number of the message within its incarnation.
     #[serde(rename = "tally")]
     pub seq: u64,
-    /// Highest fencing token it has seen.
+    /// Highest fencing token that the agent has seen.
     #[serde(rename = "helm", default)]
     pub fencing_token: FencingToken,
-    /// Time until the cloud takes the machine.
-    #[serde(rename = "warning_s", default, deserialize_with = "maybe_number")]
-    pub notice_s: Option<f64>,
-    /// All tasks on the machine.
-    #[serde(rename = "pieces", default, deserialize_with = "list")]
+    /// Time until the cloud interrupts the machine, if it has given a termination notice.
+    #[serde(rename = "warning_s", default, deserialize_with = "optional_number")]
+    pub termination_notice_s: Option<f64>,
+    /// Status of all tasks on the machine.
+    #[serde(rename = "pieces", default, deserialize_with = "list_or_null")]
     pub tasks: Vec<TaskStatus>,
 }
 
-/// A command to a worker.
+/// A command to an agent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb")]
 pub enum AgentCommand {
     /// Starts a task.
     #[serde(rename = "launch")]
     Start {
-        /// Job and index.
+        /// Id of the task: job and index.
         #[serde(rename = "piece")]
         task: String,
         /// Number of the attempt.
@@ -130,20 +130,20 @@
     /// Stops a task.
     #[serde(rename = "stop")]
     Stop {
-        /// Job and index.
+        /// Id of the task: job and index.
         #[serde(rename = "piece")]
         task: String,
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time it has to save.
+        /// Grace period, in which the task may write a checkpoint.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// Takes an ended task off the heartbeats.
+    /// Removes an exited task from the heartbeats.
     #[serde(rename = "reap")]
     Forget {
-        /// Job and index.
+        /// Id of the task: job and index.
         #[serde(rename = "piece")]
         task: String,
         /// Number of the attempt.
@@ -152,35 +152,35 @@
     },
 }
 
-/// The answer to a heartbeat.
+/// The response to a heartbeat, which renews the agent's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Right to give commands.
+    /// Fencing token of the machine's shard: an agent ignores responses with a lower one than it has seen.
     #[serde(rename = "helm")]
     pub fencing_token: FencingToken,
-    /// In this order.
+    /// Commands, to be executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<AgentCommand>,
 }
 
-/// Commands straight to a worker.
+/// Commands sent directly to an agent, between its heartbeats.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Right to give commands.
+    /// Fencing token of the machine's shard: an agent rejects messages with a lower one than it has seen.
     #[serde(rename = "helm")]
     pub fencing_token: FencingToken,
-    /// Session that it is meant for.
+    /// Incarnation that the commands are meant for; another one rejects them.
     #[serde(rename = "watch")]
     pub incarnation: u64,
-    /// In this order.
+    /// Commands, to be executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<AgentCommand>,
 }
 
-/// Sends the worker to another controller.
+/// Redirects an agent to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Label of the controller to report to.
+    /// Label of the controller that owns the machine, if it is known.
     #[serde(rename = "harbour", skip_serializing_if = "Option::is_none")]
     pub controller: Option<String>,
 }
--- a/src/transport/calls/store.rs
+++ b/src/transport/calls/store.rs
@@ -126,7 +126,7 @@
 
 fn txn_outcome(response: &HttpResponse) -> TxnOutcome {
     match response.status {
-        StatusCode::OK | StatusCode::CONFLICT => match decode_or_log::<store::Committed>(response) {
+        StatusCode::OK | StatusCode::CONFLICT => match decode_or_log::<store::TxnResponse>(response) {
             Some(committed) if response.status == StatusCode::OK => TxnOutcome::Committed(committed.revision),
             Some(conflict) => {
                 tracing::debug!(failed_keys = ?conflict.failed, "transaction conflict");
--- a/src/transport/reply.rs
+++ b/src/transport/reply.rs
@@ -1,7 +1,7 @@
 //! A reply to a request, before it becomes an HTTP response.
 
-use crate::protocol::peer::Relayed;
-use crate::protocol::user::Refusal;
+use crate::protocol::peer::RelayedResponse;
+use crate::protocol::user::ErrorBody;
 use crate::protocol::{CONTENT_TYPE_CBOR, encode};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -26,7 +26,7 @@
 
     /// A refusal with its reason.
     pub(super) fn error(status: StatusCode, error: &str) -> Reply {
-        Reply::new(status, encode(&Refusal { error }))
+        Reply::new(status, encode(&ErrorBody { error }))
     }
 
     /// A refusal of a body that can't be decoded.
@@ -62,14 +62,14 @@
     }
 }
 
-impl From<Reply> for Relayed {
-    fn from(reply: Reply) -> Relayed {
-        Relayed { status: reply.status.as_u16(), retry_after_s: reply.retry_after_s, body: reply.body }
+impl From<Reply> for RelayedResponse {
+    fn from(reply: Reply) -> RelayedResponse {
+        RelayedResponse { status: reply.status.as_u16(), retry_after_s: reply.retry_after_s, body: reply.body }
     }
 }
 
-impl From<Relayed> for Reply {
-    fn from(relayed: Relayed) -> Reply {
+impl From<RelayedResponse> for Reply {
+    fn from(relayed: RelayedResponse) -> Reply {
         let status = StatusCode::from_u16(relayed.status).unwrap_or(StatusCode::BAD_GATEWAY);
         Reply { status, retry_after_s: relayed.retry_after_s, body: relayed.body }
     }
--- a/src/transport/request_queue.rs
+++ b/src/transport/request_queue.rs
@@ -1,7 +1,7 @@
 //! Bounded queues between the server, which receives requests, and the main loop, which answers them.
 
 use crate::coordination::{UserAnswer, UserRequest, WorkerAnswer};
-use crate::protocol::peer::{CancellationAck, Cancelled};
+use crate::protocol::peer::{CancellationAck, CancellationNotice};
 use crate::protocol::worker::Heartbeat;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -28,7 +28,7 @@
 /// An agent's heartbeat with the channel for its answer.
 pub(super) type QueuedHeartbeat = QueuedRequest<ReceivedHeartbeat, WorkerAnswer>;
 /// A sibling's cancellation notice with the channel for its answer.
-pub(super) type QueuedCancellationNotice = QueuedRequest<Cancelled, CancellationAck>;
+pub(super) type QueuedCancellationNotice = QueuedRequest<CancellationNotice, CancellationAck>;
 
 /// Why a request got no answer.
 #[derive(Debug, thiserror::Error)]
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -15,7 +15,7 @@
 use super::siblings::{NodeHealth, Siblings};
 use crate::coordination::{UserAnswer, UserRequest, WorkerAnswer};
 use crate::protocol::HEALTH_PATH;
-use crate::protocol::peer::{CancellationAck, Cancelled};
+use crate::protocol::peer::{CancellationAck, CancellationNotice};
 use crate::protocol::worker::HEARTBEAT_PATH;
 use admission::ConnectionLimit;
 use bytes::Bytes;
@@ -49,7 +49,7 @@
 pub(super) struct ServerContext {
     pub(super) user_requests: RequestQueue<UserRequest, UserAnswer>,
     pub(super) heartbeats: RequestQueue<ReceivedHeartbeat, WorkerAnswer>,
-    pub(super) cancellation_notices: RequestQueue<Cancelled, CancellationAck>,
+    pub(super) cancellation_notices: RequestQueue<CancellationNotice, CancellationAck>,
     pub(super) health: Arc<NodeHealth>,
     pub(super) siblings: Arc<Siblings>,
 }
--- a/src/transport/server/peer_requests.rs
+++ b/src/transport/server/peer_requests.rs
@@ -2,7 +2,7 @@
 
 use super::ServerContext;
 use super::routes::{Origin, ReceivedRequest, route};
-use crate::protocol::peer::{Cancelled, Relay, Relayed};
+use crate::protocol::peer::{CancellationNotice, RelayedRequest, RelayedResponse};
 use crate::transport::reply::Reply;
 use hyper::{Method, StatusCode};
 
@@ -13,18 +13,18 @@
 
 /// Serves a request that a sibling forwarded.
 pub(super) async fn relayed_request(context: &ServerContext, body: &[u8]) -> Reply {
-    let Ok(relay) = bitcode::decode::<Relay>(body) else {
+    let Ok(relay) = bitcode::decode::<RelayedRequest>(body) else {
         return Reply::malformed();
     };
-    let method = if relay.post { Method::POST } else { Method::GET };
+    let method = if relay.is_post { Method::POST } else { Method::GET };
     let request = ReceivedRequest { method: &method, path: &relay.path, body: &relay.body };
     let reply = route(context, request, Origin::Sibling).await;
-    Reply::new(StatusCode::OK, bitcode::encode(&Relayed::from(reply)))
+    Reply::new(StatusCode::OK, bitcode::encode(&RelayedResponse::from(reply)))
 }
 
 /// A sibling notifies this controller of cancelled jobs and waits to hear whether it sees to them.
 pub(super) async fn cancellation_notice(context: &ServerContext, body: &[u8]) -> Reply {
-    let Ok(notice) = bitcode::decode::<Cancelled>(body) else {
+    let Ok(notice) = bitcode::decode::<CancellationNotice>(body) else {
         return Reply::malformed();
     };
     match context.cancellation_notices.try_request(notice).await {
--- a/src/transport/server/user_requests.rs
+++ b/src/transport/server/user_requests.rs
@@ -69,7 +69,7 @@
     if method != allowed_method {
         return Err(Reply::method_not_allowed());
     }
-    if !user::valid_id(id) {
+    if !user::is_valid_job_id(id) {
         return Err(no_such_job());
     }
     Ok(JobId::new(id))
--- a/src/transport/siblings/mod.rs
+++ b/src/transport/siblings/mod.rs
@@ -12,7 +12,9 @@
 
 use super::client::{Client, HttpResponse};
 use super::reply::Reply;
-use crate::protocol::peer::{CANCELLED_PATH, CancellationAck, Cancelled, RELAY_PATH, Relay, Relayed};
+use crate::protocol::peer::{
+    CANCELLED_PATH, CancellationAck, CancellationNotice, RELAY_PATH, RelayedRequest, RelayedResponse,
+};
 use crate::protocol::worker::HEARTBEAT_PATH;
 use crate::settings::Sibling;
 use crate::types::MachineId;
@@ -44,7 +46,11 @@
     }
 
     /// Notifies a sibling of cancelled jobs. Without an answer nothing is known.
-    pub(super) async fn notify_of_cancellations(&self, label: &str, notice: &Cancelled) -> Option<CancellationAck> {
+    pub(super) async fn notify_of_cancellations(
+        &self,
+        label: &str,
+        notice: &CancellationNotice,
+    ) -> Option<CancellationAck> {
         let address = self.address_of(label)?;
         let body = bitcode::encode(notice);
         let call = self.client.call(address, Method::POST, CANCELLED_PATH, body, CANCELLATION_NOTICE_TIMEOUT);
@@ -59,9 +65,9 @@
             return None;
         }
         let address = self.address_of(owner)?;
-        let relay = Relay { path: HEARTBEAT_PATH.to_string(), post: true, body: body.to_vec() };
+        let relay = RelayedRequest { path: HEARTBEAT_PATH.to_string(), is_post: true, body: body.to_vec() };
         let response = self.relay(address, bitcode::encode(&relay)).await?;
-        let relayed = bitcode::decode::<Relayed>(&response.body).ok()?;
+        let relayed = bitcode::decode::<RelayedResponse>(&response.body).ok()?;
         let is_answered = response.status == StatusCode::OK && relayed.status == StatusCode::OK.as_u16();
         is_answered.then(|| Reply::new(StatusCode::OK, relayed.body))
     }
@@ -75,11 +81,11 @@
         path: &str,
         body: &[u8],
     ) -> Option<Reply> {
-        let relay = Relay { path: path.to_string(), post: method == Method::POST, body: body.to_vec() };
+        let relay = RelayedRequest { path: path.to_string(), is_post: method == Method::POST, body: body.to_vec() };
         let message = bitcode::encode(&relay);
         for address in candidates.into_iter().take(MAX_RELAY_ATTEMPTS) {
             let Some(response) = self.relay(address, message.clone()).await else { continue };
-            let Ok(relayed) = bitcode::decode::<Relayed>(&response.body) else { continue };
+            let Ok(relayed) = bitcode::decode::<RelayedResponse>(&response.body) else { continue };
             if response.status == StatusCode::OK && relayed.status != StatusCode::SERVICE_UNAVAILABLE.as_u16() {
                 return Some(relayed.into());
             }
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -3,7 +3,7 @@
 //! Reads and writes the store's records directly, so that it works while no controller answers.
 
 use super::client::{CallError, Client, HttpResponse};
-use crate::protocol::store::{Committed, Page, Precondition, TXN_PATH, Txn, Write, page_path};
+use crate::protocol::store::{Page, Precondition, TXN_PATH, Txn, TxnResponse, Write, page_path};
 use crate::protocol::{WireError, encode};
 use crate::settings::Platform;
 use crate::storage::Replica;
@@ -155,7 +155,7 @@
     /// Whether the transaction was committed; false if a precondition failed.
     async fn commit(&self, txn: &Txn) -> Result<bool, ZoneAdminError> {
         let response = self.call(Method::POST, TXN_PATH, encode(txn)).await?;
-        response.decode::<Committed>().map_err(|error| self.error(StoreError::MalformedOutcome(error)))?;
+        response.decode::<TxnResponse>().map_err(|error| self.error(StoreError::MalformedOutcome(error)))?;
         Ok(response.status == StatusCode::OK)
     }
 
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -6,7 +6,7 @@
 };
 use burlhatch::protocol::cloud::{MachineType, MachineTypes};
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
-use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority, Submission};
+use burlhatch::protocol::user::{JobKind, JobSpec, JobState, Priority, Submission};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::{BatchMember, EndRecord, JobRecord, Key, to_value};
 use burlhatch::types::{JobId, Micros};
@@ -197,7 +197,7 @@
     JobSpec {
         class: "any".into(),
         team: None,
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 1,
         cpus: 1.0,
@@ -210,9 +210,9 @@
         one_zone: false,
         spread: false,
         spot: false,
-        estimate_s: 1.0,
-        checkpoint_s: 0.0,
-        save_s: 0.0,
+        estimated_runtime_s: 1.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
         deadline_s: None,
         depends_on: depends_on.to_vec(),
     }
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -7,7 +7,7 @@
 
 use super::controller::{ControllerHarness, batch, id, spec};
 use burlhatch::coordination::{Input, ReadOutcome, StoreCall, UserAnswer, UserRequest, Waiter};
-use burlhatch::protocol::peer::{Cancelled, CancelledJob};
+use burlhatch::protocol::peer::{CancellationNotice, CancelledJob};
 use burlhatch::protocol::store::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
 use burlhatch::storage::schema::{EndRecord, Key, Outcome, to_value};
@@ -169,7 +169,7 @@
         let cancelled = self.ends.iter().filter(|(_, outcome)| **outcome == Outcome::Cancelled);
         let told = cancelled.map(|(job, _)| {
             let key = Key::End(id(*job)).to_string();
-            CancelledJob { id: id(*job).to_string(), at: 1, revision: self.keys[&key].1 }
+            CancelledJob { id: id(*job).to_string(), cancelled_at: 1, revision: self.keys[&key].1 }
         });
         told.collect()
     }
@@ -237,7 +237,7 @@
         }
         self.siblings += 1;
         let jobs = vec![told[nth % told.len()].clone()];
-        let message = Cancelled { shard: 0, fencing_token: 1, jobs };
+        let message = CancellationNotice { shard: 0, fencing_token: 1, jobs };
         self.controller.feed(Input::Peer(SIBLING + self.siblings, message));
     }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -5,7 +5,7 @@
 use burlhatch::coordination::scheduling::placement::{Candidate, choose};
 use burlhatch::coordination::store_sync::budget::Budget;
 use burlhatch::protocol::store::Event;
-use burlhatch::protocol::user::{JobSpec, Kind, Priority};
+use burlhatch::protocol::user::{JobKind, JobSpec, Priority};
 use burlhatch::protocol::worker::ExitCause;
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, Outcome, RunChunk, StartRecord, to_value};
@@ -194,7 +194,7 @@
         Phase::Waiting,
         Phase::Running,
         Phase::Saving,
-        Phase::Ended(ExitCause::Done),
+        Phase::Ended(ExitCause::Completed),
         Phase::Gone,
     ];
     all[usize::from(p)]
@@ -256,7 +256,7 @@
                 prop_assert_eq!(usage.used_on(machine), resources);
                 prop_assert_eq!(usage.is_empty(machine), there().count() == 0);
                 prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies()));
-                let serves = there().any(|((j, _), at)| at.1.occupies() && specs[*j].kind == Kind::Service);
+                let serves = there().any(|((j, _), at)| at.1.occupies() && specs[*j].kind == JobKind::Service);
                 prop_assert_eq!(usage.serves(machine), serves);
                 let starts: Vec<(JobId, u32)> = there().map(|((j, t), _)| (names[*j].clone(), *t)).collect();
                 prop_assert_eq!(usage.starts_on(machine), starts);
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -2,8 +2,8 @@
 //! both versions read each other. The bytes were printed by that version: a test added to a checkout of it encoded
 //! these very values with `encode(&to_value(..))` and `bitcode::encode(..)`.
 
-use burlhatch::protocol::peer::{CancellationAck, Cancelled, CancelledJob, Relay, Relayed};
-use burlhatch::protocol::user::{JobSpec, Kind, Priority};
+use burlhatch::protocol::peer::{CancellationAck, CancellationNotice, CancelledJob, RelayedRequest, RelayedResponse};
+use burlhatch::protocol::user::{JobKind, JobSpec, Priority};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{
@@ -84,7 +84,7 @@
     JobSpec {
         class: "train".into(),
         team: Some("vision".into()),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks: 16,
         cpus: 8.0,
@@ -97,9 +97,9 @@
         one_zone: false,
         spread: true,
         spot: true,
-        estimate_s: 240.0,
-        checkpoint_s: 30.0,
-        save_s: 4.0,
+        estimated_runtime_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_duration_s: 4.0,
         deadline_s: Some(900.0),
         depends_on: Vec::new(),
     }
@@ -185,17 +185,20 @@
 
 #[test]
 fn messages_between_controllers_are_the_same_in_both_versions() {
-    let jobs = vec![CancelledJob { id: "wk-000412".into(), at: AT.0, revision: 431 }];
-    let told = Cancelled { shard: 2, fencing_token: 41, jobs };
-    assert_eq!(bitcode::decode::<Cancelled>(&bytes(TOLD)).expect("told"), told);
+    let jobs = vec![CancelledJob { id: "wk-000412".into(), cancelled_at: AT.0, revision: 431 }];
+    let told = CancellationNotice { shard: 2, fencing_token: 41, jobs };
+    assert_eq!(bitcode::decode::<CancellationNotice>(&bytes(TOLD)).expect("told"), told);
     assert_eq!(bitcode::encode(&told), bytes(TOLD));
-    assert_eq!(bitcode::decode::<CancellationAck>(&bytes(KNOWS)).expect("knows"), CancellationAck { holds: true });
-    assert_eq!(bitcode::encode(&CancellationAck { holds: true }), bytes(KNOWS));
-    let relay = Relay { path: "/api/jobs".into(), post: true, body: vec![1, 2, 3] };
-    assert_eq!(bitcode::decode::<Relay>(&bytes(RELAY)).expect("relay"), relay);
+    assert_eq!(
+        bitcode::decode::<CancellationAck>(&bytes(KNOWS)).expect("knows"),
+        CancellationAck { holds_shard: true }
+    );
+    assert_eq!(bitcode::encode(&CancellationAck { holds_shard: true }), bytes(KNOWS));
+    let relay = RelayedRequest { path: "/api/jobs".into(), is_post: true, body: vec![1, 2, 3] };
+    assert_eq!(bitcode::decode::<RelayedRequest>(&bytes(RELAY)).expect("relay"), relay);
     assert_eq!(bitcode::encode(&relay), bytes(RELAY));
-    let relayed = Relayed { status: 503, retry_after_s: Some(2), body: vec![9] };
-    assert_eq!(bitcode::decode::<Relayed>(&bytes(RELAYED)).expect("relayed"), relayed);
+    let relayed = RelayedResponse { status: 503, retry_after_s: Some(2), body: vec![9] };
+    assert_eq!(bitcode::decode::<RelayedResponse>(&bytes(RELAYED)).expect("relayed"), relayed);
     assert_eq!(bitcode::encode(&relayed), bytes(RELAYED));
 }
 
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,9 +1,9 @@
 //! Wire messages, as the protocol page shows them.
 
 use burlhatch::protocol::cloud::{ListedState, MachineList, MachineTypes};
-use burlhatch::protocol::peer::{Relay, Relayed};
+use burlhatch::protocol::peer::{RelayedRequest, RelayedResponse};
 use burlhatch::protocol::store::{Changes, Event, Page, Precondition, Txn, Write};
-use burlhatch::protocol::user::{JobState, JobStatus, Kind, Priority, submission};
+use burlhatch::protocol::user::{JobKind, JobState, JobStatus, Priority, submission};
 use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::types::{FencingToken, JobId};
@@ -33,7 +33,7 @@
     let read = submission(&cbor(example()));
     assert_eq!(read.id, Some(JobId::new("wk-000412")));
     let spec = read.spec.expect("valid");
-    assert_eq!((spec.kind, spec.priority, spec.tasks), (Kind::Gang, Priority::High, 16));
+    assert_eq!((spec.kind, spec.priority, spec.tasks), (JobKind::Gang, Priority::High, 16));
     assert_eq!((spec.cpus, spec.image_gb, spec.deadline_s), (8.0, 6.2, Some(900.0)));
     assert_eq!((spec.types, spec.zone), (Some(vec!["g8".to_string()]), None));
 }
@@ -126,11 +126,11 @@
         .expect("valid");
     assert_eq!((heartbeat.incarnation, heartbeat.seq, heartbeat.fencing_token), (1, 88, FencingToken(41)));
     assert_eq!(heartbeat.tasks[0].state, TaskState::Running);
-    assert_eq!(heartbeat.tasks[1].why, Some(ExitCause::Done));
-    assert_eq!(heartbeat.tasks[2].why, Some(ExitCause::Unknown));
+    assert_eq!(heartbeat.tasks[1].exit_cause, Some(ExitCause::Completed));
+    assert_eq!(heartbeat.tasks[2].exit_cause, Some(ExitCause::Unknown));
     let bare: Heartbeat =
         decode(&cbor(json!({"host":"m-1","hull":"g8","berth":"a","watch":1,"tally":1,"helm":0}))).expect("valid");
-    assert!(bare.tasks.is_empty() && bare.notice_s.is_none() && !bare.spot);
+    assert!(bare.tasks.is_empty() && bare.termination_notice_s.is_none() && !bare.spot);
     assert_eq!(decode::<Heartbeat>(&encode(&heartbeat)).expect("round trip"), heartbeat);
 }
 
@@ -205,10 +205,10 @@
 
 #[test]
 fn peer_messages_survive_the_trip() {
-    let relay = Relay { path: "/api/jobs".into(), post: true, body: vec![1, 2, 3] };
-    assert_eq!(bitcode::decode::<Relay>(&bitcode::encode(&relay)).expect("round trip"), relay);
-    let relayed = Relayed { status: 503, retry_after_s: Some(2), body: vec![] };
-    assert_eq!(bitcode::decode::<Relayed>(&bitcode::encode(&relayed)).expect("round trip"), relayed);
+    let relay = RelayedRequest { path: "/api/jobs".into(), is_post: true, body: vec![1, 2, 3] };
+    assert_eq!(bitcode::decode::<RelayedRequest>(&bitcode::encode(&relay)).expect("round trip"), relay);
+    let relayed = RelayedResponse { status: 503, retry_after_s: Some(2), body: vec![] };
+    assert_eq!(bitcode::decode::<RelayedResponse>(&bitcode::encode(&relayed)).expect("round trip"), relayed);
 }
 
 proptest! {
@@ -221,6 +221,6 @@
         let read = submission(&body);
         prop_assert!(read.spec.is_none() || !body.is_empty());
         let _ = decode::<Heartbeat>(&body);
-        let _ = bitcode::decode::<Relay>(&body);
+        let _ = bitcode::decode::<RelayedRequest>(&body);
     }
 }
--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -3,15 +3,15 @@
 
 use super::world::{LARGE, Limits, MS, S, SMALL, Size, World};
 use super::{assert_clean, finish, ordinary_jobs, seeds};
-use burlhatch::protocol::user::{JobState, Kind};
+use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::Policy;
 use burlhatch::types::JobId;
 
 /// One-task jobs that are soon over, of all teams, over so long a time.
 fn small_jobs(world: &mut World, first: u64, count: u64, span: u64) -> Vec<JobId> {
     let jobs = (0..count).map(|n| {
-        let mut spec = World::spec(Kind::Array, ["red", "blue", "green"][n as usize % 3], 1, 1.0);
-        spec.estimate_s = 1.0;
+        let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 1, 1.0);
+        spec.estimated_runtime_s = 1.0;
         let id = world.submit(first + n, spec);
         let at = world.now + world.pick(span);
         world.jobs.get_mut(&id).expect("submitted").submitted = at;
@@ -77,7 +77,7 @@
         let mut world = looked_at(seed, SMALL);
         let firsts = small_jobs(&mut world, 1, 40, 40 * S);
         for (n, first) in (0..).zip(&firsts) {
-            let mut spec = World::spec(Kind::Array, "green", 1, 1.0);
+            let mut spec = World::spec(JobKind::Array, "green", 1, 1.0);
             spec.depends_on = vec![first.clone()];
             let second = world.submit(200 + n, spec.clone());
             spec.depends_on = vec![second];
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -2,15 +2,15 @@
 
 use super::world::{CANCEL_S, LARGE, MS, Place, S, SHORT_LEASES, SLOW_HEARTBEATS, SMALL, Size, TIMES, Times, World};
 use super::{assert_clean, finish, keeping_idle_machines, seeds};
-use burlhatch::protocol::user::{JobState, Kind};
+use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::types::JobId;
 
 /// Arrays that run for much longer than a cancellation may take, of all teams.
 fn long_jobs(world: &mut World, count: u64, tasks: u32) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
     let ids = (0..count).map(|n| {
-        let mut spec = World::spec(Kind::Array, teams[n as usize % 3], tasks, 1.0);
-        spec.estimate_s = 150.0;
+        let mut spec = World::spec(JobKind::Array, teams[n as usize % 3], tasks, 1.0);
+        spec.estimated_runtime_s = 150.0;
         spec.spot = false;
         world.submit(n + 1, spec)
     });
@@ -144,8 +144,8 @@
 #[test]
 fn hundreds_of_tasks_are_cancelled_as_their_machines_hang() {
     let mut world = World::sized(22_000, keeping_idle_machines(), Size { machines: 60, capacity: 70, ..LARGE });
-    let mut spec = World::spec(Kind::Array, "green", 200, 1.0);
-    spec.estimate_s = 200.0;
+    let mut spec = World::spec(JobKind::Array, "green", 200, 1.0);
+    spec.estimated_runtime_s = 200.0;
     let id = world.submit(1, spec);
     world.run_for(30 * S);
     cancel_at(&mut world, std::slice::from_ref(&id), 0);
@@ -241,14 +241,14 @@
         let mut world = World::sized(seed, keeping_idle_machines(), size);
         let mut ids = Vec::new();
         for n in 0..6 {
-            let mut spec = World::spec(Kind::Array, "green", 30, 1.0);
-            spec.estimate_s = 200.0;
+            let mut spec = World::spec(JobKind::Array, "green", 30, 1.0);
+            spec.estimated_runtime_s = 200.0;
             spec.spot = false;
             ids.push(world.submit(n + 1, spec));
         }
         // Services come and are called off all the time, which takes direct commands.
         for n in 0..120 {
-            let id = world.submit(100 + n, World::spec(Kind::Service, "green", 4, 0.25));
+            let id = world.submit(100 + n, World::spec(JobKind::Service, "green", 4, 0.25));
             if let Some(job) = world.jobs.get_mut(&id) {
                 job.submitted = world.now + 30 * S + n * 700 * MS;
                 job.cancel_at = Some(job.submitted + 8 * S);
@@ -274,12 +274,12 @@
         let times = times_of(seed);
         let mut world = World::sized(seed, keeping_idle_machines(), Size { times, ..SMALL });
         // So that something runs in any case.
-        world.submit(50, World::spec(Kind::Array, "green", 2, 1.0));
+        world.submit(50, World::spec(JobKind::Array, "green", 2, 1.0));
         world.run_for(20 * S);
         world.late_commands(4 * S, 1, times.cancel + 5 * S..times.cancel + 12 * S);
         let mut ids = Vec::new();
         for n in 0..3 {
-            let spec = World::spec(Kind::Service, ["red", "blue", "green"][n as usize % 3], 2, 1.0);
+            let spec = World::spec(JobKind::Service, ["red", "blue", "green"][n as usize % 3], 2, 1.0);
             ids.push(world.submit(n + 1, spec));
         }
         world.run_for(1500 * MS);
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -3,7 +3,7 @@
 use super::world::{MS, Place, S, World};
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
-use burlhatch::protocol::user::Kind;
+use burlhatch::protocol::user::JobKind;
 use burlhatch::types::MachineId;
 
 #[test]
@@ -82,7 +82,7 @@
         let mut world = World::new(7);
         for n in 0..6 {
             let team = ["red", "blue", "green"][n as usize % 3];
-            world.submit(n + 1, World::spec(Kind::Service, team, 2, 1.0));
+            world.submit(n + 1, World::spec(JobKind::Service, team, 2, 1.0));
         }
         world.run_for(40 * S);
         let before: Vec<MachineId> = world.workers.keys().cloned().collect();
@@ -104,7 +104,7 @@
         let mut ids = Vec::new();
         for n in 0..9 {
             let team = ["red", "blue", "green"][n as usize % 3];
-            let kind = if n < 6 { Kind::Service } else { Kind::Array };
+            let kind = if n < 6 { JobKind::Service } else { JobKind::Array };
             ids.push(world.submit(n + 1, World::spec(kind, team, 2, 1.0)));
         }
         world.run_for(20 * S);
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -2,7 +2,7 @@
 
 use super::world::{FLEET, LARGE, MS, Place, S, SMALL, Size, World};
 use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
-use burlhatch::protocol::user::{JobState, Kind};
+use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::Policy;
 use burlhatch::types::MachineId;
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
 fn services_start_within_a_second_on_a_quiet_day() {
     let mut world = World::new(2);
     world.run_for(5 * S);
-    let id = world.submit(1, World::spec(Kind::Service, "red", 1, 1.0));
+    let id = world.submit(1, World::spec(JobKind::Service, "red", 1, 1.0));
     world.run_for(3 * S);
     let running = |world: &World| world.workers.values().filter(|w| w.tasks.keys().any(|k| k.0 == id)).count();
     assert_eq!(running(&world), 1);
@@ -72,8 +72,8 @@
     world.cloud.capacity = 8;
     world.run_for(5 * S);
     let spec = |team: &str, tasks: u32| {
-        let mut spec = World::spec(Kind::Array, team, tasks, 2.0);
-        spec.estimate_s = 10.0;
+        let mut spec = World::spec(JobKind::Array, team, tasks, 2.0);
+        spec.estimated_runtime_s = 10.0;
         spec
     };
     let mut largest = Vec::new();
@@ -115,13 +115,13 @@
         let mut world = World::sized(seed, Policy::default(), size);
         world.run_for(10 * S);
         for n in 0..60 {
-            let mut spec = World::spec(Kind::Array, ["red", "blue", "green"][n as usize % 3], 6, 0.5);
-            spec.estimate_s = 3.0;
+            let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 6, 0.5);
+            spec.estimated_runtime_s = 3.0;
             world.submit(n + 1, spec);
         }
         world.run_for(2 * S);
         let services: Vec<_> =
-            (0..3).map(|n| world.submit(900 + n, World::spec(Kind::Service, "green", 1, 1.0))).collect();
+            (0..3).map(|n| world.submit(900 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         let begun = |world: &World| services.iter().all(|id| world.jobs[id].begun.is_some());
         world.run_for(6 * S);
         soon += usize::from(begun(&world));
@@ -173,7 +173,7 @@
     let mut world = World::sized(16_000, keeping_idle_machines(), FLEET);
     ordinary_jobs(&mut world, 150);
     for n in 0..6 {
-        let mut spec = World::spec(if n < 3 { Kind::Service } else { Kind::Array }, "green", 16, 1.0);
+        let mut spec = World::spec(if n < 3 { JobKind::Service } else { JobKind::Array }, "green", 16, 1.0);
         if n < 3 {
             spec.spread = true;
         } else {
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -3,14 +3,14 @@
 use super::world::{CANCEL_S, LARGE, MS, Place, S, SMALL, Size, World};
 use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
-use burlhatch::protocol::user::{JobState, Kind, Priority};
+use burlhatch::protocol::user::{JobKind, JobState, Priority};
 use burlhatch::settings::Policy;
 use burlhatch::types::JobId;
 
 fn stage(world: &mut World, number: u64, team: &str, tasks: u32, depends_on: &[JobId]) -> JobId {
-    let mut spec = World::spec(Kind::Array, team, tasks, 1.0);
+    let mut spec = World::spec(JobKind::Array, team, tasks, 1.0);
     spec.depends_on = depends_on.to_vec();
-    spec.estimate_s = 4.0;
+    spec.estimated_runtime_s = 4.0;
     world.submit(number, spec)
 }
 
@@ -120,7 +120,7 @@
         let all: Vec<Vec<JobId>> = (0..3).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
         for ids in &all {
             for id in &ids[..3] {
-                world.jobs.get_mut(id).expect("submitted").spec.estimate_s = 150.0;
+                world.jobs.get_mut(id).expect("submitted").spec.estimated_runtime_s = 150.0;
             }
         }
         world.run_for(20 * S);
@@ -178,7 +178,7 @@
 fn a_long_chain_and_a_wide_fan_are_withdrawn_at_once() {
     let mut world = World::sized(75, Policy::default(), Size { write_rps: 8.0, ..SMALL });
     let root = stage(&mut world, 1, "green", 2, &[]);
-    world.jobs.get_mut(&root).expect("submitted").spec.estimate_s = 100.0;
+    world.jobs.get_mut(&root).expect("submitted").spec.estimated_runtime_s = 100.0;
     let mut ids = vec![root.clone()];
     for n in 0..30 {
         let before = ids[ids.len() - 1].clone();
@@ -211,8 +211,8 @@
         ordinary_jobs(&mut world, 20);
         let large: Vec<JobId> = (0..3)
             .map(|n| {
-                let mut spec = World::spec(Kind::Array, "green", 250, 0.5);
-                spec.estimate_s = 25.0;
+                let mut spec = World::spec(JobKind::Array, "green", 250, 0.5);
+                spec.estimated_runtime_s = 25.0;
                 world.submit(500 + n, spec)
             })
             .collect();
@@ -245,7 +245,7 @@
 fn a_job_depends_on_hundreds_of_others() {
     let mut world = World::new(77);
     let root = stage(&mut world, 1, "green", 2, &[]);
-    world.jobs.get_mut(&root).expect("submitted").spec.estimate_s = 200.0;
+    world.jobs.get_mut(&root).expect("submitted").spec.estimated_runtime_s = 200.0;
     let many: Vec<JobId> =
         (0..700).map(|n| stage(&mut world, 1000 + n, "green", 1, std::slice::from_ref(&root))).collect();
     let last = stage(&mut world, 5000, "red", 1, &many);
@@ -275,8 +275,8 @@
         world.lower_limits_at(25 * S, 2048, 4, 18.0);
         ordinary_jobs(&mut world, 30);
         for n in 0..3 {
-            let mut spec = World::spec(Kind::Array, "green", 300, 0.5);
-            spec.estimate_s = 12.0;
+            let mut spec = World::spec(JobKind::Array, "green", 300, 0.5);
+            spec.estimated_runtime_s = 12.0;
             world.submit(500 + n, spec);
             dependency_chain(&mut world, 600 + n * 10);
         }
@@ -299,8 +299,8 @@
     world.lower_limits_at(2 * S, 2048, 4, 9.0);
     world.run_for(15 * S);
     ordinary_jobs(&mut world, 40);
-    let mut spec = World::spec(Kind::Array, "green", 128, 0.1);
-    spec.estimate_s = 6.0;
+    let mut spec = World::spec(JobKind::Array, "green", 128, 0.1);
+    spec.estimated_runtime_s = 6.0;
     let id = world.submit(500, spec);
     let began = world.now;
     while world.jobs[&id].told.is_none() && world.now < began + 300 * S {
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -2,7 +2,7 @@
 
 use super::world::{MS, S, SMALL, Size, World};
 use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
-use burlhatch::protocol::user::Kind;
+use burlhatch::protocol::user::JobKind;
 use burlhatch::types::MachineId;
 
 #[test]
@@ -50,7 +50,7 @@
     let mut world = World::sized(8, keeping_idle_machines(), size);
     for n in 0..6 {
         let team = ["red", "blue", "green"][n as usize % 3];
-        world.submit(n + 1, World::spec(Kind::Service, team, 2, 1.0));
+        world.submit(n + 1, World::spec(JobKind::Service, team, 2, 1.0));
     }
     world.run_for(30 * S);
     let before: Vec<MachineId> = world.workers.keys().cloned().collect();
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -14,7 +14,7 @@
 mod zones;
 mod zones_measured;
 
-use burlhatch::protocol::user::{Kind, Priority};
+use burlhatch::protocol::user::{JobKind, Priority};
 use burlhatch::settings::Policy;
 use world::{S, World};
 
@@ -23,22 +23,22 @@
     for n in 0..count {
         let team = ["red", "blue", "green"][world.pick(3) as usize];
         let mut spec = match world.pick(6) {
-            0 => World::spec(Kind::Service, team, 2, 1.0),
-            1 => World::spec(Kind::Gang, team, 3, 1.0),
+            0 => World::spec(JobKind::Service, team, 2, 1.0),
+            1 => World::spec(JobKind::Gang, team, 3, 1.0),
             _ => {
                 let tasks = 1 + world.pick(8) as u32;
-                World::spec(Kind::Array, team, tasks, 2.0)
+                World::spec(JobKind::Array, team, tasks, 2.0)
             }
         };
         match world.pick(8) {
             0 => spec.spread = true,
-            1 => spec.one_zone = spec.kind == Kind::Gang,
+            1 => spec.one_zone = spec.kind == JobKind::Gang,
             2 => spec.zone = Some("a".into()),
             3 => spec.types = Some(vec!["small".into()]),
             4 => spec.priority = Priority::High,
             _ => {}
         }
-        let service = spec.kind == Kind::Service;
+        let service = spec.kind == JobKind::Service;
         let id = world.submit(n + 1, spec);
         let at = world.now + world.pick(60 * S);
         let cancel = world.chance(5);
@@ -69,7 +69,7 @@
 
 fn cancel_services(world: &mut World) {
     let now = world.now;
-    for job in world.jobs.values_mut().filter(|j| j.spec.kind == Kind::Service) {
+    for job in world.jobs.values_mut().filter(|j| j.spec.kind == JobKind::Service) {
         job.cancel_at.get_or_insert(now);
     }
 }
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -3,7 +3,7 @@
 
 use super::world::{MS, Place, S, SMALL, Size, World};
 use super::{finish, keeping_idle_machines, ordinary_jobs, seeds};
-use burlhatch::protocol::user::Kind;
+use burlhatch::protocol::user::JobKind;
 use burlhatch::settings::Policy;
 use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeSet;
@@ -48,8 +48,8 @@
     for seed in seeds(31, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..16 {
-            let mut spec = World::spec(Kind::Array, ["red", "blue"][n as usize % 2], 4, 2.0);
-            spec.estimate_s = 25.0;
+            let mut spec = World::spec(JobKind::Array, ["red", "blue"][n as usize % 2], 4, 2.0);
+            spec.estimated_runtime_s = 25.0;
             world.submit(n + 1, spec);
         }
         world.run_for(22 * S);
@@ -74,12 +74,12 @@
     for seed in seeds(32, 4) {
         let mut world = World::new(seed);
         for n in 0..15 {
-            let kind = if n % 3 == 0 { Kind::Gang } else { Kind::Array };
+            let kind = if n % 3 == 0 { JobKind::Gang } else { JobKind::Array };
             let mut spec = World::spec(kind, ["red", "blue", "green"][n as usize % 3], 4, 1.0);
-            spec.estimate_s = 20.0;
+            spec.estimated_runtime_s = 20.0;
             match n % 4 {
                 0 => spec.zone = Some("a".into()),
-                3 => spec.spread = kind == Kind::Array,
+                3 => spec.spread = kind == JobKind::Array,
                 _ => spec.one_zone = true,
             }
             world.submit(n + 1, spec);
@@ -160,8 +160,8 @@
     for seed in seeds(35, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..9 {
-            let mut spec = World::spec(Kind::Array, ["red", "blue", "green"][n as usize % 3], 3, 1.0);
-            spec.estimate_s = 120.0;
+            let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 3, 1.0);
+            spec.estimated_runtime_s = 120.0;
             world.submit(n + 1, spec);
         }
         world.run_for(20 * S);
@@ -206,8 +206,8 @@
         ordinary_jobs(&mut world, 35);
         // Two or three tasks that end far apart: some before a change, some after it.
         for n in 0..6 {
-            let mut spec = World::spec(Kind::Array, ["red", "blue", "green"][n as usize % 3], 2 + n as u32 % 2, 1.0);
-            spec.estimate_s = 60.0;
+            let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 2 + n as u32 % 2, 1.0);
+            spec.estimated_runtime_s = 60.0;
             world.submit(500 + n, spec);
         }
         world.run_for(10 * S);
@@ -240,7 +240,7 @@
     for seed in seeds(38, 4).chain(seeds(38, 16).skip(15)) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         let services: Vec<JobId> =
-            (0..3).map(|n| world.submit(900 + n, World::spec(Kind::Service, "green", 2, 1.0))).collect();
+            (0..3).map(|n| world.submit(900 + n, World::spec(JobKind::Service, "green", 2, 1.0))).collect();
         ordinary_jobs(&mut world, 25);
         world.run_for(20 * S);
         let serving: Vec<usize> = (0..world.workers.len())
@@ -286,8 +286,8 @@
     for seed in seeds(40, 6) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..9 {
-            let mut spec = World::spec(Kind::Array, ["red", "blue", "green"][n as usize % 3], 4, 1.0);
-            spec.estimate_s = 40.0;
+            let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 4, 1.0);
+            spec.estimated_runtime_s = 40.0;
             world.submit(n + 1, spec);
         }
         ordinary_jobs(&mut world, 15);
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -4,7 +4,7 @@
 use super::world::{MS, Place, S, SMALL, Size, World};
 use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
-use burlhatch::protocol::user::{JobSpec, JobState, Kind, Priority};
+use burlhatch::protocol::user::{JobKind, JobSpec, JobState, Priority};
 use burlhatch::settings::Policy;
 use burlhatch::types::{JobId, MachineId};
 
@@ -15,7 +15,7 @@
 
 /// Services of two tasks, for each team in turn.
 fn submit_services(world: &mut World, from: u64, count: u64) -> Vec<JobId> {
-    (0..count).map(|n| world.submit(from + n, World::spec(Kind::Service, TEAMS[n as usize % 3], 2, 1.0))).collect()
+    (0..count).map(|n| world.submit(from + n, World::spec(JobKind::Service, TEAMS[n as usize % 3], 2, 1.0))).collect()
 }
 
 /// How many of these machines are not there any more.
@@ -86,7 +86,8 @@
 
 /// Jobs that fail on every machine after so long at work: arrays, a gang, and a service.
 fn submit_broken(world: &mut World, from: u64, fails_after: u64) -> Vec<JobId> {
-    let shapes = [(Kind::Array, 8), (Kind::Array, 20), (Kind::Array, 1), (Kind::Gang, 3), (Kind::Service, 2)];
+    let shapes =
+        [(JobKind::Array, 8), (JobKind::Array, 20), (JobKind::Array, 1), (JobKind::Gang, 3), (JobKind::Service, 2)];
     let mut ids = Vec::new();
     for (n, (kind, tasks)) in shapes.into_iter().enumerate() {
         let id = world.submit(from + n as u64, World::spec(kind, TEAMS[n % 3], tasks, 1.0));
@@ -115,7 +116,7 @@
         let (before, rented) = (world.workers.keys().cloned().collect::<Vec<MachineId>>(), world.cloud.machines.len());
         let (begun, all) = (starts(&world), world.started);
         let healthy: Vec<JobId> =
-            (0..6).map(|n| world.submit(500 + n, World::spec(Kind::Array, TEAMS[n as usize % 3], 4, 1.0))).collect();
+            (0..6).map(|n| world.submit(500 + n, World::spec(JobKind::Array, TEAMS[n as usize % 3], 4, 1.0))).collect();
         world.run_for(60 * S);
         let again = starts(&world) - begun;
         assert!(again <= 5 * 8, "{seed}: tasks of broken jobs were started {again} times in a minute");
@@ -148,7 +149,7 @@
         for _ in 0..30 {
             for team in TEAMS {
                 number += 1;
-                world.submit(number, World::spec(Kind::Array, team, 3, 1.0));
+                world.submit(number, World::spec(JobKind::Array, team, 3, 1.0));
             }
             world.run_for(4 * S);
         }
@@ -179,8 +180,8 @@
 
 /// Batch work that may run on any machine, spot or not, one task to a machine.
 fn wide_array(team: &str, tasks: u32, run_s: f64) -> JobSpec {
-    let mut spec = World::spec(Kind::Array, team, tasks, 4.0);
-    spec.estimate_s = run_s;
+    let mut spec = World::spec(JobKind::Array, team, tasks, 4.0);
+    spec.estimated_runtime_s = run_s;
     spec
 }
 
@@ -245,8 +246,8 @@
             world.submit(n + 1, low(wide_array("green", 300, 60.0)));
         }
         world.run_for(10 * S);
-        let mut spec = low(World::spec(Kind::Array, "green", 1500, 1.0));
-        spec.estimate_s = 1.0;
+        let mut spec = low(World::spec(JobKind::Array, "green", 1500, 1.0));
+        spec.estimated_runtime_s = 1.0;
         let huge = world.submit(100, spec);
         world.run_for(400 * S);
         assert_eq!(world.jobs[&huge].told, Some(JobState::Done), "{seed}: not done after 400 s");
@@ -271,7 +272,7 @@
         let held = world.workers.values().filter(|w| !w.tasks.is_empty()).count();
         assert!(held >= 7, "{seed}: the guest holds {held} machines only");
         let house: Vec<JobId> =
-            (0..3).map(|n| world.submit(100 + n, World::spec(Kind::Array, TEAMS[n as usize], 3, 1.0))).collect();
+            (0..3).map(|n| world.submit(100 + n, World::spec(JobKind::Array, TEAMS[n as usize], 3, 1.0))).collect();
         world.run_for(45 * S);
         for id in &house {
             let job = &world.jobs[id];
@@ -299,7 +300,7 @@
         let guest = world.submit(1, low(wide_array("green", 20, 300.0)));
         world.run_for(40 * S);
         assert!(world.running(&guest) >= 6, "{seed}: {} tasks of the guest run", world.running(&guest));
-        let house = world.submit(100, World::spec(Kind::Array, "green", 3, 1.0));
+        let house = world.submit(100, World::spec(JobKind::Array, "green", 3, 1.0));
         world.run_for(40 * S);
         assert!(world.jobs[&house].begun.is_some(), "{seed}: not begun after 40 s");
         assert!(world.running(&guest) >= 5, "{seed}: {} tasks of the guest are left", world.running(&guest));
@@ -320,11 +321,11 @@
         let changes = world.changes();
         let mut services = Vec::new();
         for n in 0..300 {
-            let mut spec = low(World::spec(Kind::Array, "green", 1, 0.25));
-            spec.estimate_s = 4.0;
+            let mut spec = low(World::spec(JobKind::Array, "green", 1, 0.25));
+            spec.estimated_runtime_s = 4.0;
             world.submit(n + 1, spec);
             if n % 60 == 30 {
-                services.push(world.submit(900 + n, World::spec(Kind::Service, TEAMS[n as usize / 60 % 3], 1, 1.0)));
+                services.push(world.submit(900 + n, World::spec(JobKind::Service, TEAMS[n as usize / 60 % 3], 1, 1.0)));
             }
             if n == 200 && seed % 3 == 1 {
                 world.store_outage(6 * S);
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -3,7 +3,7 @@
 
 use super::world::{LARGE, MS, S, Size, World};
 use super::{finish, keeping_idle_machines, seeds};
-use burlhatch::protocol::user::{Kind, Priority};
+use burlhatch::protocol::user::{JobKind, Priority};
 use burlhatch::settings::Policy;
 
 /// Teams' work comes in turns, and nothing can be rented: machines go back and forth between shards.
@@ -17,8 +17,8 @@
 fn work_of_one_team(world: &mut World, round: u64) {
     let team = ["red", "green", "blue", "green"][round as usize % 4];
     for n in 0..4 {
-        let mut spec = World::spec(Kind::Array, team, 4, 2.0);
-        spec.estimate_s = 1.0;
+        let mut spec = World::spec(JobKind::Array, team, 4, 2.0);
+        spec.estimated_runtime_s = 1.0;
         spec.priority = Priority::High;
         world.submit(1000 + round * 10 + n, spec);
     }
@@ -36,8 +36,8 @@
 }
 
 fn urgent_work(world: &mut World, number: u64, team: &str, tasks: u32, image: &str) {
-    let mut spec = World::spec(Kind::Array, team, tasks, 2.0);
-    spec.estimate_s = 1.0;
+    let mut spec = World::spec(JobKind::Array, team, tasks, 2.0);
+    spec.estimated_runtime_s = 1.0;
     spec.priority = Priority::High;
     spec.image = image.into();
     world.submit(number, spec);
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -1,7 +1,7 @@
 //! What holds while nothing is in the way, and what scenarios look at.
 
 use super::{MS, S, World};
-use burlhatch::protocol::user::Kind;
+use burlhatch::protocol::user::JobKind;
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::ROOT;
 use burlhatch::types::{JobId, MachineId};
@@ -46,7 +46,7 @@
         for (id, job) in self
             .jobs
             .iter()
-            .filter(|(_, j)| j.accepted && j.told.is_none() && j.spec.kind != Kind::Gang && j.fails_after.is_none())
+            .filter(|(_, j)| j.accepted && j.told.is_none() && j.spec.kind != JobKind::Gang && j.fails_after.is_none())
         {
             let placed = |index: u32| self.workers.values().any(|w| w.tasks.contains_key(&(id.clone(), index)));
             let waits = (0..job.spec.tasks).any(|t| !job.done_tasks[t as usize] && !placed(t));
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -97,7 +97,7 @@
                     fetch_gb_per_s: 0.2,
                     price,
                     spot_price: Some(price / 3.0),
-                    boot_s: 10.0,
+                    typical_startup_s: 10.0,
                     zones: zones.clone(),
                 };
                 CloudOutcome::Types(MachineTypes { types: vec![kind("small", 4.0, 0.2), kind("large", 8.0, 0.4)] })
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -14,7 +14,7 @@
 mod worker;
 
 use burlhatch::coordination::{CloudCall, Controller, Input, StoreCall, UserAnswer, WorkerAnswer};
-use burlhatch::protocol::peer::Cancelled;
+use burlhatch::protocol::peer::CancellationNotice;
 use burlhatch::protocol::worker::{DirectCommands, Heartbeat};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::RecordVersion;
@@ -133,7 +133,7 @@
         call: u64,
         to: usize,
         number: u64,
-        message: Cancelled,
+        message: CancellationNotice,
     },
     WatchEnds {
         call: u64,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -2,7 +2,7 @@
 
 use super::{Event, MS, S, World};
 use burlhatch::coordination::{Controller, Input, UserAnswer, UserRequest};
-use burlhatch::protocol::user::{JobSpec, JobState, JobStatus, Kind, Priority, Submission};
+use burlhatch::protocol::user::{JobKind, JobSpec, JobState, JobStatus, Priority, Submission};
 use burlhatch::types::JobId;
 use rand::Rng;
 
@@ -78,12 +78,12 @@
         id
     }
 
-    pub fn spec(kind: Kind, team: &str, tasks: u32, cpus: f64) -> JobSpec {
+    pub fn spec(kind: JobKind, team: &str, tasks: u32, cpus: f64) -> JobSpec {
         JobSpec {
             class: "any".into(),
             team: Some(team.into()),
             kind,
-            priority: if kind == Kind::Service { Priority::Production } else { Priority::Normal },
+            priority: if kind == JobKind::Service { Priority::Production } else { Priority::Normal },
             tasks,
             cpus,
             gpus: 0.0,
@@ -94,10 +94,10 @@
             zone: None,
             one_zone: false,
             spread: false,
-            spot: kind == Kind::Array,
-            estimate_s: if kind == Kind::Service { 0.0 } else { 5.0 },
-            checkpoint_s: 0.0,
-            save_s: 0.0,
+            spot: kind == JobKind::Array,
+            estimated_runtime_s: if kind == JobKind::Service { 0.0 } else { 5.0 },
+            checkpoint_interval_s: 0.0,
+            checkpoint_duration_s: 0.0,
             deadline_s: None,
             depends_on: Vec::new(),
         }
@@ -242,12 +242,12 @@
 
     pub(super) fn odd_request(&mut self) {
         let known: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
-        let mut spec = World::spec(Kind::Array, "red", 2, 1.0);
+        let mut spec = World::spec(JobKind::Array, "red", 2, 1.0);
         let what = match self.pick(6) {
             0 if !known.is_empty() => {
                 // A known job has its state, whatever the repeat holds.
                 let id = known[self.pick(known.len() as u64) as usize].clone();
-                let spec = if self.chance(2) { None } else { Some(World::spec(Kind::Gang, "nobody", 9, 99.0)) };
+                let spec = if self.chance(2) { None } else { Some(World::spec(JobKind::Gang, "nobody", 9, 99.0)) };
                 let submission = Submission { id: Some(id.clone()), spec };
                 return self.ask(Asked::Submit(id), UserRequest::Submit(Box::new(submission)));
             }
@@ -260,7 +260,7 @@
                 "what it awaits was never accepted"
             }
             3 => {
-                spec = World::spec(Kind::Gang, "red", 30, 1.0);
+                spec = World::spec(JobKind::Gang, "red", 30, 1.0);
                 "its team's limit is lower"
             }
             _ => "a field is missing",
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -4,7 +4,7 @@
 use super::cloud::cpus_of;
 use super::{Event, Fate, MS, Place, S, World};
 use burlhatch::coordination::{DirectCommandsOutcome, Input, WorkerAnswer};
-use burlhatch::protocol::user::{JobSpec, Kind};
+use burlhatch::protocol::user::{JobKind, JobSpec};
 use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
@@ -31,7 +31,7 @@
 
 impl Task {
     pub fn is_fetching(&self) -> bool {
-        self.state == TaskState::Fetching
+        self.state == TaskState::FetchingImage
     }
 }
 
@@ -70,15 +70,15 @@
             task: format!("{job}/{index}"),
             attempt: t.attempt,
             state: t.state,
-            why: None,
-            saved: None,
+            exit_cause: None,
+            checkpointed: None,
         });
         let exited = self.exited.iter().map(|((job, index, attempt), why)| TaskStatus {
             task: format!("{job}/{index}"),
             attempt: *attempt,
             state: TaskState::Exited,
-            why: Some(*why),
-            saved: None,
+            exit_cause: Some(*why),
+            checkpointed: None,
         });
         let tasks = running.chain(exited).collect();
         Heartbeat {
@@ -90,7 +90,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            termination_notice_s: None,
             tasks,
         }
     }
@@ -108,7 +108,7 @@
     }
 
     fn on_machine(&self, key: &(JobId, u32)) -> bool {
-        self.tasks.get(key).is_some_and(|t| t.state != TaskState::Fetching)
+        self.tasks.get(key).is_some_and(|t| t.state != TaskState::FetchingImage)
     }
 }
 
@@ -327,7 +327,7 @@
         } else {
             let cached = worker.cache.contains(&spec.image);
             let due = now + if cached { 0 } else { S };
-            let task = Task { attempt, state: TaskState::Fetching, due, since: now };
+            let task = Task { attempt, state: TaskState::FetchingImage, due, since: now };
             worker.tasks.insert(key.clone(), task);
             if cached {
                 self.arrives(id, &key);
@@ -356,7 +356,7 @@
             job.starts += 1;
         }
         let Some(job) = self.jobs.get(&key.0) else { return };
-        let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimate_s);
+        let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimated_runtime_s);
         let fails_after = job.fails_after;
         let run = (run * 1e6) as u64 / 2 + self.rng_run((run * 1e6) as u64);
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -369,16 +369,16 @@
         if let Some(task) = worker.tasks.get_mut(key) {
             task.since = now;
             (task.state, task.due) = match kind {
-                Kind::Gang => (TaskState::Waiting, now + GANG_WAIT),
-                Kind::Service => (TaskState::Running, fails_after.map_or(u64::MAX, |after| now + after)),
-                Kind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
+                JobKind::Gang => (TaskState::Waiting, now + GANG_WAIT),
+                JobKind::Service => (TaskState::Running, fails_after.map_or(u64::MAX, |after| now + after)),
+                JobKind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
             };
         }
         if sick {
-            self.exit(id, key, ExitCause::Error);
+            self.exit(id, key, ExitCause::Failed);
         } else if finished {
-            self.exit(id, key, ExitCause::Done);
-        } else if kind == Kind::Gang {
+            self.exit(id, key, ExitCause::Completed);
+        } else if kind == JobKind::Gang {
             self.gang_may_start(&key.0);
         }
     }
@@ -484,7 +484,7 @@
         }
         let Some((_, members)) = waiting.into_iter().find(|(_, m)| m.len() == spec.tasks as usize) else { return };
         let fails_after = self.jobs.get(job).and_then(|j| j.fails_after);
-        let due = now + fails_after.unwrap_or((spec.estimate_s * 1e6) as u64);
+        let due = now + fails_after.unwrap_or((spec.estimated_runtime_s * 1e6) as u64);
         for (id, index) in members {
             if let Some(t) = self.workers.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
                 t.state = TaskState::Running;
@@ -529,10 +529,10 @@
             let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { continue };
             let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
             match task.state {
-                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Error),
-                TaskState::Fetching => self.arrives(&id, &key),
-                TaskState::Waiting => self.exit(&id, &key, ExitCause::Alone),
-                TaskState::Running if spec.kind == Kind::Gang => {
+                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Failed),
+                TaskState::FetchingImage => self.arrives(&id, &key),
+                TaskState::Waiting => self.exit(&id, &key, ExitCause::GangIncomplete),
+                TaskState::Running if spec.kind == JobKind::Gang => {
                     if self.gang_whole(&key.0, task.attempt, spec.tasks) {
                         let members: Vec<(MachineId, (JobId, u32))> = self
                             .workers
@@ -544,11 +544,11 @@
                             self.complete(&machine, &member);
                         }
                     } else {
-                        self.exit(&id, &key, ExitCause::Peers);
+                        self.exit(&id, &key, ExitCause::GangPeerLost);
                     }
                 }
                 TaskState::Running => self.complete(&id, &key),
-                TaskState::Saving | TaskState::Exited => {}
+                TaskState::Checkpointing | TaskState::Exited => {}
             }
         }
         let cancelled: Vec<String> = self
@@ -578,6 +578,6 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.done.push(key.clone());
         }
-        self.exit(id, key, ExitCause::Done);
+        self.exit(id, key, ExitCause::Completed);
     }
 }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -3,7 +3,7 @@
 
 use super::world::{MS, Place, S, Size, TIMES, World};
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
-use burlhatch::protocol::user::{JobState, Kind, Priority};
+use burlhatch::protocol::user::{JobKind, JobState, Priority};
 use burlhatch::settings::{Policy, ZoneSettings};
 use burlhatch::types::JobId;
 use burlhatch_zones::Condition;
@@ -28,7 +28,7 @@
 
 /// Services of two replicas each, of the team without a limit.
 fn submit_services(world: &mut World, count: u64) -> Vec<JobId> {
-    let spec = || World::spec(Kind::Service, "green", 2, 1.0);
+    let spec = || World::spec(JobKind::Service, "green", 2, 1.0);
     (0..count).map(|n| world.submit(1 + n, spec())).collect()
 }
 
@@ -107,8 +107,8 @@
 fn ordinary_jobs_from(world: &mut World, from: u64, count: u64) {
     for n in 0..count {
         let tasks = 1 + world.pick(6) as u32;
-        let mut spec = World::spec(Kind::Array, "green", tasks, 2.0);
-        spec.estimate_s = 8.0;
+        let mut spec = World::spec(JobKind::Array, "green", tasks, 2.0);
+        spec.estimated_runtime_s = 8.0;
         world.submit(from + n, spec);
     }
 }
@@ -197,7 +197,7 @@
         }
         world.run_for(15 * S);
         let single: Vec<JobId> =
-            (0..9).map(|n| world.submit(200 + n, World::spec(Kind::Service, "green", 1, 1.0))).collect();
+            (0..9).map(|n| world.submit(200 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         world.run_for(15 * S);
         let there = single.iter().filter(|id| world.running(id) > outside(&world, id, "a")).count();
         assert_eq!(there, 0, "{seed}: {there} single replicas in the zone that flaps");
@@ -272,7 +272,7 @@
         world.cloud.capacity = 90;
         // Each service takes a whole machine, and five are free.
         let services: Vec<JobId> =
-            (0..85).map(|n| world.submit(1 + n, World::spec(Kind::Service, "green", 1, 4.0))).collect();
+            (0..85).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 4.0))).collect();
         world.run_for(40 * S);
         let before = world.workers.len();
         world.cloud.capacity = 0;
@@ -342,9 +342,9 @@
         world.run_for(41 * S);
         // Everything that waits is bound to the zone, and each task takes long.
         for n in 0..6 {
-            let mut spec = World::spec(Kind::Array, "green", 8, 0.5);
+            let mut spec = World::spec(JobKind::Array, "green", 8, 0.5);
             spec.zone = Some("a".into());
-            spec.estimate_s = 300.0;
+            spec.estimated_runtime_s = 300.0;
             world.submit(300 + n, spec);
         }
         let shards = 5;
@@ -374,11 +374,11 @@
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
         let mut world = World::sized(seed, judging_zones(), size);
         let services: Vec<JobId> =
-            (0..12).map(|n| world.submit(1 + n, World::spec(Kind::Service, "green", 1, 1.0))).collect();
+            (0..12).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         // Batch work of the same priority as ordinary work has it, more than there is room for.
         for n in 0..40 {
-            let mut spec = World::spec(Kind::Array, "green", 4, 1.0);
-            spec.estimate_s = 6.0;
+            let mut spec = World::spec(JobKind::Array, "green", 4, 1.0);
+            spec.estimated_runtime_s = 6.0;
             spec.priority = Priority::High;
             world.submit(100 + n, spec);
         }
@@ -388,7 +388,7 @@
         assert!(restored.is_some_and(|span| span <= 18 * S), "{seed}: {restored:?}");
         cancel_services(&mut world);
         finish(&mut world, &format!("order {seed}"));
-        let arrays = world.jobs.values().filter(|job| job.spec.kind == Kind::Array);
+        let arrays = world.jobs.values().filter(|job| job.spec.kind == JobKind::Array);
         assert!(arrays.filter(|job| job.told == Some(JobState::Done)).count() >= 35, "{seed}: batch work was lost");
     }
 }
@@ -403,12 +403,12 @@
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
         let mut world = World::sized(seed, policy, size);
         let services: Vec<JobId> =
-            (0..36).map(|n| world.submit(1 + n, World::spec(Kind::Service, "green", 1, 1.0))).collect();
+            (0..36).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         world.run_for(30 * S);
         world.cut_zone("a", 60 * S, true);
         world.run_for(8 * S);
-        let mut batch = World::spec(Kind::Array, "green", 12, 1.0);
-        batch.estimate_s = 30.0;
+        let mut batch = World::spec(JobKind::Array, "green", 12, 1.0);
+        batch.estimated_runtime_s = 30.0;
         let batch = world.submit(100, batch);
         world.run_for(8 * S);
         assert!(world.jobs[&batch].accepted && services.iter().any(|id| outside(&world, id, "a") == 0));
@@ -425,12 +425,12 @@
     for seed in seeds(120, 3) {
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
         let mut world = World::sized(seed, judging_zones(), size);
-        let mut first = World::spec(Kind::Array, "green", 1, 1.0);
-        first.estimate_s = 24.0;
+        let mut first = World::spec(JobKind::Array, "green", 1, 1.0);
+        first.estimated_runtime_s = 24.0;
         let first = world.submit(99, first);
         for n in 0..80 {
-            let mut spec = World::spec(Kind::Array, "green", 4, 1.0);
-            spec.estimate_s = 10.0;
+            let mut spec = World::spec(JobKind::Array, "green", 4, 1.0);
+            spec.estimated_runtime_s = 10.0;
             spec.priority = Priority::Production;
             spec.image = "batch".into();
             spec.deadline_s = Some(0.0);
@@ -438,7 +438,7 @@
             world.submit(100 + n, spec);
         }
         let services: Vec<JobId> =
-            (0..18).map(|n| world.submit(1 + n, World::spec(Kind::Service, "green", 1, 1.0))).collect();
+            (0..18).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         while world.jobs[&first].told.is_none() {
             world.run_for(S);
             assert!(world.now < 90 * S, "{seed}: the first job is not done");
@@ -474,7 +474,7 @@
     assert!(least >= 1, "a service lost all replicas at once");
     assert!(services.iter().all(|id| outside(&world, id, "a") == 2), "the zone still has replicas");
     world.write_key("bh/zone-hold/a", None);
-    let mut bound = World::spec(Kind::Array, "green", 2, 1.0);
+    let mut bound = World::spec(JobKind::Array, "green", 2, 1.0);
     bound.zone = Some("a".into());
     let bound = world.submit(50, bound);
     world.run_for(20 * S);
@@ -538,7 +538,7 @@
         for id in world.machines_in("a").into_iter().step_by(3) {
             world.hang_machine(&id, 60 * S);
         }
-        let mut bound = World::spec(Kind::Array, "green", 4, 1.0);
+        let mut bound = World::spec(JobKind::Array, "green", 4, 1.0);
         bound.zone = Some("a".into());
         let bound = world.submit(500, bound);
         for _ in 0..30 {
@@ -579,7 +579,7 @@
         Size { nodes: 5, machines: 4000, capacity: 4400, write_rps: 50.0, zones: &["a", "b", "c"], times: TIMES };
     let mut world = World::sized(118_000, judging_zones(), size);
     world.cloud.never_up = 0;
-    let mut spec = World::spec(Kind::Service, "green", 20, 1.0);
+    let mut spec = World::spec(JobKind::Service, "green", 20, 1.0);
     spec.spread = true;
     let services: Vec<JobId> = (0..20).map(|n| world.submit(1 + n, spec.clone())).collect();
     world.run_for(40 * S);
--- a/tests/rules/zones_measured.rs
+++ b/tests/rules/zones_measured.rs
@@ -4,7 +4,7 @@
 
 use super::world::{MS, S, Size, TIMES, World};
 use super::{assert_clean, keeping_idle_machines};
-use burlhatch::protocol::user::{JobState, Kind};
+use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::{Policy, ZoneSettings};
 use burlhatch::types::JobId;
 use burlhatch_testbed::report::Sample;
@@ -47,7 +47,7 @@
         let mut world = World::sized(seed, policy, fleet(machines));
         world.cloud.never_up = 0;
         let replicas = (machines as u64 / SERVICES).max(2) as u32;
-        let mut spec = World::spec(Kind::Service, "green", replicas, 1.0);
+        let mut spec = World::spec(JobKind::Service, "green", replicas, 1.0);
         spec.spread = true;
         let services = (0..SERVICES).map(|n| world.submit(1 + n, spec.clone())).collect();
         let next_wave = world.now + 10 * S;
@@ -59,8 +59,8 @@
             self.next_wave += WAVE;
             for _ in 0..10 {
                 let number = 1000 + self.batches.len() as u64;
-                let mut spec = World::spec(Kind::Array, "green", (self.machines / 20) as u32, 1.0);
-                spec.estimate_s = 20.0;
+                let mut spec = World::spec(JobKind::Array, "green", (self.machines / 20) as u32, 1.0);
+                spec.estimated_runtime_s = 20.0;
                 spec.image = format!("batch-{}", number % 7);
                 let id = self.world.submit(number, spec);
                 self.batches.push(id);
