--- a/src/coordination/zones/rebalancing.rs
+++ b/src/coordination/zones/rebalancing.rs
@@ -58,7 +58,7 @@
         let last = looked.last().map(|id| (*id).clone());
         let is_ours = |id: &&JobId| {
             let job = self.jobs.by_id.get(*id).filter(|job| job.spec.kind == JobKind::Service && job.over.is_none());
-            job.is_some_and(|job| self.held(Role::Shard(job.shard)).is_some())
+            job.is_some_and(|job| self.holds(Role::Shard(job.shard)))
         };
         let services = looked.into_iter().filter(is_ours).cloned().collect();
         self.zones.last_looked = last;
@@ -137,7 +137,7 @@
         }
         avoided.extend(self.zones.moving.get(id).map(|moving| moving.from.clone()));
         let elsewhere = |zone: &str| !distrusted.contains(zone) && self.zone_takes_work(zone);
-        let machines = job.live.values().filter(|live| live.occupies()).map(|live| live.machine());
+        let machines = job.live.values().filter(|live| live.occupies()).map(super::super::jobs::usage::Start::machine);
         let mut zones = machines.filter_map(|id| self.store.replica.machines.get(id)).map(|m| m.value.zone.as_str());
         if !distrusted.is_empty() && !zones.any(elsewhere) {
             avoided.extend(distrusted.iter().cloned());
--- a/src/coordination/zones/zone_control.rs
+++ b/src/coordination/zones/zone_control.rs
@@ -3,7 +3,7 @@
 //! Each holder of a shard judges zones by its own machines and stores its view under its lease on the shard; from all
 //! views every controller derives the same condition (see `docs/zones.md`). What follows from it is decided where such
 //! work is decided already: [`crate::coordination::scheduling::placement`] asks which zones take work and in which order jobs are looked at,
-//! [`crate::coordination::autoscaling::capacity`] and [`crate::coordination::autoscaling::scale_out`] plan around lost zones, [`crate::coordination::zones::zone_control::evacuation`] proves tasks gone.
+//! [`crate::coordination::autoscaling::capacity`] and [`crate::coordination::autoscaling::scale_out`] plan around lost zones, [`crate::coordination::zones::evacuation`] proves tasks gone.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::usage::Start;
@@ -120,7 +120,7 @@
             return;
         }
         self.zones.next = now + ZONES_EVERY;
-        let held: BTreeSet<u32> = self.held_shards().collect();
+        let held: BTreeSet<u32> = self.control.held_shards().collect();
         self.zones.zones.set_held_shards(&held, now);
         self.note_silence(ours);
         for transition in self.zones.zones.round(now, &self.policy.zones) {
@@ -132,13 +132,6 @@
         self.move_replicas();
     }
 
-    pub(crate) fn held_shards(&self) -> impl Iterator<Item = u32> {
-        self.control.roles.held.keys().filter_map(|role| match role {
-            Role::Shard(shard) => Some(*shard),
-            Role::Leader => None,
-        })
-    }
-
     fn note_silence(&mut self, ours: &[MachineId]) {
         let now = self.now();
         let span = Micros::from_millis(self.policy.zones.silent_after_ms);
@@ -189,7 +182,7 @@
     /// Views of our shards that can't be read and that nothing else takes the place of.
     fn unreadable_views(&self) -> Vec<RecordDue> {
         let unreadable = self.store.replica.zones.iter().filter(|(_, stored)| stored.value.is_none());
-        let ours = unreadable.filter(|((_, shard), _)| self.held(Role::Shard(*shard)).is_some());
+        let ours = unreadable.filter(|((_, shard), _)| self.holds(Role::Shard(*shard)));
         ours.map(|((zone, shard), _)| RecordDue { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
@@ -261,7 +254,7 @@
             return;
         }
         let Some(record) = self.store.replica.machines.get(start.machine()) else { return };
-        let returned = self.zones.zones.state(&record.value.zone).map(|state| state.since());
+        let returned = self.zones.zones.state(&record.value.zone).map(burlhatch_zones::condition::ZoneState::since);
         let since_return = |at: Micros| returned.is_some_and(|returned| at >= returned);
         if start.running_since.is_some_and(since_return) {
             self.note_zone_start(start.machine(), ZoneStart::Lost);
