--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -13,7 +13,7 @@
 use crate::coordination::{Controller, UserAnswer, Waiter};
 use crate::protocol::user::{JobKind, JobSpec, Submission};
 use crate::storage::schema::{BatchMember, DependencyListParts, JobRecord, Key, to_value};
-use crate::types::{JobId, Micros, Resources, Revision};
+use crate::types::{JobId, Micros, Revision};
 use std::collections::{HashMap, VecDeque};
 
 /// Part of the allowed size that a value of several entries is filled to.
@@ -161,7 +161,7 @@
     /// entry then says where it is.
     fn write_dependency_list_parts(&mut self, mut member: BatchMember) {
         let limits = &self.platform.deployment.store;
-        let (ops, bytes) = (limits.ops(), limits.value_bytes());
+        let (ops, bytes) = (limits.min_txn_ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
         let mut lists: Vec<Vec<JobId>> = Vec::new();
         let mut size = bytes;
@@ -233,8 +233,8 @@
     /// As many queued submissions as one value and one transaction's preconditions have resources for.
     fn next_batch(&mut self) -> Vec<BatchMember> {
         let limits = &self.platform.deployment.store;
-        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
-        let most = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
+        let value_bytes = (limits.min_value_kb() * 1024.0 * VALUE_FILL) as usize;
+        let most = limits.min_txn_ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
         let mut members: Vec<BatchMember> = Vec::new();
         let (mut size, mut named) = (0, 0);
@@ -311,7 +311,7 @@
                 return never("unknown team");
             };
             // A limit of 0 means none.
-            let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+            let limit = team.resource_limit();
             if (limit.cpus > 0 && all.cpus > limit.cpus) || (limit.gpus > 0 && all.gpus > limit.gpus) {
                 return never("needs more than the team's limit");
             }
--- a/src/coordination/autoscaling/capacity.rs
+++ b/src/coordination/autoscaling/capacity.rs
@@ -209,7 +209,7 @@
 
     fn within_limit_count(&self, team: &str, used: &Resources, each: &Resources) -> u64 {
         let Some(team) = self.platform.deployment.team(team) else { return u64::MAX };
-        let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        let limit = team.resource_limit();
         let by = |limit: u64, used: u64, each: u64| {
             if limit == 0 || each == 0 { u64::MAX } else { limit.saturating_sub(used) / each }
         };
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -214,7 +214,7 @@
     }
 
     fn strike_out_as(&mut self, change: MachineChange, ids: Vec<MachineId>) {
-        let most = self.platform.deployment.store.ops();
+        let most = self.platform.deployment.store.min_txn_ops();
         for ids in ids.chunks(most) {
             let mut proposal = ProposedTxn::default();
             for id in ids {
--- a/src/coordination/control/isolation.rs
+++ b/src/coordination/control/isolation.rs
@@ -139,7 +139,7 @@
     fn are_most_silent(&mut self, own_machines: &[MachineId]) -> bool {
         let now = self.now();
         let initial = Micros::from_millis(self.policy.lose_contact_ms);
-        let lease_s = self.platform.deployment.workers.lease_s;
+        let lease_s = self.platform.deployment.agents.lease_s;
         let tolerated = self.control.isolation.tolerated_silence(now, initial, lease_s);
         let is_silent = |machine: &Machine| {
             (machine.probes_failed >= MIN_FAILED_PROBES && now.since(machine.heard) >= tolerated)
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -57,7 +57,7 @@
     /// Machines seen lately that may not have received a command sent under their present fencing token, by shard.
     fn machines_with_in_flight_commands(&self, own_machines: &[MachineId]) -> BTreeMap<u32, Vec<MachineId>> {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * RECENT_HEARTBEATS);
+        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEATS);
         let mut by_shard: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in own_machines {
             let fencing_token = self.fencing_token(id).unwrap_or_default();
--- a/src/coordination/control/mod.rs
+++ b/src/coordination/control/mod.rs
@@ -54,7 +54,7 @@
 impl Controller {
     /// Number of shards of the deployment: one for each controller.
     pub(crate) fn shard_count(&self) -> u32 {
-        self.platform.deployment.nodes
+        self.platform.deployment.controller_count
     }
 
     /// The fencing token under which this process holds a role, if it does.
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -122,7 +122,7 @@
     /// Sends what can't wait for the next heartbeat.
     pub(crate) fn send_pending_direct_commands(&mut self) {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 2.0);
+        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * 2.0);
         while self.fleet.delayed_commands.first().is_some_and(|(at, _)| *at <= now) {
             self.fleet.pending_commands.extend(self.fleet.delayed_commands.pop_first().map(|(_, id)| id));
         }
--- a/src/coordination/fleet/clearing.rs
+++ b/src/coordination/fleet/clearing.rs
@@ -51,7 +51,7 @@
     /// So long after a cancellation its tasks' machines are deleted: late enough that a lease may have run
     /// out first, which proves as much and costs nothing.
     fn clear_after(&self) -> Micros {
-        let workers = &self.platform.deployment.workers;
+        let workers = &self.platform.deployment.agents;
         let cancel = Micros::from_secs_f64(workers.cancel_s);
         let part = Micros::from_secs_f64(workers.cancel_s * self.policy.clear_part);
         let lease = Micros::from_secs_f64(workers.lease_s * LEASE_DRIFT + LEASE_MARGIN_S);
@@ -60,7 +60,7 @@
 
     /// So long after a cancellation a lease that is not renewed any more has run out before the time allowed is over.
     fn renew_for(&self) -> Micros {
-        let workers = &self.platform.deployment.workers;
+        let workers = &self.platform.deployment.agents;
         Micros::from_secs_f64((workers.cancel_s - workers.lease_s * LEASE_DRIFT - LEASE_MARGIN_S).max(0.0))
     }
 
@@ -127,7 +127,7 @@
         let now = self.now();
         let late_ms = now.since(due).millis();
         tracing::warn!(?machines, late_ms, "deletion asked for, as cancelled tasks may still run there");
-        let workers = &self.platform.deployment.workers;
+        let workers = &self.platform.deployment.agents;
         let time_left = Micros::from_secs_f64(workers.cancel_s).since(self.clear_after());
         if now.since(due) + CLEAR_AGAIN >= time_left {
             self.jobs.audit.late_deletions += machines.len() as u64;
--- a/src/coordination/fleet/failure_detector.rs
+++ b/src/coordination/fleet/failure_detector.rs
@@ -75,7 +75,7 @@
     /// renewed it once it has shown our fencing token.
     pub(crate) fn expire_leases(&mut self, ours: &[MachineId]) {
         let now = self.now();
-        let lease_s = self.platform.deployment.workers.lease_s;
+        let lease_s = self.platform.deployment.agents.lease_s;
         let lease = Micros::from_secs_f64(lease_s * 1.002 + 1.0);
         for id in ours {
             let Some(machine) = self.fleet.machines.get(id) else { continue };
@@ -128,7 +128,7 @@
     fn due_probes<'a>(&self, ours: &'a [MachineId]) -> Vec<DueProbe<'a>> {
         let now = self.now();
         let early = Micros::from_millis(self.policy.probe_after_ms);
-        let late = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * self.policy.report_late_part);
+        let late = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * self.policy.report_late_part);
         let mut due: Vec<DueProbe> = Vec::new();
         let mut quiet: BTreeMap<&str, Vec<DueProbe>> = BTreeMap::new();
         let mut suspected: BTreeSet<&str> = BTreeSet::new();
@@ -250,7 +250,7 @@
     /// however many are silent.
     fn replace_never_heard(&mut self, silent: &[MachineId]) {
         let now = self.now();
-        let lease = Micros::from_secs_f64(self.platform.deployment.workers.lease_s * 1.002 + 2.0);
+        let lease = Micros::from_secs_f64(self.platform.deployment.agents.lease_s * 1.002 + 2.0);
         for id in silent {
             let never = self.fleet.machines.get(id).is_some_and(|m| !m.token_confirmed && now.since(m.heard) >= lease);
             if never {
@@ -363,7 +363,7 @@
     /// Without a heartbeat for so long a machine's heartbeats are taken not to get through: the next is due, and a few
     /// controllers may have to be tried in vain.
     pub(crate) fn unreported_span(&self) -> Micros {
-        let heartbeat = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 1.25);
+        let heartbeat = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * 1.25);
         heartbeat + Micros::from_millis(self.policy.unreported_ms)
     }
 
--- a/src/coordination/fleet/moves.rs
+++ b/src/coordination/fleet/moves.rs
@@ -97,7 +97,7 @@
 
     /// Gives machines to their new shards, as many as one transaction takes.
     fn send_moves_of(&mut self, roles: &[Role], mut moves: Vec<(MachineId, u32)>) {
-        moves.truncate(self.platform.deployment.store.ops() - 1);
+        moves.truncate(self.platform.deployment.store.min_txn_ops() - 1);
         let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::FencingToken);
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -27,7 +27,7 @@
     /// Machines that report and have no record get one, in the shard that needs them most.
     pub(crate) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
-        let value_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL) as usize;
+        let value_bytes = (limits.min_value_kb() * 1024.0 * VALUE_FILL) as usize;
         let heartbeats: Vec<_> = self.fleet.unregistered.iter().map(|held| held.heartbeat.clone()).collect();
         let now = self.now();
         self.autoscaling.leader.alive.retain(|_, at| now.since(*at) < ALIVE_SPAN);
@@ -47,7 +47,8 @@
                     let member = self.new_member(&heartbeat, &members);
                     let more = serde_json::to_string(&member).map_or(value_bytes, |text| text.len() + 1);
                     // The role's condition and the fleet's own leave room for so many machines'.
-                    if size + more > value_bytes || members.len() + 2 == limits.ops() * PRECONDITIONS_PER_WRITE {
+                    if size + more > value_bytes || members.len() + 2 == limits.min_txn_ops() * PRECONDITIONS_PER_WRITE
+                    {
                         break;
                     }
                     size += more;
@@ -156,7 +157,7 @@
         let mut teams = vec![0u64; shards as usize];
         for (i, team) in self.platform.deployment.teams.iter().enumerate() {
             // One without limit or guarantee may be parted over all of them.
-            if team.is_bounded() || !self.platform.deployment.parts_by_job() {
+            if team.has_quota() || !self.platform.deployment.shards_jobs_individually() {
                 teams[i % shards as usize] += u64::from(shards);
             } else {
                 teams.iter_mut().for_each(|weight| *weight += 1);
--- a/src/coordination/jobs/dependency_records.rs
+++ b/src/coordination/jobs/dependency_records.rs
@@ -143,7 +143,7 @@
         if self.jobs.cascaded.is_empty() || self.store.txns.cascading() {
             return;
         }
-        let most = self.platform.deployment.store.ops();
+        let most = self.platform.deployment.store.min_txn_ops();
         let ours = |id: &&JobId| self.jobs.by_id.get(*id).is_some_and(|j| self.holds(Role::Shard(j.shard)));
         let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(ours).take(most).cloned().collect();
         if ids.is_empty() {
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -221,8 +221,8 @@
     fn shard_of(&self, team: Option<&str>, id: &JobId) -> u32 {
         let shards = self.shard_count();
         let teams = &self.platform.deployment.teams;
-        let parts = self.platform.deployment.parts_by_job();
-        let whole = team.and_then(|name| teams.iter().position(|t| t.name == name && (t.is_bounded() || !parts)));
+        let parts = self.platform.deployment.shards_jobs_individually();
+        let whole = team.and_then(|name| teams.iter().position(|t| t.name == name && (t.has_quota() || !parts)));
         match whole {
             Some(i) => i as u32 % shards,
             None => id.as_str().bytes().fold(0u32, |h, b| h.wrapping_mul(31).wrapping_add(u32::from(b))) % shards,
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -9,7 +9,7 @@
 use crate::coordination::zones::zone_control::ZoneStart;
 use crate::protocol::user::JobKind;
 use crate::storage::schema::Role;
-use crate::types::{JobId, MachineId, Micros, Resources};
+use crate::types::{JobId, MachineId, Micros};
 use std::collections::{BTreeSet, HashMap};
 
 /// A machine that could take the task, seen through the prediction.
@@ -224,7 +224,7 @@
         let Some(team) = job.spec.team.as_ref().and_then(|name| self.platform.deployment.team(name)) else {
             return true;
         };
-        let limit = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        let limit = team.resource_limit();
         let next = self.jobs.usage.used_by(&team.name).plus(&job.resources);
         (limit.cpus == 0 || next.cpus <= limit.cpus) && (limit.gpus == 0 || next.gpus <= limit.gpus)
     }
--- a/src/coordination/scheduling/scheduling_order.rs
+++ b/src/coordination/scheduling/scheduling_order.rs
@@ -3,7 +3,7 @@
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
 use crate::storage::schema::Role;
-use crate::types::{JobId, Micros, Resources};
+use crate::types::{JobId, Micros};
 
 impl Controller {
     /// When it is a job's turn among those of its priority: its deadline if it has one, else its
@@ -65,7 +65,7 @@
         let Some(team) = job.spec.team.as_ref().and_then(|name| self.platform.deployment.team(name)) else {
             return false;
         };
-        let guaranteed = Resources::new(team.cpus, team.gpus, 0.0);
+        let guaranteed = team.guaranteed_resources();
         let used = self.jobs.usage.used_by(&team.name).plus(&job.resources);
         used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
     }
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -129,7 +129,7 @@
     /// Machines of a shard that take work now.
     pub(crate) fn spots_of(&self, shard: u32) -> Vec<Spot> {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * 1.7);
+        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * 1.7);
         let pause = Micros::from_millis(self.policy.retry_max_ms);
         let unreported = self.unreported_span();
         let mut spots: Vec<Spot> = self
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -20,7 +20,7 @@
         }
         self.autoscaling.leader.next_tidy = now + TIDY_EVERY;
         self.note_unnamed();
-        let most = self.platform.deployment.store.ops();
+        let most = self.platform.deployment.store.min_txn_ops();
         let replica = &self.store.replica;
         let over = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
         let batches = replica.batches.iter().filter(|(_, b)| b.value.iter().all(over));
--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -42,8 +42,8 @@
             txns: txns::Txns::default(),
             budget: budget::Budget::new(
                 limits.write_rps,
-                limits.least_write_rps(),
-                platform.deployment.nodes,
+                limits.min_write_rps(),
+                platform.deployment.controller_count,
                 policy.state_limits_together,
             ),
             last_ticket: 0,
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -84,7 +84,7 @@
     /// the limit.
     fn read_gap(&self, part: f64) -> Micros {
         let limits = &self.platform.deployment;
-        let equal = f64::from(limits.nodes) / (limits.store.rps * part);
+        let equal = f64::from(limits.controller_count) / (limits.store.rps * part);
         Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(equal))
     }
 
--- a/src/coordination/store_sync/records.rs
+++ b/src/coordination/store_sync/records.rs
@@ -326,7 +326,7 @@
 
     fn txn_limits(&self) -> TxnLimits {
         let limits = &self.platform.deployment.store;
-        let writes = limits.ops();
+        let writes = limits.min_txn_ops();
         TxnLimits { writes, preconditions: writes * PRECONDITIONS_PER_WRITE, value_bytes: limits.value_bytes() }
     }
 
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -125,7 +125,7 @@
             take_places(&mut places, &self.services_on(id));
         }
         let limits = &self.platform.deployment;
-        let most = EVACUATIONS_LEAST.max((limits.store.write_rps / f64::from(limits.nodes)) as usize);
+        let most = EVACUATIONS_LEAST.max((limits.store.write_rps / f64::from(limits.controller_count)) as usize);
         for id in candidates {
             if on_their_way.len() >= most {
                 break;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,41 +1,45 @@
-//! The platform's settings file (TOML) and the operators' own settings (JSON).
+//! Settings: the platform's file (TOML) and the operators' policy (JSON), read once when the process starts.
+//!
+//! Owns: defaults, bounds and validation. Promises: settings that were loaded are valid, and an error names the field
+//! as it is called in the file.
 
 mod platform;
 mod policy;
 
 pub use burlhatch_zones::ZoneSettings;
 pub use platform::{
-    CloudLimits, Deployment, External, NextLimits, Objective, Platform, Quota, Sibling, StoreLimits, Team, Workers,
+    AgentTiming, CloudLimits, Deployment, ExternalServices, Objective, Platform, Quota, Sibling, StoreLimits, Team,
+    UpcomingLimits,
 };
 pub use policy::Policy;
 
 use std::path::Path;
 
-/// Why settings can't be taken.
+/// Why settings were refused.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    #[error("{path}: {source}")]
     /// A file can't be read.
+    #[error("{path}: {source}")]
     Read {
-        /// Which file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// Cause.
         source: std::io::Error,
     },
+    /// A file is not well-formed, or a field is missing, unknown or of another type.
     #[error("{path}: {message}")]
-    /// A file has another form.
     Parse {
-        /// Which file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The parser's message.
         message: String,
     },
+    /// A value is out of its bounds.
     #[error("{field}: {message}")]
-    /// A value is impossible.
     Invalid {
-        /// Of which field.
+        /// Name of the field.
         field: String,
-        /// Why.
+        /// What is wrong with its value.
         message: String,
     },
 }
@@ -45,6 +49,5 @@
 }
 
 fn read_file(path: &Path) -> Result<String, SettingsError> {
-    let shown = path.display().to_string();
-    std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: shown, source })
+    std::fs::read_to_string(path).map_err(|source| SettingsError::Read { path: path.display().to_string(), source })
 }
--- a/src/transport/daemon/mod.rs
+++ b/src/transport/daemon/mod.rs
@@ -168,7 +168,7 @@
     context: Arc<ServerContext>,
 ) -> io::Result<JoinSet<()>> {
     let public = TcpListener::bind(platform.public_addr).await?;
-    let peers = TcpListener::bind(platform.back).await?;
+    let peers = TcpListener::bind(platform.peer_addr).await?;
     let mut tasks = JoinSet::new();
     tasks.spawn(serve(public, context.clone(), limits.public, ListenerKind::Public));
     tasks.spawn(serve(peers, context.clone(), limits.peers, ListenerKind::Peers));
@@ -179,7 +179,7 @@
 fn service_clients(platform: &Platform, policy: &Policy, client: Client, siblings: Arc<Siblings>) -> ServiceClients {
     let deployment = &platform.deployment;
     let store_part = deployment.part_of_limit(policy.state_limits_together);
-    let store_calls_per_second = deployment.store.least_rps() * store_part;
+    let store_calls_per_second = deployment.store.min_rps() * store_part;
     let store_timeout = Duration::from_millis(policy.state_timeout_ms);
     // Only the leader calls the cloud, but for the list of machine types.
     let cloud_calls_per_second = deployment.cloud.rps * policy.cloud_limit_part;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -9,7 +9,7 @@
     let platform = Platform::parse(SETTINGS).expect("valid");
     assert_eq!(platform.label, "node-a");
     assert_eq!(platform.siblings[0].address.port(), 9081);
-    assert_eq!(platform.deployment.teams[0].cpus_max, 8.0);
+    assert_eq!(platform.deployment.teams[0].max_cpus, 8.0);
     assert_eq!(platform.deployment.store.txn_ops, 12);
 }
 
