--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,39 +1,41 @@
-//! Newtypes shared by all packages: times, ids, fencing tokens and amounts of resources.
+//! Types shared by all packages: times, ids, fencing tokens, revisions and amounts of resources.
+//!
+//! Everything here is plain data without I/O. Their serialised forms are part of the stored records and of the wire.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, Sub};
 use std::sync::Arc;
 
-/// A point in time or a span, in whole microseconds.
+/// A point in time or a duration, in whole microseconds. Sums and differences saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// None.
+    /// No time at all.
     pub const ZERO: Micros = Micros(0);
 
-    /// So many milliseconds.
+    /// From milliseconds.
     pub const fn from_millis(ms: u64) -> Micros {
         Micros(ms * 1_000)
     }
 
-    /// Seconds from outside: anything not finite or negative counts as zero.
+    /// From seconds as they come in messages and settings: what is not finite or negative counts as zero.
     pub fn from_secs_f64(s: f64) -> Micros {
         if s.is_finite() && s > 0.0 { Micros((s * 1e6).min(1e18) as u64) } else { Micros(0) }
     }
 
-    /// In seconds.
+    /// As seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// Whole milliseconds.
+    /// As whole milliseconds, rounded down.
     pub fn millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time since `earlier`, zero if that lies ahead.
+    /// Duration since an earlier time; zero if that is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
@@ -53,11 +55,12 @@
     }
 }
 
-/// Drawn from the one counter in the store; serves as worker fencing token.
+/// A fencing token: agents and the store reject what comes under a lower one than they have seen. Drawn from a
+/// counter in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
-/// The store's count of changes.
+/// A revision of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Revision(pub u64);
 
@@ -69,11 +72,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// From its text.
+            /// An id with this text.
             pub fn new(text: &str) -> $name {
                 $name(Arc::from(text))
             }
-            /// Its text.
+            /// The id's text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -100,25 +103,25 @@
 }
 
 text_id!(
-    /// A user's job.
+    /// Id of a job.
     JobId
 );
 text_id!(
-    /// A machine, as the cloud names it.
+    /// Id of a machine, as the cloud names it.
     MachineId
 );
 
-/// One task of a job.
+/// Id of a task: one of a job's tasks.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// Its job.
+    /// The job.
     pub job: JobId,
-    /// Its number in the job.
+    /// Index of the task in the job.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Reads it as the wire has it.
+    /// Parses an id as it comes in messages: the job's id, a slash, and the index.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId { job: JobId::new(job), index: index.parse().ok()? })
@@ -131,10 +134,10 @@
     }
 }
 
-/// What a task takes or a machine has, in millionths, so that sums are exact.
+/// Resources of a task or a machine, in whole millionths, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Resources {
-    /// Millionths of a processor.
+    /// Millionths of a CPU.
     pub cpus: u64,
     /// Millionths of a GPU.
     pub gpus: u64,
@@ -143,33 +146,37 @@
 }
 
 impl Resources {
-    /// From amounts as messages have them.
+    /// From amounts as they come in messages: what is not finite or negative counts as zero.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
-        let units = |x: f64| if x.is_finite() && x > 0.0 { (x * 1e6).round().min(1e15) as u64 } else { 0 };
-        Resources { cpus: units(cpus), gpus: units(gpus), memory: units(memory_gb) }
+        Resources { cpus: millionths(cpus), gpus: millionths(gpus), memory: millionths(memory_gb) }
     }
 
-    /// Whether another has as much of everything.
+    /// Whether another amount has at least as much of every resource.
     pub fn fits_in(&self, other: &Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus && self.memory <= other.memory
     }
 
-    /// Both together.
-    pub fn plus(&self, o: &Resources) -> Resources {
-        Resources { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus, memory: self.memory + o.memory }
+    /// The sum of both.
+    pub fn plus(&self, other: &Resources) -> Resources {
+        Resources { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus, memory: self.memory + other.memory }
     }
 
-    /// What is left of it; nothing at the least.
-    pub fn minus(&self, o: &Resources) -> Resources {
+    /// What is left when another amount is taken; zero at the least.
+    pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
-            cpus: self.cpus.saturating_sub(o.cpus),
-            gpus: self.gpus.saturating_sub(o.gpus),
-            memory: self.memory.saturating_sub(o.memory),
+            cpus: self.cpus.saturating_sub(other.cpus),
+            gpus: self.gpus.saturating_sub(other.gpus),
+            memory: self.memory.saturating_sub(other.memory),
         }
     }
 
-    /// So many times as much.
-    pub fn times(&self, n: u64) -> Resources {
-        Resources { cpus: self.cpus * n, gpus: self.gpus * n, memory: self.memory * n }
+    /// A multiple.
+    pub fn times(&self, factor: u64) -> Resources {
+        Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory: self.memory * factor }
     }
 }
+
+fn millionths(amount: f64) -> u64 {
+    const MAX: f64 = 1e15;
+    if amount.is_finite() && amount > 0.0 { (amount * 1e6).round().min(MAX) as u64 } else { 0 }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,12 +2,13 @@
 //!
 //! The layers, from the outside in:
 //!
-//! * [`transport`]: sockets, HTTP, peer links and the limits a client keeps;
+//! * [`transport`]: sockets, HTTP, calls to services and siblings, and the main loop;
 //! * [`protocol`]: the messages as they look on the wire and what makes them valid;
-//! * [`coordination`]: who owns what, what runs where; pure, without I/O or clock;
-//! * [`storage`]: what is kept in the store and the replica of it.
+//! * [`coordination`]: the controller's state machine, which decides who owns what and what runs where; pure, without
+//!   I/O or clock;
+//! * [`storage`]: the schema of the stored records and the replica of them.
 //!
-//! Packages of their own under `crates/`: [`types`], the types that all share.
+//! [`settings`] are read once, at the start. [`types`] is a package of its own, shared by all.
 
 pub mod coordination;
 pub mod protocol;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: command line, settings, logging; everything else is in the library.
+//! The program: command line, settings and logging. Everything else is in the library.
 
 use burlhatch::settings::{Platform, Policy, SettingsError};
 use burlhatch::transport::daemon;
@@ -79,78 +79,48 @@
     }
 }
 
-const BAD_SETTINGS: u8 = 2;
-
-fn load_policy(path: Option<PathBuf>) -> Result<Policy, SettingsError> {
-    path.map_or_else(|| Ok(Policy::default()), |p| Policy::load(&p))
-}
-
-fn fail(e: &dyn std::fmt::Display) -> ExitCode {
-    eprintln!("burlhatch: {e}");
-    ExitCode::from(BAD_SETTINGS)
-}
-
-fn level() -> Result<Level, String> {
-    match std::env::var("LOG_LEVEL") {
-        Err(_) => Ok(Level::INFO),
-        Ok(text) if text.is_empty() => Ok(Level::INFO),
-        Ok(text) => {
-            text.parse().map_err(|_| format!("LOG_LEVEL: must be error, warn, info, debug or trace, is '{text}'"))
-        }
-    }
-}
+/// Exit code for invalid settings or arguments.
+const EXIT_INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     match arguments.action {
-        Some(Action::Schema) => {
-            print!("{}", Policy::schema());
-            ExitCode::SUCCESS
-        }
-        Some(Action::Defaults) => {
-            println!("{}", serde_json::to_string_pretty(&Policy::default()).unwrap_or_default());
-            ExitCode::SUCCESS
-        }
-        Some(Action::Check { config, policy }) => {
-            let checked = config.map_or(Ok(()), |p| Platform::load(&p).map(drop)).and(load_policy(policy).map(drop));
-            match checked {
-                Ok(()) => {
-                    println!("settings are valid");
-                    ExitCode::SUCCESS
-                }
-                Err(e) => fail(&e),
-            }
-        }
+        Some(Action::Schema) => print_schema(),
+        Some(Action::Defaults) => print_defaults(),
+        Some(Action::Check { config, policy }) => check_settings(config, policy),
         Some(Action::Zones { config, action }) => match Platform::load(&config) {
             Ok(platform) => administer_zones(&platform, &action.into()),
-            Err(e) => fail(&e),
+            Err(error) => invalid_input(&error),
         },
-        None => {
-            let Some(config) = arguments.config else {
-                return fail(&"--config is missing, see --help");
-            };
-            let (platform, policy) = match (Platform::load(&config), load_policy(arguments.policy)) {
-                (Ok(platform), Ok(policy)) => (platform, policy),
-                (Err(e), _) | (_, Err(e)) => return fail(&e),
-            };
-            let level = match level() {
-                Ok(level) => level,
-                Err(e) => return fail(&e),
-            };
-            tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_writer(std::io::stderr).init();
-            run(platform, policy)
-        }
+        None => run_controller(arguments.config, arguments.policy),
     }
 }
 
-fn runtime() -> std::io::Result<Runtime> {
-    Builder::new_current_thread().enable_all().build()
+fn print_schema() -> ExitCode {
+    print!("{}", Policy::schema());
+    ExitCode::SUCCESS
+}
+
+fn print_defaults() -> ExitCode {
+    println!("{}", serde_json::to_string_pretty(&Policy::default()).unwrap_or_default());
+    ExitCode::SUCCESS
+}
+
+fn check_settings(config: Option<PathBuf>, policy: Option<PathBuf>) -> ExitCode {
+    let platform = config.map_or(Ok(()), |path| Platform::load(&path).map(drop));
+    match platform.and(load_policy(policy).map(drop)) {
+        Ok(()) => {
+            println!("settings are valid");
+            ExitCode::SUCCESS
+        }
+        Err(error) => invalid_input(&error),
+    }
 }
 
 fn administer_zones(platform: &Platform, action: &ZoneAction) -> ExitCode {
     let runtime = match runtime() {
         Ok(runtime) => runtime,
-        Err(e) => return fail(&e),
+        Err(error) => return invalid_input(&error),
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
     match runtime.block_on(zone_admin::administer(platform, action, Micros(now))) {
@@ -158,20 +128,56 @@
             print!("{text}");
             ExitCode::SUCCESS
         }
-        Err(e) if e.is_bad_input() => fail(&e),
-        Err(e) => {
-            eprintln!("burlhatch: {e}");
+        Err(error) if error.is_bad_input() => invalid_input(&error),
+        Err(error) => {
+            eprintln!("burlhatch: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run(platform: Platform, policy: Policy) -> ExitCode {
+fn run_controller(config: Option<PathBuf>, policy: Option<PathBuf>) -> ExitCode {
+    let Some(config) = config else {
+        return invalid_input(&"--config is missing, see --help");
+    };
+    let (platform, policy) = match (Platform::load(&config), load_policy(policy)) {
+        (Ok(platform), Ok(policy)) => (platform, policy),
+        (Err(error), _) | (_, Err(error)) => return invalid_input(&error),
+    };
+    let level = match log_level() {
+        Ok(level) => level,
+        Err(error) => return invalid_input(&error),
+    };
+    tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_writer(std::io::stderr).init();
     let runtime = match runtime() {
         Ok(runtime) => runtime,
-        Err(e) => return fail(&e),
+        Err(error) => return invalid_input(&error),
     };
     let Err(error) = runtime.block_on(daemon::run(platform, policy));
     tracing::error!(%error, "controller failed to start");
     ExitCode::FAILURE
 }
+
+fn load_policy(path: Option<PathBuf>) -> Result<Policy, SettingsError> {
+    path.map_or_else(|| Ok(Policy::default()), |path| Policy::load(&path))
+}
+
+fn invalid_input(error: &dyn std::fmt::Display) -> ExitCode {
+    eprintln!("burlhatch: {error}");
+    ExitCode::from(EXIT_INVALID_INPUT)
+}
+
+fn log_level() -> Result<Level, String> {
+    match std::env::var("LOG_LEVEL") {
+        Err(_) => Ok(Level::INFO),
+        Ok(text) if text.is_empty() => Ok(Level::INFO),
+        Ok(text) => {
+            text.parse().map_err(|_| format!("LOG_LEVEL: must be error, warn, info, debug or trace, is '{text}'"))
+        }
+    }
+}
+
+/// One thread: a controller has a quarter of a CPU.
+fn runtime() -> std::io::Result<Runtime> {
+    Builder::new_current_thread().enable_all().build()
+}
