--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -11,9 +11,9 @@
 use crate::coordination::store_sync::TxnEnd;
 use crate::coordination::store_sync::evidence::Fresh;
 use crate::coordination::{Controller, RequestId, UserAnswer};
-use crate::protocol::user::{JobSpec, Kind, Submission};
+use crate::protocol::user::{JobKind, JobSpec, Submission};
 use crate::storage::schema::{JobBatchMember, JobRecord};
-use crate::types::{JobId, Micros, Resources, Revision};
+use crate::types::{JobId, Micros, Revision};
 use std::collections::{HashMap, VecDeque};
 
 /// How a submission can be written.
@@ -213,11 +213,11 @@
         let Some(name) = &spec.team else { return Ok(()) };
         let team = self.platform.deployment.team(name).ok_or("unknown team")?;
         let concurrent = match spec.kind {
-            Kind::Array => spec.resources(),
-            Kind::Gang | Kind::Service => spec.resources().times(u64::from(spec.tasks)),
+            JobKind::Array => spec.resources(),
+            JobKind::Gang | JobKind::Service => spec.resources().times(u64::from(spec.tasks)),
         };
         // A quota of 0 means none.
-        let quota = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        let quota = team.resource_limit();
         let exceeds = |needed: u64, allowed: u64| allowed > 0 && needed > allowed;
         if exceeds(concurrent.cpus, quota.cpus) || exceeds(concurrent.gpus, quota.gpus) {
             return Err("needs more than the team's limit");
--- a/src/coordination/autoscaling/demand.rs
+++ b/src/coordination/autoscaling/demand.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::quota::TeamQuota;
 use crate::coordination::scheduling::zone_rules::TasksByZone;
-use crate::protocol::user::{Kind, Priority};
+use crate::protocol::user::{JobKind, Priority};
 use crate::types::{Micros, Resources};
 use std::collections::HashMap;
 
@@ -31,7 +31,7 @@
 
 impl BatchBacklog {
     fn add(&mut self, job: &Job, task_count: u64) {
-        self.cpu_seconds += task_count as f64 * job.spec.cpus * job.spec.estimate_s.max(MIN_ESTIMATE_S);
+        self.cpu_seconds += task_count as f64 * job.spec.cpus * job.spec.estimated_runtime_s.max(MIN_ESTIMATE_S);
     }
 }
 
@@ -50,7 +50,7 @@
         let mut backlog = BatchBacklog::default();
         let mut usage = self.usage_by_team(&jobs);
         for job in &jobs {
-            let is_batch = job.spec.kind == Kind::Array;
+            let is_batch = job.spec.kind == JobKind::Array;
             // Replicas in lost zones need capacity elsewhere before they are proven gone: provisioning takes as long as
             // the proof.
             let wanted = self.tasks_worth_capacity(job, machines) + u64::from(self.displaced_count(job.attempts.job()));
@@ -134,7 +134,7 @@
         let drain_s = Micros::from_millis(self.policy.drain_ms).secs();
         let running_cpus: f64 = jobs
             .iter()
-            .filter(|job| job.spec.kind == Kind::Array)
+            .filter(|job| job.spec.kind == JobKind::Array)
             .map(|job| job.spec.cpus * f64::from(job.attempts.occupying_count()))
             .sum();
         let mut missing_cpus = backlog.cpu_seconds / drain_s - running_cpus;
@@ -158,11 +158,11 @@
     /// Spare capacity for a few more tasks of the largest service, so that the next one starts at once: as far as neither
     /// the machines nor preemption can provide it.
     fn spare_demand(&self, jobs: &[&Job], shard: u32, machines: &mut [MachineCapacity]) -> Option<UnschedulableTasks> {
-        let services = jobs.iter().filter(|job| job.spec.kind == Kind::Service);
+        let services = jobs.iter().filter(|job| job.spec.kind == JobKind::Service);
         let largest = services.max_by_key(|job| job.resources.cpus)?;
         let preemptible_cpus: u64 = jobs
             .iter()
-            .filter(|job| job.spec.kind == Kind::Array && job.spec.priority < Priority::High)
+            .filter(|job| job.spec.kind == JobKind::Array && job.spec.priority < Priority::High)
             .map(|job| job.resources.cpus * u64::from(job.attempts.occupying_count()))
             .sum();
         let preemptible_count = preemptible_cpus / largest.resources.cpus.max(1);
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -2,7 +2,7 @@
 //! back.
 
 use crate::coordination::Controller;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::CordonReason;
 use crate::types::MachineId;
 
@@ -20,7 +20,7 @@
     pub(super) fn drain_services_before_termination(&mut self, own_machines: &[MachineId]) {
         for id in own_machines {
             if self.fleet.machine(id).is_some_and(|machine| machine.has_termination_notice) {
-                self.stop_tasks(id, |kind| kind == Kind::Service);
+                self.stop_tasks(id, |kind| kind == JobKind::Service);
             }
         }
     }
@@ -31,7 +31,7 @@
     }
 
     /// Stops the tasks of those kinds of jobs on a machine, with time for a checkpoint where they save one.
-    fn stop_tasks(&mut self, id: &MachineId, is_to_stop: impl Fn(Kind) -> bool) {
+    fn stop_tasks(&mut self, id: &MachineId, is_to_stop: impl Fn(JobKind) -> bool) {
         let stop_grace_s = self.policy.stop_grace_s;
         let mut has_stopped = false;
         for (job, task) in self.jobs.usage().attempts_on(id) {
@@ -43,7 +43,7 @@
                 && start.may_be_on_machine()
                 && start.stop_grace_s.is_none()
             {
-                start.stop_grace_s = Some(if job.spec.checkpoint_s > 0.0 { stop_grace_s } else { 0.0 });
+                start.stop_grace_s = Some(if job.spec.checkpoint_interval_s > 0.0 { stop_grace_s } else { 0.0 });
                 has_stopped = true;
             }
         }
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -10,8 +10,8 @@
 use crate::coordination::api::UNAVAILABLE;
 use crate::coordination::jobs::cancellation_log::ConfirmationBasis;
 use crate::coordination::{Controller, Effect, RequestId, UserAnswer};
-use crate::protocol::peer::{CancellationAck, Cancelled, CancelledJob};
-use crate::protocol::user::valid_id;
+use crate::protocol::peer::{CancellationAck, CancellationNotice, CancelledJob};
+use crate::protocol::user::is_valid_job_id;
 use crate::storage::schema::{Key, OutcomeRecord, Role, to_value};
 use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -217,10 +217,10 @@
     fn notify_owner(&mut self, owner: ShardOwner, ids: Vec<JobId>) {
         let cancelled_job = |id: &JobId| {
             let end = self.store.replica.outcomes.get(id)?;
-            Some(CancelledJob { id: id.to_string(), at: end.value.at.0, revision: end.version })
+            Some(CancelledJob { id: id.to_string(), cancelled_at: end.value.at.0, revision: end.version })
         };
         let jobs = ids.iter().filter_map(cancelled_job).collect();
-        let message = Cancelled { shard: owner.shard, fencing_token: owner.fencing_token.0, jobs };
+        let message = CancellationNotice { shard: owner.shard, fencing_token: owner.fencing_token.0, jobs };
         let call = self.jobs.cancellations.begin_call(ids);
         self.out.push(Effect::Peer { call, to: owner.label, message });
     }
@@ -229,7 +229,7 @@
     pub(crate) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
         let cancellations = &mut self.jobs.cancellations;
         let Some(ids) = cancellations.calls_in_flight.remove(&call) else { return };
-        if answer.is_some_and(|ack| ack.holds) {
+        if answer.is_some_and(|ack| ack.holds_shard) {
             cancellations.acknowledged.extend(ids);
             if cancellations.acknowledged.len() > PRUNE_ABOVE {
                 cancellations.acknowledged.retain(|id| self.store.replica.has_recorded_attempts(id));
@@ -247,20 +247,20 @@
 
     /// Another controller tells of cancelled jobs and asks whether we enforce that. What it says counts at once as
     /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
-    pub(crate) fn cancellation_notified(&mut self, request_id: RequestId, message: &Cancelled) {
+    pub(crate) fn cancellation_notified(&mut self, request_id: RequestId, message: &CancellationNotice) {
         let holds = self.store.is_synced() && {
             self.apply_cancellations(message);
             self.enforces_cancellations(message)
         };
-        self.out.push(Effect::AnswerPeer(request_id, CancellationAck { holds }));
+        self.out.push(Effect::AnswerPeer(request_id, CancellationAck { holds_shard: holds }));
     }
 
-    fn apply_cancellations(&mut self, message: &Cancelled) {
+    fn apply_cancellations(&mut self, message: &CancellationNotice) {
         let mut changes = Vec::new();
-        for job in message.jobs.iter().filter(|job| valid_id(&job.id)) {
+        for job in message.jobs.iter().filter(|job| is_valid_job_id(&job.id)) {
             let id = JobId::new(&job.id);
             if !self.store.replica.outcomes.contains_key(&id) {
-                let end = to_value(&OutcomeRecord::cancelled(Micros(job.at)));
+                let end = to_value(&OutcomeRecord::cancelled(Micros(job.cancelled_at)));
                 changes.push(self.store.replica.apply(&Key::Outcome(id).to_string(), Some(&end), job.revision));
             }
         }
@@ -268,8 +268,8 @@
     }
 
     /// Whether we own the shard under the token that the sender has seen, or a later one, and the machines obey.
-    fn enforces_cancellations(&self, message: &Cancelled) -> bool {
-        let mut jobs = message.jobs.iter().filter(|job| valid_id(&job.id));
+    fn enforces_cancellations(&self, message: &CancellationNotice) -> bool {
+        let mut jobs = message.jobs.iter().filter(|job| is_valid_job_id(&job.id));
         jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
             && self
                 .role_token(Role::Shard(message.shard))
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -36,8 +36,8 @@
     /// Estimate of how long a job takes once it is ready, which its dependencies have to be done ahead of its due time.
     /// Users' estimates are often wrong by half, and tasks don't all start at once.
     fn estimated_duration(&self, record: &JobRecord) -> Micros {
-        let estimate_s = record.spec.estimate_s * self.policy.stage_estimate_factor;
-        Micros::from_secs_f64(estimate_s) + Micros::from_millis(self.policy.stage_overhead_ms)
+        let estimated_runtime_s = record.spec.estimated_runtime_s * self.policy.stage_estimate_factor;
+        Micros::from_secs_f64(estimated_runtime_s) + Micros::from_millis(self.policy.stage_overhead_ms)
     }
 
     /// Adds a job that has just become known to the graph, if it has dependencies or dependents.
@@ -145,7 +145,7 @@
         if self.jobs.cascaded.is_empty() || self.store.is_cascade_pending() {
             return;
         }
-        let max_count = self.platform.deployment.store.ops();
+        let max_count = self.platform.deployment.store.min_txn_ops();
         let is_owned = |id: &&JobId| self.jobs.get(id).is_some_and(|job| self.holds(Role::Shard(job.shard)));
         let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(is_owned).take(max_count).cloned().collect();
         if ids.is_empty() {
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -4,7 +4,7 @@
 use crate::coordination::jobs::failures::FailureHistory;
 use crate::coordination::jobs::job_attempts::JobAttempts;
 use crate::coordination::jobs::progress::TaskProgress;
-use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::protocol::user::{JobKind, JobSpec, Priority};
 use crate::storage::schema::{JobRecord, Outcome, RunChunk};
 use crate::types::{JobId, Micros, Resources};
 use std::sync::Arc;
@@ -137,12 +137,12 @@
     /// A gang completes as a whole: one task done means that all are, also those whose machine was lost before its
     /// agent could report it.
     pub fn is_gang_done(&self) -> bool {
-        self.spec.kind == Kind::Gang && self.progress.has_completions()
+        self.spec.kind == JobKind::Gang && self.progress.has_completions()
     }
 
     /// Whether it is urgent by itself, or because an urgent job depends on it.
     pub fn is_urgent(&self) -> bool {
-        self.spec.kind == Kind::Service || self.urgency.priority > Priority::Normal
+        self.spec.kind == JobKind::Service || self.urgency.priority > Priority::Normal
     }
 
     /// Has all attempts that take resources stop at once.
--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -7,7 +7,7 @@
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
 use crate::coordination::jobs::usage::Usage;
-use crate::protocol::user::{Kind, Priority};
+use crate::protocol::user::{JobKind, Priority};
 use crate::storage::schema::{Outcome, RunChunk};
 use crate::types::{JobId, MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -116,9 +116,9 @@
     fn shard_of(&self, team: Option<&str>, id: &JobId) -> u32 {
         let shards = self.shard_count();
         let teams = &self.platform.deployment.teams;
-        let spreads_by_job = self.platform.deployment.parts_by_job();
+        let spreads_by_job = self.platform.deployment.shards_jobs_individually();
         let stays_together =
-            |name: &str| teams.iter().position(|t| t.name == name && (t.is_bounded() || !spreads_by_job));
+            |name: &str| teams.iter().position(|t| t.name == name && (t.has_quota() || !spreads_by_job));
         match team.and_then(stays_together) {
             Some(position) => position as u32 % shards,
             None => {
@@ -232,7 +232,7 @@
         let machines = job.reconcile_chunk(chunk, tasks.clone(), is_recorded, &mut self.jobs.usage);
         let is_deleted = |machine: &MachineId| !self.store.replica.machines.contains_key(machine);
         job.end_attempts_on_deleted_machines(tasks, is_deleted, now, &mut self.jobs.usage);
-        let may_wait = job.outcome.is_none() && job.spec.kind == Kind::Array && !job.is_urgent();
+        let may_wait = job.outcome.is_none() && job.spec.kind == JobKind::Array && !job.is_urgent();
         for machine in machines {
             self.update_idle_since(&machine);
             if may_wait {
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -126,7 +126,7 @@
     /// Whether a machine was seen a short while ago and nothing speaks against new work on it.
     fn is_schedulable(&self, machine: &Machine) -> bool {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * RECENT_HEARTBEAT_FACTOR);
+        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEAT_FACTOR);
         let seen_recently = machine.contact.silence(now) <= recent
             && !machine.contact.is_missing_heartbeats(now, self.missing_heartbeats_span());
         let is_excluded = !machine.ownership.is_token_confirmed() || machine.has_termination_notice;
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -72,7 +72,7 @@
         }
         self.store.garbage_collection.next_at = now + COLLECTION_INTERVAL;
         self.store.garbage_collection.observe_lists(&self.store.replica, now);
-        let keys = self.garbage(self.platform.deployment.store.ops());
+        let keys = self.garbage(self.platform.deployment.store.min_txn_ops());
         if keys.is_empty() {
             return;
         }
--- a/src/coordination/store_sync/job_records/missing_record.rs
+++ b/src/coordination/store_sync/job_records/missing_record.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
 use crate::types::{JobId, Micros};
@@ -95,7 +95,7 @@
 
 /// Whether nothing of the job is left to run or to wait for, but the records don't say so.
 fn is_outcome_missing(job: &Job) -> bool {
-    let is_finished = job.spec.kind != Kind::Service
+    let is_finished = job.spec.kind != JobKind::Service
         && job.progress.done_count + job.progress.unrecorded_done.len() as u32 >= job.spec.tasks;
     let is_gang_rest_missing = job.outcome.is_none() && job.is_gang_done() && job.waiting_count() > 0;
     job.attempts.occupying_count() == 0 && (job.outcome.is_some() || is_finished) || is_gang_rest_missing
@@ -105,7 +105,7 @@
 pub(super) fn is_lost(attempt: &TaskAttempt) -> bool {
     match attempt.state() {
         AttemptState::ProvenAbsent => true,
-        AttemptState::Ended(why) => why != ExitCause::Done,
+        AttemptState::Ended(why) => why != ExitCause::Completed,
         AttemptState::Decided
         | AttemptState::Recorded
         | AttemptState::Fetching
--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -53,8 +53,8 @@
             txns: pending_txns::PendingTxns::default(),
             write_budget: write_budget::WriteBudget::new(
                 limits.write_rps,
-                limits.least_write_rps(),
-                platform.deployment.nodes,
+                limits.min_write_rps(),
+                platform.deployment.controller_count,
                 policy.state_limits_together,
             ),
             garbage_collection: garbage_collection::GarbageCollection::default(),
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -8,7 +8,7 @@
 use crate::coordination::autoscaling::bin_packing::tasks_that_fit;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::{CordonReason, Role};
 use crate::types::{JobId, MachineId, Micros, Resources};
 use burlhatch_zones::Condition;
@@ -45,7 +45,7 @@
         }
         let starts = self.jobs.usage().iter_attempts_on(machine);
         let goes_on = |id: &JobId, task: u32| {
-            let job = self.jobs.get(id).filter(|job| job.spec.kind == Kind::Service && job.outcome.is_none());
+            let job = self.jobs.get(id).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
             let attempt = job.and_then(|job| job.attempts.get(task));
             attempt.is_some_and(|attempt| attempt.occupies_resources() && attempt.stop_grace_s.is_none())
         };
@@ -125,7 +125,7 @@
         let mut in_flight = self.evacuations_in_flight(shard);
         let mut available = self.capacity_for_displaced(shard, &in_flight);
         let limits = &self.platform.deployment;
-        let by_write_rate = (limits.store.write_rps / f64::from(limits.nodes)) as usize;
+        let by_write_rate = (limits.store.write_rps / f64::from(limits.controller_count)) as usize;
         let max_in_flight = MIN_EVACUATIONS_IN_FLIGHT.max(by_write_rate);
         for id in candidates {
             if in_flight.len() >= max_in_flight {
@@ -154,7 +154,7 @@
     }
 
     fn waiting_services(&self, shard: u32) -> ReplicaCounts {
-        let waits = |job: &&Job| job.shard == shard && job.spec.kind == Kind::Service && job.waiting_count() > 0;
+        let waits = |job: &&Job| job.shard == shard && job.spec.kind == JobKind::Service && job.waiting_count() > 0;
         self.jobs.values().filter(waits).map(|job| (job.attempts.job().clone(), job.waiting_count())).collect()
     }
 
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -6,7 +6,7 @@
     Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, RequestId, StoreCall, UserAnswer,
     UserRequest, WorkerAnswer,
 };
-use burlhatch::protocol::peer::{CancellationAck, Cancelled};
+use burlhatch::protocol::peer::{CancellationAck, CancellationNotice};
 use burlhatch::protocol::worker::DirectCommands;
 use burlhatch::types::{JobId, MachineId, Micros};
 
@@ -79,7 +79,7 @@
         }
     }
 
-    fn call_peer(&mut self, node: usize, number: u64, to: &str, message: &Cancelled) {
+    fn call_peer(&mut self, node: usize, number: u64, to: &str, message: &CancellationNotice) {
         let life = self.nodes[node].life;
         let Some(to) = to.strip_prefix("node-").and_then(|n| n.parse().ok()) else { return };
         self.call(
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -16,7 +16,7 @@
 mod worker;
 
 use burlhatch::coordination::{CloudCall, Controller, Input, StoreCall, UserAnswer, WorkerAnswer};
-use burlhatch::protocol::peer::Cancelled;
+use burlhatch::protocol::peer::CancellationNotice;
 use burlhatch::protocol::worker::{DirectCommands, Heartbeat};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::RecordVersion;
@@ -92,7 +92,7 @@
         text += &format!("[[deployment.teams]]\nname = \"{team}\"\ncpus = {cpus}\ncpus_max = {most}\n");
     }
     text += &format!(
-        "[deployment.workers]\nreport_s = {heartbeat_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n\
+        "[deployment.agents]\nreport_s = {heartbeat_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n\
          [deployment.state]\nrps = 200.0\nwrite_rps = {write_rps}\nvalue_kb = 4.0\ntxn_ops = 12\n\
          [deployment.cloud]\nrps = 5.0\nlist_lag_s = 4.0\n[deployment.quota]\nfd_limit = 1000\n"
     );
@@ -135,7 +135,7 @@
         call: u64,
         to: usize,
         number: u64,
-        message: Cancelled,
+        message: CancellationNotice,
     },
     WatchEnds {
         call: u64,
@@ -445,7 +445,7 @@
         }
     }
 
-    fn peer_message_arrives(&mut self, to: usize, caller: PeerCall, message: Cancelled) {
+    fn peer_message_arrives(&mut self, to: usize, caller: PeerCall, message: CancellationNotice) {
         if self.nodes[to].controller.is_none() {
             return;
         }
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/worker.rs
@@ -18,7 +18,7 @@
 
 impl Task {
     pub fn is_fetching(&self) -> bool {
-        self.state == TaskState::Fetching
+        self.state == TaskState::FetchingImage
     }
 }
 
@@ -57,15 +57,15 @@
             task: format!("{job}/{index}"),
             attempt: t.attempt,
             state: t.state,
-            why: None,
-            saved: None,
+            exit_cause: None,
+            checkpointed: None,
         });
         let exited = self.exited.iter().map(|((job, index, attempt), why)| TaskStatus {
             task: format!("{job}/{index}"),
             attempt: *attempt,
             state: TaskState::Exited,
-            why: Some(*why),
-            saved: None,
+            exit_cause: Some(*why),
+            checkpointed: None,
         });
         let tasks = running.chain(exited).collect();
         Heartbeat {
@@ -77,7 +77,7 @@
             incarnation: self.incarnation,
             seq: self.seq,
             fencing_token: self.fencing_token,
-            notice_s: None,
+            termination_notice_s: None,
             tasks,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn on_machine(&self, key: &(JobId, u32)) -> bool {
-        self.tasks.get(key).is_some_and(|t| t.state != TaskState::Fetching)
+        self.tasks.get(key).is_some_and(|t| t.state != TaskState::FetchingImage)
     }
 }
 
