--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -118,7 +118,7 @@
     }
 
     fn delete_machine_records_as(&mut self, change: MachineChange, ids: &[MachineId]) {
-        for ids in ids.chunks(self.platform.deployment.store.ops()) {
+        for ids in ids.chunks(self.platform.deployment.store.min_txn_ops()) {
             let mut proposal = ProposedTxn::default();
             for id in ids {
                 self.propose_record_removal(&mut proposal, id);
--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -69,7 +69,7 @@
     /// So long after a cancellation its tasks' machines are deleted: late enough that a lease may have expired first,
     /// which proves as much and costs nothing.
     fn deletion_delay(&self) -> Micros {
-        let cancel_s = self.platform.deployment.workers.cancel_s;
+        let cancel_s = self.platform.deployment.agents.cancel_s;
         let part = Micros::from_secs_f64(cancel_s * self.policy.clear_part);
         let latest = Micros::from_secs_f64(cancel_s) - Micros::from_millis(self.policy.clear_margin_ms);
         part.max(self.lease_expiry_bound(ExpiryMargin::Deadline)).min(latest)
@@ -77,7 +77,7 @@
 
     /// So long after a cancellation a lease that is not renewed any more has expired before the time allowed is over.
     fn renewal_span(&self) -> Micros {
-        let workers = &self.platform.deployment.workers;
+        let workers = &self.platform.deployment.agents;
         let span_s = workers.cancel_s - workers.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
         Micros::from_secs_f64(span_s.max(0.0))
     }
@@ -154,7 +154,7 @@
         let now = self.now();
         let overdue = now.since(first_due_at);
         tracing::warn!(?machines, overdue_ms = overdue.millis(), "machines deleted to enforce cancellation deadline");
-        let cancel = Micros::from_secs_f64(self.platform.deployment.workers.cancel_s);
+        let cancel = Micros::from_secs_f64(self.platform.deployment.agents.cancel_s);
         let time_left = cancel.since(self.deletion_delay());
         if overdue + DELETION_RETRY_INTERVAL >= time_left {
             self.jobs.cancellation_log.note_late_deletions(machines.len());
--- a/src/coordination/fleet/failure_detection/lease_expiry.rs
+++ b/src/coordination/fleet/failure_detection/lease_expiry.rs
@@ -34,7 +34,7 @@
 impl Controller {
     /// So long after its last renewal an agent's lease has surely expired.
     pub(in crate::coordination::fleet) fn lease_expiry_bound(&self, margin: ExpiryMargin) -> Micros {
-        let lease_s = self.platform.deployment.workers.lease_s;
+        let lease_s = self.platform.deployment.agents.lease_s;
         Micros::from_secs_f64(lease_s * MAX_CLOCK_DRIFT + margin.seconds())
     }
 
--- a/src/coordination/fleet/failure_detection/missing_heartbeats.rs
+++ b/src/coordination/fleet/failure_detection/missing_heartbeats.rs
@@ -20,7 +20,7 @@
     /// Without a heartbeat for so long a machine's heartbeats are taken not to get through: the next is due, and a few
     /// controllers may have to be tried in vain.
     pub(crate) fn missing_heartbeats_span(&self) -> Micros {
-        let overdue = self.platform.deployment.workers.heartbeat_s * OVERDUE_HEARTBEAT_INTERVALS;
+        let overdue = self.platform.deployment.agents.heartbeat_s * OVERDUE_HEARTBEAT_INTERVALS;
         Micros::from_secs_f64(overdue) + Micros::from_millis(self.policy.unreported_ms)
     }
 
--- a/src/coordination/fleet/machine/message_acceptance.rs
+++ b/src/coordination/fleet/machine/message_acceptance.rs
@@ -60,7 +60,7 @@
             self.incarnation_changed(now);
         }
         self.messages.advance(position);
-        self.has_termination_notice = heartbeat.notice_s.is_some();
+        self.has_termination_notice = heartbeat.termination_notice_s.is_some();
         if let Some(addr) = heartbeat.addr.as_ref().and_then(|addr| addr.parse().ok()) {
             self.addr = Some(addr);
         }
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -31,9 +31,9 @@
     /// Machines that send heartbeats and have no record get one, in the shard that needs them most.
     pub(crate) fn register_machines(&mut self) {
         let limits = self.platform.deployment.store.clone();
-        let max_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
+        let max_bytes = (limits.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
         // The preconditions on the role and on the fleet's own record leave that many.
-        let max_members = limits.ops() * PRECONDITIONS_PER_WRITE - 2;
+        let max_members = limits.min_txn_ops() * PRECONDITIONS_PER_WRITE - 2;
         let heartbeats: Vec<Heartbeat> =
             self.fleet.unregistered.iter().map(|unregistered| unregistered.heartbeat.clone()).collect();
         let now = self.now();
@@ -172,7 +172,7 @@
         let mut weights = vec![0u64; shards as usize];
         for (i, team) in deployment.teams.iter().enumerate() {
             // One without a quota or a guarantee may be spread over all of them.
-            if team.is_bounded() || !deployment.parts_by_job() {
+            if team.has_quota() || !deployment.shards_jobs_individually() {
                 weights[i % shards as usize] += u64::from(shards);
             } else {
                 weights.iter_mut().for_each(|weight| *weight += 1);
--- a/src/coordination/fleet/task_reconciliation.rs
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -6,7 +6,7 @@
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState, TaskStatus};
 use crate::types::{JobId, MachineId, TaskId};
 use std::collections::BTreeSet;
@@ -17,10 +17,10 @@
 /// How far a task has come, by its agent. None if it has exited.
 fn phase_of(state: TaskState) -> Option<AttemptState> {
     match state {
-        TaskState::Fetching => Some(AttemptState::Fetching),
+        TaskState::FetchingImage => Some(AttemptState::Fetching),
         TaskState::Waiting => Some(AttemptState::Waiting),
         TaskState::Running => Some(AttemptState::Running),
-        TaskState::Saving => Some(AttemptState::Checkpointing),
+        TaskState::Checkpointing => Some(AttemptState::Checkpointing),
         TaskState::Exited => None,
     }
 }
@@ -39,7 +39,7 @@
             };
             seen.insert((task.job.clone(), task.index));
             match phase_of(reported.state) {
-                None => self.exit_seen(id, &task, reported.why.unwrap_or(ExitCause::Unknown)),
+                None => self.exit_seen(id, &task, reported.exit_cause.unwrap_or(ExitCause::Unknown)),
                 Some(phase) => self.phase_seen(id, &task, phase, heartbeat.seq),
             }
         }
@@ -166,24 +166,24 @@
             return;
         }
         match cause {
-            ExitCause::Done => {
+            ExitCause::Completed => {
                 let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
                 self.image_seen(id, &image, megabytes);
                 if let Some(machine) = self.fleet.machine_mut(id) {
                     machine.task_failures.clear();
                 }
             }
-            ExitCause::Error => {
+            ExitCause::Failed => {
                 let is_elsewhere = |start: &TaskAttempt| start.machine() != id && start.state().is_on_machine();
-                let is_alone_in_gang = job.spec.kind == Kind::Gang && job.attempts.values().any(is_elsewhere);
+                let is_alone_in_gang = job.spec.kind == JobKind::Gang && job.attempts.values().any(is_elsewhere);
                 if let Some(machine) = self.fleet.machine_mut(id) {
                     machine.task_failures.record(&task.job, task.index, is_alone_in_gang, now);
                 }
             }
             // Ended on account of something else than its own work or this machine.
             ExitCause::Stopped
-            | ExitCause::Peers
-            | ExitCause::Alone
+            | ExitCause::GangPeerLost
+            | ExitCause::GangIncomplete
             | ExitCause::InsufficientResources
             | ExitCause::Busy
             | ExitCause::Unknown => {}
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -5,7 +5,7 @@
 use crate::coordination::scheduling::candidates::{Candidates, PlacementFilter};
 use crate::coordination::scheduling::shard_view::ShardView;
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
 use std::collections::{BTreeSet, HashMap};
@@ -41,7 +41,7 @@
         {
             return;
         }
-        let is_gang = job.spec.kind == Kind::Gang;
+        let is_gang = job.spec.kind == JobKind::Gang;
         let mut view = views.remove(&shard).unwrap_or_else(|| self.shard_view(shard));
         if is_gang {
             self.schedule_gang(id, &mut view);
@@ -57,7 +57,7 @@
         let Some(job) = self.jobs.get(id) else { return };
         // The rest of it comes in its turn.
         let starts_one_only =
-            job.spec.kind == Kind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
+            job.spec.kind == JobKind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
         let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted_zones);
         let (filter, mut candidates) = self.first_candidates(id, view, &avoided_zones);
         // Locked jobs are left alone while a transaction is on its way, so one takes all it can.
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -5,7 +5,7 @@
 use crate::coordination::jobs::attempt::TaskAttempt;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
-use crate::protocol::user::{Kind, Priority};
+use crate::protocol::user::{JobKind, Priority};
 use crate::types::{JobId, Micros, Resources};
 
 /// A job that preempted others does so again only after this.
@@ -42,7 +42,7 @@
     pub(super) fn preempt_for(&mut self, id: &JobId, machines: &[CandidateMachine]) {
         let now = self.now();
         let Some(job) = self.jobs.get(id) else { return };
-        if now < job.scheduling.next_preemption_at || job.spec.kind == Kind::Gang || !self.may_preempt(job) {
+        if now < job.scheduling.next_preemption_at || job.spec.kind == JobKind::Gang || !self.may_preempt(job) {
             return;
         }
         let victims = self.choose_victims(id, job, machines);
@@ -86,7 +86,7 @@
     fn preempt(&mut self, victim: &Victim) {
         let Victim { job: id, task, .. } = victim;
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
+        let grace_s = if job.spec.checkpoint_interval_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
         if let Some(attempt) = job.attempts.get_mut(*task) {
             attempt.stop_grace_s = Some(grace_s);
             let machine = attempt.machine().clone();
@@ -172,15 +172,17 @@
         let now = self.now();
         let job = self.jobs.get(id)?;
         let attempt = job.attempts.get(task)?;
-        let is_lower = job.urgency.priority < preempting.spec.priority && job.spec.kind == Kind::Array;
+        let is_lower = job.urgency.priority < preempting.spec.priority && job.spec.kind == JobKind::Array;
         let is_stoppable = attempt.state().is_on_machine() && attempt.stop_grace_s.is_none();
         if !is_lower || !is_stoppable || self.has_just_begun(job, attempt) {
             return None;
         }
         let ran = now.since(attempt.first_running_at.unwrap_or(now));
         // One that writes a checkpoint when it is stopped goes on from there.
-        let writes_checkpoint = job.spec.checkpoint_s > 0.0 && job.spec.save_s <= self.policy.stop_grace_s;
-        let lost_time = if writes_checkpoint { ran.min(Micros::from_secs_f64(job.spec.save_s)) } else { ran };
+        let writes_checkpoint =
+            job.spec.checkpoint_interval_s > 0.0 && job.spec.checkpoint_duration_s <= self.policy.stop_grace_s;
+        let lost_time =
+            if writes_checkpoint { ran.min(Micros::from_secs_f64(job.spec.checkpoint_duration_s)) } else { ran };
         Some(Victim { lost_time, job: id.clone(), task, resources: job.resources })
     }
 }
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -10,7 +10,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::coordination::zones::MovingReplica;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
 use burlhatch_zones::Condition;
@@ -57,7 +57,7 @@
         let searched: Vec<&JobId> = self.jobs.ids_from(after).take(JOBS_PER_SEARCH).collect();
         let last = searched.last().map(|id| (*id).clone());
         let is_our_service = |id: &&JobId| {
-            let job = self.jobs.get(id).filter(|job| job.spec.kind == Kind::Service && job.outcome.is_none());
+            let job = self.jobs.get(id).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
             job.is_some_and(|job| self.holds(Role::Shard(job.shard)))
         };
         let services = searched.into_iter().filter(is_our_service).cloned().collect();
@@ -135,7 +135,7 @@
         let ReplicaMove { job: id, task, from_zone } = replica_move;
         let now = self.now();
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
+        let grace_s = if job.spec.checkpoint_interval_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
         let Some(attempt) = job.attempts.get_mut(task) else { return };
         attempt.stop_grace_s = Some(grace_s);
         let machine = attempt.machine().clone();
@@ -148,7 +148,7 @@
     /// and again if all of its replicas would be there.
     pub(crate) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
         let mut avoided = BTreeSet::new();
-        if !self.handles_zone_failures() || job.spec.kind != Kind::Service {
+        if !self.handles_zone_failures() || job.spec.kind != JobKind::Service {
             return avoided;
         }
         avoided.extend(self.zones.moving_replicas.get(id).map(|moving| moving.from_zone.clone()));
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -7,11 +7,11 @@
 use burlhatch::coordination::scheduling::placement::{PlacementCandidate, choose_candidate};
 use burlhatch::coordination::store_sync::write_budget::WriteBudget;
 use burlhatch::protocol::store::Event;
-use burlhatch::protocol::user::{JobSpec, Kind, Priority};
+use burlhatch::protocol::user::{JobKind, JobSpec, Priority};
 use burlhatch::protocol::worker::ExitCause;
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, Outcome, RunChunk, TaskAttemptRecord, to_value};
-use burlhatch::transport::limits::{Bucket, Class};
+use burlhatch::transport::rate_limit::{CallPriority, TokenBucket};
 use burlhatch::types::{JobId, MachineId, Micros, Resources, Revision};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -157,20 +157,20 @@
     #[test]
     fn a_limit_is_kept(steps in proptest::collection::vec((0u64..50_000, 0u8..3, 1u32..5), 1..200)) {
         let (rate, burst) = (50.0, 20.0);
-        let mut bucket = Bucket::new(rate, burst);
+        let mut bucket = TokenBucket::new(rate, burst);
         let mut now = Micros::ZERO;
         let mut through = 0.0;
         for (wait, class, cost) in steps {
             now = now + Micros(wait);
-            let class = [Class::Renewal, Class::Transaction, Class::Read][class as usize];
+            let class = [CallPriority::Critical, CallPriority::Write, CallPriority::Read][class as usize];
             if bucket.take(now, f64::from(cost), class).is_ok() {
                 through += f64::from(cost);
             }
             prop_assert!(through <= burst + rate * now.secs() + 1e-6);
         }
         now = now + Micros(10_000_000);
-        while bucket.take(now, 1.0, Class::Read).is_ok() {}
-        prop_assert!(bucket.take(now, 1.0, Class::Renewal).is_ok());
+        while bucket.take(now, 1.0, CallPriority::Read).is_ok() {}
+        prop_assert!(bucket.take(now, 1.0, CallPriority::Critical).is_ok());
     }
 }
 
@@ -197,7 +197,7 @@
         AttemptState::Waiting,
         AttemptState::Running,
         AttemptState::Checkpointing,
-        AttemptState::Ended(ExitCause::Done),
+        AttemptState::Ended(ExitCause::Completed),
         AttemptState::ProvenAbsent,
     ];
     all[usize::from(p)]
@@ -259,7 +259,7 @@
                 prop_assert_eq!(usage.used_on(machine), resources);
                 prop_assert_eq!(usage.is_empty(machine), there().count() == 0);
                 prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies_resources()));
-                let serves = there().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == Kind::Service);
+                let serves = there().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == JobKind::Service);
                 prop_assert_eq!(usage.runs_service_on(machine), serves);
                 let starts: Vec<(JobId, u32)> = there().map(|((j, t), _)| (names[*j].clone(), *t)).collect();
                 prop_assert_eq!(usage.attempts_on(machine), starts);
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -3,7 +3,7 @@
 use super::cloud::cpus_of;
 use super::worker::Task;
 use super::{Event, MS, S, World};
-use burlhatch::protocol::user::Kind;
+use burlhatch::protocol::user::JobKind;
 use burlhatch::protocol::worker::{ExitCause, TaskState};
 use burlhatch::types::{JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
         } else {
             let cached = worker.cache.contains(&spec.image);
             let due = now + if cached { 0 } else { S };
-            let task = Task { attempt, state: TaskState::Fetching, due, since: now };
+            let task = Task { attempt, state: TaskState::FetchingImage, due, since: now };
             worker.tasks.insert(key.clone(), task);
             if cached {
                 self.arrives(id, &key);
@@ -62,7 +62,7 @@
             job.starts += 1;
         }
         let Some(job) = self.jobs.get(&key.0) else { return };
-        let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimate_s);
+        let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimated_runtime_s);
         let fails_after = job.fails_after;
         let run = (run * 1e6) as u64 / 2 + self.rng_run((run * 1e6) as u64);
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -75,16 +75,16 @@
         if let Some(task) = worker.tasks.get_mut(key) {
             task.since = now;
             (task.state, task.due) = match kind {
-                Kind::Gang => (TaskState::Waiting, now + GANG_WAIT),
-                Kind::Service => (TaskState::Running, fails_after.map_or(u64::MAX, |after| now + after)),
-                Kind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
+                JobKind::Gang => (TaskState::Waiting, now + GANG_WAIT),
+                JobKind::Service => (TaskState::Running, fails_after.map_or(u64::MAX, |after| now + after)),
+                JobKind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
             };
         }
         if sick {
-            self.exit(id, key, ExitCause::Error);
+            self.exit(id, key, ExitCause::Failed);
         } else if finished {
-            self.exit(id, key, ExitCause::Done);
-        } else if kind == Kind::Gang {
+            self.exit(id, key, ExitCause::Completed);
+        } else if kind == JobKind::Gang {
             self.gang_may_start(&key.0);
         }
     }
@@ -106,7 +106,7 @@
         }
         let Some((_, members)) = waiting.into_iter().find(|(_, m)| m.len() == spec.tasks as usize) else { return };
         let fails_after = self.jobs.get(job).and_then(|j| j.fails_after);
-        let due = now + fails_after.unwrap_or((spec.estimate_s * 1e6) as u64);
+        let due = now + fails_after.unwrap_or((spec.estimated_runtime_s * 1e6) as u64);
         for (id, index) in members {
             if let Some(t) = self.workers.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
                 t.state = TaskState::Running;
@@ -151,14 +151,14 @@
             let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { continue };
             let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
             match task.state {
-                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Error),
-                TaskState::Fetching => self.arrives(&id, &key),
-                TaskState::Waiting => self.exit(&id, &key, ExitCause::Alone),
-                TaskState::Running if spec.kind == Kind::Gang => {
+                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Failed),
+                TaskState::FetchingImage => self.arrives(&id, &key),
+                TaskState::Waiting => self.exit(&id, &key, ExitCause::GangIncomplete),
+                TaskState::Running if spec.kind == JobKind::Gang => {
                     self.gang_task_completes(&id, &key, task.attempt, spec.tasks);
                 }
                 TaskState::Running => self.complete(&id, &key),
-                TaskState::Saving | TaskState::Exited => {}
+                TaskState::Checkpointing | TaskState::Exited => {}
             }
         }
         self.check_cancelled_tasks(&id);
@@ -167,7 +167,7 @@
     /// A gang completes as a whole, if all of its attempt is still there.
     fn gang_task_completes(&mut self, id: &MachineId, key: &(JobId, u32), attempt: u64, tasks: u32) {
         if !self.gang_whole(&key.0, attempt, tasks) {
-            return self.exit(id, key, ExitCause::Peers);
+            return self.exit(id, key, ExitCause::GangPeerLost);
         }
         let members: Vec<(MachineId, (JobId, u32))> = self
             .workers
@@ -191,6 +191,6 @@
         if let Some(worker) = self.workers.get_mut(id) {
             worker.done.push(key.clone());
         }
-        self.exit(id, key, ExitCause::Done);
+        self.exit(id, key, ExitCause::Completed);
     }
 }
