--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -23,7 +23,7 @@
 [deployment]
 nodes = 1
 zones = ["a"]
-[deployment.agents]
+[deployment.workers]
 report_s = 3.0
 lease_s = 20.0
 gang_wait_s = 30.0
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -92,7 +92,7 @@
         text += &format!("[[deployment.teams]]\nname = \"{team}\"\ncpus = {cpus}\ncpus_max = {most}\n");
     }
     text += &format!(
-        "[deployment.agents]\nreport_s = {heartbeat_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n\
+        "[deployment.workers]\nreport_s = {heartbeat_s:?}\nlease_s = {lease_s:?}\ngang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = {cancel_s:?}\n\
          [deployment.state]\nrps = 200.0\nwrite_rps = {write_rps}\nvalue_kb = 4.0\ntxn_ops = 12\n\
          [deployment.cloud]\nrps = 5.0\nlist_lag_s = 4.0\n[deployment.quota]\nfd_limit = 1000\n"
     );
