--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -60,8 +60,9 @@
             return;
         }
         let Some(session) = self.control.session.lease() else { return };
-        self.observe_siblings();
-        if self.now() < self.control.leases.retry_at {
+        let now = self.now();
+        self.control.siblings.observe(&self.store.replica, &self.label, now);
+        if now < self.control.leases.retry_at {
             return;
         }
         self.write_own_record(session);
