--- a/src/coordination/control/isolation.rs
+++ b/src/coordination/control/isolation.rs
@@ -3,6 +3,9 @@
 //! Most of its own machines have to be silent. As long as the cluster has other machines, these are probed as well: a
 //! whole shard's machines may well be lost together, with their zone or on their own. Then machines of other shards
 //! answer, and a sibling would reach the lost ones no better: the shard would only go to and fro.
+//!
+//! Tests: `on_call::a_shard_whose_machines_all_hang_stays_where_it_is`,
+//! `on_call::a_controller_cut_from_its_workers_again_and_again`.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::Machine;
--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -1,5 +1,6 @@
 //! The initial sync: all records, page by page, then what changed since the first page. Only then is the replica what
-//! the store held at one moment, and anything decided or answered by it.
+//! the store held at one moment, and anything decided or answered by it: before, a job may stand there without the list
+//! of jobs that it depends on. Test: `nothing_is_known_before_the_changes_since_the_first_page_are_read`.
 
 use crate::coordination::store_sync::StoreSync;
 use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -2,7 +2,7 @@
 //!
 //! A transaction without an answer may have been committed or may still be: the identical one is sent again until there
 //! is an answer. After a conflict nothing is decided before the replica has reached the revision of the refusal; then
-//! everything is derived anew from it.
+//! everything is derived anew from it. Test: `meetings::transactions_without_an_answer_are_carried_out_late`.
 
 use crate::coordination::store_sync::evidence::Evidence;
 use crate::coordination::store_sync::pending_txns::{TxnEnd, TxnPurpose, TxnStage};
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -89,7 +89,8 @@
     pub zone_views: BTreeMap<(String, u32), Versioned<Option<ZoneRecord>>>,
     /// Zones that operators have cordoned. Whatever the key's value is, the zone is cordoned.
     pub zone_cordons: BTreeMap<String, Versioned<Option<ZoneCordonRecord>>>,
-    /// Own deletions ahead of `applied_revision`, so that older puts don't bring the keys back.
+    /// Own deletions ahead of `applied_revision`, so that older puts don't bring the keys back. Test:
+    /// `a_late_commit_brings_no_deleted_record_back`.
     deleted_ahead: HashMap<Key, u64>,
 }
 
