--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -264,7 +264,7 @@
                 changes.push(self.store.replica.apply(&Key::Outcome(id).to_string(), Some(&end), job.revision));
             }
         }
-        self.changed(changes);
+        self.apply_replica_changes(changes);
     }
 
     /// Whether we own the shard under the token that the sender has seen, or a later one, and the machines obey.
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -1,4 +1,4 @@
-//! What reaches a controller's state machine and what it has carried out: inputs in, effects out.
+//! What reaches the controller, and what it has carried out: inputs in, effects out.
 
 use crate::protocol::cloud::{InstanceRequest, MachineList, MachineNames, MachineTypes};
 use crate::protocol::peer::{CancellationAck, CancellationNotice};
@@ -17,52 +17,52 @@
     pub wall: Micros,
 }
 
-/// Names somebody who waits for an answer.
+/// Names a request of a user, an agent or a sibling until it is answered.
 pub type RequestId = u64;
 
 /// What a user asks for.
 #[derive(Clone, Debug)]
 pub enum UserRequest {
-    /// To take a job.
+    /// To accept a job.
     Submit(Box<Submission>),
-    /// How a job stands.
+    /// The status of a job.
     Get(JobId),
-    /// To call a job off.
+    /// To cancel a job.
     Cancel(JobId),
 }
 
-/// How a call ended that got no answer.
+/// How a call ended without an answer that counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Surely not carried out: refused, or never sent.
+    /// It was certainly not carried out, and never will be: refused, or never sent.
     NotDone,
-    /// May have been carried out, or may be later.
+    /// It may have been carried out, or may be later.
     Unknown,
 }
 
 /// How a transaction ended.
 #[derive(Clone, Debug)]
 pub enum TxnOutcome {
-    /// Carried out, at this revision.
+    /// It was carried out, at this revision.
     Committed(u64),
-    /// A condition did not hold, as of this revision.
+    /// A precondition did not hold, as of this revision.
     Conflict(u64),
-    /// The session named in it has ended.
+    /// The session named in it has expired.
     NoLease,
-    /// The service says the request itself is wrong.
+    /// The store says that the request itself is malformed.
     Invalid,
-    /// Refused because the service's limit is reached.
+    /// It was refused, as the store's rate limit is reached.
     Limited,
-    /// No answer that tells.
+    /// The call got no answer that counts.
     Failed(Failure),
 }
 
 /// How a read ended.
 #[derive(Clone, Debug)]
 pub enum ReadOutcome<T> {
-    /// With this.
+    /// With this result.
     Got(T),
-    /// The service no longer has what happened since then.
+    /// The store no longer has the changes since that revision.
     TooOld,
     /// Without an answer, or refused.
     Failed,
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,8 +1,11 @@
-//! Who owns what and what runs where.
+//! All decisions of a controller: who holds which shard, and what runs on which machine.
 //!
-//! Pure: inputs and the time come in, effects go out. One [`Controller`] owns all state of a
-//! controller; the daemon feeds it a queue of inputs in batches. Everything a decision rests on
-//! is either in the store (see [`crate::storage`]) or was proven by a worker's heartbeat.
+//! A state machine without I/O and without a clock: inputs and the time come in, effects go out. The daemon feeds
+//! [`Controller`] its inputs in batches and carries out the effects; the simulated world of the tests does the same.
+//! Everything a decision rests on is either in the store (see [`crate::storage`]) or was proven by an agent's heartbeat.
+//!
+//! Each folder owns a part of the state and changes it by its own methods; what it owns, reads and promises stands at the
+//! head of its `mod.rs`. The root type only orders the steps. `docs/architecture.md` shows how they work together.
 
 mod api;
 mod autoscaling;
@@ -26,16 +29,20 @@
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
 
-/// The state of one controller, and all its decisions.
+/// The state of one controller: a part for each concern, and what all parts need.
 pub struct Controller {
+    /// The platform's settings.
     platform: Arc<Platform>,
+    /// The operators' settings.
     policy: Arc<Policy>,
+    /// Name of this controller.
     label: String,
     /// Distinguishes this process from earlier ones under the same label.
     incarnation: u64,
     rng: SmallRng,
+    /// The time of the present input or round.
     clock: Clock,
-    /// Effects of the present round.
+    /// Effects that leave with the end of the present round.
     out: Vec<Effect>,
     next_nonce: u64,
     control: control::Control,
@@ -48,11 +55,11 @@
     zones: zones::ZoneControl,
 }
 
-/// Without any input for so long a process has stood still.
-const STANDSTILL: Micros = Micros::from_millis(1000);
+/// A process without any input for so long was stalled, as ticks come far more often.
+const STALL_THRESHOLD: Micros = Micros::from_millis(1000);
 
 impl Controller {
-    /// `seed` must differ between processes: it names this incarnation.
+    /// A controller that knows nothing yet. `seed` must differ between processes: it names this incarnation.
     pub fn new(platform: Arc<Platform>, policy: Arc<Policy>, seed: u64) -> Controller {
         let mut rng = SmallRng::seed_from_u64(seed);
         let incarnation = rng.random::<u64>() >> 12;
@@ -76,7 +83,7 @@
         }
     }
 
-    /// Whether this controller can take requests: it has read the stored records once.
+    /// Whether this controller can take requests: the initial sync is complete.
     pub fn is_ready(&self) -> bool {
         self.store.is_synced()
     }
@@ -86,19 +93,19 @@
         &self.store.replica
     }
 
-    /// Whether the store has answered this controller a short while ago. If not, this may
-    /// be an outage for all or a cut that leaves this one alone.
+    /// Whether the store has answered this controller a short while ago. If not, the store may be down for all, or the
+    /// network may keep this controller alone from it.
     pub fn reaches_store(&self) -> bool {
-        let patience = Micros::from_millis(self.policy.state_patience_ms);
-        self.store.time_since_answer(self.now()) < patience
+        let max_silence = Micros::from_millis(self.policy.state_patience_ms);
+        self.store.time_since_answer(self.now()) < max_silence
     }
 
-    /// Takes in one input. What it leads to comes with the next [`Controller::round`].
+    /// Takes in one input. Its effects come with the next [`Controller::round`].
     pub fn handle(&mut self, clock: Clock, input: Input) {
-        let pause = clock.steady.since(self.clock.steady);
+        let stall = clock.steady.since(self.clock.steady);
         self.clock = clock;
-        if self.store.is_synced() && pause >= STANDSTILL {
-            self.stood_still(pause);
+        if self.store.is_synced() && stall >= STALL_THRESHOLD {
+            self.process_stalled(stall);
         }
         if input.is_store_answer() {
             self.store.record_answer(clock.steady);
@@ -118,17 +125,18 @@
         }
     }
 
-    /// This process did nothing for a while, though its clocks ran on: ticks come far more often. The
-    /// silence was its own. How long others were not heard counts from before; whether its session
-    /// has lasted is found out first. Workers' leases ran on, so what was answered when stays.
-    fn stood_still(&mut self, pause: Micros) {
-        tracing::warn!(ms = pause.millis(), "stood still");
+    /// This process did nothing for a while, though its clocks ran on. The silence was its own: how long others were not
+    /// heard counts from before, and whether the session has lasted is found out first. Agents' leases ran on meanwhile,
+    /// so when they were renewed stays as it was.
+    fn process_stalled(&mut self, stall: Micros) {
+        tracing::warn!(stall_ms = stall.millis(), "process stalled");
         let now = self.now();
-        self.fleet.discount_stall(now, pause);
+        self.fleet.discount_stall(now, stall);
         self.renew_session_at_once();
         self.store.request_fresh_read();
     }
 
+    /// Does what is due by the time alone.
     fn tick(&mut self) {
         self.tick_reads();
         self.tick_session();
@@ -146,14 +154,13 @@
         self.scheduling.request_cycle();
     }
 
-    /// To be called after each batch of inputs: makes the decisions the batch allows.
-    /// `time_left` says whether the round's budget still lasts; what is not reached is
-    /// looked at first in the next round.
-    pub fn round(&mut self, clock: Clock, time_left: &mut dyn FnMut() -> bool) -> Vec<Effect> {
+    /// To be called after each batch of inputs: decides what the batch allows and returns the effects. `has_time_left`
+    /// says whether the time that a round may take lasts; jobs that are not reached come first in the next round.
+    pub fn round(&mut self, clock: Clock, has_time_left: &mut dyn FnMut() -> bool) -> Vec<Effect> {
         self.clock = clock;
         if self.store.is_synced() {
             self.answer_pending_requests();
-            self.run_scheduling_cycle(time_left);
+            self.run_scheduling_cycle(has_time_left);
             self.dispatch_writes();
             self.send_pending_direct_commands();
             self.confirm_cancellations();
@@ -162,22 +169,25 @@
         std::mem::take(&mut self.out)
     }
 
-    /// True if the last round ran out of time.
-    pub fn has_more(&self) -> bool {
+    /// Whether the last round ran out of time.
+    pub fn has_unfinished_round(&self) -> bool {
         self.scheduling.has_jobs_left()
     }
 
+    /// Steady time of the present input or round.
     fn now(&self) -> Micros {
         self.clock.steady
     }
 
+    /// A number for names of stored records, unique among all processes: by the incarnation's upper bits, and within one
+    /// process by the count.
     fn nonce(&mut self) -> u64 {
         self.next_nonce += 1;
-        // Unique among processes by the incarnation's upper bits, within one by the count.
         (self.incarnation << 12) ^ self.next_nonce
     }
 
-    fn changed(&mut self, changes: Vec<Change>) {
+    /// Brings all parts in line with what has changed in the replica.
+    fn apply_replica_changes(&mut self, changes: Vec<Change>) {
         for change in changes {
             match change {
                 Change::Role(role) => {
@@ -199,9 +209,10 @@
         }
     }
 
-    /// Begins anew as if the process had just started; for when the replica can't be continued.
-    fn start_over(&mut self) {
-        tracing::warn!("the watch is too far behind, reading everything again");
+    /// Starts again with the initial sync, as if the process had just started; for when the store no longer has the
+    /// changes that follow the replica.
+    fn resync(&mut self) {
+        tracing::warn!("replica too far behind the store, reading all records again");
         let seed = self.rng.random();
         let mut fresh = Controller::new(self.platform.clone(), self.policy.clone(), seed);
         fresh.clock = self.clock;
@@ -209,8 +220,8 @@
         fresh.autoscaling.carry_over_from(&mut self.autoscaling);
         fresh.fleet.adopt_open_direct_messages(&self.fleet);
         fresh.jobs.cancellations.continue_call_numbers(&self.jobs.cancellations);
-        let waiters = self.api.drain_pending().into_iter().chain(self.jobs.cancellations.drain_pending());
-        for request_id in waiters {
+        let pending = self.api.drain_pending().into_iter().chain(self.jobs.cancellations.drain_pending());
+        for request_id in pending {
             fresh.out.push(Effect::AnswerUser(request_id, UserAnswer::Unavailable { retry_after_s: 1 }));
         }
         for unregistered in self.fleet.take_unregistered() {
--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -129,7 +129,7 @@
                 self.store.replica.complete_dependency_lists();
                 self.initial_sync_done();
             }
-            ReadOutcome::TooOld => self.start_over(),
+            ReadOutcome::TooOld => self.resync(),
             ReadOutcome::Failed => self.retry_initial_sync_later(),
         }
     }
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -118,7 +118,7 @@
                 self.store.reads.next_watch_at = self.now() + self.min_read_interval(WATCH_PART);
                 self.start_watch_if_due();
             }
-            ReadOutcome::TooOld => self.start_over(),
+            ReadOutcome::TooOld => self.resync(),
             ReadOutcome::Failed => self.store.reads.next_watch_at = self.now() + PAUSE_AFTER_FAILURE,
         }
     }
@@ -127,7 +127,7 @@
         let Some(read) = self.store.reads.fresh.take() else { return };
         match outcome {
             ReadOutcome::Got(changes) => self.apply_changes(read.sent_at, &changes),
-            ReadOutcome::TooOld => self.start_over(),
+            ReadOutcome::TooOld => self.resync(),
             ReadOutcome::Failed => {
                 self.store.reads.fresh_retry_at = self.now() + PAUSE_AFTER_FAILURE;
                 self.store.reads.is_fresh_wanted |= self.store.txns.is_any_awaiting_replica();
@@ -141,7 +141,7 @@
         let revision = Revision(changes.revision);
         let changed = self.store.replica.advance(&changes.events, revision);
         self.api.replica_reached(self.store.replica.applied_revision);
-        self.changed(changed);
+        self.apply_replica_changes(changed);
         self.settle_conflicts();
         self.api.note_read_evidence(&Evidence::new(sent_at, revision));
         self.answer_pending_requests();
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -144,7 +144,7 @@
                 Some(_) => changes.push(self.store.replica.apply(key, value, revision.0)),
             }
         }
-        self.changed(changes);
+        self.apply_replica_changes(changes);
     }
 
     /// Tells the part that proposed a transaction how it has ended.
--- a/src/transport/daemon/mod.rs
+++ b/src/transport/daemon/mod.rs
@@ -92,7 +92,7 @@
 
     /// Takes in a batch of inputs, lets the controller decide, and has its effects carried out.
     async fn run_cycle(&mut self) {
-        if self.controller.has_more() {
+        if self.controller.has_unfinished_round() {
             // The last cycle ran out of time: other tasks get their turn, then it goes on.
             tokio::task::yield_now().await;
         } else {
