--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -11,7 +11,7 @@
 /// Commands in one message at most, so that it stays below the size limit.
 pub(crate) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
-/// What the agent is to be told of a recorded attempt.
+/// What an agent is commanded to do about a recorded attempt.
 enum NextStep {
     /// Nothing: it goes on, or has ended.
     Nothing,
@@ -25,10 +25,10 @@
 
 impl NextStep {
     /// `is_doomed`: its machine is to be deleted, and nothing more starts there.
-    fn of(start: &TaskAttempt, is_doomed: bool) -> NextStep {
-        match (start.state(), start.stop_grace_s) {
+    fn of(attempt: &TaskAttempt, is_doomed: bool) -> NextStep {
+        match (attempt.state(), attempt.stop_grace_s) {
             (AttemptState::Recorded, None) if !is_doomed => NextStep::Start,
-            (AttemptState::Recorded, Some(_)) if !start.may_have_been_sent => NextStep::Drop,
+            (AttemptState::Recorded, Some(_)) if !attempt.may_have_been_sent => NextStep::Drop,
             (
                 AttemptState::Recorded | AttemptState::Fetching | AttemptState::Waiting | AttemptState::Running,
                 Some(grace_s),
@@ -54,7 +54,7 @@
 }
 
 impl Controller {
-    /// Everything the machine is to be told now. For an answer to a heartbeat, `seq` is the heartbeat's number.
+    /// All commands for a machine's agent. For an answer to a heartbeat, `seq` is the heartbeat's number.
     pub(crate) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
         let Some(machine) = self.fleet.machine(id) else { return Vec::new() };
         let incarnation = machine.incarnation();
@@ -64,25 +64,25 @@
         let mut never_sent: Vec<(JobId, u32)> = Vec::new();
         for (job_id, index) in self.jobs.usage().attempts_on(id) {
             let job = self.jobs.get_mut(&job_id);
-            let Some(start) = job.and_then(|job| job.attempts.get_mut(index)) else { continue };
-            if start.incarnation != incarnation {
+            let Some(attempt) = job.and_then(|job| job.attempts.get_mut(index)) else { continue };
+            if attempt.incarnation != incarnation {
                 continue;
             }
-            let (task, attempt) = (format!("{job_id}/{index}"), start.number);
-            match NextStep::of(start, is_doomed) {
+            let (task, number) = (format!("{job_id}/{index}"), attempt.number);
+            match NextStep::of(attempt, is_doomed) {
                 NextStep::Nothing => continue,
                 NextStep::Drop => {
                     never_sent.push((job_id, index));
                     continue;
                 }
                 NextStep::Start => {
-                    start.may_have_been_sent = true;
-                    commands.push(AgentCommand::Start { task, attempt });
+                    attempt.may_have_been_sent = true;
+                    commands.push(AgentCommand::Start { task, attempt: number });
                 }
-                NextStep::Stop { grace_s } => commands.push(AgentCommand::Stop { task, attempt, grace_s }),
+                NextStep::Stop { grace_s } => commands.push(AgentCommand::Stop { task, attempt: number, grace_s }),
             }
             if let Some(seq) = seq {
-                start.last_inconclusive_seq = start.last_inconclusive_seq.max(seq);
+                attempt.last_inconclusive_seq = attempt.last_inconclusive_seq.max(seq);
             }
             if commands.len() >= MAX_COMMANDS_PER_MESSAGE {
                 break;
--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -77,8 +77,8 @@
 
     /// So long after a cancellation a lease that is not renewed any more has expired before the time allowed is over.
     fn renewal_span(&self) -> Micros {
-        let workers = &self.platform.deployment.agents;
-        let span_s = workers.cancel_s - workers.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
+        let agents = &self.platform.deployment.agents;
+        let span_s = agents.cancel_s - agents.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
         Micros::from_secs_f64(span_s.max(0.0))
     }
 
@@ -141,8 +141,8 @@
             if due_at > now || job.attempts.occupying_count() == 0 || !self.enforces_cancellations_of(job.shard) {
                 continue;
             }
-            for start in job.attempts.values().filter(|start| start.may_be_on_machine()) {
-                let first = due_at_by_machine.entry(start.machine().clone()).or_insert(due_at);
+            for attempt in job.attempts.values().filter(|attempt| attempt.may_be_on_machine()) {
+                let first = due_at_by_machine.entry(attempt.machine().clone()).or_insert(due_at);
                 *first = (*first).min(due_at);
             }
         }
@@ -173,8 +173,8 @@
         let now = self.now();
         placed.attempts().any(|(job, task)| {
             let is_overdue = enforcement.is_past_renewals(job, now);
-            let start = self.jobs.get(job).filter(|_| is_overdue).and_then(|job| job.attempts.get(*task));
-            start.is_some_and(TaskAttempt::may_be_on_machine)
+            let attempt = self.jobs.get(job).filter(|_| is_overdue).and_then(|job| job.attempts.get(*task));
+            attempt.is_some_and(TaskAttempt::may_be_on_machine)
         })
     }
 
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -10,7 +10,7 @@
     /// A machine to be returned is emptied first.
     pub(super) fn drain_retired(&mut self, own_machines: &[MachineId]) {
         for id in own_machines {
-            if self.store.replica.machines.get(id).is_some_and(|held| held.value.cordon == Some(CordonReason::Retire)) {
+            if self.cordon_reason(id) == Some(CordonReason::Retire) {
                 self.drain(id);
             }
         }
@@ -39,11 +39,11 @@
             if !is_to_stop(job.spec.kind) {
                 continue;
             }
-            if let Some(start) = job.attempts.get_mut(task)
-                && start.may_be_on_machine()
-                && start.stop_grace_s.is_none()
+            if let Some(attempt) = job.attempts.get_mut(task)
+                && attempt.may_be_on_machine()
+                && attempt.stop_grace_s.is_none()
             {
-                start.stop_grace_s = Some(if job.spec.checkpoint_interval_s > 0.0 { stop_grace_s } else { 0.0 });
+                attempt.stop_grace_s = Some(if job.spec.checkpoint_interval_s > 0.0 { stop_grace_s } else { 0.0 });
                 has_stopped = true;
             }
         }
--- a/src/coordination/fleet/failure_detection/lease_expiry.rs
+++ b/src/coordination/fleet/failure_detection/lease_expiry.rs
@@ -1,7 +1,7 @@
 //! Leases that have expired: an agent whose lease has expired has killed its tasks.
 
 use crate::coordination::Controller;
-use crate::coordination::jobs::attempt::AttemptState;
+use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::types::{MachineId, Micros};
 
@@ -55,8 +55,10 @@
     /// Proves gone what was started on a machine up to that incarnation of its agent.
     fn prove_expired(&mut self, id: &MachineId, incarnation: u64) {
         for (job, task) in self.jobs.usage().attempts_on(id) {
-            let start = self.jobs.get(&job).and_then(|job| job.attempts.get(task));
-            if start.is_some_and(|start| start.incarnation <= incarnation && start.state() != AttemptState::Decided) {
+            let attempt = self.jobs.get(&job).and_then(|job| job.attempts.get(task));
+            let is_expired =
+                |attempt: &TaskAttempt| attempt.incarnation <= incarnation && attempt.state() != AttemptState::Decided;
+            if attempt.is_some_and(is_expired) {
                 self.attempt_proven_absent(&job, task, AbsenceProof::LeaseExpired);
             }
         }
--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -183,7 +183,7 @@
     }
 
     fn zone_of(&self, id: &MachineId) -> Option<&str> {
-        self.store.replica.machines.get(id).map(|held| held.value.zone.as_str())
+        self.store.replica.machines.get(id).map(|stored| stored.value.zone.as_str())
     }
 
     fn last_seen_times_in(&self, zone: &str, own_machines: &[MachineId]) -> LastSeenTimes {
--- a/src/coordination/fleet/faulty_machines.rs
+++ b/src/coordination/fleet/faulty_machines.rs
@@ -21,8 +21,7 @@
             if !self.is_faulty(id, &machine.task_failures) {
                 continue;
             }
-            let hold = self.store.replica.machines.get(id).and_then(|held| held.value.cordon);
-            if hold.is_none() {
+            if self.cordon_reason(id).is_none() {
                 tracing::warn!(machine = %id, "machine faulty: tasks of several jobs fail there");
                 self.cordon(id, CordonReason::Retire);
             }
@@ -75,7 +74,7 @@
         let chunks = self.store.replica.run_chunks.get(job_id);
         let chunk = chunks.and_then(|chunks| chunks.get(&(task / self.store.tasks_per_chunk()))).map(|c| &c.value);
         let runs_on =
-            |start: &TaskAttempt| start.machine() != id && job.failures.has_outlasted_failures(start, self.now());
+            |attempt: &TaskAttempt| attempt.machine() != id && job.failures.has_outlasted_failures(attempt, self.now());
         job.is_task_done(task, chunk) || job.attempts.get(task).is_some_and(runs_on)
     }
 }
--- a/src/coordination/fleet/machine/image_cache.rs
+++ b/src/coordination/fleet/machine/image_cache.rs
@@ -7,7 +7,7 @@
 /// Images smaller than this say nothing about the rate.
 const MIN_MEASURED_MEGABYTES: f64 = 1.0;
 
-/// An image being fetched, as far as can be told from outside.
+/// An image being fetched, as far as heartbeats show it.
 #[derive(Clone, Debug)]
 pub(crate) struct ImageFetch {
     /// Its name.
--- a/src/coordination/fleet/machine/mod.rs
+++ b/src/coordination/fleet/machine/mod.rs
@@ -56,7 +56,7 @@
     pub(crate) task_failures: TaskFailures,
     /// Tasks on it that the stored records don't know.
     pub(crate) unrecorded: UnrecordedTasks,
-    /// Its agent was told that the machine is about to be taken back.
+    /// The cloud has announced to take the machine back: a spot instance is about to be interrupted.
     pub(crate) has_termination_notice: bool,
     /// Its lease is not renewed, on account of a cancelled task.
     pub(crate) is_renewal_withheld: bool,
@@ -71,7 +71,7 @@
         self.messages.newest().incarnation
     }
 
-    /// Incarnation that a direct message is addressed to: of an agent that was not heard yet the first one.
+    /// Incarnation that a direct message is addressed to: of an agent that has not sent anything yet the first one.
     pub(crate) fn addressed_incarnation(&self) -> u64 {
         self.incarnation().max(FIRST_INCARNATION)
     }
--- a/src/coordination/fleet/machine_records.rs
+++ b/src/coordination/fleet/machine_records.rs
@@ -26,11 +26,16 @@
         self.autoscaling.resources_of_type(&record.value.machine_type)
     }
 
-    /// What is left on a machine after all attempts not proven gone.
+    /// Resources that are left on a machine beside all attempts not proven absent.
     pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
         self.machine_resources(id).minus(&self.jobs.usage().used_on(id))
     }
 
+    /// Why a machine is cordoned, if it is.
+    pub(super) fn cordon_reason(&self, id: &MachineId) -> Option<CordonReason> {
+        self.store.replica.machines.get(id).and_then(|stored| stored.value.cordon)
+    }
+
     /// Machines of a shard, by the stored records.
     fn machines_of_shard(&self, shard: u32) -> Vec<MachineId> {
         let machines = self.store.replica.machines.iter();
@@ -53,7 +58,7 @@
     /// A machine's stored record was written or deleted.
     pub(crate) fn machine_record_changed(&mut self, id: &MachineId) {
         self.track_zone_of_machine(id);
-        match self.store.replica.machines.get(id).map(|held| held.value.clone()) {
+        match self.store.replica.machines.get(id).map(|stored| stored.value.clone()) {
             None => self.machine_record_deleted(id),
             Some(record) => self.machine_record_written(id, &record),
         }
@@ -141,13 +146,13 @@
         change: impl FnOnce(&mut MachineRecord),
     ) {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
-        let Some(held) = self.store.replica.machines.get(id) else { return };
-        let shard = Role::Shard(held.value.shard);
+        let Some(stored) = self.store.replica.machines.get(id) else { return };
+        let shard = Role::Shard(stored.value.shard);
         let role = [shard, Role::Leader].into_iter().find(|role| self.control.holds(*role));
         let Some(role) = role.filter(|_| !machine.is_record_changing()) else { return };
-        let mut record = held.value.clone();
+        let mut record = stored.value.clone();
         change(&mut record);
-        if record == held.value {
+        if record == stored.value {
             return;
         }
         machine.record_change_started();
@@ -161,7 +166,7 @@
     /// Cordons a machine, so that nothing more starts there, unless its record is just being changed or it is already to
     /// be deleted.
     pub(crate) fn cordon(&mut self, id: &MachineId, reason: CordonReason) {
-        let before = self.store.replica.machines.get(id).and_then(|m| m.value.cordon);
+        let before = self.cordon_reason(id);
         let is_changing = self.fleet.machine(id).is_none_or(Machine::is_record_changing);
         if before == Some(CordonReason::ForceDelete) || before == Some(reason) || is_changing {
             return;
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -187,7 +187,7 @@
     /// CPUs of each shard's machines, those with a record and those that are just being registered.
     fn cpus_of_shards(&self, registered: &[MachineBatchMember]) -> Vec<u64> {
         let mut cpus = vec![0u64; self.shard_count() as usize];
-        let recorded = self.store.replica.machines.values().map(|held| &held.value);
+        let recorded = self.store.replica.machines.values().map(|stored| &stored.value);
         for record in recorded.chain(registered.iter().map(|member| &member.record)) {
             if let Some(sum) = cpus.get_mut(record.shard as usize) {
                 *sum += self.cpus_of_type(&record.machine_type);
--- a/src/coordination/fleet/shard_moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -83,15 +83,15 @@
     /// Machines cordoned to be moved, by the shard that they are to leave.
     fn departing_machines(&self) -> BTreeMap<u32, DepartingMachines> {
         let mut by_shard: BTreeMap<u32, DepartingMachines> = BTreeMap::new();
-        for (id, held) in &self.store.replica.machines {
-            let Some(CordonReason::MoveToShard(to)) = held.value.cordon else { continue };
+        for (id, stored) in &self.store.replica.machines {
+            let Some(CordonReason::MoveToShard(to)) = stored.value.cordon else { continue };
             // From the revision of the cordon on the replica shows every start that others recorded there.
-            let is_visible = self.store.replica.applied_revision.0 >= held.version;
+            let is_visible = self.store.replica.applied_revision.0 >= stored.version;
             let is_changing = self.fleet.machine(id).is_some_and(Machine::is_record_changing);
             if !is_visible || is_changing || self.autoscaling.is_deleting(id) {
                 continue;
             }
-            let departing = by_shard.entry(held.value.shard).or_default();
+            let departing = by_shard.entry(stored.value.shard).or_default();
             let shard_move = ShardMove { machine: id.clone(), to };
             if self.jobs.usage().is_empty(id) {
                 departing.empty.push(shard_move);
@@ -114,8 +114,8 @@
         proposal.put(Key::FencingToken, to_value(&fencing_token));
         let mut ids = Vec::new();
         for ShardMove { machine: id, to } in moves {
-            let Some(held) = self.store.replica.machines.get(&id) else { continue };
-            let record = MachineRecord { shard: to, fencing_token, cordon: None, ..held.value.clone() };
+            let Some(stored) = self.store.replica.machines.get(&id) else { continue };
+            let record = MachineRecord { shard: to, fencing_token, cordon: None, ..stored.value.clone() };
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
             self.fleet.machine_or_insert(&id).record_change_started();
--- a/src/coordination/fleet/task_reconciliation.rs
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -15,7 +15,7 @@
 const MAX_RETAINED_EXITED: usize = 60;
 
 /// How far a task has come, by its agent. None if it has exited.
-fn phase_of(state: TaskState) -> Option<AttemptState> {
+fn attempt_state_of(state: TaskState) -> Option<AttemptState> {
     match state {
         TaskState::FetchingImage => Some(AttemptState::Fetching),
         TaskState::Waiting => Some(AttemptState::Waiting),
@@ -38,9 +38,9 @@
                 continue;
             };
             seen.insert((task.job.clone(), task.index));
-            match phase_of(reported.state) {
+            match attempt_state_of(reported.state) {
                 None => self.exit_seen(id, &task, reported.exit_cause.unwrap_or(ExitCause::Unknown)),
-                Some(phase) => self.phase_seen(id, &task, phase, heartbeat.seq),
+                Some(state) => self.attempt_state_seen(id, &task, state, heartbeat.seq),
             }
         }
         let Some(is_quiet) = self.replace_unrecorded(id, unrecorded, heartbeat) else { return };
@@ -51,9 +51,9 @@
     /// The task that an agent names, if that attempt of it is recorded on its machine.
     fn recorded_task(&self, id: &MachineId, reported: &TaskStatus) -> Option<TaskId> {
         let task = TaskId::parse(&reported.task)?;
-        let start = self.jobs.get(&task.job)?.attempts.get(task.index)?;
+        let attempt = self.jobs.get(&task.job)?.attempts.get(task.index)?;
         let is_same =
-            start.machine() == id && start.number == reported.attempt && start.state() != AttemptState::Decided;
+            attempt.machine() == id && attempt.number == reported.attempt && attempt.state() != AttemptState::Decided;
         is_same.then_some(task)
     }
 
@@ -89,16 +89,16 @@
             if seen.contains(&(job.clone(), task)) {
                 continue;
             }
-            let Some(start) = self.jobs.get(&job).and_then(|job| job.attempts.get(task)) else { continue };
-            if !start.may_be_on_machine() {
+            let Some(attempt) = self.jobs.get(&job).and_then(|job| job.attempts.get(task)) else { continue };
+            if !attempt.may_be_on_machine() {
                 continue;
             }
             let is_absent = may_prove_absence
-                && start.incarnation == heartbeat.incarnation
-                && heartbeat.seq > start.last_inconclusive_seq;
+                && attempt.incarnation == heartbeat.incarnation
+                && heartbeat.seq > attempt.last_inconclusive_seq;
             // One that is wanted and was never seen is told to start again.
-            let is_over = start.stop_grace_s.is_some() || start.state().is_on_machine();
-            if start.incarnation < heartbeat.incarnation {
+            let is_over = attempt.stop_grace_s.is_some() || attempt.state().is_on_machine();
+            if attempt.incarnation < heartbeat.incarnation {
                 self.attempt_proven_absent(&job, task, AbsenceProof::LaterIncarnation);
             } else if is_absent && is_over {
                 self.attempt_proven_absent(&job, task, AbsenceProof::Heartbeat);
@@ -107,41 +107,41 @@
     }
 
     /// A message names a task that has not exited.
-    fn phase_seen(&mut self, id: &MachineId, task: &TaskId, phase: AttemptState, seq: u64) {
+    fn attempt_state_seen(&mut self, id: &MachineId, task: &TaskId, state: AttemptState, seq: u64) {
         let now = self.now();
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
-        let Some(start) = job.attempts.get_mut(task.index) else { return };
-        if !start.occupies_resources() {
+        let Some(attempt) = job.attempts.get_mut(task.index) else { return };
+        if !attempt.occupies_resources() {
             return;
         }
-        start.may_have_been_sent = true;
-        start.last_inconclusive_seq = start.last_inconclusive_seq.max(seq);
-        if start.state() == phase {
+        attempt.may_have_been_sent = true;
+        attempt.last_inconclusive_seq = attempt.last_inconclusive_seq.max(seq);
+        if attempt.state() == state {
             return;
         }
-        if phase == AttemptState::Running {
-            start.first_running_at.get_or_insert(now);
+        if state == AttemptState::Running {
+            attempt.first_running_at.get_or_insert(now);
         }
-        self.jobs.set_attempt_state(&task.job, task.index, phase);
-        self.phase_changed(id, task, phase);
+        self.jobs.set_attempt_state(&task.job, task.index, state);
+        self.attempt_state_changed(id, task, state);
     }
 
     /// What a task that has come further shows of its machine and zone.
-    fn phase_changed(&mut self, id: &MachineId, task: &TaskId, phase: AttemptState) {
+    fn attempt_state_changed(&mut self, id: &MachineId, task: &TaskId, state: AttemptState) {
         let now = self.now();
         let Some(job) = self.jobs.get(&task.job) else { return };
         let (image, megabytes) = (job.spec.image.clone(), job.spec.image_gb * 1000.0);
-        if phase == AttemptState::Fetching {
+        if state == AttemptState::Fetching {
             if let Some(machine) = self.fleet.machine_mut(id) {
                 machine.images.fetch_seen(image, megabytes, now);
             }
             return;
         }
-        if phase == AttemptState::Running {
+        if state == AttemptState::Running {
             let age_ms = self.clock.wall.since(job.accepted_at).millis();
             tracing::debug!(task = %task, machine = %id, age_ms, kind = ?job.spec.kind, "task running");
         }
-        if phase == AttemptState::Running || phase == AttemptState::Waiting {
+        if state == AttemptState::Running || state == AttemptState::Waiting {
             self.note_zone_attempt(id, ZoneAttemptEvent::Running);
         }
         self.image_seen(id, &image, megabytes);
@@ -174,7 +174,7 @@
                 }
             }
             ExitCause::Failed => {
-                let is_elsewhere = |start: &TaskAttempt| start.machine() != id && start.state().is_on_machine();
+                let is_elsewhere = |attempt: &TaskAttempt| attempt.machine() != id && attempt.state().is_on_machine();
                 let is_alone_in_gang = job.spec.kind == JobKind::Gang && job.attempts.values().any(is_elsewhere);
                 if let Some(machine) = self.fleet.machine_mut(id) {
                     machine.task_failures.record(&task.job, task.index, is_alone_in_gang, now);
