--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -1,211 +1,238 @@
-//! A cloud: rents machines by zone, lists them, deletes them with all that is on them.
+//! A stand-in for the cloud: it provisions machines by zone, lists them, and deletes them with all that is on them.
 
-use crate::http::{Call, Reply, serve};
-use crate::worker::{Link, Machine, RunningMachine, Surroundings, WorkerTrouble, ZoneLink, start};
-use burlhatch::protocol::cloud::{InstanceRequest, MachineNames};
+use crate::agent::{AgentFault, Connectivity, Environment, Machine, RunningMachine, ZoneNetwork};
+use crate::http::{ReceivedRequest, Reply, serve};
+use crate::listener::Server;
+use burlhatch::protocol::cloud::{DELETE_PATH, InstanceRequest, MachineNames, NO_CAPACITY, RENT_PATH, TYPES_PATH};
 use burlhatch::protocol::decode;
 use burlhatch::types::MachineId;
 use hyper::Method;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use tokio::task::JoinSet;
 
-/// The one type of machine that there is.
+/// The only type of machine.
 const MACHINE_TYPE: &str = "four";
-/// Processors of each.
+/// CPUs of each machine.
 const CPUS: f64 = 4.0;
-/// Time a machine takes to come up.
-const BOOT: Duration = Duration::from_millis(1500);
+/// Time from a request until the machine runs.
+const STARTUP_TIME: Duration = Duration::from_millis(1500);
 
-struct Rented {
+struct ProvisionedMachine {
     machine: Machine,
-    since: Instant,
+    requested_at: Instant,
     running: Option<RunningMachine>,
-    failed: bool,
+    has_failed: bool,
 }
 
 #[derive(Default)]
-struct State {
-    rented: BTreeMap<MachineId, Rented>,
+struct CloudState {
+    machines: BTreeMap<MachineId, ProvisionedMachine>,
+    /// Machines of each request, so that a repeated one gets the same.
     requests: BTreeMap<String, Vec<MachineId>>,
-    next: u32,
-    capacity: usize,
-    dead_zones: BTreeSet<String>,
-    is_down: bool,
+    last_number: u32,
+    max_machines: usize,
+    failed_zones: BTreeSet<String>,
+    is_unavailable: bool,
 }
 
-/// The service, and a handle on it for scenarios.
+impl CloudState {
+    fn running(&self) -> impl Iterator<Item = &RunningMachine> {
+        self.machines.values().filter_map(|provisioned| provisioned.running.as_ref())
+    }
+
+    /// Whether a machine can start, or has failed or been deleted meanwhile.
+    fn can_start(&self, id: &MachineId) -> bool {
+        let is_startable = |m: &ProvisionedMachine| !m.has_failed && !self.failed_zones.contains(&m.machine.zone);
+        self.machines.get(id).is_some_and(is_startable)
+    }
+}
+
+/// A task that runs, and the zone of its machine.
+pub struct RunningTask {
+    /// Id of the task.
+    pub task: String,
+    /// Zone of its machine.
+    pub zone: String,
+}
+
+/// The cloud, and a handle on it for scenarios.
 #[derive(Clone)]
 pub struct Cloud {
-    state: Arc<Mutex<State>>,
-    links: Arc<BTreeMap<String, ZoneLink>>,
-    around: Surroundings,
+    state: Arc<Mutex<CloudState>>,
+    networks: Arc<BTreeMap<String, ZoneNetwork>>,
+    environment: Environment,
 }
 
 impl Cloud {
-    /// A cloud with these zones that rents out so many machines at a time.
-    pub fn new(zones: &[String], capacity: usize, around: Surroundings) -> Cloud {
-        let links = zones.iter().map(|zone| (zone.clone(), ZoneLink::default())).collect();
-        let state = State { capacity, ..State::default() };
-        Cloud { state: Arc::new(Mutex::new(state)), links: Arc::new(links), around }
+    /// A cloud with these zones that provisions at most so many machines at a time.
+    pub fn new(zones: &[String], max_machines: usize, environment: Environment) -> Cloud {
+        let networks = zones.iter().map(|zone| (zone.clone(), ZoneNetwork::default())).collect();
+        let state = CloudState { max_machines, ..CloudState::default() };
+        Cloud { state: Arc::new(Mutex::new(state)), networks: Arc::new(networks), environment }
     }
 
-    fn locked(&self) -> MutexGuard<'_, State> {
+    fn locked(&self) -> MutexGuard<'_, CloudState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Refuses everybody, or serves again.
-    pub fn set_down(&self, is_down: bool) {
-        self.locked().is_down = is_down;
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.locked().is_unavailable = is_unavailable;
     }
 
-    /// Something happens to the workers of one in so many machines that are up, beginning with the first.
-    pub fn trouble_one_in(&self, one_in: usize, trouble: WorkerTrouble, duration: Duration) {
+    /// Lets the agents of one in so many running machines, beginning with the first, have a fault.
+    pub fn inject_agent_fault(&self, one_in: usize, fault: AgentFault, duration: Duration) {
         let state = self.locked();
-        let running = state.rented.values().filter_map(|rented| rented.running.as_ref());
-        running.step_by(one_in.max(1)).for_each(|machine| machine.trouble(trouble, duration));
+        state.running().step_by(one_in.max(1)).for_each(|machine| machine.inject_fault(fault, duration));
     }
 
-    /// Begins to serve; says where.
-    pub async fn start(&self) -> io::Result<(SocketAddr, JoinSet<()>)> {
+    /// Starts to serve.
+    pub(crate) async fn start(&self) -> io::Result<Server> {
         let cloud = self.clone();
-        serve(move |call| {
+        serve(move |request| {
             let cloud = cloud.clone();
-            async move { cloud.answer(&call) }
+            async move { cloud.answer(&request) }
         })
         .await
     }
 
-    /// Cuts a zone's machines off, or mends their connection.
-    pub fn set_link(&self, zone: &str, link: Link) {
-        if let Some(zone) = self.links.get(zone) {
-            zone.set(link);
+    /// Partitions a zone's machines off, or connects them again.
+    pub fn set_connectivity(&self, zone: &str, connectivity: Connectivity) {
+        if let Some(network) = self.networks.get(zone) {
+            network.set(connectivity);
         }
     }
 
-    /// All machines of a zone are gone at once, and none comes up there until it is revived.
+    /// All machines of a zone are gone at once, and none starts there until it is restored.
     pub fn kill_zone(&self, zone: &str) {
         let mut state = self.locked();
-        state.dead_zones.insert(zone.to_string());
-        for rented in state.rented.values_mut().filter(|rented| rented.machine.zone == zone) {
-            rented.running = None;
-            rented.failed = true;
+        state.failed_zones.insert(zone.to_string());
+        for provisioned in state.machines.values_mut().filter(|provisioned| provisioned.machine.zone == zone) {
+            provisioned.running = None;
+            provisioned.has_failed = true;
         }
     }
 
-    /// Machines come up in a zone again.
-    pub fn revive_zone(&self, zone: &str) {
-        self.locked().dead_zones.remove(zone);
+    /// Machines start in a zone again.
+    pub fn restore_zone(&self, zone: &str) {
+        self.locked().failed_zones.remove(zone);
     }
 
-    /// Tasks at work, with the zone of each.
-    pub fn at_work(&self) -> Vec<(String, String)> {
+    /// All tasks that run.
+    pub fn running_tasks(&self) -> Vec<RunningTask> {
         let state = self.locked();
-        let running = state.rented.values().filter_map(|rented| rented.running.as_ref());
-        running
-            .flat_map(|machine| machine.at_work().into_iter().map(|task| (task, machine.zone().to_string())))
-            .collect()
+        let tasks_of = |machine: &RunningMachine| {
+            let zone = machine.zone().to_string();
+            machine.running_tasks().into_iter().map(move |task| RunningTask { task, zone: zone.clone() })
+        };
+        state.running().flat_map(tasks_of).collect()
     }
 
-    /// Machines that are up in a zone.
-    pub fn machines_in(&self, zone: &str) -> usize {
-        self.locked().rented.values().filter(|rented| rented.machine.zone == zone && rented.running.is_some()).count()
+    /// Number of machines that run in a zone.
+    pub fn machine_count(&self, zone: &str) -> usize {
+        self.locked().running().filter(|machine| machine.zone() == zone).count()
     }
 
-    /// Rents machines, which come up a while later.
-    pub fn rent(&self, zone: &str, spot: bool, count: u32) -> Vec<MachineId> {
+    /// Provisions machines, as far as there is capacity; they run a while later.
+    pub fn provision(&self, zone: &str, spot: bool, count: u32) -> Vec<MachineId> {
         let mut state = self.locked();
-        let used = state.rented.values().filter(|rented| !rented.failed).count();
-        let count = state.capacity.saturating_sub(used).min(count as usize);
+        let used = state.machines.values().filter(|provisioned| !provisioned.has_failed).count();
+        let count = state.max_machines.saturating_sub(used).min(count as usize);
         let mut names = Vec::new();
         for _ in 0..count {
-            state.next += 1;
-            let id = MachineId::new(&format!("m-{:06}", state.next));
-            let machine =
-                Machine { id: id.clone(), machine_type: MACHINE_TYPE.into(), zone: zone.into(), spot, cpus: CPUS };
-            let rented = Rented { machine, since: Instant::now(), running: None, failed: false };
-            state.rented.insert(id.clone(), rented);
-            tokio::spawn(self.clone().boot(id.clone()));
+            state.last_number += 1;
+            let id = MachineId::new(&format!("m-{:06}", state.last_number));
+            let (machine_type, zone) = (MACHINE_TYPE.into(), zone.into());
+            let machine = Machine { id: id.clone(), machine_type, zone, spot, cpus: CPUS };
+            let provisioned =
+                ProvisionedMachine { machine, requested_at: Instant::now(), running: None, has_failed: false };
+            state.machines.insert(id.clone(), provisioned);
+            tokio::spawn(self.clone().start_machine(id.clone()));
             names.push(id);
         }
         names
     }
 
-    async fn boot(self, id: MachineId) {
-        tokio::time::sleep(BOOT).await;
+    async fn start_machine(self, id: MachineId) {
+        tokio::time::sleep(STARTUP_TIME).await;
         let machine = {
             let state = self.locked();
-            let dead = |zone: &String| state.dead_zones.contains(zone);
-            state.rented.get(&id).filter(|r| !r.failed && !dead(&r.machine.zone)).map(|r| r.machine.clone())
+            state.machines.get(&id).filter(|_| state.can_start(&id)).map(|provisioned| provisioned.machine.clone())
         };
         let Some(machine) = machine else { return };
-        let link = self.links.get(&machine.zone).cloned().unwrap_or_default();
-        let Ok(running) = start(machine, link, self.around.clone()).await else { return };
+        let network = self.networks.get(&machine.zone).cloned().unwrap_or_default();
+        let Ok(running) = RunningMachine::start(machine, network, self.environment.clone()).await else { return };
         let mut state = self.locked();
-        let dead = state.rented.get(&id).is_none_or(|r| r.failed || state.dead_zones.contains(&r.machine.zone));
-        if let Some(rented) = state.rented.get_mut(&id).filter(|_| !dead) {
-            rented.running = Some(running);
+        if state.can_start(&id)
+            && let Some(provisioned) = state.machines.get_mut(&id)
+        {
+            provisioned.running = Some(running);
         }
     }
 
-    fn answer(&self, call: &Call) -> Reply {
-        if self.locked().is_down {
+    fn answer(&self, request: &ReceivedRequest) -> Reply {
+        if self.locked().is_unavailable {
             return Some((503, json!({"error": "trouble"})));
         }
-        match (&call.method, call.path.as_str()) {
-            (&Method::GET, "/flavors") => Some((200, self.types())),
-            (&Method::GET, "/rentals") => Some((200, self.list(call.query.get("after").map_or("", String::as_str)))),
-            (&Method::POST, "/rentals") => {
-                let Ok(rental) = decode::<InstanceRequest>(&call.body) else { return Some((400, Value::Null)) };
-                Some(self.answer_rental(rental))
-            }
-            (&Method::POST, "/rentals/delete") => {
-                let Ok(names) = decode::<MachineNames>(&call.body) else { return Some((400, Value::Null)) };
-                let mut state = self.locked();
-                names.machines.iter().for_each(|id| drop(state.rented.remove(id)));
-                Some((200, json!({})))
-            }
-            _ => Some((404, json!({"error": "unknown"}))),
-        }
+        let reply = match (&request.method, request.path.as_str()) {
+            (&Method::GET, TYPES_PATH) => (200, self.types()),
+            (&Method::GET, RENT_PATH) => (200, self.list(request.query.get("after").map_or("", String::as_str))),
+            (&Method::POST, RENT_PATH) => match decode::<InstanceRequest>(&request.body) {
+                Ok(instance_request) => self.answer_instance_request(instance_request),
+                Err(_) => (400, Value::Null),
+            },
+            (&Method::POST, DELETE_PATH) => match decode::<MachineNames>(&request.body) {
+                Ok(names) => self.delete(&names),
+                Err(_) => (400, Value::Null),
+            },
+            _ => (404, json!({"error": "unknown"})),
+        };
+        Some(reply)
     }
 
-    fn answer_rental(&self, rental: InstanceRequest) -> (u16, Value) {
-        let before = self.locked().requests.get(&rental.request).cloned();
-        let names = before.unwrap_or_else(|| self.rent(&rental.zone, rental.spot, rental.count));
+    /// A repeated request gets the machines of the first one.
+    fn answer_instance_request(&self, request: InstanceRequest) -> (u16, Value) {
+        let earlier = self.locked().requests.get(&request.request).cloned();
+        let names = earlier.unwrap_or_else(|| self.provision(&request.zone, request.spot, request.count));
         if names.is_empty() {
-            return (503, json!({"error": "no capacity"}));
+            return (503, json!({"error": NO_CAPACITY}));
         }
-        self.locked().requests.insert(rental.request, names.clone());
+        self.locked().requests.insert(request.request, names.clone());
         (200, json!({"hosts": names}))
     }
 
+    fn delete(&self, names: &MachineNames) -> (u16, Value) {
+        let mut state = self.locked();
+        for id in &names.machines {
+            state.machines.remove(id);
+        }
+        (200, json!({}))
+    }
+
     fn types(&self) -> Value {
-        let zones: Vec<&String> = self.links.keys().collect();
+        let zones: Vec<&String> = self.networks.keys().collect();
         json!({"hulls": [{"sku": MACHINE_TYPE, "cores": CPUS, "gpus": 0, "memory_gb": 32, "cache_gb": 50,
             "pull_gb_per_s": 0.5, "hourly": 1.0, "market_price": 0.4, "startup_s": 1.5, "berths": zones}]})
     }
 
     fn list(&self, after: &str) -> Value {
         let state = self.locked();
-        let machines: Vec<Value> = state
-            .rented
-            .iter()
-            .filter(|(id, _)| id.as_str() > after)
-            .map(|(id, rented)| {
-                let status = match (rented.failed, &rented.running) {
-                    (true, _) => "failed",
-                    (false, Some(_)) => "running",
-                    (false, None) => "starting",
-                };
-                let machine = &rented.machine;
-                json!({"id": id, "addr": null, "hull": machine.machine_type, "berth": machine.zone,
-                    "driftwood": machine.spot, "status": status, "held_s": rented.since.elapsed().as_secs_f64()})
-            })
-            .collect();
+        let listed = state.machines.iter().filter(|(id, _)| id.as_str() > after);
+        let machines: Vec<Value> = listed.map(|(id, provisioned)| listed_machine(id, provisioned)).collect();
         json!({"hosts": machines, "more": false})
     }
 }
+
+fn listed_machine(id: &MachineId, provisioned: &ProvisionedMachine) -> Value {
+    let status = match (provisioned.has_failed, &provisioned.running) {
+        (true, _) => "failed",
+        (false, Some(_)) => "running",
+        (false, None) => "starting",
+    };
+    let machine = &provisioned.machine;
+    json!({"id": id, "addr": null, "hull": machine.machine_type, "berth": machine.zone, "driftwood": machine.spot,
+        "status": status, "held_s": provisioned.requested_at.elapsed().as_secs_f64()})
+}
--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,63 +1,63 @@
-//! What happened on all machines and what users were told, and the rules it must keep.
+//! A record of what happened on machines and what users were told, and a checker of the rules that it must keep.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One thing that happened, in the order in which it did.
+/// Something that happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A task has its image: from here on it is on its machine.
-    Begun {
+    /// A task has its image: from now on it is on its machine.
+    TaskStarted {
         /// The machine.
         machine: String,
         /// The task.
         task: String,
     },
-    /// It is not on its machine any more.
-    Left {
+    /// A task is not on its machine any more.
+    TaskLeft {
         /// The machine.
         machine: String,
         /// The task.
         task: String,
-        /// Whether it has completed.
+        /// Whether it ran to completion.
         done: bool,
     },
-    /// A user was told how a job stands.
-    Told {
+    /// A user received the status of a job.
+    StatusReceived {
         /// The job.
         job: String,
         /// The status, `unknown` for 404.
         status: String,
-        /// When it was asked, in microseconds since the history began.
+        /// When the user asked, in microseconds since the history began.
         asked_us: u64,
     },
 }
 
-/// An event with when it happened, in microseconds since the history began.
-pub type Timed = (u64, Event);
+/// An event with its time, in microseconds since the history began.
+pub type TimedEvent = (u64, Event);
 
 /// A record of events, shared by all stand-ins of a run.
 #[derive(Clone)]
 pub struct History {
-    began: Instant,
-    events: Arc<Mutex<Vec<Timed>>>,
+    started_at: Instant,
+    events: Arc<Mutex<Vec<TimedEvent>>>,
 }
 
 impl Default for History {
     fn default() -> History {
-        History { began: Instant::now(), events: Arc::default() }
+        History { started_at: Instant::now(), events: Arc::default() }
     }
 }
 
 impl History {
-    fn locked(&self) -> MutexGuard<'_, Vec<Timed>> {
+    fn locked(&self) -> MutexGuard<'_, Vec<TimedEvent>> {
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Microseconds since it began.
+    /// Microseconds since the history began.
     pub fn now_us(&self) -> u64 {
-        self.began.elapsed().as_micros() as u64
+        self.started_at.elapsed().as_micros() as u64
     }
 
     /// Adds an event that happens now.
@@ -68,130 +68,164 @@
     }
 
     /// All events so far.
-    pub fn events(&self) -> Vec<Timed> {
+    pub fn events(&self) -> Vec<TimedEvent> {
         self.locked().clone()
     }
 }
 
-/// Every rule that the events break; none if all is well.
-pub fn violations(events: &[Timed], tasks_of: &BTreeMap<String, u32>) -> Vec<String> {
-    let mut checker = Checker::default();
+/// The violations of rules by a history; none if all is well.
+pub fn violations(events: &[TimedEvent], task_counts: &BTreeMap<String, u32>) -> Vec<String> {
+    let mut checker = RuleChecker::default();
     for (at, event) in events {
-        checker.take(*at, event, tasks_of);
+        checker.observe(*at, event, task_counts);
     }
-    checker.found
+    checker.violations
 }
 
-/// What became of cancelled jobs' tasks.
+/// What became of the tasks of cancelled jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Cancellations {
-    /// Jobs that a user was told to be cancelled.
-    pub told: usize,
-    /// Tasks that came to a machine after that.
-    pub begun_after: usize,
-    /// The longest time after that in which a task was on a machine.
+pub struct CancellationSummary {
+    /// Number of jobs that a user was told to be cancelled.
+    pub cancelled_jobs: usize,
+    /// Number of tasks that started after that.
+    pub started_after: usize,
+    /// The longest time after that until a task left its machine.
     pub longest_us: u64,
-    /// What was on a machine, or came there, after the time allowed.
+    /// Tasks that were on a machine, or started there, after the time allowed.
     pub late: Vec<String>,
 }
 
 /// Compares what was on machines with when any user was first told that its job is cancelled.
-pub fn cancellations(events: &[Timed], allowed: Duration) -> Cancellations {
-    let allowed = allowed.as_micros() as u64;
-    let mut told: BTreeMap<&str, u64> = BTreeMap::new();
+pub fn summarize_cancellations(events: &[TimedEvent], allowed: Duration) -> CancellationSummary {
+    let mut checker = CancellationChecker::new(events, allowed);
     for (at, event) in events {
-        if let Event::Told { job, status, .. } = event
-            && status == "withdrawn"
-        {
-            told.entry(job).or_insert(*at);
+        checker.observe(*at, event);
+    }
+    checker.finish(events.last().map_or(0, |(at, _)| *at))
+}
+
+struct CancellationChecker<'a> {
+    allowed_us: u64,
+    /// When any user was first told that a job is cancelled.
+    cancelled_at: BTreeMap<&'a str, u64>,
+    /// Machines and tasks that are on them.
+    present: BTreeSet<(&'a str, &'a str)>,
+    summary: CancellationSummary,
+}
+
+impl<'a> CancellationChecker<'a> {
+    fn new(events: &'a [TimedEvent], allowed: Duration) -> CancellationChecker<'a> {
+        let mut cancelled_at: BTreeMap<&str, u64> = BTreeMap::new();
+        for (at, event) in events {
+            if let Event::StatusReceived { job, status, .. } = event
+                && status == "withdrawn"
+            {
+                cancelled_at.entry(job).or_insert(*at);
+            }
         }
+        let summary = CancellationSummary { cancelled_jobs: cancelled_at.len(), ..CancellationSummary::default() };
+        let allowed_us = allowed.as_micros() as u64;
+        CancellationChecker { allowed_us, cancelled_at, present: BTreeSet::new(), summary }
     }
-    let told_of = |task: &str| task.rsplit_once('/').and_then(|(job, _)| told.get(job)).copied();
-    let mut found = Cancellations { told: told.len(), ..Cancellations::default() };
-    let mut on: BTreeSet<(&str, &str)> = BTreeSet::new();
-    for (at, event) in events {
+
+    /// Time since a user was told that a task's job is cancelled, if one was.
+    fn since_cancellation(&self, task: &str, at: u64) -> Option<u64> {
+        let (job, _) = task.rsplit_once('/')?;
+        at.checked_sub(*self.cancelled_at.get(job)?)
+    }
+
+    fn observe(&mut self, at: u64, event: &'a Event) {
         match event {
-            Event::Begun { machine, task } => {
-                on.insert((machine, task));
-                let after = told_of(task).and_then(|told| at.checked_sub(told));
-                found.begun_after += usize::from(after.is_some());
-                if after.is_some_and(|after| after > allowed) {
-                    found.late.push(format!("{at} us: ran_cancelled: {task} begins on {machine}"));
+            Event::TaskStarted { machine, task } => {
+                self.present.insert((machine, task));
+                let after = self.since_cancellation(task, at);
+                self.summary.started_after += usize::from(after.is_some());
+                if after.is_some_and(|after| after > self.allowed_us) {
+                    self.summary.late.push(format!("{at} us: ran_cancelled: {task} begins on {machine}"));
                 }
             }
-            Event::Left { machine, task, .. } => {
-                on.remove(&(machine.as_str(), task.as_str()));
-                let Some(after) = told_of(task).and_then(|told| at.checked_sub(told)) else { continue };
-                found.longest_us = found.longest_us.max(after);
-                if after > allowed {
-                    found.late.push(format!("{at} us: ran_cancelled: {task} was on {machine} until now"));
+            Event::TaskLeft { machine, task, .. } => {
+                self.present.remove(&(machine.as_str(), task.as_str()));
+                let Some(after) = self.since_cancellation(task, at) else { return };
+                self.summary.longest_us = self.summary.longest_us.max(after);
+                if after > self.allowed_us {
+                    self.summary.late.push(format!("{at} us: ran_cancelled: {task} was on {machine} until now"));
                 }
             }
-            Event::Told { .. } => {}
+            Event::StatusReceived { .. } => {}
+        }
+    }
+
+    /// Adds the tasks that never left.
+    fn finish(mut self, end: u64) -> CancellationSummary {
+        for (machine, task) in std::mem::take(&mut self.present) {
+            if self.since_cancellation(task, end).is_some_and(|after| after > self.allowed_us) {
+                self.summary.late.push(format!("{end} us: ran_cancelled: {task} is still on {machine}"));
+            }
         }
+        self.summary
     }
-    let end = events.last().map_or(0, |(at, _)| *at);
-    let over = |task: &str| told_of(task).is_some_and(|told| end.saturating_sub(told) > allowed);
-    let left = on.into_iter().filter(|(_, task)| over(task));
-    found.late.extend(left.map(|(machine, task)| format!("{end} us: ran_cancelled: {task} is still on {machine}")));
-    found
 }
 
 #[derive(Default)]
-struct Checker {
+struct RuleChecker {
     /// Machines on which each task is.
-    on: BTreeMap<String, BTreeSet<String>>,
+    machines_of: BTreeMap<String, BTreeSet<String>>,
+    /// Tasks that ran to completion.
     done: BTreeSet<String>,
-    /// The first final status that a user was told of each job, and when.
-    told: BTreeMap<String, (u64, String)>,
+    /// The first final status of each job that a user received, and when.
+    final_status: BTreeMap<String, (u64, String)>,
+    /// Jobs whose status a user received.
     accepted: BTreeSet<String>,
-    found: Vec<String>,
+    violations: Vec<String>,
 }
 
-impl Checker {
-    fn take(&mut self, at: u64, event: &Event, tasks_of: &BTreeMap<String, u32>) {
+impl RuleChecker {
+    fn observe(&mut self, at: u64, event: &Event, task_counts: &BTreeMap<String, u32>) {
         match event {
-            Event::Begun { machine, task } => {
-                let machines = self.on.entry(task.clone()).or_default();
+            Event::TaskStarted { machine, task } => {
+                let machines = self.machines_of.entry(task.clone()).or_default();
                 machines.insert(machine.clone());
                 if machines.len() > 1 {
-                    self.found.push(format!("{at} us: ran_twice: {task} is on {machines:?}"));
+                    self.violations.push(format!("{at} us: ran_twice: {task} is on {machines:?}"));
                 }
             }
-            Event::Left { machine, task, done } => {
-                if let Some(machines) = self.on.get_mut(task) {
+            Event::TaskLeft { machine, task, done } => {
+                if let Some(machines) = self.machines_of.get_mut(task) {
                     machines.remove(machine);
                 }
                 if *done {
                     self.done.insert(task.clone());
                 }
             }
-            Event::Told { job, status, asked_us } => self.told(at, job, status, *asked_us, tasks_of),
+            Event::StatusReceived { job, status, asked_us } => {
+                self.check_status(at, job, status, *asked_us, task_counts);
+            }
         }
     }
 
-    fn told(&mut self, at: u64, job: &str, status: &str, asked_us: u64, tasks_of: &BTreeMap<String, u32>) {
+    fn check_status(&mut self, at: u64, job: &str, status: &str, asked_us: u64, task_counts: &BTreeMap<String, u32>) {
         if status == "unknown" {
             if self.accepted.contains(job) {
-                self.found.push(format!("{at} us: forgotten: {job}"));
+                self.violations.push(format!("{at} us: forgotten: {job}"));
             }
             return;
         }
         self.accepted.insert(job.to_string());
-        if let Some((told_at, before)) = self.told.get(job)
-            && asked_us >= *told_at
+        if let Some((received_at, before)) = self.final_status.get(job)
+            && asked_us >= *received_at
             && before != status
         {
-            self.found.push(format!("{at} us: went_back: {job} was {before}, is {status}"));
+            self.violations.push(format!("{at} us: went_back: {job} was {before}, is {status}"));
         }
         let is_final = matches!(status, "done" | "withdrawn");
         if is_final {
-            self.told.entry(job.to_string()).or_insert((at, status.to_string()));
+            self.final_status.entry(job.to_string()).or_insert((at, status.to_string()));
         }
-        let tasks = tasks_of.get(job).copied().unwrap_or(0);
+        let tasks = task_counts.get(job).copied().unwrap_or(0);
         let undone = (0..tasks).filter(|task| !self.done.contains(&format!("{job}/{task}"))).count();
         if status == "done" && undone > 0 {
-            self.found.push(format!("{at} us: not_done: {job} is called done with {undone} tasks open"));
+            self.violations.push(format!("{at} us: not_done: {job} is called done with {undone} tasks open"));
         }
     }
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,9 +1,9 @@
 //! Long runs by hand: scenarios on loopback, and reports of measurements.
 
+use burlhatch_testbed::faults::{PlannedFault, draw_plan};
 use burlhatch_testbed::report::{html, read_samples};
-use burlhatch_testbed::scenarios::{ZoneTrouble, plan, play};
-use burlhatch_testbed::soak::{self, SHAPES, Soak};
-use burlhatch_testbed::troubles::{Planned, draw};
+use burlhatch_testbed::scenarios::{ZoneFault, cluster_config, play};
+use burlhatch_testbed::soak::{self, SoakRun, TIMING_PROFILES};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -27,14 +27,14 @@
         #[arg(long, default_value = "target/release/burlhatch")]
         program: PathBuf,
         /// What happens to the zone
-        #[arg(long)]
-        trouble: TroubleName,
+        #[arg(long = "trouble")]
+        fault: FaultName,
         /// The operators' settings
         #[arg(long, default_value = r#"{"zones": {"enabled": true}}"#)]
         policy: String,
         /// How often
-        #[arg(long, default_value_t = 1)]
-        times: u32,
+        #[arg(long = "times", default_value_t = 1)]
+        run_count: u32,
     },
     /// Let users submit and call off jobs while troubles meet that are drawn from seeds
     Soak {
@@ -84,18 +84,18 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum TroubleName {
+enum FaultName {
     Killed,
     BackInMidMove,
     FlapsTwice,
 }
 
-impl From<TroubleName> for ZoneTrouble {
-    fn from(name: TroubleName) -> ZoneTrouble {
+impl From<FaultName> for ZoneFault {
+    fn from(name: FaultName) -> ZoneFault {
         match name {
-            TroubleName::Killed => ZoneTrouble::Killed,
-            TroubleName::BackInMidMove => ZoneTrouble::BackInMidMove,
-            TroubleName::FlapsTwice => ZoneTrouble::FlapsTwice,
+            FaultName::Killed => ZoneFault::Killed,
+            FaultName::BackInMidMove => ZoneFault::BackInMidMove,
+            FaultName::FlapsTwice => ZoneFault::FlapsTwice,
         }
     }
 }
@@ -114,38 +114,15 @@
 /// Whether no rule was broken.
 fn run(action: Action) -> Result<bool, Box<dyn Error>> {
     match action {
-        Action::Zone { program, trouble, policy, times } => {
-            let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            let mut clean = true;
-            for n in 0..times {
-                let directory = std::env::temp_dir().join(format!("burlhatch-testbed-{}-{n}", std::process::id()));
-                let plan = plan(program.clone(), directory.clone(), &policy);
-                let findings = runtime.block_on(play(plan, trouble.into()))?;
-                println!("{}", serde_json::to_string(&findings)?);
-                clean &= findings.violations.is_empty();
-                std::fs::remove_dir_all(&directory)?;
-            }
-            Ok(clean)
+        Action::Zone { program, fault, policy, run_count } => {
+            play_zone_fault(&program, fault.into(), &policy, run_count)
         }
         Action::Soak { program, seed, count, at_once, controllers, machines, seconds, plan } => {
             let plan = plan.map(|path| read_plan(&path)).transpose()?;
-            let span = Duration::from_secs(seconds);
-            let runs = (seed..seed.saturating_add(count)).map(|seed| {
-                let times = SHAPES[(seed / 2 % 2) as usize];
-                let drawn = || draw(seed, span, times.lease, times.cancel);
-                Soak {
-                    program: program.clone(),
-                    directory: std::env::temp_dir().join(format!("burlhatch-soak-{}-{seed}", std::process::id())),
-                    seed,
-                    controllers: controllers.unwrap_or(3 + (seed % 2 * 2) as usize),
-                    machines,
-                    times,
-                    span,
-                    plan: plan.clone().unwrap_or_else(drawn),
-                }
-            });
+            let options = SoakOptions { program, controllers, machines, span: Duration::from_secs(seconds), plan };
+            let runs = (seed..seed.saturating_add(count)).map(|seed| options.run(seed)).collect();
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            runtime.block_on(soak_all(runs.collect(), at_once as usize))
+            runtime.block_on(play_soak_runs(runs, at_once as usize))
         }
         Action::Report { samples, page, title } => {
             let samples = read_samples(&std::fs::read_to_string(samples)?)?;
@@ -155,18 +132,60 @@
     }
 }
 
+/// Plays a zone's fault several times, one run after the other.
+fn play_zone_fault(program: &Path, fault: ZoneFault, policy: &str, run_count: u32) -> Result<bool, Box<dyn Error>> {
+    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+    let mut is_clean = true;
+    for n in 0..run_count {
+        let directory = std::env::temp_dir().join(format!("burlhatch-testbed-{}-{n}", std::process::id()));
+        let config = cluster_config(program.to_path_buf(), directory.clone(), policy);
+        let findings = runtime.block_on(play(config, fault))?;
+        println!("{}", serde_json::to_string(&findings)?);
+        is_clean &= findings.violations.is_empty();
+        std::fs::remove_dir_all(&directory)?;
+    }
+    Ok(is_clean)
+}
+
+/// What all runs of a soak share.
+struct SoakOptions {
+    program: PathBuf,
+    controllers: Option<usize>,
+    machines: u32,
+    span: Duration,
+    plan: Option<Vec<PlannedFault>>,
+}
+
+impl SoakOptions {
+    /// The run of a seed. What is not given varies with the seed.
+    fn run(&self, seed: u64) -> SoakRun {
+        let timing = TIMING_PROFILES[(seed / 2 % 2) as usize];
+        let drawn = || draw_plan(seed, self.span, timing.lease, timing.cancel_limit);
+        SoakRun {
+            program: self.program.clone(),
+            directory: std::env::temp_dir().join(format!("burlhatch-soak-{}-{seed}", std::process::id())),
+            seed,
+            controllers: self.controllers.unwrap_or(3 + (seed % 2 * 2) as usize),
+            machines: self.machines,
+            timing,
+            span: self.span,
+            plan: self.plan.clone().unwrap_or_else(drawn),
+        }
+    }
+}
+
 /// Plays runs, a few at a time. The logs of a run that broke no rule are removed.
-async fn soak_all(runs: Vec<Soak>, at_once: usize) -> Result<bool, Box<dyn Error>> {
+async fn play_soak_runs(runs: Vec<SoakRun>, at_once: usize) -> Result<bool, Box<dyn Error>> {
     let mut waiting = runs.into_iter();
     let mut playing = JoinSet::new();
-    let mut clean = true;
+    let mut is_clean = true;
     loop {
         while playing.len() < at_once
             && let Some(run) = waiting.next()
         {
             playing.spawn(async move { (soak::play(&run).await, run) });
         }
-        let Some(played) = playing.join_next().await else { return Ok(clean) };
+        let Some(played) = playing.join_next().await else { return Ok(is_clean) };
         let (findings, run) = played?;
         match findings {
             Ok(findings) => {
@@ -178,12 +197,12 @@
             }
             Err(e) => println!("{}", serde_json::json!({"seed": run.seed, "failed": e.to_string()})),
         }
-        clean = false;
+        is_clean = false;
         println!("{}", serde_json::json!({"seed": run.seed, "plan": run.plan, "logs": run.directory}));
     }
 }
 
-fn read_plan(path: &Path) -> Result<Vec<Planned>, Box<dyn Error>> {
+fn read_plan(path: &Path) -> Result<Vec<PlannedFault>, Box<dyn Error>> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("--plan {}: {e}", path.display()))?;
     serde_json::from_str(&text).map_err(|e| format!("--plan {}: {e}", path.display()).into())
 }
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -1,67 +1,77 @@
-//! Scenarios on loopback: the morning's load in three zones, one of which is lost and comes back.
+//! Scenarios on loopback: services and batch jobs in three zones, one of which is lost and comes back.
 
-use crate::cluster::{Cluster, ClusterError, ClusterPlan};
+use crate::agent::Connectivity;
+use crate::cloud::RunningTask;
+use crate::cluster::{Cluster, ClusterConfig, ClusterError};
 use crate::history::violations;
-use crate::users::Users;
-use crate::worker::Link;
+use crate::users::SimulatedUsers;
 use burlhatch::protocol::user::{JobKind, JobSpec, Priority};
 use serde::Serialize;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What happens to the zone.
+/// What happens to a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneTrouble {
-    /// It is gone with its controllers and machines, and is there again later, empty.
+pub enum ZoneFault {
+    /// It is lost with its controllers and machines, and comes back later, empty.
     Killed,
-    /// Its machines are cut off, and heard again while work is moving away.
+    /// Its machines are partitioned off, and reachable again while work is moving away.
     BackInMidMove,
-    /// Its machines are cut off twice within a minute.
+    /// Its machines are partitioned off twice within a minute.
     FlapsTwice,
 }
 
 /// What a run showed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Findings {
-    /// Time from the trouble until all replicas of all services were at work elsewhere, or were at work at all where the
-    /// zone came back meanwhile.
+    /// Time from the fault until all tasks of all services ran elsewhere, or ran at all where the zone came back
+    /// meanwhile.
     pub restored_ms: u64,
-    /// Tasks at work in the zone, looked at twice a second from its return on.
+    /// Tasks that ran in the zone, counted twice a second from its return on.
     pub in_zone: Vec<usize>,
     /// Rules that were broken.
     pub violations: Vec<String>,
-    /// Changes of the store in the whole run.
+    /// Number of writes to the store in the whole run.
     pub changes: u64,
 }
 
 /// The zone that is lost; two of five controllers are in it.
-const LOST: &str = "quay";
-const SERVICES: usize = 10;
-const BATCHES: usize = 5;
-/// Services are to be at work again within this.
+const LOST_ZONE: &str = "quay";
+const SERVICE_COUNT: usize = 10;
+const TASKS_PER_SERVICE: u32 = 2;
+const SERVICE_TASK_COUNT: usize = SERVICE_COUNT * TASKS_PER_SERVICE as usize;
+const BATCH_COUNT: usize = 5;
+const TASKS_PER_BATCH: u32 = 6;
+/// A job that may run only in the lost zone.
+const ZONE_BOUND_JOB: &str = "wk-invoice-quay";
+const SERVICE_ID_PREFIX: &str = "wk-bid-";
+/// Services must run again within this time.
 pub const RESTORE_LIMIT: Duration = Duration::from_secs(30);
 const START_LIMIT: Duration = Duration::from_secs(40);
 const END_LIMIT: Duration = Duration::from_secs(90);
 const RETURN_LIMIT: Duration = Duration::from_secs(40);
+/// Time between two counts of the tasks in the zone.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Five controllers and four machines a zone. The lease is longer than services may be away in the cut variants, so that
-/// waiting for it would not do.
-pub fn plan(program: PathBuf, directory: PathBuf, policy: &str) -> ClusterPlan {
+/// Five controllers and four machines in each zone. The agents' lease is longer than services may be down, so that
+/// waiting for its expiry would not do.
+pub fn cluster_config(program: PathBuf, directory: PathBuf, policy: &str) -> ClusterConfig {
     let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
-    ClusterPlan {
+    ClusterConfig {
         program,
         directory,
-        sites: names(&[LOST, LOST, "market", "market", "hill"]),
-        zones: names(&[LOST, "market", "hill"]),
-        machines_each: 4,
-        capacity: 30,
+        controller_zones: names(&[LOST_ZONE, LOST_ZONE, "market", "market", "hill"]),
+        zones: names(&[LOST_ZONE, "market", "hill"]),
+        machines_per_zone: 4,
+        max_machines: 30,
         policy: policy.to_string(),
         lease: Duration::from_secs(45),
-        cancel: Duration::from_secs(65),
+        cancel_limit: Duration::from_secs(65),
         heartbeat_interval: Duration::from_secs(1),
     }
 }
 
+/// A small job of a team.
 pub(crate) fn spec(kind: JobKind, team: &str, tasks: u32) -> JobSpec {
     JobSpec {
         class: team.into(),
@@ -87,111 +97,127 @@
     }
 }
 
-fn service(n: usize) -> String {
-    format!("wk-bid-{n:03}")
+fn service_id(n: usize) -> String {
+    format!("{SERVICE_ID_PREFIX}{n:03}")
 }
 
-fn batch(n: usize) -> String {
+fn batch_id(n: usize) -> String {
     format!("wk-invoice-{n:03}")
 }
 
-/// Replicas of services at work, in other zones than that.
-fn replicas_outside(cluster: &Cluster, zone: &str) -> usize {
-    cluster.cloud.at_work().iter().filter(|(task, at)| task.starts_with("wk-bid-") && at != zone).count()
+/// Number of services' tasks that run in other zones than the given one.
+fn service_tasks_outside(cluster: &Cluster, zone: &str) -> usize {
+    let is_counted = |running: &RunningTask| running.task.starts_with(SERVICE_ID_PREFIX) && running.zone != zone;
+    cluster.cloud.running_tasks().iter().filter(|running| is_counted(running)).count()
 }
 
-/// Plays one trouble and checks what happened.
-pub async fn play(plan: ClusterPlan, trouble: ZoneTrouble) -> Result<Findings, ClusterError> {
-    let mut cluster = Cluster::start(plan).await?;
-    let mut users = Users::new(&cluster);
-    for n in 0..SERVICES {
-        users.submit(&cluster, &service(n), spec(JobKind::Service, "auction", 2)).await;
+/// Number of services' tasks that run.
+fn service_tasks(cluster: &Cluster) -> usize {
+    service_tasks_outside(cluster, "")
+}
+
+/// Plays one fault and checks what happened.
+pub async fn play(config: ClusterConfig, fault: ZoneFault) -> Result<Findings, ClusterError> {
+    let mut cluster = Cluster::start(config).await?;
+    let mut users = SimulatedUsers::new(&cluster);
+    start_load(&cluster, &mut users).await?;
+    let restored = cause_fault(&mut cluster, &users, fault).await?;
+    let in_zone = observe_return(&mut cluster, &mut users, fault).await?;
+    for n in 0..SERVICE_COUNT {
+        users.cancel(&service_id(n)).await;
     }
-    let all = |cluster: &Cluster| replicas_outside(cluster, "") == SERVICES * 2;
-    cluster.wait_for("all services at work", START_LIMIT, all).await?;
-    let machines = |cluster: &Cluster| {
-        cluster.state.keys("bh/").iter().any(|key| key.contains("fleet") || key.contains("machine"))
-    };
-    cluster.wait_for("machines recorded", START_LIMIT, machines).await?;
-    for n in 0..BATCHES {
-        users.submit(&cluster, &batch(n), spec(JobKind::Array, "invoices", 6)).await;
+    let ids = users.job_ids();
+    cluster.wait_for("all jobs over", END_LIMIT, |_| ids.iter().all(|id| users.is_over(id))).await?;
+    let is_idle = |cluster: &Cluster| cluster.cloud.running_tasks().is_empty();
+    cluster.wait_for("nothing at work", END_LIMIT, is_idle).await?;
+    let violations = violations(&cluster.environment.history.events(), users.task_counts());
+    let changes = cluster.store.write_count();
+    Ok(Findings { restored_ms: restored.as_millis() as u64, in_zone, violations, changes })
+}
+
+/// Submits services and batch jobs, and waits until the services run on recorded machines.
+async fn start_load(cluster: &Cluster, users: &mut SimulatedUsers) -> Result<(), ClusterError> {
+    for n in 0..SERVICE_COUNT {
+        users.submit(cluster, &service_id(n), spec(JobKind::Service, "auction", TASKS_PER_SERVICE)).await;
     }
-    let restored = cause(&mut cluster, &mut users, trouble).await?;
-    let in_zone = watch_return(&mut cluster, &mut users, trouble).await?;
-    for n in 0..SERVICES {
-        users.cancel(&service(n)).await;
+    let all_run = |cluster: &Cluster| service_tasks(cluster) == SERVICE_TASK_COUNT;
+    cluster.wait_for("all services at work", START_LIMIT, all_run).await?;
+    let has_machine_records = |cluster: &Cluster| {
+        cluster.store.keys("bh/").iter().any(|key| key.contains("fleet") || key.contains("machine"))
+    };
+    cluster.wait_for("machines recorded", START_LIMIT, has_machine_records).await?;
+    for n in 0..BATCH_COUNT {
+        users.submit(cluster, &batch_id(n), spec(JobKind::Array, "invoices", TASKS_PER_BATCH)).await;
     }
-    let over = |users: &Users, id: &str| users.status(id).is_some_and(|s| s == "done" || s == "withdrawn");
-    let ids: Vec<String> = users.tasks().keys().cloned().collect();
-    cluster.wait_for("all jobs over", END_LIMIT, |_| ids.iter().all(|id| over(&users, id))).await?;
-    let empty = |cluster: &Cluster| cluster.cloud.at_work().is_empty();
-    cluster.wait_for("nothing at work", END_LIMIT, empty).await?;
-    let violations = violations(&cluster.around.history.events(), users.tasks());
-    let changes = cluster.state.writes();
-    Ok(Findings { restored_ms: restored.as_millis() as u64, in_zone, violations, changes })
+    Ok(())
 }
 
-/// Brings the trouble about and waits until the services are at work again.
-async fn cause(cluster: &mut Cluster, users: &mut Users, trouble: ZoneTrouble) -> Result<Duration, ClusterError> {
-    let outside = |cluster: &Cluster| replicas_outside(cluster, LOST) == SERVICES * 2;
-    let everywhere = |cluster: &Cluster| replicas_outside(cluster, "") >= SERVICES * 2;
-    match trouble {
-        ZoneTrouble::Killed => {
-            cluster.kill_zone(LOST);
-            users.follow(cluster);
-            cluster.wait_for("services at work elsewhere", RESTORE_LIMIT, outside).await
+/// Causes the fault and waits until the services run again; how long that took.
+async fn cause_fault(
+    cluster: &mut Cluster,
+    users: &SimulatedUsers,
+    fault: ZoneFault,
+) -> Result<Duration, ClusterError> {
+    let run_elsewhere = |cluster: &Cluster| service_tasks_outside(cluster, LOST_ZONE) == SERVICE_TASK_COUNT;
+    match fault {
+        ZoneFault::Killed => {
+            cluster.kill_zone(LOST_ZONE);
+            users.update_targets(cluster);
+            cluster.wait_for("services at work elsewhere", RESTORE_LIMIT, run_elsewhere).await
         }
-        ZoneTrouble::BackInMidMove => {
-            let before = cluster.cloud.machines_in(LOST);
-            cluster.cloud.set_link(LOST, Link::Cut);
-            let moving = |cluster: &Cluster| cluster.cloud.machines_in(LOST) < before;
-            let first = cluster.wait_for("the first machine deleted", RESTORE_LIMIT, moving).await?;
-            cluster.cloud.set_link(LOST, Link::Up);
-            Ok(first + cluster.wait_for("services at work", RESTORE_LIMIT, everywhere).await?)
+        ZoneFault::BackInMidMove => {
+            let machines_before = cluster.cloud.machine_count(LOST_ZONE);
+            cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Partitioned);
+            let is_moving = |cluster: &Cluster| cluster.cloud.machine_count(LOST_ZONE) < machines_before;
+            let until_first = cluster.wait_for("the first machine deleted", RESTORE_LIMIT, is_moving).await?;
+            cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Connected);
+            let all_run = |cluster: &Cluster| service_tasks(cluster) >= SERVICE_TASK_COUNT;
+            Ok(until_first + cluster.wait_for("services at work", RESTORE_LIMIT, all_run).await?)
         }
-        ZoneTrouble::FlapsTwice => {
+        ZoneFault::FlapsTwice => {
             let mut slowest = Duration::ZERO;
             for _ in 0..2 {
-                cluster.cloud.set_link(LOST, Link::Cut);
-                slowest = slowest.max(cluster.wait_for("services elsewhere", RESTORE_LIMIT, outside).await?);
-                cluster.cloud.set_link(LOST, Link::Up);
-                let returning = |cluster: &Cluster| is_in_condition(cluster, "returning");
-                cluster.wait_for("the zone to return", RETURN_LIMIT, returning).await?;
+                cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Partitioned);
+                slowest = slowest.max(cluster.wait_for("services elsewhere", RESTORE_LIMIT, run_elsewhere).await?);
+                cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Connected);
+                let is_returning = |cluster: &Cluster| is_in_condition(cluster, "returning");
+                cluster.wait_for("the zone to return", RETURN_LIMIT, is_returning).await?;
             }
             Ok(slowest)
         }
     }
 }
 
-/// Whether all shards' views of the lost zone name a condition.
+/// Whether the records of all shards name a condition of the lost zone.
 fn is_in_condition(cluster: &Cluster, condition: &str) -> bool {
-    let keys = cluster.state.keys(&format!("bh/zone/{LOST}/"));
-    let views: Vec<_> = keys.iter().filter_map(|key| cluster.state.get(key)).collect();
-    !views.is_empty() && views.iter().all(|view| view["c"] == condition)
+    let keys = cluster.store.keys(&format!("bh/zone/{LOST_ZONE}/"));
+    let records: Vec<_> = keys.iter().filter_map(|key| cluster.store.get(key)).collect();
+    !records.is_empty() && records.iter().all(|record| record["c"] == condition)
 }
 
-/// The zone returns, with work waiting that is bound to it.
-async fn watch_return(
+/// Lets the zone return, with work waiting that may run only there; counts of tasks in the zone meanwhile.
+async fn observe_return(
     cluster: &mut Cluster,
-    users: &mut Users,
-    trouble: ZoneTrouble,
+    users: &mut SimulatedUsers,
+    fault: ZoneFault,
 ) -> Result<Vec<usize>, ClusterError> {
-    if trouble == ZoneTrouble::Killed {
-        cluster.revive_zone(LOST)?;
-        users.follow(cluster);
+    if fault == ZoneFault::Killed {
+        cluster.restore_zone(LOST_ZONE)?;
+        users.update_targets(cluster);
     }
-    let bound = JobSpec { zone: Some(LOST.into()), estimated_runtime_s: 1.5, ..spec(JobKind::Array, "invoices", 16) };
-    users.submit(cluster, "wk-invoice-quay", bound).await;
+    let bound_to_zone =
+        JobSpec { zone: Some(LOST_ZONE.into()), estimated_runtime_s: 1.5, ..spec(JobKind::Array, "invoices", 16) };
+    users.submit(cluster, ZONE_BOUND_JOB, bound_to_zone).await;
     let mut in_zone = Vec::new();
-    let mut next = tokio::time::Instant::now();
-    let done = |users: &Users| users.status("wk-invoice-quay").is_some_and(|status| status == "done");
+    let mut next_sample_at = tokio::time::Instant::now();
     cluster
         .wait_for("the work bound to the zone", END_LIMIT, |cluster| {
-            if tokio::time::Instant::now() >= next {
-                next += Duration::from_millis(500);
-                in_zone.push(cluster.cloud.at_work().iter().filter(|(_, zone)| zone == LOST).count());
+            if tokio::time::Instant::now() >= next_sample_at {
+                next_sample_at += SAMPLE_INTERVAL;
+                let running = cluster.cloud.running_tasks();
+                in_zone.push(running.iter().filter(|running| running.zone == LOST_ZONE).count());
             }
-            done(users)
+            users.status(ZONE_BOUND_JOB).is_some_and(|status| status == "done")
         })
         .await?;
     Ok(in_zone)
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,11 +1,11 @@
-//! Soak: users submit, ask and call off jobs at all controllers while troubles meet, drawn from a seed. What workers,
-//! users and the services saw is checked; a run that breaks a rule keeps its logs and names its seed and plan.
+//! Soak runs: users submit, poll and cancel jobs at all controllers while faults overlap, drawn from a seed. What
+//! agents, users and the services saw is checked; a run that breaks a rule keeps its logs, and names its seed and plan.
 
-use crate::cluster::{Cluster, ClusterError, ClusterPlan};
-use crate::history::{Cancellations, Event, Timed, cancellations, violations};
+use crate::cluster::{Cluster, ClusterConfig, ClusterError};
+use crate::faults::{FaultPhase, PlannedFault, apply_fault};
+use crate::history::{CancellationSummary, Event, TimedEvent, summarize_cancellations, violations};
 use crate::scenarios::spec;
-use crate::troubles::{Planned, bring_about};
-use crate::users::Users;
+use crate::users::SimulatedUsers;
 use burlhatch::protocol::user::{JobKind, JobSpec};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,200 +14,237 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The workers' times of a run, in the relation of a deployment.
+/// Timing of the agents' protocol in a run, in the proportions of a deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Times {
+pub struct AgentTiming {
     /// Time between heartbeats.
-    pub heartbeat: Duration,
-    /// Lease of a worker.
+    pub heartbeat_interval: Duration,
+    /// Lease of an agent.
     pub lease: Duration,
-    /// Time for a cancellation.
-    pub cancel: Duration,
+    /// How soon tasks of a cancelled job must be gone.
+    pub cancel_limit: Duration,
 }
 
-/// Long leases with rare heartbeats, and short ones with little time for a cancellation; shortened.
-pub const SHAPES: [Times; 2] = [
-    Times {
-        heartbeat: Duration::from_millis(2000),
+/// Long leases with rare heartbeats, and short ones with little time for a cancellation; both shortened.
+pub const TIMING_PROFILES: [AgentTiming; 2] = [
+    AgentTiming {
+        heartbeat_interval: Duration::from_millis(2000),
         lease: Duration::from_millis(9000),
-        cancel: Duration::from_millis(15_000),
+        cancel_limit: Duration::from_millis(15_000),
     },
-    Times {
-        heartbeat: Duration::from_millis(600),
+    AgentTiming {
+        heartbeat_interval: Duration::from_millis(600),
         lease: Duration::from_millis(5000),
-        cancel: Duration::from_millis(14_000),
+        cancel_limit: Duration::from_millis(14_000),
     },
 ];
 
 /// One run.
 #[derive(Clone, Debug)]
-pub struct Soak {
-    /// The built controller.
+pub struct SoakRun {
+    /// Path of the built program.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Folder of settings and logs.
     pub directory: PathBuf,
-    /// From which users and their jobs are drawn.
+    /// Seed from which users' requests and their jobs are drawn.
     pub seed: u64,
-    /// Controllers, 3 or 5.
+    /// Number of controllers, 3 or 5.
     pub controllers: usize,
-    /// Machines up at the start.
+    /// Machines that run at the start.
     pub machines: u32,
-    /// The workers' times.
-    pub times: Times,
-    /// How long troubles go on.
+    /// Timing of the agents' protocol.
+    pub timing: AgentTiming,
+    /// For how long faults are injected and jobs submitted.
     pub span: Duration,
-    /// What goes wrong.
-    pub plan: Vec<Planned>,
+    /// Faults to inject.
+    pub plan: Vec<PlannedFault>,
 }
 
 /// What a run showed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Findings {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Rules that were broken.
     pub violations: Vec<String>,
-    /// Cancellations that users were told.
+    /// Jobs that a user was told to be cancelled.
     pub cancelled: usize,
-    /// Tasks that came to their machines after that, and the longest time that any stayed.
+    /// Tasks of such jobs that started after that.
     pub begun_after: usize,
-    /// The longest time after the answer until a cancelled task was gone.
+    /// The longest time after that until a task was gone.
     pub longest_ms: u64,
-    /// Tasks that were at work at any time.
+    /// Tasks that started at any time.
     pub begun: usize,
-    /// How often controllers renewed no lease, or asked for a deletion, on account of cancelled tasks.
+    /// How often controllers did not renew an agent's lease on account of cancelled tasks.
     pub withheld: usize,
-    /// The same for deletions.
+    /// How often they requested the deletion of machines on their account.
     pub deletions: usize,
-    /// Processes that ended by themselves.
+    /// Controllers whose processes ended by themselves.
     pub ended: Vec<String>,
-    /// Seconds that the run took.
+    /// Duration of the run.
     pub seconds: u64,
 }
 
+/// Start of the controllers' log line for an agent's lease that is withheld.
+const LEASE_WITHHELD_LOG: &str = "lease not renewed";
+/// Start of the controllers' log line for machines that are deleted to enforce a cancellation.
+const DELETION_LOG: &str = "deletion asked for";
+
+const INITIAL_JOBS: usize = 6;
 const START_LIMIT: Duration = Duration::from_secs(60);
 const END_LIMIT: Duration = Duration::from_secs(150);
-const STEP: Duration = Duration::from_millis(50);
-const SETTLE: Duration = Duration::from_secs(6);
+const FINAL_CANCEL_LIMIT: Duration = Duration::from_secs(30);
+const CANCEL_LIMIT: Duration = Duration::from_secs(60);
+const STEP_INTERVAL: Duration = Duration::from_millis(50);
+/// Time beyond the cancellation limit until nothing may run any more.
+const SETTLE_TIME: Duration = Duration::from_secs(6);
 
 /// Plays a run and checks what happened.
-pub async fn play(soak: &Soak) -> Result<Findings, ClusterError> {
-    let began = Instant::now();
-    let mut cluster = Cluster::start(cluster_plan(soak)).await?;
-    let mut users = Users::new(&cluster);
-    let mut load = Load { rng: StdRng::seed_from_u64(soak.seed), next: 0 };
-    for _ in 0..6 {
+pub async fn play(run: &SoakRun) -> Result<Findings, ClusterError> {
+    let started_at = Instant::now();
+    let mut cluster = Cluster::start(cluster_config(run)).await?;
+    let mut users = SimulatedUsers::new(&cluster);
+    let mut load = LoadGenerator { rng: StdRng::seed_from_u64(run.seed), last_job: 0 };
+    for _ in 0..INITIAL_JOBS {
         load.submit(&cluster, &mut users).await;
     }
-    cluster.wait_for("work", START_LIMIT, |cluster| !cluster.cloud.at_work().is_empty()).await?;
-    let mut ended = trouble_on(soak, &mut cluster, &mut users, &mut load).await?;
-    let limit = Duration::from_secs(30);
-    for id in users.tasks().keys().cloned().collect::<Vec<_>>() {
-        if users.status(&id).is_none_or(|status| status != "done") {
-            users.ask_to_cancel(&id, limit);
-        }
+    cluster.wait_for("work", START_LIMIT, |cluster| !cluster.cloud.running_tasks().is_empty()).await?;
+    let mut crashed = inject_faults(run, &mut cluster, &mut users, &mut load).await?;
+    let mut violations = finish(run, &cluster, &mut users).await;
+    crashed.extend(cluster.crashed_controllers());
+    let events = cluster.environment.history.events();
+    let cancellations = summarize_cancellations(&events, run.timing.cancel_limit);
+    violations.extend(check_history(&events, &users, &cancellations, &crashed));
+    if !violations.is_empty() {
+        std::fs::write(run.directory.join("timeline.txt"), render_timeline(run, &events))?;
     }
-    let mut found = Vec::new();
-    let ids: Vec<String> = users.tasks().keys().cloned().collect();
-    let is_over = |id: &String| users.status(id).is_some_and(|status| status == "done" || status == "withdrawn");
-    if cluster.wait_for("all jobs over", END_LIMIT, |_| ids.iter().all(is_over)).await.is_err() {
-        let open: Vec<_> = ids.iter().filter(|id| !is_over(id)).map(|id| (id, users.status(id))).collect();
-        found.push(format!("not over when all was quiet: {open:?}"));
+    let logs = read_logs(run);
+    Ok(Findings {
+        seed: run.seed,
+        violations,
+        cancelled: cancellations.cancelled_jobs,
+        begun_after: cancellations.started_after,
+        longest_ms: cancellations.longest_us / 1000,
+        begun: events.iter().filter(|(_, event)| matches!(event, Event::TaskStarted { .. })).count(),
+        withheld: logs.matches(LEASE_WITHHELD_LOG).count(),
+        deletions: logs.matches(DELETION_LOG).count(),
+        ended: crashed,
+        seconds: started_at.elapsed().as_secs(),
+    })
+}
+
+/// Cancels what is not done and waits until nothing is left; the rules that were broken.
+async fn finish(run: &SoakRun, cluster: &Cluster, users: &mut SimulatedUsers) -> Vec<String> {
+    let mut violations = Vec::new();
+    let ids = users.job_ids();
+    for id in &ids {
+        if users.status(id).is_none_or(|status| status != "done") {
+            users.cancel_in_background(id, FINAL_CANCEL_LIMIT);
+        }
     }
-    let nothing = |cluster: &Cluster| cluster.cloud.at_work().is_empty();
-    if cluster.wait_for("nothing at work", soak.times.cancel + SETTLE, nothing).await.is_err() {
-        found.push(format!("still at work: {:?}", cluster.cloud.at_work()));
+    let all_over = |_: &Cluster| ids.iter().all(|id| users.is_over(id));
+    if cluster.wait_for("all jobs over", END_LIMIT, all_over).await.is_err() {
+        let open: Vec<_> = ids.iter().filter(|id| !users.is_over(id)).map(|id| (id, users.status(id))).collect();
+        violations.push(format!("not over when all was quiet: {open:?}"));
     }
-    ended.extend(cluster.ended_by_themselves());
-    let events = cluster.around.history.events();
-    let Cancellations { told, begun_after, longest_us, late } = cancellations(&events, soak.times.cancel);
-    found.extend(violations(&events, users.tasks()));
-    found.extend(late);
-    found.extend(ended.iter().map(|label| format!("{label} ended by itself")));
-    let begun = events.iter().filter(|(_, event)| matches!(event, Event::Begun { .. })).count();
-    let logs = logs_of(soak);
-    if !found.is_empty() {
-        std::fs::write(soak.directory.join("timeline.txt"), timeline(soak, &events))?;
+    let is_idle = |cluster: &Cluster| cluster.cloud.running_tasks().is_empty();
+    if cluster.wait_for("nothing at work", run.timing.cancel_limit + SETTLE_TIME, is_idle).await.is_err() {
+        let running: Vec<String> = cluster.cloud.running_tasks().into_iter().map(|running| running.task).collect();
+        violations.push(format!("still at work: {running:?}"));
     }
-    Ok(Findings {
-        seed: soak.seed,
-        violations: found,
-        cancelled: told,
-        begun_after,
-        longest_ms: longest_us / 1000,
-        begun,
-        withheld: logs.matches("lease not renewed").count(),
-        deletions: logs.matches("deletion asked for").count(),
-        ended,
-        seconds: began.elapsed().as_secs(),
-    })
+    violations
 }
 
-fn cluster_plan(soak: &Soak) -> ClusterPlan {
+fn check_history(
+    events: &[TimedEvent],
+    users: &SimulatedUsers,
+    cancellations: &CancellationSummary,
+    crashed: &[String],
+) -> Vec<String> {
+    let mut found = violations(events, users.task_counts());
+    found.extend(cancellations.late.iter().cloned());
+    found.extend(crashed.iter().map(|label| format!("{label} ended by itself")));
+    found
+}
+
+fn cluster_config(run: &SoakRun) -> ClusterConfig {
     let zone = "shore".to_string();
-    ClusterPlan {
-        program: soak.program.clone(),
-        directory: soak.directory.clone(),
-        sites: vec![zone.clone(); soak.controllers],
+    ClusterConfig {
+        program: run.program.clone(),
+        directory: run.directory.clone(),
+        controller_zones: vec![zone.clone(); run.controllers],
         zones: vec![zone],
-        machines_each: soak.machines,
-        capacity: soak.machines as usize * 3 / 2,
+        machines_per_zone: run.machines,
+        max_machines: run.machines as usize * 3 / 2,
         policy: r#"{"idle_return_ms": 86400000}"#.into(),
-        lease: soak.times.lease,
-        cancel: soak.times.cancel,
-        heartbeat_interval: soak.times.heartbeat,
+        lease: run.timing.lease,
+        cancel_limit: run.timing.cancel_limit,
+        heartbeat_interval: run.timing.heartbeat_interval,
+    }
+}
+
+/// A fault's begin or end.
+struct DueFault {
+    at: Duration,
+    phase: FaultPhase,
+    planned: PlannedFault,
+}
+
+/// Begins and ends of all faults, in order.
+fn schedule(plan: &[PlannedFault]) -> Vec<DueFault> {
+    let mut due = Vec::new();
+    for planned in plan {
+        let begins_at = Duration::from_millis(planned.begins_at_ms);
+        let ends_at = begins_at + Duration::from_millis(planned.duration_ms);
+        due.push(DueFault { at: begins_at, phase: FaultPhase::Begin, planned: *planned });
+        due.push(DueFault { at: ends_at, phase: FaultPhase::End, planned: *planned });
     }
+    due.sort_by_key(|due| due.at);
+    due
 }
 
-/// Brings the plan about while users go on; says which controllers ended by themselves.
-async fn trouble_on(
-    soak: &Soak,
+/// Injects the plan's faults while users go on; the controllers that crashed.
+async fn inject_faults(
+    run: &SoakRun,
     cluster: &mut Cluster,
-    users: &mut Users,
-    load: &mut Load,
+    users: &mut SimulatedUsers,
+    load: &mut LoadGenerator,
 ) -> Result<Vec<String>, ClusterError> {
-    let began = Instant::now();
-    let mut due: Vec<(Duration, bool, Planned)> = Vec::new();
-    for planned in &soak.plan {
-        let begins = Duration::from_millis(planned.at_ms);
-        due.push((begins, true, *planned));
-        due.push((begins + Duration::from_millis(planned.for_ms), false, *planned));
-    }
-    due.sort_by_key(|(at, ..)| *at);
-    let mut due = due.into_iter().peekable();
-    let mut ended = Vec::new();
-    let mut next_job = Duration::ZERO;
-    while due.peek().is_some() || began.elapsed() < soak.span {
-        let now = began.elapsed();
-        while let Some((_, begins, planned)) = due.next_if(|(at, ..)| *at <= now) {
-            ended.extend(cluster.ended_by_themselves());
-            bring_about(cluster, &planned, begins)?;
-            users.follow(cluster);
+    let started_at = Instant::now();
+    let mut due = schedule(&run.plan).into_iter().peekable();
+    let mut crashed = Vec::new();
+    let mut next_request_at = Duration::ZERO;
+    while due.peek().is_some() || started_at.elapsed() < run.span {
+        let now = started_at.elapsed();
+        while let Some(DueFault { phase, planned, .. }) = due.next_if(|due| due.at <= now) {
+            crashed.extend(cluster.crashed_controllers());
+            apply_fault(cluster, &planned, phase)?;
+            users.update_targets(cluster);
         }
-        if now >= next_job && now < soak.span {
-            next_job = now + Duration::from_millis(load.rng.random_range(100..900));
-            load.go_on(cluster, users);
+        if now >= next_request_at && now < run.span {
+            next_request_at = now + Duration::from_millis(load.rng.random_range(100..900));
+            load.submit_or_cancel(cluster, users);
         }
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
     }
-    // Troubles that overlapped may have ended one another's early or late: now all is well.
-    for planned in &soak.plan {
-        bring_about(cluster, planned, false)?;
+    // Faults that overlapped may have ended one another early or late: now all are over.
+    for planned in &run.plan {
+        apply_fault(cluster, planned, FaultPhase::End)?;
     }
-    users.follow(cluster);
-    Ok(ended)
+    users.update_targets(cluster);
+    Ok(crashed)
 }
 
 /// What users do, drawn from the seed.
-struct Load {
+struct LoadGenerator {
     rng: StdRng,
-    next: u32,
+    last_job: u32,
 }
 
-impl Load {
-    fn draw(&mut self) -> (String, JobSpec) {
-        self.next += 1;
-        let id = format!("wk-soak-{:04}", self.next);
+impl LoadGenerator {
+    fn draw_job(&mut self) -> (String, JobSpec) {
+        self.last_job += 1;
+        let id = format!("wk-soak-{:04}", self.last_job);
         let tasks = self.rng.random_range(1..5);
         let spec = match self.rng.random_range(0..3) {
             0 => JobSpec { spread: false, ..spec(JobKind::Service, "auction", tasks.min(2)) },
@@ -217,34 +254,34 @@
         (id, spec)
     }
 
-    async fn submit(&mut self, cluster: &Cluster, users: &mut Users) {
-        let (id, spec) = self.draw();
+    async fn submit(&mut self, cluster: &Cluster, users: &mut SimulatedUsers) {
+        let (id, spec) = self.draw_job();
         users.submit(cluster, &id, spec).await;
     }
 
-    /// A new job, or one called off.
-    fn go_on(&mut self, cluster: &Cluster, users: &mut Users) {
+    /// Submits a new job, or cancels one.
+    fn submit_or_cancel(&mut self, cluster: &Cluster, users: &mut SimulatedUsers) {
         if self.rng.random_range(0..2) == 0 {
-            let (id, spec) = self.draw();
-            return users.ask_to_take(cluster, &id, spec);
+            let (id, spec) = self.draw_job();
+            return users.submit_in_background(cluster, &id, spec);
         }
-        let open = |users: &Users, id: &String| users.status(id).is_some_and(|s| s == "queued" || s == "running");
-        let ids: Vec<String> = users.tasks().keys().filter(|id| open(users, id)).cloned().collect();
-        if !ids.is_empty() {
-            let id = &ids[self.rng.random_range(0..ids.len())];
-            users.ask_to_cancel(id, Duration::from_secs(60));
+        let is_open = |id: &String| users.status(id).is_some_and(|status| status == "queued" || status == "running");
+        let open: Vec<String> = users.job_ids().into_iter().filter(is_open).collect();
+        if !open.is_empty() {
+            let id = &open[self.rng.random_range(0..open.len())];
+            users.cancel_in_background(id, CANCEL_LIMIT);
         }
     }
 }
 
-fn logs_of(soak: &Soak) -> String {
-    let paths = (0..soak.controllers).map(|n| soak.directory.join(format!("node-{n}.log")));
+fn read_logs(run: &SoakRun) -> String {
+    let paths = (0..run.controllers).map(|number| run.directory.join(format!("node-{number}.log")));
     paths.filter_map(|path| std::fs::read_to_string(path).ok()).collect()
 }
 
-/// Plan and events in one order.
-fn timeline(soak: &Soak, events: &[Timed]) -> String {
-    let plan = serde_json::to_string(&soak.plan).unwrap_or_default();
+/// Plan and events in one text.
+fn render_timeline(run: &SoakRun, events: &[TimedEvent]) -> String {
+    let plan = serde_json::to_string(&run.plan).unwrap_or_default();
     let lines = events.iter().map(|(at, event)| format!("{:>10.3} {event:?}\n", *at as f64 / 1e6));
-    std::iter::once(format!("seed {}\nplan {plan}\n", soak.seed)).chain(lines).collect()
+    std::iter::once(format!("seed {}\nplan {plan}\n", run.seed)).chain(lines).collect()
 }
--- /dev/null
+++ b/crates/testbed/src/store/mod.rs
@@ -0,0 +1,175 @@
+//! A stand-in for the store: a key-value store with conditional transactions, leases and watches.
+
+mod data;
+
+use crate::http::{ReceivedRequest, Reply, serve};
+use crate::listener::Server;
+use burlhatch::protocol::decode;
+use burlhatch::protocol::store::{LEASES_PATH, TXN_PATH, Txn};
+use data::{StatusAndBody, StoreData};
+use hyper::Method;
+use serde_json::{Value, json};
+use std::io;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+use tokio::sync::Notify;
+
+const DEFAULT_LEASE_MS: u64 = 1000;
+
+/// Which transactions get no answer and are committed late.
+#[derive(Clone, Copy, Default)]
+struct LateTransactions {
+    /// One in so many; none if it is 0.
+    one_in: u64,
+    delay: Duration,
+}
+
+/// The store, and a handle on it for scenarios.
+#[derive(Clone, Default)]
+pub struct KeyValueStore {
+    late_transactions: Arc<Mutex<LateTransactions>>,
+    transaction_count: Arc<AtomicU64>,
+    data: Arc<Mutex<StoreData>>,
+    changed: Arc<Notify>,
+}
+
+impl KeyValueStore {
+    /// Starts an endpoint for one controller. While the flag is set, it refuses requests.
+    pub(crate) async fn start(&self, is_refusing: Arc<AtomicBool>) -> io::Result<Server> {
+        let store = self.clone();
+        serve(move |request| {
+            let (store, is_refusing) = (store.clone(), is_refusing.clone());
+            async move { if is_refusing.load(Ordering::SeqCst) { unavailable() } else { store.answer(request).await } }
+        })
+        .await
+    }
+
+    /// From now on one in so many transactions gets no answer and is committed after a delay; none if it is 0.
+    pub fn delay_transactions(&self, one_in: u64, delay: Duration) {
+        *self.late_transactions.lock().unwrap_or_else(PoisonError::into_inner) = LateTransactions { one_in, delay };
+    }
+
+    /// The delay of the next transaction, if it is to be late.
+    fn delay_of_next_transaction(&self) -> Option<Duration> {
+        let LateTransactions { one_in, delay } = *self.late_transactions.lock().unwrap_or_else(PoisonError::into_inner);
+        let count = self.transaction_count.fetch_add(1, Ordering::SeqCst);
+        (one_in > 0 && count.is_multiple_of(one_in)).then_some(delay)
+    }
+
+    fn locked(&self) -> MutexGuard<'_, StoreData> {
+        self.data.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Refuses everybody, or serves again; then every lease has its full time.
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        let mut data = self.locked();
+        data.is_unavailable = is_unavailable;
+        data.renew_all_leases();
+    }
+
+    /// The stored value of a key.
+    pub fn get(&self, key: &str) -> Option<Value> {
+        self.locked().get(key)
+    }
+
+    /// All keys with a prefix.
+    pub fn keys(&self, prefix: &str) -> Vec<String> {
+        self.locked().keys(prefix)
+    }
+
+    /// Number of writes committed so far.
+    pub fn write_count(&self) -> u64 {
+        self.locked().write_count
+    }
+
+    async fn answer(&self, request: ReceivedRequest) -> Reply {
+        if !self.expire_leases() {
+            return unavailable();
+        }
+        match (&request.method, request.path.as_str()) {
+            (&Method::POST, TXN_PATH) => self.commit(&request),
+            (&Method::GET, "/store") => {
+                let text = |name: &str| request.query.get(name).map_or("", String::as_str);
+                Some((200, self.locked().page(text("starts"), text("after"), request.number("most") as usize)))
+            }
+            (&Method::GET, "/changes") => {
+                let max_wait = Duration::from_millis(request.number("block_ms"));
+                Some((200, self.watch(request.number("after"), max_wait).await))
+            }
+            (&Method::POST, path) if path.starts_with(LEASES_PATH) => Some(self.lease(path, &request)),
+            _ => Some((404, json!({"ledger": 0}))),
+        }
+    }
+
+    /// Expires leases and wakes watches; false if the store is unavailable, in which case nothing expires.
+    fn expire_leases(&self) -> bool {
+        let mut data = self.locked();
+        if data.is_unavailable {
+            return false;
+        }
+        let revision_before = data.revision;
+        data.expire_leases();
+        if data.revision > revision_before {
+            self.changed.notify_waiters();
+        }
+        true
+    }
+
+    fn commit(&self, request: &ReceivedRequest) -> Reply {
+        let Ok(txn) = decode::<Txn>(&request.body) else { return Some((400, json!({"error": "malformed"}))) };
+        if let Some(delay) = self.delay_of_next_transaction() {
+            let store = self.clone();
+            tokio::spawn(async move {
+                tokio::time::sleep(delay).await;
+                store.commit_late(&txn);
+            });
+            return None;
+        }
+        let reply = self.locked().commit(&txn);
+        self.changed.notify_waiters();
+        Some(reply)
+    }
+
+    /// Commits a transaction whose client has given up.
+    fn commit_late(&self, txn: &Txn) {
+        let mut data = self.locked();
+        if !data.is_unavailable {
+            data.expire_leases();
+            data.commit(txn);
+        }
+        self.changed.notify_waiters();
+    }
+
+    async fn watch(&self, after: u64, max_wait: Duration) -> Value {
+        let deadline = tokio::time::Instant::now() + max_wait;
+        loop {
+            // Registered before the check, so that no change in between is missed.
+            let changed = self.changed.notified();
+            let changes = {
+                let data = self.locked();
+                (data.revision > after).then(|| data.changes(after))
+            };
+            if let Some(changes) = changes {
+                return changes;
+            }
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
+                return self.locked().changes(after);
+            }
+        }
+    }
+
+    fn lease(&self, path: &str, request: &ReceivedRequest) -> StatusAndBody {
+        let lease = path.trim_start_matches(LEASES_PATH).trim_matches('/').trim_end_matches("/touch").parse::<u64>();
+        if let Ok(lease) = lease {
+            return self.locked().keep_alive(lease);
+        }
+        let body: Value = decode(&request.body).unwrap_or(Value::Null);
+        let ttl_ms = body["life_ms"].as_u64().unwrap_or(DEFAULT_LEASE_MS);
+        self.locked().grant_lease(Duration::from_millis(ttl_ms))
+    }
+}
+
+fn unavailable() -> Reply {
+    Some((503, json!({"error": "trouble"})))
+}
--- a/crates/testbed/src/users.rs
+++ b/crates/testbed/src/users.rs
@@ -1,12 +1,12 @@
-//! Users: they submit jobs, ask about them again and again at all controllers, and call some off.
+//! Simulated users: they submit jobs, poll their status at all controllers, and cancel some.
 
 use crate::cluster::Cluster;
 use crate::history::{Event, History};
-use burlhatch::protocol::user::JobSpec;
+use burlhatch::protocol::user::{ABORT_SUFFIX, JOB_PATH_PREFIX, JOBS_PATH, JobSpec};
 use burlhatch::protocol::{decode, encode};
-use burlhatch::transport::client::Client;
+use burlhatch::transport::client::{Client, HttpResponse};
 use burlhatch::types::JobId;
-use hyper::Method;
+use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,154 +14,169 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-const CALL_LIMIT: Duration = Duration::from_secs(5);
-const RETRY: Duration = Duration::from_millis(300);
-const TRIES: usize = 200;
-/// One question every so often.
-const ASK_EVERY: Duration = Duration::from_millis(40);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const MAX_ATTEMPTS: usize = 200;
+/// For how long a submission in the background is retried.
+const SUBMISSION_LIMIT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
+const POLL_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The users of one cluster.
+pub struct SimulatedUsers {
+    context: UserContext,
+    /// Number of tasks of each submitted job.
+    task_counts: BTreeMap<String, u32>,
+    background_tasks: JoinSet<()>,
+}
 
-/// The users of one cluster, with the last status that each job was told to have.
-pub struct Users {
+/// What all users share.
+#[derive(Clone)]
+struct UserContext {
     client: Client,
-    jobs: BTreeMap<String, u32>,
-    told: Arc<Mutex<BTreeMap<String, String>>>,
-    /// Where they ask.
+    /// The last status of each job that a user received.
+    statuses: Arc<Mutex<BTreeMap<String, String>>>,
+    /// Public addresses of the controllers that run.
     targets: Arc<Mutex<Vec<SocketAddr>>>,
     history: History,
-    asking: JoinSet<()>,
 }
 
-impl Users {
-    /// Users who ask about every job that they have submitted.
-    pub fn new(cluster: &Cluster) -> Users {
-        let told: Arc<Mutex<BTreeMap<String, String>>> = Arc::default();
-        let targets = Arc::new(Mutex::new(cluster.addresses()));
-        let history = cluster.around.history.clone();
-        let mut asking = JoinSet::new();
-        asking.spawn(ask_on(told.clone(), targets.clone(), history.clone()));
-        Users { client: Client::default(), jobs: BTreeMap::new(), told, targets, history, asking }
+impl SimulatedUsers {
+    /// Users who poll the status of every job that they have submitted.
+    pub fn new(cluster: &Cluster) -> SimulatedUsers {
+        let context = UserContext {
+            client: Client::default(),
+            statuses: Arc::default(),
+            targets: Arc::new(Mutex::new(cluster.addresses())),
+            history: cluster.environment.history.clone(),
+        };
+        let mut background_tasks = JoinSet::new();
+        background_tasks.spawn(context.clone().poll_statuses());
+        SimulatedUsers { context, task_counts: BTreeMap::new(), background_tasks }
     }
 
     /// Controllers have come or gone: users are sent to those that run.
-    pub fn follow(&self, cluster: &Cluster) {
-        *self.targets.lock().unwrap_or_else(PoisonError::into_inner) = cluster.addresses();
+    pub fn update_targets(&self, cluster: &Cluster) {
+        *self.context.targets.lock().unwrap_or_else(PoisonError::into_inner) = cluster.addresses();
     }
 
-    /// Submits a job and repeats that until it is accepted; says whether it was in time.
+    /// Submits a job, again and again until it is accepted; whether it was.
     pub async fn submit(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) -> bool {
-        let body = self.upload(cluster, id, spec);
-        self.repeat("/api/jobs", &body, id).await
+        let body = self.register(cluster, id, spec);
+        self.context.post_until_accepted(JOBS_PATH, &body, id).await
     }
 
-    /// Uploads a job's description to where workers find it; returns the body of its submission.
-    fn upload(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) -> Vec<u8> {
-        let mut body = serde_json::to_value(&spec).unwrap_or(Value::Null);
-        body["id"] = json!(id);
-        self.jobs.insert(id.to_string(), spec.tasks);
-        cluster.around.jobs.lock().unwrap_or_else(PoisonError::into_inner).insert(JobId::new(id), spec);
-        encode(&body)
+    /// Cancels a job, again and again until that is confirmed; whether it was.
+    pub async fn cancel(&self, id: &str) -> bool {
+        self.context.post_until_accepted(&abort_path(id), &encode(&Value::Null), id).await
     }
 
-    /// Calls a job off and repeats that until it is confirmed.
-    pub async fn cancel(&self, id: &str) -> bool {
-        self.repeat(&format!("/api/jobs/{id}/abort"), &encode(&Value::Null), id).await
+    /// Submits a job without waiting for the response.
+    pub fn submit_in_background(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) {
+        let body = self.register(cluster, id, spec);
+        self.post_in_background(JOBS_PATH.into(), body, id, SUBMISSION_LIMIT);
     }
 
-    /// Submits a job without waiting for the answer.
-    pub fn ask_to_take(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) {
-        let body = self.upload(cluster, id, spec);
-        self.repeat_aside("/api/jobs".into(), body, id, Duration::from_secs(60));
+    /// Cancels a job without waiting for the response; retries for so long.
+    pub fn cancel_in_background(&mut self, id: &str, limit: Duration) {
+        self.post_in_background(abort_path(id), encode(&Value::Null), id, limit);
     }
 
-    /// Calls a job off without waiting for the answer, and repeats that for so long.
-    pub fn ask_to_cancel(&mut self, id: &str, patience: Duration) {
-        self.repeat_aside(format!("/api/jobs/{id}/abort"), encode(&Value::Null), id, patience);
+    /// The last status of a job that a user received.
+    pub fn status(&self, id: &str) -> Option<String> {
+        self.context.statuses.lock().unwrap_or_else(PoisonError::into_inner).get(id).cloned()
     }
 
-    fn repeat_aside(&mut self, path: String, body: Vec<u8>, id: &str, patience: Duration) {
-        let (asker, id) = (self.asker(), id.to_string());
-        while self.asking.try_join_next().is_some() {}
-        self.asking.spawn(async move {
-            let _ = tokio::time::timeout(patience, asker.repeat(&path, &body, &id)).await;
-        });
+    /// Whether a user was told that a job is done or cancelled.
+    pub fn is_over(&self, id: &str) -> bool {
+        self.status(id).is_some_and(|status| status == "done" || status == "withdrawn")
     }
 
-    fn asker(&self) -> Asker {
-        Asker {
-            client: self.client.clone(),
-            told: self.told.clone(),
-            targets: self.targets.clone(),
-            history: self.history.clone(),
-        }
+    /// Number of tasks of each submitted job.
+    pub fn task_counts(&self) -> &BTreeMap<String, u32> {
+        &self.task_counts
     }
 
-    async fn repeat(&self, path: &str, body: &[u8], id: &str) -> bool {
-        self.asker().repeat(path, body, id).await
+    /// Ids of all submitted jobs.
+    pub fn job_ids(&self) -> Vec<String> {
+        self.task_counts.keys().cloned().collect()
     }
 
-    /// The last status that was told of a job.
-    pub fn status(&self, id: &str) -> Option<String> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner).get(id).cloned()
+    /// Makes a job's description known to agents; the body of its submission.
+    fn register(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) -> Vec<u8> {
+        let mut body = serde_json::to_value(&spec).unwrap_or(Value::Null);
+        body["id"] = json!(id);
+        self.task_counts.insert(id.to_string(), spec.tasks);
+        cluster.environment.jobs.lock().unwrap_or_else(PoisonError::into_inner).insert(JobId::new(id), spec);
+        encode(&body)
     }
 
-    /// Tasks of each job.
-    pub fn tasks(&self) -> &BTreeMap<String, u32> {
-        &self.jobs
+    fn post_in_background(&mut self, path: String, body: Vec<u8>, id: &str, limit: Duration) {
+        let (context, id) = (self.context.clone(), id.to_string());
+        while self.background_tasks.try_join_next().is_some() {}
+        self.background_tasks.spawn(async move {
+            // A request that is not accepted in time is given up.
+            let _ = tokio::time::timeout(limit, context.post_until_accepted(&path, &body, &id)).await;
+        });
     }
 }
 
-/// One user who repeats a request until it is answered.
-struct Asker {
-    client: Client,
-    told: Arc<Mutex<BTreeMap<String, String>>>,
-    targets: Arc<Mutex<Vec<SocketAddr>>>,
-    history: History,
+fn abort_path(id: &str) -> String {
+    format!("{JOB_PATH_PREFIX}{id}{ABORT_SUFFIX}")
 }
 
-impl Asker {
-    async fn repeat(&self, path: &str, body: &[u8], id: &str) -> bool {
-        for n in 0..TRIES {
-            let targets = self.targets.lock().unwrap_or_else(PoisonError::into_inner).clone();
-            if let Some(target) = targets.get(n % targets.len().max(1)) {
+impl UserContext {
+    fn targets(&self) -> Vec<SocketAddr> {
+        self.targets.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    }
+
+    /// Sends a request to one controller after the other until it is accepted; whether it was.
+    async fn post_until_accepted(&self, path: &str, body: &[u8], id: &str) -> bool {
+        for attempt in 0..MAX_ATTEMPTS {
+            let targets = self.targets();
+            if let Some(target) = targets.get(attempt % targets.len().max(1)) {
                 let asked_us = self.history.now_us();
-                if let Ok(answer) = self.client.call(*target, Method::POST, path, body.to_vec(), CALL_LIMIT).await
-                    && matches!(answer.status.as_u16(), 200 | 201)
+                if let Ok(response) = self.client.call(*target, Method::POST, path, body.to_vec(), CALL_TIMEOUT).await
+                    && matches!(response.status, StatusCode::OK | StatusCode::CREATED)
                 {
-                    note(&self.told, &self.history, id, 200, &answer.body, asked_us);
+                    self.record_status(id, &response, asked_us);
                     return true;
                 }
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         false
     }
-}
 
-fn note(told: &Mutex<BTreeMap<String, String>>, history: &History, id: &str, status: u16, body: &[u8], asked_us: u64) {
-    let body: Value = decode(body).unwrap_or(Value::Null);
-    let status = if status == 404 { Some("unknown") } else { body["status"].as_str() };
-    let Some(status) = status else { return };
-    history.add(Event::Told { job: id.to_string(), status: status.to_string(), asked_us });
-    told.lock().unwrap_or_else(PoisonError::into_inner).insert(id.to_string(), status.to_string());
-}
-
-async fn ask_on(told: Arc<Mutex<BTreeMap<String, String>>>, targets: Arc<Mutex<Vec<SocketAddr>>>, history: History) {
-    let client = Client::default();
-    for n in 0.. {
-        tokio::time::sleep(ASK_EVERY).await;
-        let ids: Vec<String> = told.lock().unwrap_or_else(PoisonError::into_inner).keys().cloned().collect();
-        let targets = targets.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if ids.is_empty() || targets.is_empty() {
-            continue;
-        }
-        let (id, target) = (&ids[n % ids.len()], targets[n % targets.len()]);
-        let asked_us = history.now_us();
-        let path = format!("/api/jobs/{id}");
-        let call = client.call(target, Method::GET, &path, Vec::new(), Duration::from_secs(2));
-        if let Ok(answer) = call.await
-            && matches!(answer.status.as_u16(), 200 | 404)
-        {
-            note(&told, &history, id, answer.status.as_u16(), &answer.body, asked_us);
+    /// Polls one job after the other at one controller after the other.
+    async fn poll_statuses(self) {
+        let client = Client::default();
+        for n in 0.. {
+            tokio::time::sleep(POLL_INTERVAL).await;
+            let ids: Vec<String> =
+                self.statuses.lock().unwrap_or_else(PoisonError::into_inner).keys().cloned().collect();
+            let targets = self.targets();
+            if ids.is_empty() || targets.is_empty() {
+                continue;
+            }
+            let (id, target) = (&ids[n % ids.len()], targets[n % targets.len()]);
+            let asked_us = self.history.now_us();
+            let path = format!("{JOB_PATH_PREFIX}{id}");
+            if let Ok(response) = client.call(target, Method::GET, &path, Vec::new(), POLL_TIMEOUT).await
+                && matches!(response.status, StatusCode::OK | StatusCode::NOT_FOUND)
+            {
+                self.record_status(id, &response, asked_us);
+            }
         }
     }
+
+    fn record_status(&self, id: &str, response: &HttpResponse, asked_us: u64) {
+        let body: Value = decode(&response.body).unwrap_or(Value::Null);
+        let is_unknown = response.status == StatusCode::NOT_FOUND;
+        let status = if is_unknown { Some("unknown") } else { body["status"].as_str() };
+        let Some(status) = status else { return };
+        self.history.add(Event::StatusReceived { job: id.to_string(), status: status.to_string(), asked_us });
+        let mut statuses = self.statuses.lock().unwrap_or_else(PoisonError::into_inner);
+        statuses.insert(id.to_string(), status.to_string());
+    }
 }
--- a/crates/testbed/tests/checks.rs
+++ b/crates/testbed/tests/checks.rs
@@ -1,25 +1,25 @@
 //! The history checker finds each broken rule, and reports count what they were given.
 
-use burlhatch_testbed::history::{Cancellations, Event, Timed, cancellations, violations};
+use burlhatch_testbed::faults::{PlannedFault, draw_plan};
+use burlhatch_testbed::history::{CancellationSummary, Event, TimedEvent, summarize_cancellations, violations};
 use burlhatch_testbed::report::{ReportError, Sample, distributions, html, read_samples};
-use burlhatch_testbed::troubles::{Planned, draw};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 fn begun(machine: &str, task: &str) -> Event {
-    Event::Begun { machine: machine.into(), task: task.into() }
+    Event::TaskStarted { machine: machine.into(), task: task.into() }
 }
 
 fn left(machine: &str, task: &str, done: bool) -> Event {
-    Event::Left { machine: machine.into(), task: task.into(), done }
+    Event::TaskLeft { machine: machine.into(), task: task.into(), done }
 }
 
 fn told(status: &str, asked_us: u64) -> Event {
-    Event::Told { job: "wk-1".into(), status: status.into(), asked_us }
+    Event::StatusReceived { job: "wk-1".into(), status: status.into(), asked_us }
 }
 
 fn found(events: Vec<Event>) -> Vec<String> {
-    let timed: Vec<Timed> = events.into_iter().enumerate().map(|(i, event)| (i as u64 * 10, event)).collect();
+    let timed: Vec<TimedEvent> = events.into_iter().enumerate().map(|(i, event)| (i as u64 * 10, event)).collect();
     violations(&timed, &BTreeMap::from([("wk-1".to_string(), 1)]))
 }
 
@@ -56,41 +56,47 @@
 }
 
 /// One task of a cancelled job: how long after the answer it came to its machine, and how long it stayed.
-fn cancelled_task(told_us: u64, begun_us: u64, left_us: Option<u64>, end_us: u64) -> Cancellations {
+fn cancelled_task(told_us: u64, begun_us: u64, left_us: Option<u64>, end_us: u64) -> CancellationSummary {
     let mut events = vec![(told_us, told("withdrawn", 0)), (begun_us, begun("m-1", "wk-1/0"))];
     events.extend(left_us.map(|at| (at, left("m-1", "wk-1/0", false))));
     events.push((end_us, told("withdrawn", 0)));
     events.sort_by_key(|(at, _)| *at);
-    cancellations(&events, Duration::from_micros(100))
+    summarize_cancellations(&events, Duration::from_micros(100))
 }
 
 #[test]
 fn cancelled_tasks_that_run_on_or_begin_late_are_found() {
     let in_time = cancelled_task(50, 10, Some(150), 900);
-    assert_eq!((in_time.late.len(), in_time.longest_us, in_time.begun_after), (0, 100, 0), "{in_time:?}");
+    assert_eq!((in_time.late.len(), in_time.longest_us, in_time.started_after), (0, 100, 0), "{in_time:?}");
     // Its command was on its way when the user was told.
     let in_flight = cancelled_task(50, 60, Some(120), 900);
-    assert_eq!((in_flight.late.len(), in_flight.begun_after), (0, 1), "{in_flight:?}");
+    assert_eq!((in_flight.late.len(), in_flight.started_after), (0, 1), "{in_flight:?}");
     assert_eq!(cancelled_task(50, 10, Some(151), 900).late.len(), 1, "it stays too long");
     assert_eq!(cancelled_task(50, 10, None, 900).late.len(), 1, "it never leaves");
     assert_eq!(cancelled_task(50, 10, None, 140).late.len(), 0, "it has time left");
     let late = cancelled_task(50, 200, Some(210), 900);
-    assert_eq!((late.late.len(), late.begun_after), (2, 1), "it begins too late, and is there too late");
+    assert_eq!((late.late.len(), late.started_after), (2, 1), "it begins too late, and is there too late");
 }
 
 /// The same seed draws the same troubles, which meet.
 #[test]
 fn plans_of_troubles_repeat_and_overlap() {
-    let plan_of = |seed| draw(seed, Duration::from_secs(45), Duration::from_secs(5), Duration::from_secs(14));
+    let plan_of = |seed| draw_plan(seed, Duration::from_secs(45), Duration::from_secs(5), Duration::from_secs(14));
     assert_eq!(plan_of(7), plan_of(7));
     for seed in 0..50 {
         let plan = plan_of(seed);
         let meets = plan.iter().any(|one| {
-            plan.iter().any(|other| one != other && other.at_ms >= one.at_ms && other.at_ms < one.at_ms + one.for_ms)
+            plan.iter().any(|other| {
+                let starts_within =
+                    other.begins_at_ms >= one.begins_at_ms && other.begins_at_ms < one.begins_at_ms + one.duration_ms;
+                one != other && starts_within
+            })
         });
         assert!(meets, "{seed}: {plan:?}");
     }
-    assert!(serde_json::from_str::<Vec<Planned>>(r#"[{"at_ms": 1, "for_ms": 2, "trouble": "unheard_of"}]"#).is_err());
+    assert!(
+        serde_json::from_str::<Vec<PlannedFault>>(r#"[{"at_ms": 1, "for_ms": 2, "trouble": "unheard_of"}]"#).is_err()
+    );
 }
 
 fn sample(variant: &str, seed: u64, value: Option<u64>) -> Sample {
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -6,7 +6,7 @@
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::transport::client::{CallError, Client, HttpResponse};
 use burlhatch::transport::daemon;
-use burlhatch_testbed::http::free_address;
+use burlhatch_testbed::listener::free_address;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/tests/soak_loopback.rs
+++ b/tests/soak_loopback.rs
@@ -1,8 +1,8 @@
 //! Cancellations under troubles that meet, with controllers as real processes on loopback; a short form.
 //! Long runs by hand: `cargo run -p burlhatch-testbed -- soak --count 50 --at-once 4`.
 
-use burlhatch_testbed::soak::{SHAPES, Soak, play};
-use burlhatch_testbed::troubles::draw;
+use burlhatch_testbed::faults::draw_plan;
+use burlhatch_testbed::soak::{SoakRun, TIMING_PROFILES, play};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 /// or known in the end. One seed with three controllers and short leases, one with five and longer ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelled_tasks_end_while_troubles_meet() {
-    for (seed, controllers, times) in [(11, 5, SHAPES[0]), (12, 3, SHAPES[1])] {
+    for (seed, controllers, timing) in [(11, 5, TIMING_PROFILES[0]), (12, 3, TIMING_PROFILES[1])] {
         let name = format!("soak-{seed}-{}", std::process::id());
-        let soak = Soak {
+        let soak = SoakRun {
             program: PathBuf::from(env!("CARGO_BIN_EXE_burlhatch")),
             directory: Path::new(env!("CARGO_TARGET_TMPDIR")).join(name),
             seed,
             controllers,
             machines: 8,
-            times,
+            timing,
             span: SPAN,
-            plan: draw(seed, SPAN, times.lease, times.cancel),
+            plan: draw_plan(seed, SPAN, timing.lease, timing.cancel_limit),
         };
         let findings = play(&soak).await.unwrap_or_else(|e| panic!("seed {seed}: {e}; {}", soak.directory.display()));
         assert!(findings.violations.is_empty(), "{findings:#?}\n{:?}\n{}", soak.plan, soak.directory.display());
--- a/tests/zones_loopback.rs
+++ b/tests/zones_loopback.rs
@@ -1,7 +1,7 @@
 //! Three zones on loopback with five controllers as real processes: a zone is lost in the morning's load and comes back.
 //! Longer runs by hand: `cargo run -p burlhatch-testbed -- zone --trouble killed --times 10`.
 
-use burlhatch_testbed::scenarios::{Findings, RESTORE_LIMIT, ZoneTrouble, plan, play};
+use burlhatch_testbed::scenarios::{Findings, RESTORE_LIMIT, ZoneFault, cluster_config, play};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -16,9 +16,9 @@
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()))
 }
 
-async fn played(name: &str, trouble: ZoneTrouble) -> Findings {
+async fn played(name: &str, fault: ZoneFault) -> Findings {
     let directory = directory(name);
-    let findings = play(plan(program(), directory.clone(), JUDGING_ZONES), trouble).await;
+    let findings = play(cluster_config(program(), directory.clone(), JUDGING_ZONES), fault).await;
     let findings = findings.unwrap_or_else(|e| panic!("{name}: {e}; logs are in {}", directory.display()));
     assert!(findings.violations.is_empty(), "{name}: {:#?}", findings.violations);
     assert!(findings.restored_ms <= RESTORE_LIMIT.as_millis() as u64, "{name}: {} ms", findings.restored_ms);
@@ -30,20 +30,20 @@
 /// within 30 s, the invoices go on later, and work bound to the zone comes back with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn bidding_answers_again_within_thirty_seconds_of_a_zones_loss() {
-    let findings = played("killed", ZoneTrouble::Killed).await;
+    let findings = played("killed", ZoneFault::Killed).await;
     assert!(findings.in_zone.iter().any(|count| *count > 0), "nothing came back: {:?}", findings.in_zone);
 }
 
 /// The zone is heard again when the first of its machines have been deleted: nothing runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_that_is_back_in_the_middle_of_the_move_runs_nothing_twice() {
-    played("mid-move", ZoneTrouble::BackInMidMove).await;
+    played("mid-move", ZoneFault::BackInMidMove).await;
 }
 
 /// The zone is cut off twice within a minute.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_flaps_within_a_minute_run_nothing_twice() {
-    played("flaps", ZoneTrouble::FlapsTwice).await;
+    played("flaps", ZoneFault::FlapsTwice).await;
 }
 
 /// What operators type wrong is named, with exit code 2.
