--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -5,8 +5,8 @@
 //! watch has shown it the key: then its replica also has every start recorded before.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{ProposedTxn, Purpose};
-use crate::storage::schema::{Key, NodeRecord, Role, RoleRecord, to_value};
+use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
+use crate::storage::schema::{ControllerRecord, Key, Role, RoleRecord, to_value};
 use crate::types::{FencingToken, Micros};
 use std::collections::BTreeMap;
 
@@ -25,7 +25,7 @@
     /// A transaction that acquires, renews or releases a role is in flight.
     is_role_write_in_flight: bool,
     /// A transaction that writes this controller's own entry is in flight.
-    is_node_write_in_flight: bool,
+    is_own_record_write_in_flight: bool,
     retry_at: Micros,
 }
 
@@ -56,7 +56,7 @@
     /// Keeps this controller's entry up to date, takes over roles without a holder, and releases shards that others
     /// should have. One transaction about a role at a time.
     pub(crate) fn tick_leases(&mut self) {
-        if !self.store.sync.done {
+        if !self.store.is_synced() {
             return;
         }
         let Some(session) = self.control.session.lease() else { return };
@@ -64,7 +64,7 @@
         if self.now() < self.control.leases.retry_at {
             return;
         }
-        self.write_node_record(session);
+        self.write_own_record(session);
         if self.control.leases.is_role_write_in_flight {
             return;
         }
@@ -74,7 +74,7 @@
         }
         for role in self.all_roles() {
             if self.should_acquire(role) {
-                let next_token = FencingToken(self.store.replica.latest_fencing_token().0 + 1);
+                let next_token = self.store.replica.next_fencing_token();
                 self.acquire_role(role, session, next_token);
                 return;
             }
@@ -83,20 +83,20 @@
     }
 
     /// Writes this controller's own entry if it differs from the stored one.
-    fn write_node_record(&mut self, session: u64) {
-        let record = NodeRecord {
+    fn write_own_record(&mut self, session: u64) {
+        let record = ControllerRecord {
             incarnation: self.incarnation,
             is_isolated: self.control.isolation.is_isolated(),
             version: self.record_version(),
         };
-        let stored = self.store.replica.nodes.get(&self.label).map(|node| &node.value);
-        if stored == Some(&record) || self.control.leases.is_node_write_in_flight {
+        let stored = self.store.replica.controllers.get(&self.label).map(|stored| &stored.value);
+        if stored == Some(&record) || self.control.leases.is_own_record_write_in_flight {
             return;
         }
-        self.control.leases.is_node_write_in_flight = true;
+        self.control.leases.is_own_record_write_in_flight = true;
         let mut txn = ProposedTxn::default();
-        txn.put_bound(Key::Node(self.label.clone()), to_value(&record), session);
-        self.submit_txn(txn, Purpose::Node);
+        txn.put_bound(Key::Controller(self.label.clone()), to_value(&record), session);
+        self.submit_txn(txn, TxnPurpose::ControllerRecord);
     }
 
     fn all_roles(&self) -> Vec<Role> {
@@ -108,7 +108,7 @@
         if let Some(record) = self.store.replica.roles.get(&role) {
             self.control.leases.vacant_since.remove(&role);
             // An earlier process under our label, which has certainly ended.
-            return record.value.owner == self.label && record.value.incarnation != self.incarnation;
+            return record.value.holder == self.label && record.value.incarnation != self.incarnation;
         }
         self.is_failover_due(role)
     }
@@ -121,7 +121,8 @@
         let rank = u64::from(self.failover_rank(role));
         // When all begin at once, some have read the stored records a moment before the others: a shard taken from one
         // of these would be given back, and all its machines asked anew twice.
-        let is_settling = now.since(self.store.synced_at) < Micros::from_millis(self.policy.settle_ms);
+        let settle_span = Micros::from_millis(self.policy.settle_ms);
+        let is_settling = self.store.time_since_sync(now).is_some_and(|elapsed| elapsed < settle_span);
         if is_settling && rank > 0 {
             return false;
         }
@@ -154,7 +155,7 @@
     /// Writes this controller down as a role's holder under a new fencing token.
     fn acquire_role(&mut self, role: Role, session: u64, fencing_token: FencingToken) {
         let record = RoleRecord {
-            owner: self.label.clone(),
+            holder: self.label.clone(),
             incarnation: self.incarnation,
             fencing_token,
             version: self.record_version(),
@@ -186,12 +187,12 @@
 
     fn submit_role_txn(&mut self, txn: ProposedTxn) {
         self.control.leases.is_role_write_in_flight = true;
-        self.submit_txn(txn, Purpose::Role);
+        self.submit_txn(txn, TxnPurpose::Role);
     }
 
     /// The transaction that writes this controller's own entry has ended.
-    pub(crate) fn node_txn_ended(&mut self, is_committed: bool) {
-        self.control.leases.is_node_write_in_flight = false;
+    pub(crate) fn own_record_txn_ended(&mut self, is_committed: bool) {
+        self.control.leases.is_own_record_write_in_flight = false;
         self.lease_txn_ended(is_committed);
     }
 
@@ -205,13 +206,13 @@
         if !is_committed {
             self.control.leases.retry_at = self.now() + RETRY_PAUSE;
         }
-        self.store.reads.wanted = true;
+        self.store.request_fresh_read();
     }
 
     /// A role's record has changed: this process holds it from now on, no longer, or under another fencing token.
     pub(crate) fn role_changed(&mut self, role: Role) {
         let stored = self.store.replica.roles.get(&role).map(|stored| &stored.value);
-        let own = stored.filter(|record| record.owner == self.label && record.incarnation == self.incarnation);
+        let own = stored.filter(|record| record.holder == self.label && record.incarnation == self.incarnation);
         let (before, after) = (self.role_token(role), own.map(|record| record.fencing_token));
         if after == before {
             return;
@@ -230,7 +231,7 @@
                 revision,
                 "shard lease renewed with new fencing token"
             );
-            return self.shard_renewed(shard);
+            return self.shard_token_renewed(shard);
         }
         tracing::info!(?role, fencing_token = fencing_token.0, revision, "role lease acquired");
         self.notify_role_changed(role);
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -2,7 +2,7 @@
 //! effect any more.
 
 use crate::coordination::Controller;
-use crate::coordination::store_sync::txns::{MachineChange, ProposedTxn, Purpose};
+use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
 use crate::storage::schema::{Key, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 use rand::Rng;
@@ -29,8 +29,8 @@
 }
 
 impl Controller {
-    /// Machines with an in-flight command get a new fencing token once they are heard again: a heartbeat that carries it
-    /// proves the command superseded. A few get one each; for many in one shard it is the shard's, which costs two
+    /// Machines with an in-flight command get a new fencing token once they are heard again: a heartbeat that carries
+    /// it proves the command superseded. A few get one each; for many in one shard it is the shard's, which costs two
     /// writes however many they are.
     pub(crate) fn renew_fencing_tokens(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
@@ -44,7 +44,7 @@
         // All controllers draw from one counter: at random times they rarely conflict.
         let pause = self.rng.random_range(RENEWAL_INTERVAL.0 / 2..RENEWAL_INTERVAL.0 * 3 / 2);
         self.control.next_token_renewal_at = now + Micros(pause);
-        let in_flight = ids.iter().filter_map(|id| self.fleet.machines.get(id)?.unacknowledged);
+        let in_flight = ids.iter().filter_map(|id| self.fleet.machine(id)?.commands.unacknowledged_token());
         let highest = in_flight.max().unwrap_or_default();
         let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0.max(highest.0) + 1);
         if ids.len() > MAX_OWN_TOKENS {
@@ -61,10 +61,14 @@
         let mut by_shard: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in own_machines {
             let fencing_token = self.fencing_token(id).unwrap_or_default();
-            let Some(machine) = self.fleet.machines.get(id) else { continue };
-            let Some(shard) = machine.shard else { continue };
-            let in_doubt = machine.unacknowledged.is_some_and(|d| d >= fencing_token);
-            if in_doubt && !machine.writing && !machine.direct && now.since(machine.heard) < recent {
+            let Some(machine) = self.fleet.machine(id) else { continue };
+            let Some(shard) = machine.ownership.shard() else { continue };
+            let in_doubt = machine.commands.may_execute_under(fencing_token);
+            if in_doubt
+                && !machine.is_record_changing()
+                && !machine.commands.is_in_flight()
+                && machine.contact.silence(now) < recent
+            {
                 by_shard.entry(shard).or_default().push(id.clone());
             }
         }
@@ -83,21 +87,21 @@
             record.fencing_token = fencing_token;
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
             proposal.put(Key::Machine(id.clone()), to_value(&record));
-            if let Some(machine) = self.fleet.machines.get_mut(id) {
-                machine.writing = true;
+            if let Some(machine) = self.fleet.machine_mut(id) {
+                machine.record_change_started();
             }
         }
-        self.submit_txn(proposal, Purpose::Machines(MachineChange::FencingToken, ids));
+        self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::FencingToken, ids));
     }
 
-    /// Agents report exited tasks in every heartbeat until these may be forgotten, which takes a new fencing token. Where
-    /// they make up most of the heartbeats, reading them costs more than the fencing token.
+    /// Agents report exited tasks in every heartbeat until these may be forgotten, which takes a new fencing token.
+    /// Where they make up most of the heartbeats, reading them costs more than the fencing token.
     fn supersede_exited_tasks(&mut self, own_machines: &[MachineId]) {
         let mut by_shard: BTreeMap<u32, ExitedTasks> = BTreeMap::new();
-        for machine in own_machines.iter().filter_map(|id| self.fleet.machines.get(id)) {
-            if let Some(shard) = machine.shard {
+        for machine in own_machines.iter().filter_map(|id| self.fleet.machine(id)) {
+            if let Some(shard) = machine.ownership.shard() {
                 let exited = by_shard.entry(shard).or_default();
-                exited.task_count += machine.kept;
+                exited.task_count += machine.unrecorded.retained_exited_count();
                 exited.machine_count += 1;
             }
         }
@@ -112,6 +116,6 @@
             "shard lease renewed so that agents may forget exited tasks"
         );
         self.control.next_token_renewal_at = self.now() + Micros::from_millis(self.policy.exited_every_ms);
-        self.renew_shard_token(shard, FencingToken(self.store.replica.latest_fencing_token().0 + 1));
+        self.renew_shard_token(shard, self.store.replica.next_fencing_token());
     }
 }
--- a/src/coordination/control/session.rs
+++ b/src/coordination/control/session.rs
@@ -9,8 +9,8 @@
 const RETRY_PAUSE: Micros = Micros::from_millis(200);
 /// The session is renewed this many times within its time to live.
 const RENEWALS_PER_TTL: u64 = 4;
-/// Tenths of the time to live after a renewal in which the session is taken to be certainly valid: the rest makes up for
-/// clocks that run at different speeds.
+/// Tenths of the time to live after a renewal in which the session is taken to be certainly valid: the rest makes up
+/// for clocks that run at different speeds.
 const CERTAIN_TTL_TENTHS: u64 = 9;
 
 /// A call about the session that has not been answered yet.
@@ -77,7 +77,7 @@
         if !self.control.session.is_call_due(now) {
             return;
         }
-        let ticket = self.next_ticket();
+        let ticket = self.store.next_ticket();
         let call = self.control.session.start_call(ticket, now, self.policy.session_ms);
         self.out.push(Effect::Store(call));
     }
@@ -115,14 +115,14 @@
             tracing::info!(?role, cause = "session expired", "role lease lost");
             self.notify_role_changed(role);
         }
-        self.store.reads.wanted = true;
+        self.store.request_fresh_read();
     }
 
     /// Tells the parts that act by a role that it was acquired or lost.
     pub(super) fn notify_role_changed(&mut self, role: Role) {
         match role {
-            Role::Leader => self.leader_changed(),
-            Role::Shard(shard) => self.shard_changed(shard),
+            Role::Leader => self.leadership_changed(),
+            Role::Shard(shard) => self.shard_holder_changed(shard),
         }
     }
 }
--- a/src/transport/daemon/effects.rs
+++ b/src/transport/daemon/effects.rs
@@ -31,9 +31,9 @@
     pub(super) fn execute(&self, effect: Effect, pending: &mut PendingResponses) {
         let services = self.services.clone();
         match effect {
-            Effect::AnswerUser(waiter, answer) => pending.answer_user(waiter, answer),
-            Effect::AnswerWorker(waiter, answer) => pending.answer_agent(waiter, answer),
-            Effect::AnswerPeer(waiter, answer) => pending.answer_peer(waiter, answer),
+            Effect::AnswerUser(request_id, answer) => pending.answer_user(request_id, answer),
+            Effect::AnswerWorker(request_id, answer) => pending.answer_agent(request_id, answer),
+            Effect::AnswerPeer(request_id, answer) => pending.answer_peer(request_id, answer),
             Effect::Peer { call, to, message } => self.spawn(async move {
                 Input::PeerAnswer { call, answer: services.siblings.notify_of_cancellations(&to, &message).await }
             }),
--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -7,7 +7,7 @@
 use crate::protocol::{WireError, encode};
 use crate::settings::Platform;
 use crate::storage::Replica;
-use crate::storage::schema::{Key, ROOT, ZoneHoldRecord, to_value};
+use crate::storage::schema::{Key, ROOT, ZoneCordonRecord, to_value};
 use crate::types::Micros;
 use burlhatch_zones::ZoneRecord;
 use hyper::{Method, StatusCode};
@@ -94,9 +94,9 @@
         let records = self.read_records().await?;
         let mut text = String::new();
         for zone in &self.platform.deployment.zones {
-            let hold = if records.zone_holds.contains_key(zone) { "on hold" } else { "-" };
+            let hold = if records.zone_cordons.contains_key(zone) { "on hold" } else { "-" };
             let views: Vec<String> = records
-                .zones
+                .zone_views
                 .iter()
                 .filter(|((name, _), _)| name == zone)
                 .map(|((_, shard), stored)| describe_view(*shard, stored.value.as_ref()))
@@ -110,8 +110,8 @@
 
     async fn hold(&self, zone: &str, now: Micros) -> Result<String, ZoneAdminError> {
         self.check_zone(zone)?;
-        let key = Key::ZoneHold(zone.to_string()).to_string();
-        let record = to_value(&ZoneHoldRecord { at: now });
+        let key = Key::ZoneCordon(zone.to_string()).to_string();
+        let record = to_value(&ZoneCordonRecord { at: now });
         let write = Write::Put { key: key.clone(), value: record, lease: None };
         // Version 0: an earlier hold keeps its time.
         let txn = Txn { preconditions: vec![Precondition { key, version: 0 }], writes: vec![write] };
@@ -121,7 +121,7 @@
 
     async fn release(&self, zone: &str) -> Result<String, ZoneAdminError> {
         self.check_zone(zone)?;
-        let key = Key::ZoneHold(zone.to_string()).to_string();
+        let key = Key::ZoneCordon(zone.to_string()).to_string();
         let txn = Txn { preconditions: Vec::new(), writes: vec![Write::Delete { key }] };
         self.commit(&txn).await?;
         Ok(format!("{zone} is released\n"))
@@ -175,7 +175,7 @@
 
 fn describe_view(shard: u32, view: Option<&ZoneRecord>) -> String {
     let Some(view) = view else { return format!("share {shard}: unreadable") };
-    let silent = if view.silent { ", silent" } else { "" };
+    let silent = if view.is_unresponsive { ", silent" } else { "" };
     let condition = format!("{:?}", view.condition).to_lowercase();
     format!("share {shard}: {condition}{silent}, penalty {}", view.penalty)
 }
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -6,7 +6,7 @@
 //! job, and answers what the model derives from the records at the revision that its read was answered with.
 
 use super::controller::{ControllerHarness, batch, id, spec};
-use burlhatch::coordination::{Input, ReadOutcome, StoreCall, UserAnswer, UserRequest, Waiter};
+use burlhatch::coordination::{Input, ReadOutcome, RequestId, StoreCall, UserAnswer, UserRequest};
 use burlhatch::protocol::peer::{CancellationNotice, CancelledJob};
 use burlhatch::protocol::store::{Changes, Event, Item, Page};
 use burlhatch::protocol::user::JobState;
@@ -20,7 +20,7 @@
 /// Jobs that a history is about.
 const JOBS: u64 = 8;
 /// Waiters of siblings, apart from users'.
-const SIBLING: Waiter = 1_000_000;
+const SIBLING: RequestId = 1_000_000;
 
 /// What happens next, as far as the records so far allow it.
 #[derive(Clone, Debug)]
@@ -125,7 +125,7 @@
                 let over = |jobs: &BTreeSet<u64>| jobs.iter().all(|job| self.ends.contains_key(job));
                 if let Some(at) = self.batches.iter().position(|(_, jobs)| over(jobs)).filter(|at| at % 8 <= *nth) {
                     let (name, _) = self.batches.remove(at);
-                    self.write(Key::Batch(name), None);
+                    self.write(Key::JobBatch(name), None);
                 }
             }
         }
@@ -146,7 +146,7 @@
         let name = format!("{}", self.revision + 1);
         let of = |depends_on: &[u64]| spec(&depends_on.iter().map(|job| id(*job)).collect::<Vec<_>>());
         let specs: Vec<_> = members.iter().map(|(job, depends_on)| (id(*job), of(depends_on))).collect();
-        self.write(Key::Batch(name.clone()), Some(batch(&specs)));
+        self.write(Key::JobBatch(name.clone()), Some(batch(&specs)));
         self.batches.push((name, members.keys().copied().collect()));
         for (job, depends_on) in members {
             self.depends_on.entry(job).or_insert(depends_on);
@@ -178,7 +178,7 @@
 struct Day {
     history: History,
     controller: ControllerHarness,
-    siblings: Waiter,
+    siblings: RequestId,
 }
 
 impl Day {
@@ -244,14 +244,14 @@
     /// Asks about all jobs, and about one that nobody submitted.
     fn check(&mut self) -> Result<(), TestCaseError> {
         let jobs: Vec<(u64, JobId)> = (0..=JOBS).map(|job| (job, id(job))).collect();
-        let asked: Vec<(u64, Waiter)> =
+        let asked: Vec<(u64, RequestId)> =
             jobs.iter().map(|(job, id)| (*job, self.controller.ask(UserRequest::Get(id.clone())))).collect();
         for _ in 0..10 {
             self.controller.pass(100);
             self.answer_calls(false);
         }
-        for (job, waiter) in asked {
-            let answer = match self.controller.told(waiter) {
+        for (job, request_id) in asked {
+            let answer = match self.controller.told(request_id) {
                 Some(UserAnswer::Status(status)) => Some(status.state),
                 Some(UserAnswer::NotFound) => None,
                 other => return Err(TestCaseError::fail(format!("{job}: {other:?}"))),
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,9 +1,11 @@
 //! The real code against slow, plain models.
 
+use burlhatch::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use burlhatch::coordination::jobs::dependency_graph::{DependencyGraph, Urgency};
-use burlhatch::coordination::jobs::usage::{JobStarts, Phase, Start, Usage};
-use burlhatch::coordination::scheduling::placement::{Candidate, choose};
-use burlhatch::coordination::store_sync::budget::Budget;
+use burlhatch::coordination::jobs::job_attempts::JobAttempts;
+use burlhatch::coordination::jobs::usage::Usage;
+use burlhatch::coordination::scheduling::placement::{PlacementCandidate, choose_candidate};
+use burlhatch::coordination::store_sync::write_budget::WriteBudget;
 use burlhatch::protocol::store::Event;
 use burlhatch::protocol::user::{JobKind, JobSpec, Priority};
 use burlhatch::protocol::worker::ExitCause;
@@ -16,27 +18,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Steps 3 to 5 of the design, word for word, by looking at every pair.
-fn plain_choice(all: &[Candidate], slack: u64, margin: u64) -> Option<usize> {
-    let order = |i: &usize| (all[*i].ready, all[*i].tie, *i);
-    let miss = |c: &Candidate| c.ready.0.saturating_sub(slack);
+fn plain_choice(all: &[PlacementCandidate], slack: u64, margin: u64) -> Option<usize> {
+    let order = |i: &usize| (all[*i].ready_after, all[*i].tie_breaker, *i);
+    let miss = |c: &PlacementCandidate| c.ready_after.0.saturating_sub(slack);
     let meeting: Vec<usize> = (0..all.len()).filter(|i| miss(&all[*i]) == 0).collect();
     if meeting.is_empty() {
         return (0..all.len()).min_by_key(order);
     }
     // A holder wins unless one without the image is earlier by the margin.
-    let beaten = |h: usize| meeting.iter().any(|o| !all[*o].holds && all[*o].ready.0 + margin <= all[h].ready.0);
-    let earliest_holder = meeting.iter().copied().filter(|i| all[*i].holds).min_by_key(order);
+    let beaten =
+        |h: usize| meeting.iter().any(|o| !all[*o].has_image && all[*o].ready_after.0 + margin <= all[h].ready_after.0);
+    let earliest_holder = meeting.iter().copied().filter(|i| all[*i].has_image).min_by_key(order);
     match earliest_holder {
         Some(h) if !beaten(h) => Some(h),
-        _ => meeting.iter().copied().filter(|i| !all[*i].holds).min_by_key(order),
+        _ => meeting.iter().copied().filter(|i| !all[*i].has_image).min_by_key(order),
     }
 }
 
-fn candidate() -> impl Strategy<Value = Candidate> {
-    (0u64..40, any::<bool>(), 0u64..3, 0u64..3).prop_map(|(ready, holds, a, b)| Candidate {
-        ready: Micros(ready),
-        holds,
-        tie: (a, b),
+fn candidate() -> impl Strategy<Value = PlacementCandidate> {
+    (0u64..40, any::<bool>(), 0u64..3, 0u64..3).prop_map(|(ready, has_image, a, b)| PlacementCandidate {
+        ready_after: Micros(ready),
+        has_image,
+        tie_breaker: (a, b),
     })
 }
 
@@ -84,7 +87,7 @@
         slack in 0u64..40,
         margin in 0u64..20,
     ) {
-        prop_assert_eq!(choose(&all, Micros(slack), Micros(margin)), plain_choice(&all, slack, margin));
+        prop_assert_eq!(choose_candidate(&all, Micros(slack), Micros(margin)), plain_choice(&all, slack, margin));
     }
 
     #[test]
@@ -175,27 +178,27 @@
 enum Step {
     Insert(u8, u32, u8, u8),
     Remove(u8, u32),
-    Phase(u8, u32, u8),
+    SetState(u8, u32, u8),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         (0u8..4, 0u32..6, 0u8..3, 0u8..8).prop_map(|(j, t, m, p)| Step::Insert(j, t, m, p)),
         (0u8..4, 0u32..6).prop_map(|(j, t)| Step::Remove(j, t)),
-        (0u8..4, 0u32..6, 0u8..8).prop_map(|(j, t, p)| Step::Phase(j, t, p)),
+        (0u8..4, 0u32..6, 0u8..8).prop_map(|(j, t, p)| Step::SetState(j, t, p)),
     ]
 }
 
-fn phase(p: u8) -> Phase {
+fn state(p: u8) -> AttemptState {
     let all = [
-        Phase::Decided,
-        Phase::Recorded,
-        Phase::Fetching,
-        Phase::Waiting,
-        Phase::Running,
-        Phase::Saving,
-        Phase::Ended(ExitCause::Completed),
-        Phase::Gone,
+        AttemptState::Decided,
+        AttemptState::Recorded,
+        AttemptState::Fetching,
+        AttemptState::Waiting,
+        AttemptState::Running,
+        AttemptState::Checkpointing,
+        AttemptState::Ended(ExitCause::Completed),
+        AttemptState::ProvenAbsent,
     ];
     all[usize::from(p)]
 }
@@ -222,47 +225,47 @@
         let specs: Vec<JobSpec> = (0..4).map(spec).collect();
         let names: Vec<JobId> = (0..4).map(|j| JobId::new(&format!("wk-{j}"))).collect();
         let mut usage = Usage::default();
-        let mut real: Vec<JobStarts> = (0..4).map(|j| JobStarts::new(names[j].clone(), &specs[j])).collect();
-        let mut plain: BTreeMap<(usize, u32), (usize, Phase)> = BTreeMap::new();
+        let mut real: Vec<JobAttempts> = (0..4).map(|j| JobAttempts::new(names[j].clone(), &specs[j])).collect();
+        let mut plain: BTreeMap<(usize, u32), (usize, AttemptState)> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Insert(j, t, m, p) => {
                     let (j, m) = (usize::from(j), usize::from(m));
-                    real[j].insert(t, Start::new(1, machines[m].clone(), 1, phase(p)), &mut usage);
-                    plain.insert((j, t), (m, phase(p)));
+                    real[j].insert(t, TaskAttempt::new(1, machines[m].clone(), 1, state(p)), &mut usage);
+                    plain.insert((j, t), (m, state(p)));
                 }
                 Step::Remove(j, t) => {
                     real[usize::from(j)].remove(t, &mut usage);
                     plain.remove(&(usize::from(j), t));
                 }
-                Step::Phase(j, t, p) => {
-                    real[usize::from(j)].set_phase(t, phase(p), &mut usage);
+                Step::SetState(j, t, p) => {
+                    real[usize::from(j)].set_state(t, state(p), &mut usage);
                     if let Some(at) = plain.get_mut(&(usize::from(j), t)) {
-                        at.1 = phase(p);
+                        at.1 = state(p);
                     }
                 }
             }
-            for (j, usage) in real.iter().enumerate() {
+            for (j, attempts) in real.iter().enumerate() {
                 let own = || plain.iter().filter(|((job, _), _)| *job == j).map(|(_, at)| at.1);
-                prop_assert_eq!(usage.occupying() as usize, own().filter(|p| p.occupies()).count());
-                prop_assert_eq!(usage.settled() as usize, own().filter(|p| !p.occupies()).count());
-                prop_assert_eq!(usage.decided() as usize, own().filter(|p| *p == Phase::Decided).count());
+                prop_assert_eq!(attempts.occupying_count() as usize, own().filter(|p| p.occupies_resources()).count());
+                prop_assert_eq!(attempts.settled_count() as usize, own().filter(|p| !p.occupies_resources()).count());
+                prop_assert_eq!(attempts.decided_count() as usize, own().filter(|p| *p == AttemptState::Decided).count());
             }
             for (m, machine) in machines.iter().enumerate() {
                 let there = || plain.iter().filter(|(_, at)| at.0 == m);
-                let resources = there().filter(|(_, at)| at.1.occupies()).fold(Resources::default(), |sum, ((j, _), _)| {
+                let resources = there().filter(|(_, at)| at.1.occupies_resources()).fold(Resources::default(), |sum, ((j, _), _)| {
                     sum.plus(&specs[*j].resources())
                 });
                 prop_assert_eq!(usage.used_on(machine), resources);
                 prop_assert_eq!(usage.is_empty(machine), there().count() == 0);
-                prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies()));
-                let serves = there().any(|((j, _), at)| at.1.occupies() && specs[*j].kind == JobKind::Service);
-                prop_assert_eq!(usage.serves(machine), serves);
+                prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies_resources()));
+                let serves = there().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == JobKind::Service);
+                prop_assert_eq!(usage.runs_service_on(machine), serves);
                 let starts: Vec<(JobId, u32)> = there().map(|((j, t), _)| (names[*j].clone(), *t)).collect();
-                prop_assert_eq!(usage.starts_on(machine), starts);
+                prop_assert_eq!(usage.attempts_on(machine), starts);
             }
             for team in 0..2 {
-                let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies());
+                let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies_resources());
                 let resources = of_team.fold(Resources::default(), |sum, ((j, _), _)| sum.plus(&specs[*j].resources()));
                 prop_assert_eq!(usage.used_by(&format!("team-{team}")), resources);
             }
@@ -274,7 +277,7 @@
 /// spends much more than its rate.
 #[test]
 fn the_change_budget_slows_down_and_keeps_an_equal_part() {
-    let mut budget = Budget::new(50.0, 50.0, 5, 1.8);
+    let mut budget = WriteBudget::new(50.0, 50.0, 5, 1.8);
     let mut spent = 0;
     for ms in 0..20_000 {
         let now = Micros::from_millis(ms);
@@ -282,7 +285,7 @@
             budget.spend(now, 3);
             spent += 3;
             if ms % 500 < 20 {
-                budget.refused(now);
+                budget.record_refusal(now);
             }
         }
     }
@@ -294,10 +297,10 @@
 /// all that is heard of them.
 #[test]
 fn changes_are_not_plenty_for_a_while_after_a_refusal() {
-    let mut budget = Budget::new(50.0, 50.0, 5, 1.8);
+    let mut budget = WriteBudget::new(50.0, 50.0, 5, 1.8);
     let at = |s: u64| Micros::from_millis(s * 1000);
     assert!(budget.is_idle(at(10)));
-    budget.refused(at(10));
+    budget.record_refusal(at(10));
     assert!(!budget.is_idle(at(15)), "its own burst is full again, but others were short a moment ago");
     assert!(budget.is_idle(at(21)));
     budget.spend(at(21), 15);
@@ -322,10 +325,10 @@
         Key::FencingToken,
         Key::Role(Role::Leader),
         Key::Role(Role::Shard(2)),
-        Key::Node("node-a".into()),
-        Key::Fleet("5f".into()),
+        Key::Controller("node-a".into()),
+        Key::MachineBatch("5f".into()),
         Key::Machine(MachineId::new("m-000001")),
-        Key::Batch("3a".into()),
+        Key::JobBatch("3a".into()),
         Key::RunChunk(JobId::new("wk-1"), 7),
         Key::Outcome(JobId::new("wk-1")),
     ];
@@ -374,7 +377,7 @@
     let later = (n + 1..jobs.len()).filter(|l| jobs[*l].depends_on.contains(&n));
     later.fold(jobs[n].own, |sum, l| {
         let urgency = plain_urgency(jobs, l);
-        sum.most(Urgency { priority: urgency.priority, due: urgency.due.map(|due| due - jobs[l].span) })
+        sum.max(Urgency { priority: urgency.priority, due_at: urgency.due_at.map(|due| due - jobs[l].span) })
     })
 }
 
@@ -400,7 +403,7 @@
                     depends_on.dedup();
                     let priorities = [Priority::Low, Priority::Normal, Priority::High, Priority::Production];
                     let due = due.map(|due| Micros(u64::from(due)));
-                    let own = Urgency { priority: priorities[usize::from(priority)], due };
+                    let own = Urgency { priority: priorities[usize::from(priority)], due_at: due };
                     let span = Micros(u64::from(span));
                     plain.push(PlainJob { depends_on: depends_on.clone(), own, span, over: None });
                     if plain_over(&plain, count).is_some() {
