--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -8,12 +8,13 @@
 //! that was not read yet. The earlier counts.
 
 use crate::coordination::api::{Query, ReceivedRequest, UNAVAILABLE};
+use crate::coordination::scheduling::quota::TeamQuota;
 use crate::coordination::store_sync::TxnEnd;
 use crate::coordination::store_sync::evidence::Fresh;
 use crate::coordination::{Controller, RequestId, UserAnswer};
 use crate::protocol::user::{JobSpec, Kind, Submission};
 use crate::storage::schema::{JobBatchMember, JobRecord};
-use crate::types::{JobId, Micros, Resources, Revision};
+use crate::types::{JobId, Micros, Revision};
 use std::collections::{HashMap, VecDeque};
 
 /// How a submission can be written.
@@ -216,13 +217,8 @@
             Kind::Array => spec.resources(),
             Kind::Gang | Kind::Service => spec.resources().times(u64::from(spec.tasks)),
         };
-        // A quota of 0 means none.
-        let quota = Resources::new(team.cpus_max, team.gpus_max, 0.0);
-        let exceeds = |needed: u64, allowed: u64| allowed > 0 && needed > allowed;
-        if exceeds(concurrent.cpus, quota.cpus) || exceeds(concurrent.gpus, quota.gpus) {
-            return Err("needs more than the team's limit");
-        }
-        Ok(())
+        let is_admitted = TeamQuota::of_team(team).admits(&concurrent);
+        if is_admitted { Ok(()) } else { Err("needs more than the team's limit") }
     }
 
     fn fits_any_machine_type(&self, spec: &JobSpec) -> bool {
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -32,18 +32,19 @@
 
     /// Stops the tasks of those kinds of jobs on a machine, with time for a checkpoint where they save one.
     fn stop_tasks(&mut self, id: &MachineId, is_to_stop: impl Fn(Kind) -> bool) {
-        let stop_grace_s = self.policy.stop_grace_s;
+        let max_grace_s = self.policy.stop_grace_s;
         let mut has_stopped = false;
         for (job, task) in self.jobs.usage().attempts_on(id) {
             let Some(job) = self.jobs.get_mut(&job) else { continue };
             if !is_to_stop(job.spec.kind) {
                 continue;
             }
+            let grace_s = job.stop_grace_s(max_grace_s);
             if let Some(start) = job.attempts.get_mut(task)
                 && start.may_be_on_machine()
                 && start.stop_grace_s.is_none()
             {
-                start.stop_grace_s = Some(if job.spec.checkpoint_s > 0.0 { stop_grace_s } else { 0.0 });
+                start.stop_grace_s = Some(grace_s);
                 has_stopped = true;
             }
         }
--- a/src/coordination/jobs/attempt.rs
+++ b/src/coordination/jobs/attempt.rs
@@ -90,6 +90,11 @@
         self.state.occupies_resources()
     }
 
+    /// Whether it runs and is not told to stop.
+    pub fn keeps_running(&self) -> bool {
+        self.state == AttemptState::Running && self.stop_grace_s.is_none()
+    }
+
     /// Whether it may be on its machine, or get there by a command that has left: only a proof of absence or its end
     /// says otherwise.
     pub fn may_be_on_machine(&self) -> bool {
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -92,6 +92,11 @@
         }
     }
 
+    /// How long a task of it may take to stop: as long as the policy allows if it writes checkpoints, else no time.
+    pub(crate) fn stop_grace_s(&self, max_grace_s: f64) -> f64 {
+        if self.spec.checkpoint_s > 0.0 { max_grace_s } else { 0.0 }
+    }
+
     /// How many tasks are done, as far as it is recorded.
     pub fn done_count(&self) -> u32 {
         self.progress.done_count
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -6,7 +6,7 @@
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::protocol::user::{Kind, Priority};
-use crate::types::{JobId, Micros, Resources};
+use crate::types::{JobId, MachineId, Micros, Resources};
 
 /// A job that preempted others does so again only after this.
 const PREEMPTION_PAUSE: Micros = Micros::from_millis(1000);
@@ -52,8 +52,10 @@
         if let Some(job) = self.jobs.get_mut(id) {
             job.scheduling.next_preemption_at = now + pause;
         }
-        for victim in &victims {
-            self.preempt(victim);
+        for Victim { job, task, .. } in victims {
+            if let Some(machine) = self.stop_with_grace(&job, task) {
+                tracing::debug!(%job, task, %machine, "task preempted");
+            }
         }
     }
 
@@ -82,17 +84,15 @@
         chosen
     }
 
-    /// Has a task stopped, with time to write a checkpoint if it writes any.
-    fn preempt(&mut self, victim: &Victim) {
-        let Victim { job: id, task, .. } = victim;
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
-        if let Some(attempt) = job.attempts.get_mut(*task) {
-            attempt.stop_grace_s = Some(grace_s);
-            let machine = attempt.machine().clone();
-            tracing::debug!(job = %id, task, %machine, "task preempted");
-            self.fleet.queue_direct_message(&machine);
-        }
+    /// Has a task stopped, with time to write a checkpoint if it writes any. Returns its machine, if it has an attempt.
+    pub(crate) fn stop_with_grace(&mut self, id: &JobId, task: u32) -> Option<MachineId> {
+        let job = self.jobs.get_mut(id)?;
+        let grace_s = job.stop_grace_s(self.policy.stop_grace_s);
+        let attempt = job.attempts.get_mut(task)?;
+        attempt.stop_grace_s = Some(grace_s);
+        let machine = attempt.machine().clone();
+        self.fleet.queue_direct_message(&machine);
+        Some(machine)
     }
 
     /// Whether a job may preempt others. Ordinary work does so at once within its team's guaranteed quota and otherwise
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -6,7 +6,6 @@
 //! gone.
 
 use crate::coordination::Controller;
-use crate::coordination::jobs::attempt::AttemptState;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::coordination::zones::MovingReplica;
@@ -97,11 +96,7 @@
 
     fn replicas_of(&self, id: &JobId, job: &Job) -> ServiceReplicas {
         let mut running_by_zone: BTreeMap<String, Vec<u32>> = BTreeMap::new();
-        let running = job
-            .attempts
-            .iter()
-            .filter(|(_, attempt)| attempt.state() == AttemptState::Running && attempt.stop_grace_s.is_none());
-        for (task, attempt) in running {
+        for (task, attempt) in job.attempts.iter().filter(|(_, attempt)| attempt.keeps_running()) {
             if let Some(record) = self.store.replica.machines.get(attempt.machine()) {
                 running_by_zone.entry(record.value.zone.clone()).or_default().push(task);
             }
@@ -134,14 +129,9 @@
     fn start_replica_move(&mut self, replica_move: ReplicaMove) {
         let ReplicaMove { job: id, task, from_zone } = replica_move;
         let now = self.now();
-        let Some(job) = self.jobs.get_mut(&id) else { return };
-        let grace_s = if job.spec.checkpoint_s > 0.0 { self.policy.stop_grace_s } else { 0.0 };
-        let Some(attempt) = job.attempts.get_mut(task) else { return };
-        attempt.stop_grace_s = Some(grace_s);
-        let machine = attempt.machine().clone();
+        let Some(machine) = self.stop_with_grace(&id, task) else { return };
         tracing::info!(job = %id, task, %machine, from_zone, "replica moving to another zone");
         self.zones.moving_replicas.insert(id, MovingReplica { from_zone, stopped_at: now });
-        self.fleet.queue_direct_message(&machine);
     }
 
     /// Zones that a job's next task had better avoid: one that a replica of it is moving out of, and those that fail again
@@ -172,10 +162,6 @@
 
 /// Whether all replicas of a service run and none is being stopped.
 fn all_replicas_run(job: &Job) -> bool {
-    let running = job
-        .attempts
-        .values()
-        .filter(|attempt| attempt.state() == AttemptState::Running && attempt.stop_grace_s.is_none());
-    let running_count = running.count();
+    let running_count = job.attempts.values().filter(|attempt| attempt.keeps_running()).count();
     running_count == job.spec.tasks as usize && job.attempts.values().count() == running_count
 }
