--- a/src/coordination/api/batches.rs
+++ b/src/coordination/api/batches.rs
@@ -44,7 +44,7 @@
     /// entry then says where it is.
     pub(super) fn write_dependency_list_parts(&mut self, mut member: JobBatchMember) {
         let limits = &self.platform.deployment.store;
-        let (ops, bytes) = (limits.ops(), limits.value_bytes());
+        let (ops, bytes) = (limits.min_txn_ops(), limits.value_bytes());
         let name = format!("{:x}", self.nonce());
         let lists = split_dependency_list(std::mem::take(&mut member.record.spec.depends_on), bytes);
         member.record.dependency_list_parts =
@@ -111,8 +111,8 @@
     /// Takes from the queue as many submissions as one value and one transaction's preconditions have space for.
     fn next_batch(&mut self) -> Vec<JobBatchMember> {
         let limits = &self.platform.deployment.store;
-        let max_bytes = (limits.least_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
-        let max_preconditions = limits.ops() * PRECONDITIONS_PER_WRITE - 1;
+        let max_bytes = (limits.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
+        let max_preconditions = limits.min_txn_ops() * PRECONDITIONS_PER_WRITE - 1;
         let accepted = self.clock.wall;
         let mut members: Vec<JobBatchMember> = Vec::new();
         let (mut bytes, mut precondition_count) = (0, 0);
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -12,7 +12,7 @@
 use crate::coordination::store_sync::TxnEnd;
 use crate::coordination::store_sync::evidence::Fresh;
 use crate::coordination::{Controller, RequestId, UserAnswer};
-use crate::protocol::user::{JobSpec, Kind, Submission};
+use crate::protocol::user::{JobKind, JobSpec, Submission};
 use crate::storage::schema::{JobBatchMember, JobRecord};
 use crate::types::{JobId, Micros, Revision};
 use std::collections::{HashMap, VecDeque};
@@ -214,8 +214,8 @@
         let Some(name) = &spec.team else { return Ok(()) };
         let team = self.platform.deployment.team(name).ok_or("unknown team")?;
         let concurrent = match spec.kind {
-            Kind::Array => spec.resources(),
-            Kind::Gang | Kind::Service => spec.resources().times(u64::from(spec.tasks)),
+            JobKind::Array => spec.resources(),
+            JobKind::Gang | JobKind::Service => spec.resources().times(u64::from(spec.tasks)),
         };
         let is_admitted = TeamQuota::of_team(team).admits(&concurrent);
         if is_admitted { Ok(()) } else { Err("needs more than the team's limit") }
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -169,7 +169,7 @@
 impl MachineTypeCatalog {
     /// Time that instances of a type take to come up, as the cloud names it, in seconds.
     fn provisioning_s(&self, machine_type: &str) -> f64 {
-        self.get(machine_type).map_or(DEFAULT_PROVISIONING_S, |info| info.wire.boot_s)
+        self.get(machine_type).map_or(DEFAULT_PROVISIONING_S, |info| info.wire.typical_startup_s)
     }
 }
 
--- a/src/coordination/fleet/direct_commands.rs
+++ b/src/coordination/fleet/direct_commands.rs
@@ -14,7 +14,7 @@
 impl Controller {
     /// For so long after a sign of life an agent is taken to be alive.
     pub(crate) fn alive_span(&self) -> Micros {
-        Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * ALIVE_HEARTBEAT_INTERVALS)
+        Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * ALIVE_HEARTBEAT_INTERVALS)
     }
 
     /// A direct message can wait a moment for the machine's next heartbeat.
--- a/src/coordination/fleet/failure_detection/probes.rs
+++ b/src/coordination/fleet/failure_detection/probes.rs
@@ -77,7 +77,7 @@
 
     fn probe_thresholds(&self) -> ProbeThresholds {
         let routine = Micros::from_millis(self.policy.probe_after_ms);
-        let late = Micros::from_secs_f64(self.platform.deployment.workers.heartbeat_s * self.policy.report_late_part);
+        let late = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * self.policy.report_late_part);
         ProbeThresholds { routine, suspect: late.max(routine) }
     }
 
--- a/src/coordination/fleet/shard_moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -104,7 +104,7 @@
 
     /// Gives machines to their new shards, as many as one transaction takes, provided that we still have those roles.
     fn send_moves_under(&mut self, roles: &[Role], mut moves: Vec<ShardMove>) {
-        moves.truncate(self.platform.deployment.store.ops() - 1);
+        moves.truncate(self.platform.deployment.store.min_txn_ops() - 1);
         let fencing_token = self.store.replica.next_fencing_token();
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::FencingToken);
--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -7,7 +7,7 @@
 use crate::coordination::jobs::failures::TaskFailure;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::protocol::worker::ExitCause;
 use crate::types::{JobId, MachineId, Micros};
 
@@ -25,19 +25,19 @@
         max_retry_delay: Micros,
     ) -> Option<Micros> {
         match exit_cause {
-            ExitCause::Done => {
+            ExitCause::Completed => {
                 self.progress.unrecorded_done.insert(task);
                 self.recording.first_unrecorded_completion_at.get_or_insert(now);
                 self.failures.note_success(task);
                 None
             }
-            ExitCause::Error => {
+            ExitCause::Failed => {
                 let first_running_at = self.attempts.get(task).and_then(|attempt| attempt.first_running_at);
                 let ran_for = first_running_at.map_or(Micros::ZERO, |at| now.since(at));
                 Some(self.failures.note_failure(&TaskFailure { task, machine, ran_for }, now, max_retry_delay))
             }
             ExitCause::InsufficientResources | ExitCause::Busy | ExitCause::Unknown => Some(now + REFUSED_RETRY_DELAY),
-            ExitCause::Stopped | ExitCause::Peers | ExitCause::Alone => None,
+            ExitCause::Stopped | ExitCause::GangPeerLost | ExitCause::GangIncomplete => None,
         }
     }
 }
@@ -50,7 +50,7 @@
         let Some(job) = self.jobs.by_id.get_mut(id) else { return };
         let Some(attempt) = job.attempts.get(task).filter(|attempt| attempt.occupies_resources()) else { return };
         let machine = attempt.machine().clone();
-        if exit_cause != ExitCause::Done {
+        if exit_cause != ExitCause::Completed {
             tracing::debug!(job = %id, task, %machine, state = ?attempt.state(), ?exit_cause, "task attempt ended early");
         }
         let was_never_seen_running = attempt.first_running_at.is_none();
@@ -59,11 +59,11 @@
             job.progress.retry_at.insert(task, at);
         }
         job.recording.mark_changed(now);
-        if job.spec.kind == Kind::Gang && exit_cause != ExitCause::Done {
+        if job.spec.kind == JobKind::Gang && exit_cause != ExitCause::Completed {
             // The gang's attempt is lost; the next begins when all of this one has ended.
             job.stop_attempts();
         }
-        if exit_cause == ExitCause::Done && was_never_seen_running {
+        if exit_cause == ExitCause::Completed && was_never_seen_running {
             self.note_zone_attempt(&machine, ZoneAttemptEvent::Running);
         }
         self.update_idle_since(&machine);
--- a/src/coordination/jobs/job_attempts.rs
+++ b/src/coordination/jobs/job_attempts.rs
@@ -3,7 +3,7 @@
 
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::usage::Usage;
-use crate::protocol::user::{JobSpec, Kind, Priority};
+use crate::protocol::user::{JobKind, JobSpec, Priority};
 use crate::types::{JobId, Resources};
 use std::collections::BTreeMap;
 use std::ops::Range;
@@ -34,8 +34,8 @@
         let class = AttemptClass {
             resources: spec.resources(),
             team: spec.team.clone(),
-            is_service: spec.kind == Kind::Service,
-            is_low_priority_array: spec.kind == Kind::Array && spec.priority == Priority::Low,
+            is_service: spec.kind == JobKind::Service,
+            is_low_priority_array: spec.kind == JobKind::Array && spec.priority == Priority::Low,
         };
         JobAttempts { job, class, by_task: BTreeMap::new(), occupying_count: 0, decided_count: 0 }
     }
--- a/src/coordination/scheduling/job_order.rs
+++ b/src/coordination/scheduling/job_order.rs
@@ -29,7 +29,7 @@
             return due;
         }
         let tasks_left = job.spec.tasks.saturating_sub(job.progress.done_count);
-        let cpu_seconds = f64::from(tasks_left) * job.spec.cpus * job.spec.estimate_s;
+        let cpu_seconds = f64::from(tasks_left) * job.spec.cpus * job.spec.estimated_runtime_s;
         job.ready_at + self.deferral(cpu_seconds)
     }
 
--- a/src/coordination/scheduling/quota.rs
+++ b/src/coordination/scheduling/quota.rs
@@ -15,7 +15,7 @@
 impl TeamQuota {
     /// The quota of a team by the deploy file.
     pub fn of_team(team: &Team) -> TeamQuota {
-        let Resources { cpus, gpus, .. } = Resources::new(team.cpus_max, team.gpus_max, 0.0);
+        let Resources { cpus, gpus, .. } = team.resource_limit();
         TeamQuota { cpus, gpus }
     }
 
@@ -52,7 +52,7 @@
     /// Whether one more task of a job keeps within its team's guaranteed quota. A job without a team has none.
     pub(crate) fn is_within_guaranteed_quota(&self, job: &Job) -> bool {
         let Some(team) = self.team_of(job) else { return false };
-        let guaranteed = Resources::new(team.cpus, team.gpus, 0.0);
+        let guaranteed = team.guaranteed_resources();
         let used = self.usage_with_next_task(job, team);
         used.cpus <= guaranteed.cpus && used.gpus <= guaranteed.gpus
     }
--- a/src/coordination/scheduling/reservations.rs
+++ b/src/coordination/scheduling/reservations.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::Controller;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::types::{Micros, Resources};
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
         let window = Micros::from_millis(self.policy.reserve_window_ms);
         let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
         let mut by_image: BTreeMap<&str, ExpectedTasks> = BTreeMap::new();
-        let services = self.jobs.values().filter(|job| job.shard == shard && job.spec.kind == Kind::Service);
+        let services = self.jobs.values().filter(|job| job.shard == shard && job.spec.kind == JobKind::Service);
         for job in services.filter(|job| self.clock.wall.since(job.accepted_at) < window) {
             let expected = by_image.entry(&job.spec.image).or_default();
             expected.count += f64::from(job.spec.tasks) * part;
--- a/src/coordination/store_sync/job_records/job_changes.rs
+++ b/src/coordination/store_sync/job_records/job_changes.rs
@@ -5,7 +5,7 @@
 use crate::coordination::store_sync::ProposedTxn;
 use crate::coordination::store_sync::job_records::chunk_changes::ChunkChanges;
 use crate::coordination::store_sync::job_records::missing_record::{MissingRecord, is_lost};
-use crate::protocol::user::Kind;
+use crate::protocol::user::JobKind;
 use crate::protocol::worker::ExitCause;
 use crate::storage::Replica;
 use crate::storage::schema::{Key, OutcomeRecord, Role, to_value};
@@ -47,7 +47,7 @@
     /// Adds what is to be recorded of these tasks. Says which attempts can't be recorded: their machines have been
     /// cordoned or have left the shard since, the job is over, or no more machines fit.
     pub(super) fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
-        let gang_attempt = (self.spec.kind == Kind::Gang).then_some(changes.last_stored_attempt() + 1);
+        let gang_attempt = (self.spec.kind == JobKind::Gang).then_some(changes.last_stored_attempt() + 1);
         let is_gang_done = self.is_gang_done();
         let mut dropped = Vec::new();
         for task in tasks {
@@ -56,7 +56,8 @@
             }
             let Some(attempt) = self.attempts.get_mut(task) else { continue };
             if attempt.state() != AttemptState::Decided {
-                changes.remove_attempt(task, is_gang_done || attempt.state() == AttemptState::Ended(ExitCause::Done));
+                changes
+                    .remove_attempt(task, is_gang_done || attempt.state() == AttemptState::Ended(ExitCause::Completed));
                 continue;
             }
             let machine = replica.machines.get(attempt.machine());
@@ -98,7 +99,7 @@
     if job.outcome.is_none() {
         proposal.unchanged(replica, Key::Outcome(id.clone()));
     }
-    let finishes = job.outcome.is_none() && job.spec.kind != Kind::Service && changes.done_count() >= job.spec.tasks;
+    let finishes = job.outcome.is_none() && job.spec.kind != JobKind::Service && changes.done_count() >= job.spec.tasks;
     if finishes {
         proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::done()));
     }
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -74,7 +74,7 @@
     /// Shortest pause between two reads, so that those of all controllers stay within a part of the limit.
     fn min_read_interval(&self, part: f64) -> Micros {
         let limits = &self.platform.deployment;
-        let equal_share = f64::from(limits.nodes) / (limits.store.rps * part);
+        let equal_share = f64::from(limits.controller_count) / (limits.store.rps * part);
         Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(equal_share))
     }
 
--- a/src/coordination/zones/restoration.rs
+++ b/src/coordination/zones/restoration.rs
@@ -1,7 +1,7 @@
 //! The order of jobs while work is restored after the loss of a zone.
 
 use crate::coordination::Controller;
-use crate::protocol::user::{Kind, Priority};
+use crate::protocol::user::{JobKind, Priority};
 use crate::types::JobId;
 use burlhatch_zones::restoration_order::{WaitingJob, WorkKind, restoration_order};
 
@@ -36,11 +36,11 @@
     }
 }
 
-fn work_kind(kind: Kind) -> WorkKind {
+fn work_kind(kind: JobKind) -> WorkKind {
     match kind {
-        Kind::Service => WorkKind::Service,
-        Kind::Gang => WorkKind::Gang,
-        Kind::Array => WorkKind::Array,
+        JobKind::Service => WorkKind::Service,
+        JobKind::Gang => WorkKind::Gang,
+        JobKind::Array => WorkKind::Array,
     }
 }
 
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -89,7 +89,7 @@
     pub(super) fn cloud_request(&mut self, request: CloudCall) -> CloudOutcome {
         match request {
             CloudCall::Types => CloudOutcome::Types(self.machine_types()),
-            CloudCall::Rent(rental) => self.rent(rental),
+            CloudCall::CreateInstances(rental) => self.rent(rental),
             CloudCall::Delete(ids) => self.delete_machines(&ids),
             CloudCall::List { after } => CloudOutcome::List(self.list_machines(after.as_ref())),
         }
@@ -106,7 +106,7 @@
             fetch_gb_per_s: 0.2,
             price,
             spot_price: Some(price / 3.0),
-            boot_s: 10.0,
+            typical_startup_s: 10.0,
             zones: zones.clone(),
         };
         MachineTypes { types: vec![kind("small", 4.0, 0.2), kind("large", 8.0, 0.4)] }
@@ -115,7 +115,7 @@
     /// A repeated request brings what the first one brought.
     fn rent(&mut self, rental: InstanceRequest) -> CloudOutcome {
         if let Some(names) = self.cloud.charters.get(&rental.request) {
-            return CloudOutcome::Rented(MachineNames { machines: names.clone() });
+            return CloudOutcome::InstancesCreated(MachineNames { machines: names.clone() });
         }
         let available = self.cloud.capacity.saturating_sub(self.cloud.used());
         if available == 0 {
@@ -132,7 +132,7 @@
             names.push(self.boot(&rental.machine_type, &rental.zone, rental.spot, delay));
         }
         self.cloud.charters.insert(rental.request, names.clone());
-        CloudOutcome::Rented(MachineNames { machines: names })
+        CloudOutcome::InstancesCreated(MachineNames { machines: names })
     }
 
     fn delete_machines(&mut self, ids: &[MachineId]) -> CloudOutcome {
