--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -29,46 +29,46 @@
     prop_oneof![
         3 => (0..30u32, 0..3usize, 0..4u32).prop_map(|(id, zone, shard)| Change::Put(id, zone, shard)),
         1 => (0..30u32).prop_map(Change::Remove),
-        3 => (0..30u32, 0..3usize).prop_map(|(id, life)| Change::Liveness(id, [Liveness::Responsive, Liveness::Unknown, Liveness::Unresponsive][life])),
+        3 => (0..30u32, 0..3usize).prop_map(|(id, liveness)| Change::Liveness(id, [Liveness::Responsive, Liveness::Unknown, Liveness::Unresponsive][liveness])),
     ]
 }
 
 proptest! {
     /// Counts kept by single changes are those of a walk over all machines.
     #[test]
-    fn the_census_counts_like_a_walk_over_all_machines(changes in prop::collection::vec(change(), 1..120)) {
-        let mut census = MachineCounts::default();
+    fn machine_counts_are_those_of_a_walk_over_all_machines(changes in prop::collection::vec(change(), 1..120)) {
+        let mut machine_counts = MachineCounts::default();
         let mut machines: BTreeMap<u32, (usize, u32, Liveness)> = BTreeMap::new();
         for change in changes {
             match change {
                 Change::Put(number, zone, shard) => {
-                    census.insert(&id(number), ZONES[zone], shard);
+                    machine_counts.insert(&id(number), ZONES[zone], shard);
                     let same = machines.get(&number).is_some_and(|m| (m.0, m.1) == (zone, shard));
                     if !same {
                         machines.insert(number, (zone, shard, Liveness::Responsive));
                     }
                 }
                 Change::Remove(number) => {
-                    census.remove(&id(number));
+                    machine_counts.remove(&id(number));
                     machines.remove(&number);
                 }
-                Change::Liveness(number, life) => {
-                    census.set_liveness(&id(number), life);
+                Change::Liveness(number, liveness) => {
+                    machine_counts.set_liveness(&id(number), liveness);
                     if let Some(machine) = machines.get_mut(&number) {
-                        machine.2 = life;
+                        machine.2 = liveness;
                     }
                 }
             }
             for (zone, name) in ZONES.iter().enumerate() {
                 let mut plain: BTreeMap<u32, LivenessCounts> = BTreeMap::new();
-                for (_, shard, life) in machines.values().filter(|m| m.0 == zone) {
+                for (_, shard, liveness) in machines.values().filter(|m| m.0 == zone) {
                     let count = plain.entry(*shard).or_default();
                     count.total += 1;
-                    count.unresponsive += u32::from(*life == Liveness::Unresponsive);
-                    count.unknown += u32::from(*life == Liveness::Unknown);
+                    count.unresponsive += u32::from(*liveness == Liveness::Unresponsive);
+                    count.unknown += u32::from(*liveness == Liveness::Unknown);
                 }
-                prop_assert_eq!(census.shards(name).collect::<BTreeMap<_, _>>(), plain);
-                let there: BTreeSet<MachineId> = census.machines(name).cloned().collect();
+                prop_assert_eq!(machine_counts.shards(name).collect::<BTreeMap<_, _>>(), plain);
+                let there: BTreeSet<MachineId> = machine_counts.machines(name).cloned().collect();
                 let plain: BTreeSet<MachineId> = machines.iter().filter(|(_, m)| m.0 == zone).map(|(n, _)| id(*n)).collect();
                 prop_assert_eq!(there, plain);
             }
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -225,9 +225,10 @@
         let resources = spec.resources();
         self.autoscaling.machine_types().any(|machine_type| {
             let wire = &machine_type.wire;
-            let is_allowed = spec.types.as_ref().is_none_or(|allowed| allowed.contains(&wire.name));
             let is_in_zone = |zone: &String| wire.zones.is_empty() || wire.zones.contains(zone);
-            is_allowed && spec.zone.as_ref().is_none_or(is_in_zone) && resources.fits_in(&machine_type.resources)
+            spec.allows_machine_type(&wire.name)
+                && spec.zone.as_ref().is_none_or(is_in_zone)
+                && resources.fits_in(&machine_type.resources)
         })
     }
 }
--- a/src/coordination/autoscaling/demand.rs
+++ b/src/coordination/autoscaling/demand.rs
@@ -51,9 +51,7 @@
         let mut usage = self.usage_by_team(&jobs);
         for job in &jobs {
             let is_batch = job.spec.kind == JobKind::Array;
-            // Replicas in lost zones need capacity elsewhere before they are proven gone: provisioning takes as long as
-            // the proof.
-            let wanted = self.tasks_worth_capacity(job, machines) + u64::from(self.displaced_count(job.attempts.job()));
+            let wanted = self.wanted_task_count(job, machines);
             let count = self.take_within_quota(job, wanted, &mut usage);
             // What the team's quota keeps back queues as well, and would be worked off sooner with more machines.
             if is_batch {
@@ -113,6 +111,13 @@
         team.map_or(u64::MAX, |team| TeamQuota::of_team(team).remaining_tasks(used, each))
     }
 
+    /// Tasks of a job that need capacity. Replicas in lost zones need some elsewhere before they are proven gone:
+    /// provisioning takes as long as the proof.
+    fn wanted_task_count(&self, job: &Job, machines: &[MachineCapacity]) -> u64 {
+        let displaced_count = self.zones.displaced_count(job.attempts.job());
+        self.tasks_worth_capacity(job, machines) + u64::from(displaced_count)
+    }
+
     /// Waiting tasks of a job that machines may be created or reassigned for. A job that fails wherever it runs gets one
     /// to be tried on if there is none at all that it may run on, and no other.
     fn tasks_worth_capacity(&self, job: &Job, machines: &[MachineCapacity]) -> u64 {
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -52,11 +52,6 @@
         starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
     }
 
-    /// How many replicas of a job are displaced.
-    pub(crate) fn displaced_count(&self, id: &JobId) -> u32 {
-        self.zones.displaced_count(id)
-    }
-
     /// Resources that a team's displaced replicas still take by the stored records.
     pub(crate) fn displaced_resources(&self, team: &str) -> Resources {
         let of_team = self.zones.displaced_counts.iter().filter_map(|(id, count)| {
--- a/src/coordination/zones/mod.rs
+++ b/src/coordination/zones/mod.rs
@@ -58,7 +58,7 @@
     }
 
     /// How many replicas of a job are displaced.
-    fn displaced_count(&self, id: &JobId) -> u32 {
+    pub(crate) fn displaced_count(&self, id: &JobId) -> u32 {
         self.displaced_counts.get(id).copied().unwrap_or(0)
     }
 
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -134,9 +134,14 @@
         Resources::new(self.cpus, self.gpus, self.memory_gb)
     }
 
+    /// Whether machines of a type are allowed.
+    pub fn allows_machine_type(&self, machine_type: &str) -> bool {
+        self.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
+    }
+
     /// Whether tasks may run on a machine of that type in that zone, wherever the job's other tasks are.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
-        self.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
+        self.allows_machine_type(machine_type)
             && self.zone.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
