--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -6,7 +6,6 @@
 use crate::coordination::scheduling::shard_view::ShardView;
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
 use crate::protocol::user::JobKind;
-use crate::storage::schema::Role;
 use crate::types::{JobId, Micros};
 use std::collections::{BTreeSet, HashMap};
 
@@ -34,11 +33,7 @@
     fn schedule_job(&mut self, id: &JobId, views: &mut HashMap<u32, ShardView>) {
         let Some(job) = self.jobs.get(id) else { return };
         let shard = job.shard;
-        if job.recording.is_txn_in_flight
-            || !job.recording.has_record
-            || job.outcome.is_some()
-            || !self.holds(Role::Shard(shard))
-        {
+        if job.outcome.is_some() || !self.can_be_scheduled(job) {
             return;
         }
         let is_gang = job.spec.kind == JobKind::Gang;
@@ -60,7 +55,7 @@
             job.spec.kind == JobKind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
         let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted_zones);
         let (filter, mut candidates) = self.first_candidates(id, view, &avoided_zones);
-        // Locked jobs are left alone while a transaction is on its way, so one takes all it can.
+        // A job is left alone while a transaction of it is in flight, so one cycle starts all that it can.
         loop {
             let Some(job) = self.jobs.get(id) else { return };
             if !job.may_start(now) {
@@ -137,19 +132,13 @@
 
     /// Starts all tasks of a gang, or leaves everything as it was. Returns whether it started them.
     fn start_gang(&mut self, id: &JobId, view: &mut ShardView, filter: PlacementFilter) -> bool {
+        let Some(task_count) = self.jobs.get(id).map(|job| job.spec.tasks) else { return false };
         let snapshot = view.snapshot();
         let mut candidates = self.candidates_for(id, view, filter);
         let mut started_count = 0;
-        let task_count = loop {
-            let Some(job) = self.jobs.get(id) else { return false };
-            if started_count == job.spec.tasks || !self.is_within_quota(job) {
-                break job.spec.tasks;
-            }
-            let Some(chosen) = self.best_candidate(job, &candidates) else { break job.spec.tasks };
-            self.start_task(id, started_count, view, candidates.machine_index(chosen));
-            self.update_candidates(id, view, &mut candidates, chosen, filter);
+        while started_count < task_count && self.start_gang_task(id, started_count, view, &mut candidates, filter) {
             started_count += 1;
-        };
+        }
         if started_count == task_count {
             return true;
         }
@@ -160,6 +149,22 @@
         false
     }
 
+    /// Starts one task of a gang, if its team's quota and the candidates allow it.
+    fn start_gang_task(
+        &mut self,
+        id: &JobId,
+        task: u32,
+        view: &mut ShardView,
+        candidates: &mut Candidates,
+        filter: PlacementFilter,
+    ) -> bool {
+        let Some(job) = self.jobs.get(id).filter(|job| self.is_within_quota(job)) else { return false };
+        let Some(chosen) = self.best_candidate(job, candidates) else { return false };
+        self.start_task(id, task, view, candidates.machine_index(chosen));
+        self.update_candidates(id, view, candidates, chosen, filter);
+        true
+    }
+
     /// Decides that a task starts on a machine. The start is recorded before the agent is told.
     fn start_task(&mut self, id: &JobId, task: u32, view: &mut ShardView, machine_index: usize) {
         let candidate = &mut view.machines[machine_index];
--- a/src/coordination/scheduling/job_order.rs
+++ b/src/coordination/scheduling/job_order.rs
@@ -55,6 +55,11 @@
         job.progress.first_unstarted == 0 && self.clock.wall.since(job.ready_at) >= max_wait
     }
 
+    /// Whether a job of a shard held here has a record that no transaction in flight is about to change.
+    pub(super) fn can_be_scheduled(&self, job: &Job) -> bool {
+        job.recording.has_record && !job.recording.is_txn_in_flight && self.holds(Role::Shard(job.shard))
+    }
+
     fn ordering_key(&self, id: &JobId, job: &Job) -> OrderingKey {
         OrderingKey {
             priority: Reverse(job.urgency.priority),
@@ -69,13 +74,7 @@
     /// Jobs of the shards held here with tasks that wait for a machine: by priority, then those that should have begun
     /// long ago, then those within their team's guaranteed quota, then by turn.
     pub(super) fn jobs_in_scheduling_order(&self) -> Vec<JobId> {
-        let may_be_scheduled = |job: &Job| {
-            job.recording.has_record
-                && !job.recording.is_txn_in_flight
-                && job.waiting_count() > 0
-                && self.holds(Role::Shard(job.shard))
-        };
-        let waiting = self.jobs.iter().filter(|(_, job)| may_be_scheduled(job));
+        let waiting = self.jobs.iter().filter(|(_, job)| job.waiting_count() > 0 && self.can_be_scheduled(job));
         let mut keys: Vec<OrderingKey> = waiting.map(|(id, job)| self.ordering_key(id, job)).collect();
         keys.sort();
         let ordered: Vec<JobId> = keys.into_iter().map(|key| key.id).collect();
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -129,8 +129,8 @@
 
     /// What will be free on a machine once the tasks being stopped there have gone.
     fn free_after_stops(&self, machine: &CandidateMachine) -> Resources {
-        let starts = self.jobs.usage().iter_attempts_on(&machine.id);
-        let stopping = starts.filter_map(|(id, task)| {
+        let attempts = self.jobs.usage().iter_attempts_on(&machine.id);
+        let stopping = attempts.filter_map(|(id, task)| {
             let job = self.jobs.get(id)?;
             let attempt = job.attempts.get(*task)?;
             (attempt.occupies_resources() && attempt.stop_grace_s.is_some()).then_some(job.resources)
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -43,13 +43,13 @@
         if !self.jobs.usage().runs_service_on(machine) {
             return Vec::new();
         }
-        let starts = self.jobs.usage().iter_attempts_on(machine);
+        let attempts = self.jobs.usage().iter_attempts_on(machine);
         let goes_on = |id: &JobId, task: u32| {
             let job = self.jobs.get(id).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
             let attempt = job.and_then(|job| job.attempts.get(task));
             attempt.is_some_and(|attempt| attempt.occupies_resources() && attempt.stop_grace_s.is_none())
         };
-        starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
+        attempts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
     }
 
     /// Resources that a team's displaced replicas still take by the stored records.
