--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -6,7 +6,7 @@
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::protocol::worker::AgentCommand;
 use crate::storage::schema::CordonReason;
-use crate::types::{JobId, MachineId};
+use crate::types::{MachineId, TaskId};
 
 /// Commands in one message at most, so that it stays below the size limit.
 pub(crate) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
@@ -61,18 +61,17 @@
         let mut commands = commands_for_unrecorded(machine);
         let is_doomed =
             self.store.replica.machines.get(id).is_none_or(|m| m.value.cordon == Some(CordonReason::ForceDelete));
-        let mut never_sent: Vec<(JobId, u32)> = Vec::new();
-        for (job_id, index) in self.jobs.usage().attempts_on(id) {
-            let job = self.jobs.get_mut(&job_id);
-            let Some(start) = job.and_then(|job| job.attempts.get_mut(index)) else { continue };
+        let mut never_sent: Vec<TaskId> = Vec::new();
+        for task_id in self.jobs.usage().attempts_on(id) {
+            let Some(start) = self.jobs.attempt_mut(&task_id) else { continue };
             if start.incarnation != incarnation {
                 continue;
             }
-            let (task, attempt) = (format!("{job_id}/{index}"), start.number);
+            let (task, attempt) = (task_id.to_string(), start.number);
             match NextStep::of(start, is_doomed) {
                 NextStep::Nothing => continue,
                 NextStep::Drop => {
-                    never_sent.push((job_id, index));
+                    never_sent.push(task_id);
                     continue;
                 }
                 NextStep::Start => {
@@ -88,8 +87,8 @@
                 break;
             }
         }
-        for (job, task) in never_sent {
-            self.attempt_proven_absent(&job, task, AbsenceProof::NeverSent);
+        for task in never_sent {
+            self.attempt_proven_absent(&task, AbsenceProof::NeverSent);
         }
         commands
     }
--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -171,10 +171,9 @@
             return false;
         };
         let now = self.now();
-        placed.attempts().any(|(job, task)| {
-            let is_overdue = enforcement.is_past_renewals(job, now);
-            let start = self.jobs.get(job).filter(|_| is_overdue).and_then(|job| job.attempts.get(*task));
-            start.is_some_and(TaskAttempt::may_be_on_machine)
+        placed.attempts().any(|task| {
+            let is_overdue = enforcement.is_past_renewals(&task.job, now);
+            is_overdue && self.jobs.attempt(task).is_some_and(TaskAttempt::may_be_on_machine)
         })
     }
 
@@ -195,8 +194,8 @@
         let now = self.now();
         tracing::info!(machines = ids.len(), first = ?ids.first(), "machine deletion confirmed");
         for id in ids {
-            for (job, task) in self.jobs.usage().attempts_on(&id) {
-                self.attempt_proven_absent(&job, task, AbsenceProof::MachineDeleted);
+            for task in self.jobs.usage().attempts_on(&id) {
+                self.attempt_proven_absent(&task, AbsenceProof::MachineDeleted);
             }
             self.autoscaling.note_deleted(id.clone(), now);
             self.fleet.cancellation_enforcement.deleted.insert(id, None);
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -34,12 +34,12 @@
     fn stop_tasks(&mut self, id: &MachineId, is_to_stop: impl Fn(JobKind) -> bool) {
         let stop_grace_s = self.policy.stop_grace_s;
         let mut has_stopped = false;
-        for (job, task) in self.jobs.usage().attempts_on(id) {
-            let Some(job) = self.jobs.get_mut(&job) else { continue };
+        for task in self.jobs.usage().attempts_on(id) {
+            let Some(job) = self.jobs.get_mut(&task.job) else { continue };
             if !is_to_stop(job.spec.kind) {
                 continue;
             }
-            if let Some(start) = job.attempts.get_mut(task)
+            if let Some(start) = job.attempts.get_mut(task.index)
                 && start.may_be_on_machine()
                 && start.stop_grace_s.is_none()
             {
--- a/src/coordination/fleet/failure_detection/lease_expiry.rs
+++ b/src/coordination/fleet/failure_detection/lease_expiry.rs
@@ -54,10 +54,10 @@
 
     /// Proves gone what was started on a machine up to that incarnation of its agent.
     fn prove_expired(&mut self, id: &MachineId, incarnation: u64) {
-        for (job, task) in self.jobs.usage().attempts_on(id) {
-            let start = self.jobs.get(&job).and_then(|job| job.attempts.get(task));
+        for task in self.jobs.usage().attempts_on(id) {
+            let start = self.jobs.attempt(&task);
             if start.is_some_and(|start| start.incarnation <= incarnation && start.state() != AttemptState::Decided) {
-                self.attempt_proven_absent(&job, task, AbsenceProof::LeaseExpired);
+                self.attempt_proven_absent(&task, AbsenceProof::LeaseExpired);
             }
         }
     }
--- a/src/coordination/fleet/machine_records.rs
+++ b/src/coordination/fleet/machine_records.rs
@@ -61,8 +61,8 @@
 
     /// The machine was deleted, with whatever was on it.
     fn machine_record_deleted(&mut self, id: &MachineId) {
-        for (job, task) in self.jobs.usage().attempts_on(id) {
-            self.attempt_proven_absent(&job, task, AbsenceProof::MachineRecordDeleted);
+        for task in self.jobs.usage().attempts_on(id) {
+            self.attempt_proven_absent(&task, AbsenceProof::MachineRecordDeleted);
         }
         self.fleet.machines.remove(id);
     }
--- a/src/coordination/fleet/task_reconciliation.rs
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -8,7 +8,7 @@
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
 use crate::protocol::user::JobKind;
 use crate::protocol::worker::{ExitCause, Heartbeat, TaskState, TaskStatus};
-use crate::types::{JobId, MachineId, TaskId};
+use crate::types::{MachineId, TaskId};
 use std::collections::BTreeSet;
 
 /// Exited tasks that an agent may be left with before its machine gets a new fencing token so that it may forget them.
@@ -31,13 +31,13 @@
     pub(super) fn reconcile_tasks(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource, is_first: bool) {
         let id = &heartbeat.machine;
         let mut unrecorded = Vec::new();
-        let mut seen: BTreeSet<(JobId, u32)> = BTreeSet::new();
+        let mut seen: BTreeSet<TaskId> = BTreeSet::new();
         for reported in &heartbeat.tasks {
             let Some(task) = self.recorded_task(id, reported) else {
                 unrecorded.push(self.unrecorded_task(id, reported, is_first));
                 continue;
             };
-            seen.insert((task.job.clone(), task.index));
+            seen.insert(task.clone());
             match phase_of(reported.state) {
                 None => self.exit_seen(id, &task, reported.exit_cause.unwrap_or(ExitCause::Unknown)),
                 Some(phase) => self.phase_seen(id, &task, phase, heartbeat.seq),
@@ -51,7 +51,7 @@
     /// The task that an agent names, if that attempt of it is recorded on its machine.
     fn recorded_task(&self, id: &MachineId, reported: &TaskStatus) -> Option<TaskId> {
         let task = TaskId::parse(&reported.task)?;
-        let start = self.jobs.get(&task.job)?.attempts.get(task.index)?;
+        let start = self.jobs.attempt(&task)?;
         let is_same =
             start.machine() == id && start.number == reported.attempt && start.state() != AttemptState::Decided;
         is_same.then_some(task)
@@ -84,12 +84,12 @@
 
     /// Attempts recorded on the machine that a message does not name: those of earlier incarnations are gone, others if no
     /// command can be on its way that would still start them.
-    fn prove_unnamed_absent(&mut self, heartbeat: &Heartbeat, seen: &BTreeSet<(JobId, u32)>, may_prove_absence: bool) {
-        for (job, task) in self.jobs.usage().attempts_on(&heartbeat.machine) {
-            if seen.contains(&(job.clone(), task)) {
+    fn prove_unnamed_absent(&mut self, heartbeat: &Heartbeat, seen: &BTreeSet<TaskId>, may_prove_absence: bool) {
+        for task in self.jobs.usage().attempts_on(&heartbeat.machine) {
+            if seen.contains(&task) {
                 continue;
             }
-            let Some(start) = self.jobs.get(&job).and_then(|job| job.attempts.get(task)) else { continue };
+            let Some(start) = self.jobs.attempt(&task) else { continue };
             if !start.may_be_on_machine() {
                 continue;
             }
@@ -99,9 +99,9 @@
             // One that is wanted and was never seen is told to start again.
             let is_over = start.stop_grace_s.is_some() || start.state().is_on_machine();
             if start.incarnation < heartbeat.incarnation {
-                self.attempt_proven_absent(&job, task, AbsenceProof::LaterIncarnation);
+                self.attempt_proven_absent(&task, AbsenceProof::LaterIncarnation);
             } else if is_absent && is_over {
-                self.attempt_proven_absent(&job, task, AbsenceProof::Heartbeat);
+                self.attempt_proven_absent(&task, AbsenceProof::Heartbeat);
             }
         }
     }
@@ -122,7 +122,7 @@
         if phase == AttemptState::Running {
             start.first_running_at.get_or_insert(now);
         }
-        self.jobs.set_attempt_state(&task.job, task.index, phase);
+        self.jobs.set_attempt_state(task, phase);
         self.phase_changed(id, task, phase);
     }
 
@@ -188,6 +188,6 @@
             | ExitCause::Busy
             | ExitCause::Unknown => {}
         }
-        self.attempt_ended(&task.job, task.index, cause);
+        self.attempt_ended(task, cause);
     }
 }
--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -9,7 +9,7 @@
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
 use crate::protocol::user::JobKind;
 use crate::protocol::worker::ExitCause;
-use crate::types::{JobId, MachineId, Micros};
+use crate::types::{JobId, MachineId, Micros, TaskId};
 
 /// An attempt that an agent refused is repeated after this.
 const REFUSED_RETRY_DELAY: Micros = Micros::from_millis(500);
@@ -44,19 +44,19 @@
 
 impl Controller {
     /// A heartbeat shows that an attempt has ended.
-    pub(crate) fn attempt_ended(&mut self, id: &JobId, task: u32, exit_cause: ExitCause) {
+    pub(crate) fn attempt_ended(&mut self, task: &TaskId, exit_cause: ExitCause) {
         let now = self.now();
         let max_retry_delay = Micros::from_millis(self.policy.retry_max_ms);
-        let Some(job) = self.jobs.by_id.get_mut(id) else { return };
-        let Some(attempt) = job.attempts.get(task).filter(|attempt| attempt.occupies_resources()) else { return };
+        let Some(job) = self.jobs.by_id.get_mut(&task.job) else { return };
+        let Some(attempt) = job.attempts.get(task.index).filter(|attempt| attempt.occupies_resources()) else { return };
         let machine = attempt.machine().clone();
         if exit_cause != ExitCause::Completed {
-            tracing::debug!(job = %id, task, %machine, state = ?attempt.state(), ?exit_cause, "task attempt ended early");
+            tracing::debug!(job = %task.job, task = task.index, %machine, state = ?attempt.state(), ?exit_cause, "task attempt ended early");
         }
         let was_never_seen_running = attempt.first_running_at.is_none();
-        job.attempts.set_state(task, AttemptState::Ended(exit_cause), &mut self.jobs.usage);
-        if let Some(at) = job.note_exit(task, exit_cause, &machine, now, max_retry_delay) {
-            job.progress.retry_at.insert(task, at);
+        job.attempts.set_state(task.index, AttemptState::Ended(exit_cause), &mut self.jobs.usage);
+        if let Some(at) = job.note_exit(task.index, exit_cause, &machine, now, max_retry_delay) {
+            job.progress.retry_at.insert(task.index, at);
         }
         job.recording.mark_changed(now);
         if job.spec.kind == JobKind::Gang && exit_cause != ExitCause::Completed {
@@ -72,24 +72,24 @@
 
     /// An attempt was proven not to be on its machine. One that is only decided is not touched: no command has left
     /// for it, so a proof says nothing about it.
-    pub(crate) fn attempt_proven_absent(&mut self, id: &JobId, task: u32, proof: AbsenceProof) {
+    pub(crate) fn attempt_proven_absent(&mut self, task: &TaskId, proof: AbsenceProof) {
         let now = self.now();
-        let attempt = self.jobs.get(id).and_then(|job| job.attempts.get(task));
+        let attempt = self.jobs.attempt(task);
         let Some(attempt) = attempt.filter(|attempt| attempt.may_be_on_machine()).cloned() else { return };
         let machine = attempt.machine();
         let last_inconclusive_seq = attempt.last_inconclusive_seq;
         tracing::debug!(
-            job = %id,
-            task,
+            job = %task.job,
+            task = task.index,
             %machine,
             state = ?attempt.state(),
             last_inconclusive_seq,
             ?proof,
             "task attempt proven absent"
         );
-        self.log_cancelled_attempt_absent(id, task, machine, proof);
-        self.jobs.set_attempt_state(id, task, AttemptState::ProvenAbsent);
-        if let Some(job) = self.jobs.get_mut(id) {
+        self.log_cancelled_attempt_absent(task, machine, proof);
+        self.jobs.set_attempt_state(task, AttemptState::ProvenAbsent);
+        if let Some(job) = self.jobs.get_mut(&task.job) {
             job.recording.mark_changed(now);
         }
         self.note_zone_attempt_lost(&attempt);
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -7,7 +7,7 @@
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::storage::schema::Outcome;
-use crate::types::{JobId, MachineId, Micros};
+use crate::types::{JobId, MachineId, Micros, TaskId};
 
 /// Lines in a second, in the long run.
 const LINES_PER_S: f64 = 10.0;
@@ -98,11 +98,11 @@
 pub(crate) enum ConfirmationBasis {
     /// It depends on a cancelled job, so nothing of it was ever started.
     CancelledDependency,
-    /// The owner of its shard acknowledged the cancellation.
-    ShardOwner,
+    /// The holder of its shard acknowledged the cancellation.
+    ShardHolder,
     /// The stored records name no attempt of it.
     NoAttempts,
-    /// The shard is owned here, and all machines with attempts obey this owner.
+    /// The shard is held here, and all machines with attempts obey this holder.
     OwnShard,
 }
 
@@ -138,18 +138,13 @@
     }
 
     /// An attempt was proven absent; logged if its job was cancelled.
-    pub(crate) fn log_cancelled_attempt_absent(
-        &mut self,
-        job: &JobId,
-        task: u32,
-        machine: &MachineId,
-        proof: AbsenceProof,
-    ) {
+    pub(crate) fn log_cancelled_attempt_absent(&mut self, task: &TaskId, machine: &MachineId, proof: AbsenceProof) {
         let now = self.now();
-        if self.outcome(job) != Some(Outcome::Cancelled) || !self.jobs.cancellation_log.admits_line(now) {
+        if self.outcome(&task.job) != Some(Outcome::Cancelled) || !self.jobs.cancellation_log.admits_line(now) {
             return;
         }
         let revision = self.store.replica.applied_revision.0;
+        let (job, task) = (&task.job, task.index);
         tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task attempt proven absent");
     }
 
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -2,7 +2,7 @@
 //!
 //! Once any client was told that a job is cancelled, all its tasks have to be gone in a bounded time, whatever fails
 //! next. So it is confirmed only once the controller that commands the job's tasks knows of it, as of a moment at or
-//! after the cancellation, and once the machines with tasks of the job obey that controller: until then a deposed owner
+//! after the cancellation, and once the machines with tasks of the job obey that controller: until then a deposed holder
 //! of the shard that knows nothing of it could go on renewing their leases. From here on every answer that renews a
 //! lease carries the stops (see [`crate::coordination::fleet::lease_renewal`]). If nothing proves in time that the tasks
 //! are gone, their machines are deleted (see [`crate::coordination::fleet::cancellation_enforcement`]).
@@ -24,12 +24,12 @@
 #[derive(Default)]
 pub(crate) struct Cancellations {
     waiting: BTreeMap<JobId, Vec<WaitingClient>>,
-    /// Jobs whose cancellation the owner of their shard has acknowledged.
+    /// Jobs whose cancellation the holder of their shard has acknowledged.
     acknowledged: BTreeSet<JobId>,
     /// The jobs that each call in flight to another controller tells of.
     calls_in_flight: BTreeMap<u64, Vec<JobId>>,
     last_call: u64,
-    /// Jobs that an owner did not acknowledge together with others: each is asked about alone.
+    /// Jobs that a holder did not acknowledge together with others: each is asked about alone.
     ask_alone: BTreeSet<JobId>,
 }
 
@@ -39,9 +39,9 @@
     waiting_since_at: Micros,
 }
 
-/// The owner of a shard, as far as the stored records say.
+/// The holder of a shard, as far as the stored records say.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct ShardOwner {
+struct ShardHolder {
     shard: u32,
     label: String,
     fencing_token: FencingToken,
@@ -51,14 +51,14 @@
 enum ConfirmationState {
     /// It does: the client may be told.
     Confirmed(ConfirmationBasis),
-    /// The shard is owned here, but a machine with a task of the job may still obey an earlier owner.
+    /// The shard is held here, but a machine with a task of the job may still obey an earlier holder.
     MachinesNotObeying,
     /// The replica is older than the cancellation.
     ReplicaTooOld,
-    /// No controller owns the shard now.
-    NoOwner,
-    /// Another controller owns the shard and has to be asked.
-    OwnedElsewhere(ShardOwner),
+    /// No controller holds the shard now.
+    NoHolder,
+    /// Another controller holds the shard and has to be asked.
+    HeldElsewhere(ShardHolder),
 }
 
 impl Cancellations {
@@ -83,14 +83,14 @@
         self.last_call
     }
 
-    /// Parts jobs with the same owner by message: one for each that has to be asked about alone, and one for the rest.
+    /// Parts jobs with the same holder by message: one for each that has to be asked about alone, and one for the rest.
     fn split_into_messages(&mut self, ids: Vec<JobId>) -> Vec<Vec<JobId>> {
         let (alone, together): (Vec<_>, Vec<_>) = ids.into_iter().partition(|id| self.ask_alone.remove(id));
         let messages = alone.into_iter().map(|id| vec![id]).chain([together]);
         messages.filter(|ids| !ids.is_empty()).collect()
     }
 
-    /// The owner did not acknowledge several jobs together, perhaps on account of a single one.
+    /// The holder did not acknowledge several jobs together, perhaps on account of a single one.
     fn ask_about_each_alone(&mut self, ids: Vec<JobId>) {
         self.ask_alone.extend(ids);
         self.ask_alone.retain(|id| self.waiting.contains_key(id));
@@ -106,9 +106,9 @@
             };
         };
         if self.jobs.cancellations.acknowledged.contains(id) {
-            return ConfirmationState::Confirmed(ConfirmationBasis::ShardOwner);
+            return ConfirmationState::Confirmed(ConfirmationBasis::ShardHolder);
         }
-        // Who owns the shard is only known as of what was read. An owner from before the cancellation may have a
+        // Who holds the shard is only known as of what was read. A holder from before the cancellation may have a
         // successor by now, and the stored records may name an attempt that is not seen here yet.
         if self.store.replica.applied_revision.0 < end.version {
             return ConfirmationState::ReplicaTooOld;
@@ -119,13 +119,13 @@
             return ConfirmationState::Confirmed(ConfirmationBasis::NoAttempts);
         }
         let Some(job) = self.jobs.get(id) else { return ConfirmationState::ReplicaTooOld };
-        self.confirmation_by_owner(id, job.shard)
+        self.confirmation_by_holder(id, job.shard)
     }
 
-    /// The same for a job with recorded attempts, which takes the word of its shard's owner.
-    fn confirmation_by_owner(&self, id: &JobId, shard: u32) -> ConfirmationState {
+    /// The same for a job with recorded attempts, which takes the word of its shard's holder.
+    fn confirmation_by_holder(&self, id: &JobId, shard: u32) -> ConfirmationState {
         let role = Role::Shard(shard);
-        // Owned here, and the replica shows no later owner.
+        // Held here, and the replica shows no later holder.
         if self.holds(role) {
             return match self.is_obeyed_by_machines_of(id) {
                 true => ConfirmationState::Confirmed(ConfirmationBasis::OwnShard),
@@ -133,17 +133,17 @@
             };
         }
         match self.store.replica.roles.get(&role) {
-            Some(held) if held.value.holder != self.label => ConfirmationState::OwnedElsewhere(ShardOwner {
+            Some(held) if held.value.holder != self.label => ConfirmationState::HeldElsewhere(ShardHolder {
                 shard,
                 label: held.value.holder.clone(),
                 fencing_token: held.value.fencing_token,
             }),
-            _ => ConfirmationState::NoOwner,
+            _ => ConfirmationState::NoHolder,
         }
     }
 
-    /// Whether all machines with a recorded attempt of the job have shown a fencing token of this owner's: from then on
-    /// no earlier owner can renew their leases, nor have an attempt started there.
+    /// Whether all machines with a recorded attempt of the job have shown a fencing token of this holder's: from then on
+    /// no earlier holder can renew their leases, nor have an attempt started there.
     fn is_obeyed_by_machines_of(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         job.attempts.values().filter(|attempt| attempt.may_be_on_machine()).all(|attempt| {
@@ -159,14 +159,14 @@
         self.jobs.cancellations.waiting.entry(id).or_default().push(client);
     }
 
-    /// Answers all clients whose cancellations can be confirmed or that have waited for too long, and asks the owners
+    /// Answers all clients whose cancellations can be confirmed or that have waited for too long, and asks the holders
     /// of the other jobs' shards.
     pub(crate) fn confirm_cancellations(&mut self) {
-        let mut to_ask: BTreeMap<ShardOwner, Vec<JobId>> = BTreeMap::new();
+        let mut to_ask: BTreeMap<ShardHolder, Vec<JobId>> = BTreeMap::new();
         for (id, clients) in std::mem::take(&mut self.jobs.cancellations.waiting) {
             match self.confirmation_state(&id) {
                 ConfirmationState::Confirmed(basis) => self.confirm_to_clients(&id, basis, clients),
-                ConfirmationState::NoOwner => self.answer_clients(clients, &UNAVAILABLE),
+                ConfirmationState::NoHolder => self.answer_clients(clients, &UNAVAILABLE),
                 ConfirmationState::ReplicaTooOld if !self.reaches_store() => {
                     self.answer_clients(clients, &UNAVAILABLE);
                 }
@@ -175,17 +175,17 @@
                     self.keep_waiting(id, clients);
                 }
                 ConfirmationState::MachinesNotObeying => self.keep_waiting(id, clients),
-                ConfirmationState::OwnedElsewhere(owner) => {
+                ConfirmationState::HeldElsewhere(holder) => {
                     if !self.jobs.cancellations.is_being_asked_about(&id) {
-                        to_ask.entry(owner).or_default().push(id.clone());
+                        to_ask.entry(holder).or_default().push(id.clone());
                     }
                     self.keep_waiting(id, clients);
                 }
             }
         }
-        for (owner, ids) in to_ask {
+        for (holder, ids) in to_ask {
             for ids in self.jobs.cancellations.split_into_messages(ids) {
-                self.notify_owner(owner.clone(), ids);
+                self.notify_holder(holder.clone(), ids);
             }
         }
     }
@@ -214,15 +214,15 @@
         }
     }
 
-    fn notify_owner(&mut self, owner: ShardOwner, ids: Vec<JobId>) {
+    fn notify_holder(&mut self, holder: ShardHolder, ids: Vec<JobId>) {
         let cancelled_job = |id: &JobId| {
             let end = self.store.replica.outcomes.get(id)?;
             Some(CancelledJob { id: id.to_string(), cancelled_at: end.value.at.0, revision: end.version })
         };
         let jobs = ids.iter().filter_map(cancelled_job).collect();
-        let message = CancellationNotice { shard: owner.shard, fencing_token: owner.fencing_token.0, jobs };
+        let message = CancellationNotice { shard: holder.shard, fencing_token: holder.fencing_token.0, jobs };
         let call = self.jobs.cancellations.begin_call(ids);
-        self.out.push(Effect::Peer { call, to: owner.label, message });
+        self.out.push(Effect::Peer { call, to: holder.label, message });
     }
 
     /// Another controller has answered our call about cancelled jobs, or the call has failed.
@@ -267,7 +267,7 @@
         self.changed(changes);
     }
 
-    /// Whether we own the shard under the token that the sender has seen, or a later one, and the machines obey.
+    /// Whether we hold the shard under the token that the sender has seen, or a later one, and the machines obey.
     fn enforces_cancellations(&self, message: &CancellationNotice) -> bool {
         let mut jobs = message.jobs.iter().filter(|job| is_valid_job_id(&job.id));
         jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -140,14 +140,14 @@
         tracing::debug!(job = %id, "job ready: all dependencies done");
     }
 
-    /// Writes, for the shards owned here, the outcome of jobs that were cancelled with a dependency. Nobody waits for it.
+    /// Writes, for the shards held here, the outcome of jobs that were cancelled with a dependency. Nobody waits for it.
     pub(crate) fn write_cascaded_cancellations(&mut self) {
         if self.jobs.cascaded.is_empty() || self.store.is_cascade_pending() {
             return;
         }
         let max_count = self.platform.deployment.store.min_txn_ops();
-        let is_owned = |id: &&JobId| self.jobs.get(id).is_some_and(|job| self.holds(Role::Shard(job.shard)));
-        let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(is_owned).take(max_count).cloned().collect();
+        let is_held_here = |id: &&JobId| self.jobs.get(id).is_some_and(|job| self.holds(Role::Shard(job.shard)));
+        let ids: Vec<JobId> = self.jobs.cascaded.iter().filter(is_held_here).take(max_count).cloned().collect();
         if ids.is_empty() {
             return;
         }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -16,7 +16,7 @@
     pub accepted_at: Micros,
     /// Resources that one task takes.
     pub resources: Resources,
-    /// The shard whose owner schedules the job and records its attempts.
+    /// The shard whose holder schedules the job and records its attempts.
     pub shard: u32,
     pub attempts: JobAttempts,
     pub progress: TaskProgress,
--- a/src/coordination/jobs/job_attempts.rs
+++ b/src/coordination/jobs/job_attempts.rs
@@ -4,7 +4,7 @@
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::usage::Usage;
 use crate::protocol::user::{JobKind, JobSpec, Priority};
-use crate::types::{JobId, Resources};
+use crate::types::{JobId, Resources, TaskId};
 use std::collections::BTreeMap;
 use std::ops::Range;
 
@@ -45,6 +45,10 @@
         &self.job
     }
 
+    fn task_id(&self, index: u32) -> TaskId {
+        TaskId { job: self.job.clone(), index }
+    }
+
     /// The attempt at a task.
     pub fn get(&self, task: u32) -> Option<&TaskAttempt> {
         self.by_task.get(&task)
@@ -99,7 +103,7 @@
     pub fn insert(&mut self, task: u32, attempt: TaskAttempt, usage: &mut Usage) {
         self.remove(task, usage);
         usage.mark_changed(&self.job);
-        usage.add_attempt(attempt.machine(), &self.job, task);
+        usage.add_attempt(attempt.machine(), self.task_id(task));
         if attempt.occupies_resources() {
             self.occupying_count += 1;
             usage.occupy(&self.class, attempt.machine());
@@ -117,7 +121,7 @@
             usage.release(&self.class, attempt.machine());
         }
         self.decided_count -= u32::from(attempt.state() == AttemptState::Decided);
-        usage.remove_attempt(attempt.machine(), &self.job, task);
+        usage.remove_attempt(attempt.machine(), &self.task_id(task));
         Some(attempt)
     }
 
--- a/src/coordination/jobs/mod.rs
+++ b/src/coordination/jobs/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) mod reconciliation;
 pub mod usage;
 
-use crate::types::JobId;
+use crate::types::{JobId, TaskId};
 use attempt::{AttemptState, TaskAttempt};
 use cancellation_log::CancellationLog;
 use cancellations::Cancellations;
@@ -56,6 +56,16 @@
         self.by_id.get_mut(id)
     }
 
+    /// The attempt at a task.
+    pub(crate) fn attempt(&self, task: &TaskId) -> Option<&TaskAttempt> {
+        self.by_id.get(&task.job)?.attempts.get(task.index)
+    }
+
+    /// The attempt at a task, to be changed in what no sum depends on.
+    pub(crate) fn attempt_mut(&mut self, task: &TaskId) -> Option<&mut TaskAttempt> {
+        self.by_id.get_mut(&task.job)?.attempts.get_mut(task.index)
+    }
+
     /// Whether a job is known.
     pub(crate) fn contains_key(&self, id: &JobId) -> bool {
         self.by_id.contains_key(id)
@@ -113,9 +123,9 @@
     }
 
     /// Moves an attempt to another state.
-    pub(crate) fn set_attempt_state(&mut self, id: &JobId, task: u32, state: AttemptState) {
-        if let Some(job) = self.by_id.get_mut(id) {
-            job.attempts.set_state(task, state, &mut self.usage);
+    pub(crate) fn set_attempt_state(&mut self, task: &TaskId, state: AttemptState) {
+        if let Some(job) = self.by_id.get_mut(&task.job) {
+            job.attempts.set_state(task.index, state, &mut self.usage);
         }
     }
 
--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -111,7 +111,7 @@
 }
 
 impl Controller {
-    /// The shard whose owner schedules a job; the same on every controller. A team's jobs stay together, so that its
+    /// The shard whose holder schedules a job; the same on every controller. A team's jobs stay together, so that its
     /// quota can be kept; a team without any quota has its jobs spread by id where most shards would be idle otherwise.
     fn shard_of(&self, team: Option<&str>, id: &JobId) -> u32 {
         let shards = self.shard_count();
--- a/src/coordination/jobs/usage.rs
+++ b/src/coordination/jobs/usage.rs
@@ -4,13 +4,13 @@
 //! moves to another state, so that no sum drifts from the attempts.
 
 use crate::coordination::jobs::job_attempts::AttemptClass;
-use crate::types::{JobId, MachineId, Resources};
+use crate::types::{JobId, MachineId, Resources, TaskId};
 use std::collections::{BTreeSet, HashMap};
 
 /// What the stored records and the decisions since place on one machine.
 #[derive(Debug, Default, PartialEq)]
 pub struct MachineUsage {
-    attempts: BTreeSet<(JobId, u32)>,
+    attempts: BTreeSet<TaskId>,
     resources: Resources,
     occupying_count: u32,
     service_count: u32,
@@ -19,7 +19,7 @@
 
 impl MachineUsage {
     /// All attempts placed there, by job and task.
-    pub fn attempts(&self) -> impl Iterator<Item = &(JobId, u32)> {
+    pub fn attempts(&self) -> impl Iterator<Item = &TaskId> {
         self.attempts.iter()
     }
 
@@ -44,12 +44,12 @@
     }
 
     /// The attempts on a machine, by job and task.
-    pub fn iter_attempts_on(&self, machine: &MachineId) -> impl Iterator<Item = &(JobId, u32)> {
+    pub fn iter_attempts_on(&self, machine: &MachineId) -> impl Iterator<Item = &TaskId> {
         self.machines.get(machine).into_iter().flat_map(MachineUsage::attempts)
     }
 
     /// A copy of the attempts on a machine, for use while they change.
-    pub fn attempts_on(&self, machine: &MachineId) -> Vec<(JobId, u32)> {
+    pub fn attempts_on(&self, machine: &MachineId) -> Vec<TaskId> {
         self.machines.get(machine).map(|usage| usage.attempts.iter().cloned().collect()).unwrap_or_default()
     }
 
@@ -101,13 +101,13 @@
         self.changed_jobs.remove(job);
     }
 
-    pub(super) fn add_attempt(&mut self, machine: &MachineId, job: &JobId, task: u32) {
-        self.machines.entry(machine.clone()).or_default().attempts.insert((job.clone(), task));
+    pub(super) fn add_attempt(&mut self, machine: &MachineId, task: TaskId) {
+        self.machines.entry(machine.clone()).or_default().attempts.insert(task);
     }
 
-    pub(super) fn remove_attempt(&mut self, machine: &MachineId, job: &JobId, task: u32) {
+    pub(super) fn remove_attempt(&mut self, machine: &MachineId, task: &TaskId) {
         let Some(usage) = self.machines.get_mut(machine) else { return };
-        usage.attempts.remove(&(job.clone(), task));
+        usage.attempts.remove(task);
         if usage.attempts.is_empty() {
             self.machines.remove(machine);
         }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -94,9 +94,9 @@
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
         // Attempts decided or recorded whose fetch has not shown up in a heartbeat yet.
-        for (id, task) in self.jobs.usage().iter_attempts_on(id) {
-            let Some(job) = self.jobs.get(id) else { continue };
-            let attempt = job.attempts.get(*task);
+        for task in self.jobs.usage().iter_attempts_on(id) {
+            let Some(job) = self.jobs.get(&task.job) else { continue };
+            let attempt = job.attempts.get(task.index);
             let is_unseen =
                 attempt.is_some_and(|a| matches!(a.state(), AttemptState::Decided | AttemptState::Recorded));
             let image = job.spec.image.as_str();
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -130,9 +130,9 @@
     /// What will be free on a machine once the tasks being stopped there have gone.
     fn free_after_stops(&self, machine: &CandidateMachine) -> Resources {
         let starts = self.jobs.usage().iter_attempts_on(&machine.id);
-        let stopping = starts.filter_map(|(id, task)| {
-            let job = self.jobs.get(id)?;
-            let attempt = job.attempts.get(*task)?;
+        let stopping = starts.filter_map(|task| {
+            let job = self.jobs.get(&task.job)?;
+            let attempt = job.attempts.get(task.index)?;
             (attempt.occupies_resources() && attempt.stop_grace_s.is_some()).then_some(job.resources)
         });
         stopping.fold(machine.free, |free, resources| free.plus(&resources))
@@ -147,7 +147,7 @@
             .usage()
             .on_machine(&candidate.id)?
             .attempts()
-            .filter_map(|(id, task)| self.as_victim(job, id, *task))
+            .filter_map(|task| self.as_victim(job, &task.job, task.index))
             .collect();
         possible.sort();
         let mut free = candidate.free;
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -10,7 +10,7 @@
 use crate::coordination::scheduling::shard_view::CandidateMachine;
 use crate::protocol::user::JobKind;
 use crate::storage::schema::{CordonReason, Role};
-use crate::types::{JobId, MachineId, Micros, Resources};
+use crate::types::{JobId, MachineId, Micros, Resources, TaskId};
 use burlhatch_zones::Condition;
 use std::collections::BTreeMap;
 
@@ -44,12 +44,12 @@
             return Vec::new();
         }
         let starts = self.jobs.usage().iter_attempts_on(machine);
-        let goes_on = |id: &JobId, task: u32| {
-            let job = self.jobs.get(id).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
-            let attempt = job.and_then(|job| job.attempts.get(task));
+        let goes_on = |task: &&TaskId| {
+            let job = self.jobs.get(&task.job).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
+            let attempt = job.and_then(|job| job.attempts.get(task.index));
             attempt.is_some_and(|attempt| attempt.occupies_resources() && attempt.stop_grace_s.is_none())
         };
-        starts.filter(|(id, task)| goes_on(id, *task)).map(|(id, _)| id.clone()).collect()
+        starts.filter(goes_on).map(|task| task.job.clone()).collect()
     }
 
     /// How many replicas of a job are displaced.
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -12,7 +12,7 @@
 use burlhatch::storage::Replica;
 use burlhatch::storage::schema::{Key, Outcome, RunChunk, TaskAttemptRecord, to_value};
 use burlhatch::transport::rate_limit::{CallPriority, TokenBucket};
-use burlhatch::types::{JobId, MachineId, Micros, Resources, Revision};
+use burlhatch::types::{JobId, MachineId, Micros, Resources, Revision, TaskId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -261,8 +261,8 @@
                 prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies_resources()));
                 let serves = there().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == JobKind::Service);
                 prop_assert_eq!(usage.runs_service_on(machine), serves);
-                let starts: Vec<(JobId, u32)> = there().map(|((j, t), _)| (names[*j].clone(), *t)).collect();
-                prop_assert_eq!(usage.attempts_on(machine), starts);
+                let tasks: Vec<TaskId> = there().map(|((j, t), _)| TaskId { job: names[*j].clone(), index: *t }).collect();
+                prop_assert_eq!(usage.attempts_on(machine), tasks);
             }
             for team in 0..2 {
                 let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies_resources());
