--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -77,8 +77,8 @@
 
     /// So long after a cancellation a lease that is not renewed any more has expired before the time allowed is over.
     fn renewal_span(&self) -> Micros {
-        let workers = &self.platform.deployment.agents;
-        let span_s = workers.cancel_s - workers.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
+        let agents = &self.platform.deployment.agents;
+        let span_s = agents.cancel_s - agents.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
         Micros::from_secs_f64(span_s.max(0.0))
     }
 
@@ -141,8 +141,8 @@
             if due_at > now || job.attempts.occupying_count() == 0 || !self.enforces_cancellations_of(job.shard) {
                 continue;
             }
-            for start in job.attempts.values().filter(|start| start.may_be_on_machine()) {
-                let first = due_at_by_machine.entry(start.machine().clone()).or_insert(due_at);
+            for attempt in job.attempts.values().filter(|attempt| attempt.may_be_on_machine()) {
+                let first = due_at_by_machine.entry(attempt.machine().clone()).or_insert(due_at);
                 *first = (*first).min(due_at);
             }
         }
@@ -171,10 +171,9 @@
             return false;
         };
         let now = self.now();
-        placed.attempts().any(|(job, task)| {
-            let is_overdue = enforcement.is_past_renewals(job, now);
-            let start = self.jobs.get(job).filter(|_| is_overdue).and_then(|job| job.attempts.get(*task));
-            start.is_some_and(TaskAttempt::may_be_on_machine)
+        placed.attempts().any(|task| {
+            let is_overdue = enforcement.is_past_renewals(&task.job, now);
+            is_overdue && self.jobs.attempt(task).is_some_and(TaskAttempt::may_be_on_machine)
         })
     }
 
@@ -195,8 +194,8 @@
         let now = self.now();
         tracing::info!(machines = ids.len(), first = ?ids.first(), "machine deletion confirmed");
         for id in ids {
-            for (job, task) in self.jobs.usage().attempts_on(&id) {
-                self.attempt_proven_absent(&job, task, AbsenceProof::MachineDeleted);
+            for task in self.jobs.usage().attempts_on(&id) {
+                self.attempt_proven_absent(&task, AbsenceProof::MachineDeleted);
             }
             self.autoscaling.note_deleted(id.clone(), now);
             self.fleet.cancellation_enforcement.deleted.insert(id, None);
--- a/src/coordination/fleet/failure_detection/lease_expiry.rs
+++ b/src/coordination/fleet/failure_detection/lease_expiry.rs
@@ -54,10 +54,12 @@
 
     /// Proves gone what was started on a machine up to that incarnation of its agent.
     fn prove_expired(&mut self, id: &MachineId, incarnation: u64) {
-        for (job, task) in self.jobs.usage().attempts_on(id) {
-            let start = self.jobs.get(&job).and_then(|job| job.attempts.get(task));
-            if start.is_some_and(|start| start.incarnation <= incarnation && start.state() != AttemptState::Decided) {
-                self.attempt_proven_absent(&job, task, AbsenceProof::LeaseExpired);
+        for task in self.jobs.usage().attempts_on(id) {
+            let attempt = self.jobs.attempt(&task);
+            if attempt
+                .is_some_and(|attempt| attempt.incarnation <= incarnation && attempt.state() != AttemptState::Decided)
+            {
+                self.attempt_proven_absent(&task, AbsenceProof::LeaseExpired);
             }
         }
     }
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -16,7 +16,7 @@
     pub accepted_at: Micros,
     /// Resources that one task takes.
     pub resources: Resources,
-    /// The shard whose owner schedules the job and records its attempts.
+    /// The shard whose holder schedules the job and records its attempts.
     pub shard: u32,
     pub attempts: JobAttempts,
     pub progress: TaskProgress,
@@ -92,6 +92,11 @@
         }
     }
 
+    /// How long a task of it may take to stop: as long as the policy allows if it writes checkpoints, else no time.
+    pub(crate) fn stop_grace_s(&self, max_grace_s: f64) -> f64 {
+        if self.spec.checkpoint_interval_s > 0.0 { max_grace_s } else { 0.0 }
+    }
+
     /// How many tasks are done, as far as it is recorded.
     pub fn done_count(&self) -> u32 {
         self.progress.done_count
--- a/src/transport/calls/cloud.rs
+++ b/src/transport/calls/cloud.rs
@@ -46,7 +46,7 @@
 fn priority(request: &CloudCall) -> CallPriority {
     match request {
         CloudCall::Delete(_) => CallPriority::Critical,
-        CloudCall::Rent(_) => CallPriority::Write,
+        CloudCall::CreateInstances(_) => CallPriority::Write,
         CloudCall::Types | CloudCall::List { .. } => CallPriority::Read,
     }
 }
@@ -65,7 +65,7 @@
         match call {
             CloudCall::Types => get(cloud::TYPES_PATH.to_string()),
             CloudCall::List { after } => get(cloud::list_path(after.as_ref())),
-            CloudCall::Rent(request) => post(cloud::RENT_PATH, encode(request)),
+            CloudCall::CreateInstances(request) => post(cloud::RENT_PATH, encode(request)),
             CloudCall::Delete(machines) => {
                 post(cloud::DELETE_PATH, encode(&cloud::MachineNames { machines: machines.clone() }))
             }
@@ -78,8 +78,10 @@
     match (request, response.status) {
         (CloudCall::Types, StatusCode::OK) => decode_or_log(response).map(CloudOutcome::Types),
         (CloudCall::List { .. }, StatusCode::OK) => decode_or_log(response).map(CloudOutcome::List),
-        (CloudCall::Rent(_), StatusCode::OK) => decode_or_log(response).map(CloudOutcome::Rented),
-        (CloudCall::Rent(_), StatusCode::SERVICE_UNAVAILABLE) if response.body_contains(cloud::NO_CAPACITY) => {
+        (CloudCall::CreateInstances(_), StatusCode::OK) => decode_or_log(response).map(CloudOutcome::InstancesCreated),
+        (CloudCall::CreateInstances(_), StatusCode::SERVICE_UNAVAILABLE)
+            if response.body_contains(cloud::NO_CAPACITY) =>
+        {
             Some(CloudOutcome::NoCapacity)
         }
         (CloudCall::Delete(_), StatusCode::OK) => Some(CloudOutcome::Deleted),
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -89,7 +89,7 @@
     pub(super) fn cloud_request(&mut self, request: CloudCall) -> CloudOutcome {
         match request {
             CloudCall::Types => CloudOutcome::Types(self.machine_types()),
-            CloudCall::Rent(rental) => self.rent(rental),
+            CloudCall::CreateInstances(rental) => self.rent(rental),
             CloudCall::Delete(ids) => self.delete_machines(&ids),
             CloudCall::List { after } => CloudOutcome::List(self.list_machines(after.as_ref())),
         }
@@ -115,7 +115,7 @@
     /// A repeated request brings what the first one brought.
     fn rent(&mut self, rental: InstanceRequest) -> CloudOutcome {
         if let Some(names) = self.cloud.charters.get(&rental.request) {
-            return CloudOutcome::Rented(MachineNames { machines: names.clone() });
+            return CloudOutcome::InstancesCreated(MachineNames { machines: names.clone() });
         }
         let available = self.cloud.capacity.saturating_sub(self.cloud.used());
         if available == 0 {
@@ -132,7 +132,7 @@
             names.push(self.boot(&rental.machine_type, &rental.zone, rental.spot, delay));
         }
         self.cloud.charters.insert(rental.request, names.clone());
-        CloudOutcome::Rented(MachineNames { machines: names })
+        CloudOutcome::InstancesCreated(MachineNames { machines: names })
     }
 
     fn delete_machines(&mut self, ids: &[MachineId]) -> CloudOutcome {
