--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -7,12 +7,13 @@
 use crate::coordination::store_sync::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
 use crate::coordination::{Controller, Effect, WorkerAnswer};
 use crate::protocol::worker::Heartbeat;
+use crate::settings::StoreLimits;
 use crate::storage::schema::{Key, MachineBatchMember, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 
 /// So long a machine's answer counts as a sign that it exists.
 const ALIVE_SPAN: Micros = Micros::from_millis(5000);
-/// CPUs of a machine whose type is not known, in thousandths.
+/// CPUs of a machine whose type is not known, in millionths.
 const CPUS_OF_UNKNOWN_TYPE: u64 = 1_000_000;
 
 /// How a machine stands that sends heartbeats.
@@ -27,23 +28,53 @@
     Alive,
 }
 
+/// Machines that one transaction registers, as many as its limits allow.
+struct RegistrationBatch {
+    members: Vec<MachineBatchMember>,
+    bytes: usize,
+    max_bytes: usize,
+    max_members: usize,
+}
+
+impl RegistrationBatch {
+    fn new(limits: &StoreLimits) -> RegistrationBatch {
+        RegistrationBatch {
+            members: Vec::new(),
+            bytes: 0,
+            max_bytes: (limits.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize,
+            // The preconditions on the role and on the batch's own record leave that many.
+            max_members: limits.min_txn_ops() * PRECONDITIONS_PER_WRITE - 2,
+        }
+    }
+
+    fn contains(&self, id: &MachineId) -> bool {
+        self.members.iter().any(|member| member.id == *id)
+    }
+
+    /// Adds a machine; false if it would exceed the limits.
+    fn add(&mut self, member: MachineBatchMember) -> bool {
+        let more = serde_json::to_string(&member).map_or(self.max_bytes, |text| text.len() + 1);
+        if self.bytes + more > self.max_bytes || self.members.len() == self.max_members {
+            return false;
+        }
+        self.bytes += more;
+        self.members.push(member);
+        true
+    }
+}
+
 impl Controller {
     /// Machines that send heartbeats and have no record get one, in the shard that needs them most.
     pub(crate) fn register_machines(&mut self) {
-        let limits = self.platform.deployment.store.clone();
-        let max_bytes = (limits.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
-        // The preconditions on the role and on the fleet's own record leave that many.
-        let max_members = limits.min_txn_ops() * PRECONDITIONS_PER_WRITE - 2;
         let heartbeats: Vec<Heartbeat> =
             self.fleet.unregistered.iter().map(|unregistered| unregistered.heartbeat.clone()).collect();
         let now = self.now();
         self.fleet.unregistered_alive_at.retain(|_, at| now.since(*at) < ALIVE_SPAN);
-        let mut members: Vec<MachineBatchMember> = Vec::new();
+        let mut batch = RegistrationBatch::new(&self.platform.deployment.store);
         let mut refused = Vec::new();
-        let mut bytes = 0;
         for heartbeat in heartbeats {
             let id = &heartbeat.machine;
-            if members.iter().any(|member| member.id == *id) {
+            if batch.contains(id) {
                 continue;
             }
             match self.registration(id) {
@@ -51,18 +82,15 @@
                 Registration::Deleted => refused.push(id.clone()),
                 Registration::Unproven => self.probe_unregistered(id, heartbeat.addr.as_deref()),
                 Registration::Alive => {
-                    let member = self.new_member(&heartbeat, &members);
-                    let more = serde_json::to_string(&member).map_or(max_bytes, |text| text.len() + 1);
-                    if bytes + more > max_bytes || members.len() == max_members {
+                    let member = self.new_member(&heartbeat, &batch.members);
+                    if !batch.add(member) {
                         break;
                     }
-                    bytes += more;
-                    members.push(member);
                 }
             }
         }
-        if !members.is_empty() {
-            self.record_registrations(members);
+        if !batch.members.is_empty() {
+            self.record_registrations(batch.members);
         }
         self.refuse_heartbeats_of(&refused);
     }
@@ -106,12 +134,13 @@
 
     /// Records machines that are not in the stored records, all in one value unless it is a single one.
     fn record_registrations(&mut self, members: Vec<MachineBatchMember>) {
+        let now = self.now();
         let mut proposal = ProposedTxn::default();
         proposal.unchanged(&self.store.replica, Key::Role(Role::Leader));
         let ids: Vec<MachineId> = members.iter().map(|m| m.id.clone()).collect();
         for id in &ids {
             self.fleet.machine_or_insert(id).registration_started();
-            self.provisioning_finished(id);
+            self.autoscaling.instance_came_up(id, now);
             proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         }
         match &members[..] {
@@ -125,12 +154,6 @@
         self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::Register, ids));
     }
 
-    /// A requested instance has come up: its provisioning is over.
-    fn provisioning_finished(&mut self, id: &MachineId) {
-        let now = self.now();
-        self.autoscaling.instance_came_up(id, now);
-    }
-
     /// The shard with the most urgent tasks that the machine can take, else the one with the fewest CPUs for its teams.
     fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
         match self.assign_to_unschedulable_tasks(heartbeat) {
