--- a/src/coordination/autoscaling/cloud_client.rs
+++ b/src/coordination/autoscaling/cloud_client.rs
@@ -78,7 +78,7 @@
             CloudRequest::ListMachines => {
                 CloudCall::List { after: self.listing.machines.last().map(|machine| machine.id.clone()) }
             }
-            CloudRequest::CreateInstances { request, .. } => CloudCall::Rent(request.clone()),
+            CloudRequest::CreateInstances { request, .. } => CloudCall::CreateInstances(request.clone()),
             CloudRequest::DeleteMachines(ids) | CloudRequest::DeleteForCancellation(ids) => {
                 CloudCall::Delete(ids.clone())
             }
@@ -211,7 +211,7 @@
 
     fn create_instances_outcome(&mut self, request: InstanceRequest, retry_count: u32, outcome: CloudOutcome) {
         match outcome {
-            CloudOutcome::Rented(created) => self.instances_created(&request, created.machines),
+            CloudOutcome::InstancesCreated(created) => self.instances_created(&request, created.machines),
             CloudOutcome::NoCapacity => {
                 let InstanceRequest { machine_type, zone, spot, .. } = request;
                 tracing::info!(machine_type, zone, spot, "instance offer out of capacity");
