--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! Long runs by hand: scenarios on loopback, and reports of measurements.
+//! Command line of the testbed: long runs of scenarios on loopback, and reports of measurements.
 
 use burlhatch_testbed::faults::{PlannedFault, draw_plan};
 use burlhatch_testbed::report::{html, read_samples};
@@ -21,61 +21,61 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Play the loss and return of a zone, several times
+    /// Run the loss and return of a zone, once or several times
     Zone {
-        /// The built controller
+        /// Path of the built controller
         #[arg(long, default_value = "target/release/burlhatch")]
         program: PathBuf,
         /// What happens to the zone
         #[arg(long = "trouble")]
         fault: FaultName,
-        /// The operators' settings
+        /// The operators' policy (JSON)
         #[arg(long, default_value = r#"{"zones": {"enabled": true}}"#)]
         policy: String,
-        /// How often
+        /// Number of runs
         #[arg(long = "times", default_value_t = 1)]
         run_count: u32,
     },
-    /// Let users submit and call off jobs while troubles meet that are drawn from seeds
+    /// Let users submit and cancel jobs while overlapping faults are injected, which are drawn from seeds
     Soak {
-        /// The built controller
+        /// Path of the built controller
         #[arg(long, default_value = "target/release/burlhatch")]
         program: PathBuf,
         /// The first seed
         #[arg(long, default_value_t = 1, allow_negative_numbers = true)]
         seed: u64,
-        /// How many seeds
+        /// Number of seeds
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
         count: u64,
-        /// Seeds at a time
+        /// Number of seeds that run at a time
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=8))]
         at_once: u64,
-        /// Controllers, 3 or 5; in turn if it is not said
+        /// Number of controllers, 3 or 5; by default one or the other, depending on the seed
         #[arg(long, value_parser = controllers)]
         controllers: Option<usize>,
-        /// Machines up at the start
+        /// Number of machines that run at the start
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u32).range(1..=400))]
         machines: u32,
-        /// Seconds of troubles
+        /// For how many seconds faults are injected
         #[arg(long, default_value_t = 45, value_parser = clap::value_parser!(u64).range(5..=3600))]
         seconds: u64,
-        /// Troubles as a list in JSON, in place of drawn ones
+        /// File with a list of faults (JSON), instead of drawn ones
         #[arg(long)]
         plan: Option<PathBuf>,
     },
-    /// Make an HTML page of samples, one JSON object a line
+    /// Make an HTML report of samples
     Report {
-        /// The samples
+        /// File with the samples, one JSON object a line
         samples: PathBuf,
-        /// The page
+        /// HTML file to write
         page: PathBuf,
-        /// Its title
+        /// Title of the report
         #[arg(long, default_value = "Measurements")]
         title: String,
     },
 }
 
-/// How many controllers a deployment has.
+/// Parses the number of controllers.
 fn controllers(text: &str) -> Result<usize, String> {
     match text.parse() {
         Ok(count @ (3 | 5)) => Ok(count),
@@ -174,7 +174,7 @@
     }
 }
 
-/// Plays runs, a few at a time. The logs of a run that broke no rule are removed.
+/// Plays runs, a few at a time; whether no rule was broken. The logs of a run that broke none are removed.
 async fn play_soak_runs(runs: Vec<SoakRun>, at_once: usize) -> Result<bool, Box<dyn Error>> {
     let mut waiting = runs.into_iter();
     let mut playing = JoinSet::new();
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Largest value that is told apart, and digits kept.
-const VALUE_MOST: u64 = 100_000_000;
-const DIGITS: u8 = 3;
-/// Percent between two points of a line.
-const PLOT_STEP: usize = 5;
+/// Larger values count as this one.
+const MAX_VALUE: u64 = 100_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Distance between two points of a line.
+const PLOT_STEP_PERCENT: usize = 5;
 const PLOT_SIZE: (u32, u32) = (640, 300);
 
 /// One measured value.
@@ -18,23 +18,23 @@
 pub struct Sample {
     /// What was measured, with its unit.
     pub figure: String,
-    /// In which setting: size of the fleet, trouble.
+    /// Setting: size of the fleet, fault.
     pub scenario: String,
-    /// Which parts were on.
+    /// Variant: which features were enabled.
     pub variant: String,
     /// Seed of the run.
     pub seed: u64,
-    /// The value; none if it did not come about within the run.
+    /// The value; none if it was not reached within the run.
     pub value: Option<u64>,
 }
 
-/// Why a report can't be made.
+/// Why a report failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// A line is no sample.
+    /// A line is not a sample.
     #[error("line {line}: {message}")]
     Line {
-        /// Counted from 1.
+        /// Number of the line, from 1.
         line: usize,
         /// What is wrong with it.
         message: String,
@@ -66,19 +66,20 @@
 
 impl Distribution {
     fn new() -> Result<Distribution, ReportError> {
-        let histogram = Histogram::new_with_max(VALUE_MOST, DIGITS).map_err(|e| ReportError::Plot(e.to_string()))?;
+        let histogram =
+            Histogram::new_with_max(MAX_VALUE, SIGNIFICANT_DIGITS).map_err(|e| ReportError::Plot(e.to_string()))?;
         Ok(Distribution { histogram, runs: 0, missing: 0 })
     }
 
     fn add(&mut self, value: Option<u64>) {
         self.runs += 1;
         match value {
-            Some(value) => self.histogram.saturating_record(value.min(VALUE_MOST)),
+            Some(value) => self.histogram.saturating_record(value.min(MAX_VALUE)),
             None => self.missing += 1,
         }
     }
 
-    /// Below which that part of the values lies; none without values.
+    /// The value at a quantile; none without values.
     pub fn quantile(&self, part: f64) -> Option<u64> {
         (!self.histogram.is_empty()).then(|| self.histogram.value_at_quantile(part))
     }
@@ -109,7 +110,7 @@
     Ok(figures)
 }
 
-/// The whole page.
+/// Renders the whole page.
 pub fn html(title: &str, samples: &[Sample]) -> Result<String, ReportError> {
     if samples.is_empty() {
         return Err(ReportError::Empty);
@@ -174,7 +175,7 @@
         for (i, (name, d)) in variants.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
             let points = (0..=100)
-                .step_by(PLOT_STEP)
+                .step_by(PLOT_STEP_PERCENT)
                 .filter_map(|q| Some((f64::from(q), d.quantile(f64::from(q) / 100.0)? as f64)));
             let line = LineSeries::new(points, color.stroke_width(2));
             let drawn = chart.draw_series(line).map_err(|e| failed(&e))?;
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -85,10 +85,10 @@
     pub seconds: u64,
 }
 
-/// Start of the controllers' log line for an agent's lease that is withheld.
-const LEASE_WITHHELD_LOG: &str = "lease not renewed";
-/// Start of the controllers' log line for machines that are deleted to enforce a cancellation.
-const DELETION_LOG: &str = "deletion asked for";
+/// Log line of a controller that does not renew an agent's lease.
+const LEASE_WITHHELD_LOG: &str = "lease renewal withheld";
+/// Log line of a controller that requests the deletion of machines.
+const DELETION_LOG: &str = "machines deleted to enforce cancellation deadline";
 
 const INITIAL_JOBS: usize = 6;
 const START_LIMIT: Duration = Duration::from_secs(60);
