--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -8,8 +8,9 @@
 //! that was not read yet. The earlier counts.
 
 use crate::coordination::api::{Query, ReceivedRequest, UNAVAILABLE};
+use crate::coordination::scheduling::quota::TeamQuota;
 use crate::coordination::store_sync::TxnEnd;
-use crate::coordination::store_sync::evidence::Fresh;
+use crate::coordination::store_sync::evidence::FreshnessProof;
 use crate::coordination::{Controller, RequestId, UserAnswer};
 use crate::protocol::user::{JobKind, JobSpec, Submission};
 use crate::storage::schema::{JobBatchMember, JobRecord};
@@ -108,7 +109,7 @@
 
 /// Evidence that a batch's commit gives about one of its jobs: the job was not over then. Whether it is cancelled with a
 /// dependency follows from the dependency's records, of which the commit tells nothing.
-fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<Fresh> {
+fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<FreshnessProof> {
     match end {
         TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.of_accepted_job(request.received_at),
         _ => None,
@@ -216,22 +217,18 @@
             JobKind::Array => spec.resources(),
             JobKind::Gang | JobKind::Service => spec.resources().times(u64::from(spec.tasks)),
         };
-        // A quota of 0 means none.
-        let quota = team.resource_limit();
-        let exceeds = |needed: u64, allowed: u64| allowed > 0 && needed > allowed;
-        if exceeds(concurrent.cpus, quota.cpus) || exceeds(concurrent.gpus, quota.gpus) {
-            return Err("needs more than the team's limit");
-        }
-        Ok(())
+        let is_admitted = TeamQuota::of_team(team).admits(&concurrent);
+        if is_admitted { Ok(()) } else { Err("needs more than the team's limit") }
     }
 
     fn fits_any_machine_type(&self, spec: &JobSpec) -> bool {
         let resources = spec.resources();
         self.autoscaling.machine_types().any(|machine_type| {
             let wire = &machine_type.wire;
-            let is_allowed = spec.types.as_ref().is_none_or(|allowed| allowed.contains(&wire.name));
             let is_in_zone = |zone: &String| wire.zones.is_empty() || wire.zones.contains(zone);
-            is_allowed && spec.zone.as_ref().is_none_or(is_in_zone) && resources.fits_in(&machine_type.resources)
+            spec.allows_machine_type(&wire.name)
+                && spec.zone.as_ref().is_none_or(is_in_zone)
+                && resources.fits_in(&machine_type.resources)
         })
     }
 }
--- a/src/coordination/messages.rs
+++ b/src/coordination/messages.rs
@@ -108,8 +108,8 @@
     Types(MachineTypes),
     /// A page of the list of machines.
     List(MachineList),
-    /// Machines that were rented.
-    Rented(MachineNames),
+    /// Instances that were created.
+    InstancesCreated(MachineNames),
     /// None of this kind is to be had now.
     NoCapacity,
     /// The machines and all on them are gone.
@@ -128,8 +128,8 @@
         /// Begins after this machine.
         after: Option<MachineId>,
     },
-    /// To rent machines.
-    Rent(InstanceRequest),
+    /// To create instances.
+    CreateInstances(InstanceRequest),
     /// To delete machines.
     Delete(Vec<MachineId>),
 }
