--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -6,7 +6,7 @@
 //! input at a time, and each of its effects is carried out in the order in which it was returned.
 //!
 //! * [`daemon`]: the main loop, from queued requests to effects;
-//! * [`server`]: accepts connections, limits them, and routes requests;
+//! * `server`: accepts connections, limits them, and routes requests;
 //! * `request_queue` and `reply`: what the server hands to the main loop, and what it sends back;
 //! * `siblings`: calls to the other controllers, and whether they reach the store;
 //! * `calls`: calls to the store, the cloud and the agents;
@@ -20,6 +20,6 @@
 pub mod rate_limit;
 mod reply;
 mod request_queue;
-pub mod server;
+mod server;
 mod siblings;
 pub mod zone_admin;
--- a/src/transport/siblings/health.rs
+++ b/src/transport/siblings/health.rs
@@ -69,7 +69,7 @@
 pub(in crate::transport) async fn monitor_store_reachability(health: Arc<NodeHealth>, siblings: Arc<Siblings>) {
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        let is_check_needed = !health.reaches_store() && !siblings.siblings.is_empty();
+        let is_check_needed = !health.reaches_store() && !siblings.peers.is_empty();
         let reachability = if is_check_needed { check_siblings(&siblings).await } else { StoreReachability::default() };
         health.record(reachability);
     }
@@ -77,7 +77,7 @@
 
 async fn check_siblings(siblings: &Siblings) -> StoreReachability {
     let start_check = |address| (address, tokio::spawn(reaches_store(siblings.client.clone(), address)));
-    let checks: Vec<_> = siblings.siblings.iter().map(|sibling| start_check(sibling.address)).collect();
+    let checks: Vec<_> = siblings.peers.iter().map(|sibling| start_check(sibling.address)).collect();
     let mut siblings_with_store = Vec::new();
     let mut is_outage = false;
     for (address, check) in checks {
--- a/src/transport/siblings/mod.rs
+++ b/src/transport/siblings/mod.rs
@@ -31,18 +31,18 @@
 pub(super) struct Siblings {
     client: Client,
     /// In the order of the settings.
-    siblings: Vec<Sibling>,
+    peers: Vec<Sibling>,
     redirects: RedirectHistory,
 }
 
 impl Siblings {
     /// The siblings that the settings name.
-    pub(super) fn new(siblings: Vec<Sibling>, client: Client) -> Siblings {
-        Siblings { client, siblings, redirects: RedirectHistory::default() }
+    pub(super) fn new(peers: Vec<Sibling>, client: Client) -> Siblings {
+        Siblings { client, peers, redirects: RedirectHistory::default() }
     }
 
     fn address_of(&self, label: &str) -> Option<SocketAddr> {
-        self.siblings.iter().find(|sibling| sibling.label == label).map(|sibling| sibling.address)
+        self.peers.iter().find(|sibling| sibling.label == label).map(|sibling| sibling.address)
     }
 
     /// Notifies a sibling of cancelled jobs. Without an answer nothing is known.
