--- a/crates/zones/src/ramp.rs
+++ b/crates/zones/src/ramp.rs
@@ -8,7 +8,7 @@
 use crate::settings::ZoneSettings;
 use burlhatch_types::Micros;
 
-/// Part of a step's allowance that must have been used, and part of the starts that must be at work by then, for the
+/// Part of a step's allowance that must have been used, and part of the attempts that must run by then, for the
 /// allowance to double.
 const PROVEN_PART: f64 = 0.5;
 
@@ -99,7 +99,7 @@
         let is_used = f64::from(self.started_count) >= self.allowance * PROVEN_PART;
         let is_proven = f64::from(self.succeeded_count) >= f64::from(self.started_count) * PROVEN_PART;
         if is_used && !is_proven {
-            // Starts that are not at work yet prove nothing: neither growth nor a step back.
+            // Attempts that do not run yet prove nothing: neither growth nor a step back.
             return self.allowance;
         }
         let double = self.allowance * 2.0;
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -154,7 +154,7 @@
         self.states.get(zone)
     }
 
-    /// The state of a zone, to be told of starts there.
+    /// The state of a zone, to note task attempts there.
     pub fn state_mut(&mut self, zone: &str) -> Option<&mut ZoneState> {
         self.states.get_mut(zone)
     }
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -123,7 +123,7 @@
         machines
     }
 
-    /// Whether a machine was seen a short while ago and nothing speaks against new work on it.
+    /// Whether a machine was seen a short while ago and may be given new work.
     fn is_schedulable(&self, machine: &Machine) -> bool {
         let now = self.now();
         let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEAT_FACTOR);
--- a/src/coordination/zones/gradual_return.rs
+++ b/src/coordination/zones/gradual_return.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// A task attempt is proven gone. One that came to run since its zone returned, and was not told to stop, speaks
-    /// against the zone.
+    /// A task attempt is proven gone. If it came to run since its zone returned, and was not to be stopped, it counts as a
+    /// loss in the zone's return.
     pub(crate) fn note_zone_attempt_lost(&mut self, attempt: &TaskAttempt) {
         if !self.handles_zone_failures() || attempt.stop_grace_s.is_some() {
             return;
