--- a/crates/testbed/src/agent/heartbeats.rs
+++ b/crates/testbed/src/agent/heartbeats.rs
@@ -3,10 +3,10 @@
 use super::faults::AgentFault;
 use super::tasks::AgentState;
 use super::{Agent, STEP_INTERVAL};
-use burlhatch::protocol::encode;
-use burlhatch::protocol::worker::{
+use burlhatch::protocol::agent::{
     ExitCause, HEARTBEAT_PATH, Heartbeat, HeartbeatResponse, Redirect, TaskState, TaskStatus,
 };
+use burlhatch::protocol::encode;
 use burlhatch::transport::client::{Client, HttpResponse};
 use hyper::{Method, StatusCode};
 use std::net::SocketAddr;
--- a/src/coordination/control/isolation.rs
+++ b/src/coordination/control/isolation.rs
@@ -5,7 +5,7 @@
 //! answer, and a sibling would reach the lost ones no better: the shard would only go to and fro.
 //!
 //! Tests: `on_call::a_shard_whose_machines_all_hang_stays_where_it_is`,
-//! `on_call::a_controller_cut_from_its_workers_again_and_again`.
+//! `on_call::a_controller_cut_from_its_agents_again_and_again`.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::Machine;
--- a/src/coordination/control/session.rs
+++ b/src/coordination/control/session.rs
@@ -1,7 +1,7 @@
 //! The controller's session: a lease in the store that it keeps alive, and to which its roles' keys are bound. When the
 //! session expires the store deletes these keys, so that other controllers can take the roles over.
 
-use crate::coordination::{Controller, Effect, LeaseOutcome, StoreCall};
+use crate::coordination::{Controller, Effect, SessionOutcome, StoreCall};
 use crate::storage::schema::Role;
 use crate::types::Micros;
 
@@ -50,7 +50,7 @@
         self.in_flight = Some(InFlightCall { ticket, sent_at: now });
         match self.lease {
             Some(lease) => StoreCall::KeepAlive { ticket, lease },
-            None => StoreCall::GrantLease { ticket, ttl_ms },
+            None => StoreCall::GrantSession { ticket, ttl_ms },
         }
     }
 
@@ -89,21 +89,21 @@
     }
 
     /// A call about the session has ended.
-    pub(crate) fn lease_outcome(&mut self, ticket: u64, outcome: LeaseOutcome) {
+    pub(crate) fn session_outcome(&mut self, ticket: u64, outcome: SessionOutcome) {
         let Some(sent_at) = self.control.session.finish_call(ticket) else { return };
         let next_renewal_at = self.now() + Micros::from_millis(self.policy.session_ms / RENEWALS_PER_TTL);
         match outcome {
-            LeaseOutcome::New(lease) => {
+            SessionOutcome::Granted(lease) => {
                 self.control.session.lease = Some(lease);
                 self.control.session.renewed(sent_at, next_renewal_at);
                 self.tick_leases();
             }
-            LeaseOutcome::KeptAlive => self.control.session.renewed(sent_at, next_renewal_at),
-            LeaseOutcome::Gone => {
+            SessionOutcome::KeptAlive => self.control.session.renewed(sent_at, next_renewal_at),
+            SessionOutcome::Expired => {
                 self.session_expired();
                 self.renew_session_at_once();
             }
-            LeaseOutcome::Failed => self.control.session.next_call_at = self.now() + RETRY_PAUSE,
+            SessionOutcome::Failed => self.control.session.next_call_at = self.now() + RETRY_PAUSE,
         }
     }
 
--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -4,7 +4,7 @@
 use crate::coordination::fleet::machine::{Machine, UnrecordedTask};
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
-use crate::protocol::worker::AgentCommand;
+use crate::protocol::agent::AgentCommand;
 use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, TaskId};
 
--- a/src/coordination/fleet/direct_commands.rs
+++ b/src/coordination/fleet/direct_commands.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::fleet::heartbeats::HeartbeatSource;
 use crate::coordination::fleet::machine::{Machine, MessagePosition};
-use crate::coordination::{Controller, DirectCommandsOutcome, Effect, Failure};
-use crate::protocol::worker::{DirectCommands, Heartbeat};
+use crate::coordination::{CallFailure, Controller, DirectCommandsOutcome, Effect};
+use crate::protocol::agent::{DirectCommands, Heartbeat};
 use crate::storage::schema::CordonReason;
 use crate::types::{FencingToken, MachineId, Micros};
 use std::net::SocketAddr;
@@ -84,11 +84,11 @@
         let Some(machine) = self.fleet.machine_mut(id) else { return };
         machine.commands.finished();
         match outcome {
-            DirectCommandsOutcome::Done(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
+            DirectCommandsOutcome::Executed(heartbeat) | DirectCommandsOutcome::Rejected(heartbeat) => {
                 self.direct_answer(id, &heartbeat);
             }
-            DirectCommandsOutcome::Failed(Failure::NotDone) => machine.contact.message_failed(now),
-            DirectCommandsOutcome::Failed(Failure::Unknown) => {
+            DirectCommandsOutcome::Failed(CallFailure::NotExecuted) => machine.contact.message_failed(now),
+            DirectCommandsOutcome::Failed(CallFailure::Indeterminate) => {
                 machine.contact.message_failed(now);
                 machine.commands.last_message_unacknowledged();
             }
--- a/src/coordination/fleet/fleet_checks.rs
+++ b/src/coordination/fleet/fleet_checks.rs
@@ -1,6 +1,6 @@
 //! The checks of all machines of the shards held here, in the order in which they build on each other.
 
-use crate::coordination::{Controller, Effect, WorkerAnswer};
+use crate::coordination::{AgentAnswer, Controller, Effect};
 use crate::storage::schema::Role;
 use crate::types::{MachineId, Micros};
 
@@ -47,7 +47,7 @@
         let now = self.now();
         for unregistered in self.fleet.take_unregistered() {
             if now.since(unregistered.received_at) > MAX_REGISTRATION_WAIT {
-                self.out.push(Effect::AnswerWorker(unregistered.request_id, WorkerAnswer::Unavailable));
+                self.out.push(Effect::AnswerAgent(unregistered.request_id, AgentAnswer::Unavailable));
             } else {
                 self.fleet.unregistered.push(unregistered);
             }
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::fleet::UnregisteredHeartbeat;
 use crate::coordination::fleet::machine::TokenEvidence;
-use crate::coordination::{Controller, Effect, RequestId, WorkerAnswer};
-use crate::protocol::worker::Heartbeat;
+use crate::coordination::{AgentAnswer, Controller, Effect, RequestId};
+use crate::protocol::agent::Heartbeat;
 use crate::storage::schema::Role;
 use crate::types::{FencingToken, MachineId};
 
@@ -21,10 +21,10 @@
     pub(crate) fn heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat, is_relayed: bool) {
         let answer = match self.store.is_synced() {
             true => self.heartbeat_answer(request_id, heartbeat, is_relayed),
-            false => Some(WorkerAnswer::Unavailable),
+            false => Some(AgentAnswer::Unavailable),
         };
         if let Some(answer) = answer {
-            self.out.push(Effect::AnswerWorker(request_id, answer));
+            self.out.push(Effect::AnswerAgent(request_id, answer));
         }
     }
 
@@ -33,24 +33,24 @@
         request_id: RequestId,
         heartbeat: Heartbeat,
         is_relayed: bool,
-    ) -> Option<WorkerAnswer> {
+    ) -> Option<AgentAnswer> {
         let id = heartbeat.machine.clone();
         let Some(role) = self.role_of_machine(&id) else { return self.unregistered_heartbeat(request_id, heartbeat) };
         let Some(fencing_token) = self.fencing_token(&id) else { return Some(self.redirect_to_holder(role)) };
         if heartbeat.fencing_token > fencing_token {
             self.later_token_shown(&id, heartbeat.fencing_token);
-            return Some(WorkerAnswer::Redirect(None));
+            return Some(AgentAnswer::Redirect(None));
         }
         let now = self.now();
         if !self.fleet.machine_or_insert(&id).note_heartbeat(&heartbeat, is_relayed, now) {
-            return Some(WorkerAnswer::Unavailable);
+            return Some(AgentAnswer::Unavailable);
         }
         self.accept_heartbeat(&heartbeat, HeartbeatSource::Heartbeat);
         Some(self.renewing_answer(&heartbeat, fencing_token))
     }
 
     /// A machine without a record: the leader may register it, others send its agent there.
-    fn unregistered_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) -> Option<WorkerAnswer> {
+    fn unregistered_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) -> Option<AgentAnswer> {
         if self.is_leader() {
             let received_at = self.now();
             self.fleet.unregistered.push(UnregisteredHeartbeat { received_at, request_id, heartbeat });
@@ -59,10 +59,10 @@
         Some(self.redirect_to_holder(Role::Leader))
     }
 
-    fn redirect_to_holder(&self, role: Role) -> WorkerAnswer {
+    fn redirect_to_holder(&self, role: Role) -> AgentAnswer {
         match self.other_holder(role) {
-            Some(holder) => WorkerAnswer::Redirect(Some(holder)),
-            None => WorkerAnswer::Unavailable,
+            Some(holder) => AgentAnswer::Redirect(Some(holder)),
+            None => AgentAnswer::Unavailable,
         }
     }
 
--- a/src/coordination/fleet/lease_renewal.rs
+++ b/src/coordination/fleet/lease_renewal.rs
@@ -11,20 +11,20 @@
 //!   expiry supersedes the command. Under a later fencing token the answer does so by itself.
 
 use crate::coordination::fleet::agent_commands::MAX_COMMANDS_PER_MESSAGE;
-use crate::coordination::{Controller, WorkerAnswer};
-use crate::protocol::worker::{AgentCommand, Heartbeat, HeartbeatResponse, TaskState};
+use crate::coordination::{AgentAnswer, Controller};
+use crate::protocol::agent::{AgentCommand, Heartbeat, HeartbeatResponse, TaskState};
 use crate::storage::schema::Outcome;
 use crate::types::{FencingToken, MachineId, TaskId};
 
 impl Controller {
     /// The answer to a heartbeat that was just taken in, under our fencing token.
-    pub(crate) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> WorkerAnswer {
+    pub(crate) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> AgentAnswer {
         let now = self.now();
         let id = &heartbeat.machine;
         if self.update_renewal_withheld(id, fencing_token) {
-            return WorkerAnswer::Unavailable;
+            return AgentAnswer::Unavailable;
         }
-        let Some(machine) = self.fleet.machine_mut(id) else { return WorkerAnswer::Unavailable };
+        let Some(machine) = self.fleet.machine_mut(id) else { return AgentAnswer::Unavailable };
         machine.contact.lease_renewed(now);
         // Before the agent has shown our fencing token its heartbeat proves nothing; the answer's token makes it send
         // another.
@@ -40,7 +40,7 @@
         if is_complete && let Some(machine) = self.fleet.machine_mut(id) {
             machine.commands.clear_request();
         }
-        WorkerAnswer::Response(HeartbeatResponse { fencing_token, commands })
+        AgentAnswer::Response(HeartbeatResponse { fencing_token, commands })
     }
 
     /// Decides whether the lease has to expire, as only that supersedes a late start of a cancelled task.
--- a/src/coordination/fleet/machine/agent_messages.rs
+++ b/src/coordination/fleet/machine/agent_messages.rs
@@ -1,6 +1,6 @@
 //! Incarnation of an agent, and the order of its messages.
 
-use crate::protocol::worker::Heartbeat;
+use crate::protocol::agent::Heartbeat;
 
 /// Place of a message among all of an agent's. Messages of a later incarnation are newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/coordination/fleet/machine/message_acceptance.rs
+++ b/src/coordination/fleet/machine/message_acceptance.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::fleet::heartbeats::HeartbeatSource;
 use crate::coordination::fleet::machine::{Machine, MessagePosition, TokenEvidence};
-use crate::protocol::worker::Heartbeat;
+use crate::protocol::agent::Heartbeat;
 use crate::types::{FencingToken, Micros};
 
 impl Machine {
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -24,7 +24,7 @@
 pub(crate) mod task_reconciliation;
 
 use crate::coordination::RequestId;
-use crate::protocol::worker::Heartbeat;
+use crate::protocol::agent::Heartbeat;
 use crate::settings::{Platform, Policy};
 use crate::types::{JobId, MachineId, Micros};
 use cancellation_enforcement::CancellationEnforcement;
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -5,8 +5,8 @@
 use crate::coordination::autoscaling::machine_types::InstanceOffer;
 use crate::coordination::fleet::machine::Machine;
 use crate::coordination::store_sync::{MachineChange, PRECONDITIONS_PER_WRITE, ProposedTxn, TxnPurpose};
-use crate::coordination::{Controller, Effect, WorkerAnswer};
-use crate::protocol::worker::Heartbeat;
+use crate::coordination::{AgentAnswer, Controller, Effect};
+use crate::protocol::agent::Heartbeat;
 use crate::settings::StoreLimits;
 use crate::storage::schema::{Key, MachineBatchMember, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
@@ -126,7 +126,7 @@
         self.fleet.unregistered.retain(|unregistered| {
             let is_kept = !refused.contains(&unregistered.heartbeat.machine);
             if !is_kept {
-                self.out.push(Effect::AnswerWorker(unregistered.request_id, WorkerAnswer::Unavailable));
+                self.out.push(Effect::AnswerAgent(unregistered.request_id, AgentAnswer::Unavailable));
             }
             is_kept
         });
--- a/src/coordination/fleet/task_reconciliation.rs
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -6,8 +6,8 @@
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
+use crate::protocol::agent::{ExitCause, Heartbeat, TaskState, TaskStatus};
 use crate::protocol::user::JobKind;
-use crate::protocol::worker::{ExitCause, Heartbeat, TaskState, TaskStatus};
 use crate::types::{MachineId, TaskId};
 use std::collections::BTreeSet;
 
--- a/src/coordination/jobs/attempt.rs
+++ b/src/coordination/jobs/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at running a task: its state machine, and what was told to its machine's agent about it.
 
-use crate::protocol::worker::ExitCause;
+use crate::protocol::agent::ExitCause;
 use crate::types::{MachineId, Micros};
 
 /// How far an attempt has come.
--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -7,8 +7,8 @@
 use crate::coordination::jobs::failures::TaskFailure;
 use crate::coordination::jobs::job::Job;
 use crate::coordination::zones::gradual_return::ZoneAttemptEvent;
+use crate::protocol::agent::ExitCause;
 use crate::protocol::user::JobKind;
-use crate::protocol::worker::ExitCause;
 use crate::types::{JobId, MachineId, Micros, TaskId};
 
 /// An attempt that an agent refused is repeated after this.
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -18,8 +18,8 @@
 mod zones;
 
 pub use messages::{
-    Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, LeaseOutcome, ReadKind, ReadOutcome,
-    RequestId, StoreCall, TxnOutcome, UserAnswer, UserRequest, WorkerAnswer,
+    AgentAnswer, CallFailure, Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Input, ReadKind,
+    ReadOutcome, RequestId, SessionOutcome, StoreCall, TxnOutcome, UserAnswer, UserRequest,
 };
 
 use crate::settings::{Platform, Policy};
@@ -116,7 +116,7 @@
             Input::Txn { ticket, outcome } => self.txn_outcome(ticket, outcome),
             Input::Changes { ticket, outcome } => self.changes_outcome(ticket, outcome),
             Input::Page { ticket, outcome } => self.page_outcome(ticket, outcome),
-            Input::Lease { ticket, outcome } => self.lease_outcome(ticket, outcome),
+            Input::Session { ticket, outcome } => self.session_outcome(ticket, outcome),
             Input::DirectCommands { machine, outcome } => self.direct_commands_outcome(&machine, outcome),
             Input::Cloud { call, outcome } => self.cloud_outcome(call, outcome),
             Input::Peer(request_id, message) => self.cancellation_notified(request_id, &message),
@@ -225,7 +225,7 @@
             fresh.out.push(Effect::AnswerUser(request_id, UserAnswer::Unavailable { retry_after_s: 1 }));
         }
         for unregistered in self.fleet.take_unregistered() {
-            fresh.out.push(Effect::AnswerWorker(unregistered.request_id, WorkerAnswer::Unavailable));
+            fresh.out.push(Effect::AnswerAgent(unregistered.request_id, AgentAnswer::Unavailable));
         }
         // Tickets go on counting, so that answers to old calls match nothing.
         fresh.store.continue_tickets_of(&self.store);
--- a/src/coordination/store_sync/job_records/missing_record.rs
+++ b/src/coordination/store_sync/job_records/missing_record.rs
@@ -2,8 +2,8 @@
 
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
+use crate::protocol::agent::ExitCause;
 use crate::protocol::user::JobKind;
-use crate::protocol::worker::ExitCause;
 use crate::settings::Policy;
 use crate::types::{JobId, Micros};
 
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::store_sync::evidence::Evidence;
 use crate::coordination::store_sync::pending_txns::{TxnEnd, TxnPurpose, TxnStage};
-use crate::coordination::{Controller, Failure, TxnOutcome};
+use crate::coordination::{CallFailure, Controller, TxnOutcome};
 use crate::protocol::store::{Txn, Write};
 use crate::storage::schema::Key;
 use crate::types::{Micros, Revision};
@@ -71,11 +71,11 @@
 
     /// Without an answer, or refused. Whoever submits or cancels asks again; the preconditions make repeats harmless,
     /// also if the unanswered one is committed later. Only a refusal is worth one quick retry.
-    fn txn_failed(&mut self, ticket: u64, failure: Failure) {
+    fn txn_failed(&mut self, ticket: u64, failure: CallFailure) {
         let now = self.now();
         let Some(pending) = self.store.txns.get_mut(ticket) else { return };
         let is_urgent = pending.purpose.is_urgent();
-        if is_urgent && (failure == Failure::Unknown || pending.attempt_count >= MAX_URGENT_ATTEMPTS) {
+        if is_urgent && (failure == CallFailure::Indeterminate || pending.attempt_count >= MAX_URGENT_ATTEMPTS) {
             let Some(pending) = self.store.txns.remove(ticket) else { return };
             self.txn_ended(&pending.purpose, &TxnEnd::Unknown);
             return;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -4,16 +4,16 @@
 //! that messages must keep. Promises: decoding any bytes gives a message or a [`WireError`], never a panic.
 //!
 //! * [`user`]: submissions, status and cancellation of jobs;
-//! * [`worker`]: heartbeats of agents and commands to them;
+//! * [`agent`]: heartbeats of agents and commands to them;
 //! * [`store`]: the key-value store's API;
 //! * [`cloud`]: the cloud's API;
 //! * [`peer`]: messages between controllers.
 
+pub mod agent;
 pub mod cloud;
 pub mod peer;
 pub mod store;
 pub mod user;
-pub mod worker;
 
 use serde::de::{DeserializeOwned, Error as _, Visitor};
 use serde::{Deserialize, Deserializer, Serialize};
--- a/src/transport/calls/agent.rs
+++ b/src/transport/calls/agent.rs
@@ -1,9 +1,9 @@
 //! Direct commands to agents.
 
 use super::decode_or_log;
-use crate::coordination::{DirectCommandsOutcome, Failure, Input};
+use crate::coordination::{CallFailure, DirectCommandsOutcome, Input};
+use crate::protocol::agent::{DIRECT_COMMANDS_PATH, DirectCommands};
 use crate::protocol::encode;
-use crate::protocol::worker::{DIRECT_COMMANDS_PATH, DirectCommands};
 use crate::transport::client::Client;
 use crate::types::MachineId;
 use hyper::{Method, StatusCode};
@@ -38,14 +38,14 @@
             Ok(response) => {
                 let heartbeat = || decode_or_log(&response);
                 let outcome = match response.status {
-                    StatusCode::OK => heartbeat().map(DirectCommandsOutcome::Done),
+                    StatusCode::OK => heartbeat().map(DirectCommandsOutcome::Executed),
                     StatusCode::CONFLICT => heartbeat().map(DirectCommandsOutcome::Rejected),
                     _ => None,
                 };
-                outcome.unwrap_or(DirectCommandsOutcome::Failed(Failure::Unknown))
+                outcome.unwrap_or(DirectCommandsOutcome::Failed(CallFailure::Indeterminate))
             }
             // A probe holds no commands that could be carried out late.
-            Err(_) if is_probe => DirectCommandsOutcome::Failed(Failure::NotDone),
+            Err(_) if is_probe => DirectCommandsOutcome::Failed(CallFailure::NotExecuted),
             Err(error) => DirectCommandsOutcome::Failed(error.into()),
         };
         Input::DirectCommands { machine, outcome }
--- a/src/transport/calls/mod.rs
+++ b/src/transport/calls/mod.rs
@@ -2,7 +2,7 @@
 //! returns the input that tells the controller how it ended.
 //!
 //! Owns: the rate limits kept towards the store and the cloud, and the timeouts of calls. Promises: an outcome says
-//! [`Failure::NotDone`] only if the request was surely not carried out and can't be later.
+//! [`CallFailure::NotExecuted`] only if the request was surely not carried out and can't be later.
 
 mod agent;
 mod cloud;
@@ -13,12 +13,12 @@
 pub(super) use store::StoreClient;
 
 use super::client::{CallError, HttpResponse};
-use crate::coordination::Failure;
+use crate::coordination::CallFailure;
 use serde::de::DeserializeOwned;
 
-impl From<CallError> for Failure {
-    fn from(error: CallError) -> Failure {
-        if error.was_sent() { Failure::Unknown } else { Failure::NotDone }
+impl From<CallError> for CallFailure {
+    fn from(error: CallError) -> CallFailure {
+        if error.was_sent() { CallFailure::Indeterminate } else { CallFailure::NotExecuted }
     }
 }
 
--- a/src/transport/calls/store.rs
+++ b/src/transport/calls/store.rs
@@ -1,7 +1,7 @@
 //! Calls to the store.
 
 use super::decode_or_log;
-use crate::coordination::{Failure, Input, LeaseOutcome, ReadKind, ReadOutcome, StoreCall, TxnOutcome};
+use crate::coordination::{CallFailure, Input, ReadKind, ReadOutcome, SessionOutcome, StoreCall, TxnOutcome};
 use crate::protocol::{encode, store};
 use crate::transport::client::{Client, HttpResponse};
 use crate::transport::rate_limit::{CallPriority, RateLimiter};
@@ -44,10 +44,10 @@
             StoreCall::Page { ticket, after } => {
                 Input::Page { ticket, outcome: self.read_page(after.as_deref()).await }
             }
-            StoreCall::GrantLease { ticket, ttl_ms } => {
-                Input::Lease { ticket, outcome: self.grant_lease(ttl_ms).await }
+            StoreCall::GrantSession { ticket, ttl_ms } => {
+                Input::Session { ticket, outcome: self.grant_lease(ttl_ms).await }
             }
-            StoreCall::KeepAlive { ticket, lease } => Input::Lease { ticket, outcome: self.keep_alive(lease).await },
+            StoreCall::KeepAlive { ticket, lease } => Input::Session { ticket, outcome: self.keep_alive(lease).await },
         }
     }
 
@@ -74,28 +74,28 @@
         read_outcome(self.get(&path, self.timeout * 2).await)
     }
 
-    async fn grant_lease(&self, ttl_ms: u64) -> LeaseOutcome {
+    async fn grant_lease(&self, ttl_ms: u64) -> SessionOutcome {
         let body = encode(&store::GrantLease { ttl_ms });
         match self.post(CallPriority::Critical, store::LEASES_PATH, body, self.timeout).await {
             Ok(response) if response.status == StatusCode::OK => {
                 let granted = decode_or_log::<store::Lease>(&response);
-                granted.map_or(LeaseOutcome::Failed, |granted| LeaseOutcome::New(granted.lease))
+                granted.map_or(SessionOutcome::Failed, |granted| SessionOutcome::Granted(granted.lease))
             }
-            _ => LeaseOutcome::Failed,
+            _ => SessionOutcome::Failed,
         }
     }
 
-    async fn keep_alive(&self, lease: u64) -> LeaseOutcome {
+    async fn keep_alive(&self, lease: u64) -> SessionOutcome {
         let path = store::keep_alive_path(lease);
         let timeout = self.timeout.min(MAX_KEEP_ALIVE_TIMEOUT);
         match self.post(CallPriority::Critical, &path, Vec::new(), timeout).await {
-            Ok(response) if response.status == StatusCode::OK => LeaseOutcome::KeptAlive,
-            Ok(response) if response.status == StatusCode::NOT_FOUND => LeaseOutcome::Gone,
-            _ => LeaseOutcome::Failed,
+            Ok(response) if response.status == StatusCode::OK => SessionOutcome::KeptAlive,
+            Ok(response) if response.status == StatusCode::NOT_FOUND => SessionOutcome::Expired,
+            _ => SessionOutcome::Failed,
         }
     }
 
-    async fn get(&self, path: &str, timeout: Duration) -> Result<HttpResponse, Failure> {
+    async fn get(&self, path: &str, timeout: Duration) -> Result<HttpResponse, CallFailure> {
         self.send(CallPriority::Read, Method::GET, path, Vec::new(), timeout).await
     }
 
@@ -105,7 +105,7 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<HttpResponse, Failure> {
+    ) -> Result<HttpResponse, CallFailure> {
         self.send(priority, Method::POST, path, body, timeout).await
     }
 
@@ -116,9 +116,9 @@
         path: &str,
         body: Vec<u8>,
         timeout: Duration,
-    ) -> Result<HttpResponse, Failure> {
+    ) -> Result<HttpResponse, CallFailure> {
         if !self.rate_limiter.acquire(1.0, priority, self.timeout).await {
-            return Err(Failure::NotDone);
+            return Err(CallFailure::NotExecuted);
         }
         Ok(self.client.call(self.address, method, path, body, timeout).await?)
     }
@@ -132,17 +132,17 @@
                 tracing::debug!(failed_keys = ?conflict.failed, "transaction conflict");
                 TxnOutcome::Conflict(conflict.revision)
             }
-            None => TxnOutcome::Failed(Failure::Unknown),
+            None => TxnOutcome::Failed(CallFailure::Indeterminate),
         },
         StatusCode::TOO_MANY_REQUESTS => TxnOutcome::Limited,
-        StatusCode::SERVICE_UNAVAILABLE => TxnOutcome::Failed(Failure::NotDone),
+        StatusCode::SERVICE_UNAVAILABLE => TxnOutcome::Failed(CallFailure::NotExecuted),
         StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::NoLease,
         StatusCode::BAD_REQUEST => TxnOutcome::Invalid,
-        _ => TxnOutcome::Failed(Failure::Unknown),
+        _ => TxnOutcome::Failed(CallFailure::Indeterminate),
     }
 }
 
-fn read_outcome<T: DeserializeOwned>(response: Result<HttpResponse, Failure>) -> ReadOutcome<T> {
+fn read_outcome<T: DeserializeOwned>(response: Result<HttpResponse, CallFailure>) -> ReadOutcome<T> {
     match response {
         Ok(response) if response.status == StatusCode::OK => {
             decode_or_log(&response).map_or(ReadOutcome::Failed, ReadOutcome::Got)
--- a/src/transport/daemon/effects.rs
+++ b/src/transport/daemon/effects.rs
@@ -32,7 +32,7 @@
         let services = self.services.clone();
         match effect {
             Effect::AnswerUser(request_id, answer) => pending.answer_user(request_id, answer),
-            Effect::AnswerWorker(request_id, answer) => pending.answer_agent(request_id, answer),
+            Effect::AnswerAgent(request_id, answer) => pending.answer_agent(request_id, answer),
             Effect::AnswerPeer(request_id, answer) => pending.answer_peer(request_id, answer),
             Effect::Peer { call, to, message } => self.spawn(async move {
                 Input::PeerAnswer { call, answer: services.siblings.notify_of_cancellations(&to, &message).await }
--- a/src/transport/daemon/pending_responses.rs
+++ b/src/transport/daemon/pending_responses.rs
@@ -1,6 +1,6 @@
 //! Requests that the controller has taken in and not answered yet.
 
-use crate::coordination::{Input, RequestId, UserAnswer, WorkerAnswer};
+use crate::coordination::{AgentAnswer, Input, RequestId, UserAnswer};
 use crate::protocol::peer::CancellationAck;
 use crate::transport::request_queue::{
     QueuedCancellationNotice, QueuedHeartbeat, QueuedUserRequest, ReceivedHeartbeat,
@@ -13,7 +13,7 @@
 pub(super) struct PendingResponses {
     last_waiter: RequestId,
     users: HashMap<RequestId, oneshot::Sender<UserAnswer>>,
-    agents: HashMap<RequestId, oneshot::Sender<WorkerAnswer>>,
+    agents: HashMap<RequestId, oneshot::Sender<AgentAnswer>>,
     peers: HashMap<RequestId, oneshot::Sender<CancellationAck>>,
 }
 
@@ -46,7 +46,7 @@
     }
 
     /// Answers an agent.
-    pub(super) fn answer_agent(&mut self, request_id: RequestId, answer: WorkerAnswer) {
+    pub(super) fn answer_agent(&mut self, request_id: RequestId, answer: AgentAnswer) {
         send(self.agents.remove(&request_id), answer);
     }
 
--- a/src/transport/request_queue.rs
+++ b/src/transport/request_queue.rs
@@ -1,8 +1,8 @@
 //! Bounded queues between the server, which receives requests, and the main loop, which answers them.
 
-use crate::coordination::{UserAnswer, UserRequest, WorkerAnswer};
+use crate::coordination::{AgentAnswer, UserAnswer, UserRequest};
+use crate::protocol::agent::Heartbeat;
 use crate::protocol::peer::{CancellationAck, CancellationNotice};
-use crate::protocol::worker::Heartbeat;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -26,7 +26,7 @@
 /// A user's request with the channel for its answer.
 pub(super) type QueuedUserRequest = QueuedRequest<UserRequest, UserAnswer>;
 /// An agent's heartbeat with the channel for its answer.
-pub(super) type QueuedHeartbeat = QueuedRequest<ReceivedHeartbeat, WorkerAnswer>;
+pub(super) type QueuedHeartbeat = QueuedRequest<ReceivedHeartbeat, AgentAnswer>;
 /// A sibling's cancellation notice with the channel for its answer.
 pub(super) type QueuedCancellationNotice = QueuedRequest<CancellationNotice, CancellationAck>;
 
--- a/src/transport/server/heartbeats.rs
+++ b/src/transport/server/heartbeats.rs
@@ -2,8 +2,8 @@
 
 use super::ServerContext;
 use super::routes::Origin;
-use crate::coordination::WorkerAnswer;
-use crate::protocol::worker::{Heartbeat, HeartbeatResponse, Redirect};
+use crate::coordination::AgentAnswer;
+use crate::protocol::agent::{Heartbeat, HeartbeatResponse, Redirect};
 use crate::protocol::{decode, encode};
 use crate::transport::reply::Reply;
 use crate::transport::request_queue::ReceivedHeartbeat;
@@ -18,14 +18,14 @@
     let machine = heartbeat.machine.clone();
     let received = ReceivedHeartbeat { heartbeat, is_relayed: origin == Origin::Sibling };
     match context.heartbeats.request(received).await {
-        Ok(WorkerAnswer::Response(response)) => accepted(&response),
-        Ok(WorkerAnswer::Redirect(owner)) => {
+        Ok(AgentAnswer::Response(response)) => accepted(&response),
+        Ok(AgentAnswer::Redirect(owner)) => {
             if let Some(reply) = forwarded(context, &machine, owner.as_deref(), body, origin).await {
                 return reply;
             }
             Reply::new(StatusCode::MISDIRECTED_REQUEST, encode(&Redirect { controller: owner }))
         }
-        Ok(WorkerAnswer::Unavailable) | Err(_) => Reply::unavailable(1),
+        Ok(AgentAnswer::Unavailable) | Err(_) => Reply::unavailable(1),
     }
 }
 
--- a/src/transport/server/mod.rs
+++ b/src/transport/server/mod.rs
@@ -13,10 +13,10 @@
 use super::reply::Reply;
 use super::request_queue::{ReceivedHeartbeat, RequestQueue};
 use super::siblings::{NodeHealth, Siblings};
-use crate::coordination::{UserAnswer, UserRequest, WorkerAnswer};
+use crate::coordination::{AgentAnswer, UserAnswer, UserRequest};
 use crate::protocol::HEALTH_PATH;
+use crate::protocol::agent::HEARTBEAT_PATH;
 use crate::protocol::peer::{CancellationAck, CancellationNotice};
-use crate::protocol::worker::HEARTBEAT_PATH;
 use admission::ConnectionLimit;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -48,7 +48,7 @@
 /// What all connections share.
 pub(super) struct ServerContext {
     pub(super) user_requests: RequestQueue<UserRequest, UserAnswer>,
-    pub(super) heartbeats: RequestQueue<ReceivedHeartbeat, WorkerAnswer>,
+    pub(super) heartbeats: RequestQueue<ReceivedHeartbeat, AgentAnswer>,
     pub(super) cancellation_notices: RequestQueue<CancellationNotice, CancellationAck>,
     pub(super) health: Arc<NodeHealth>,
     pub(super) siblings: Arc<Siblings>,
--- a/src/transport/server/routes.rs
+++ b/src/transport/server/routes.rs
@@ -1,8 +1,8 @@
 //! Reads a request's body and routes it by listener, path and method.
 
 use super::{ListenerKind, ServerContext, heartbeats, peer_requests, user_requests};
+use crate::protocol::agent::HEARTBEAT_PATH;
 use crate::protocol::peer::{CANCELLED_PATH, RELAY_PATH, STORE_REACHABILITY_PATH};
-use crate::protocol::worker::HEARTBEAT_PATH;
 use crate::protocol::{BODY_LIMIT, HEALTH_PATH, encode};
 use crate::transport::reply::Reply;
 use bytes::Bytes;
--- a/src/transport/siblings/mod.rs
+++ b/src/transport/siblings/mod.rs
@@ -12,10 +12,10 @@
 
 use super::client::{Client, HttpResponse};
 use super::reply::Reply;
+use crate::protocol::agent::HEARTBEAT_PATH;
 use crate::protocol::peer::{
     CANCELLED_PATH, CancellationAck, CancellationNotice, RELAY_PATH, RelayedRequest, RelayedResponse,
 };
-use crate::protocol::worker::HEARTBEAT_PATH;
 use crate::settings::Sibling;
 use crate::types::MachineId;
 use hyper::{Method, StatusCode};
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,7 +1,7 @@
 //! One controller's state machine, driven by hand: its calls to the store wait until the test answers them.
 
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, Controller, Effect, Input, LeaseOutcome, ReadOutcome, RequestId, StoreCall,
+    Clock, CloudCall, CloudOutcome, Controller, Effect, Input, ReadOutcome, RequestId, SessionOutcome, StoreCall,
     TxnOutcome, UserAnswer, UserRequest,
 };
 use burlhatch::protocol::cloud::{MachineType, MachineTypes};
@@ -75,10 +75,10 @@
 
     /// Lets it get its session and send its watch.
     pub fn settle(&mut self) {
-        if let Some(StoreCall::GrantLease { ticket, .. }) =
-            self.take(|call| matches!(call, StoreCall::GrantLease { .. }))
+        if let Some(StoreCall::GrantSession { ticket, .. }) =
+            self.take(|call| matches!(call, StoreCall::GrantSession { .. }))
         {
-            self.feed(Input::Lease { ticket, outcome: LeaseOutcome::New(1) });
+            self.feed(Input::Session { ticket, outcome: SessionOutcome::Granted(1) });
         }
         self.pass(1000);
     }
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -191,7 +191,7 @@
                     self.controller.feed(Input::Changes { ticket, outcome });
                 }
                 // Roles and machines are no matter here.
-                StoreCall::Txn { .. } | StoreCall::GrantLease { .. } | StoreCall::KeepAlive { .. } => {}
+                StoreCall::Txn { .. } | StoreCall::GrantSession { .. } | StoreCall::KeepAlive { .. } => {}
                 other => self.controller.calls.push(other),
             }
         }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,7 +1,7 @@
-//! One controller over real sockets on loopback, with stand-ins for the services and a worker.
+//! One controller over real sockets on loopback, with stand-ins for the services and an agent.
 
+use burlhatch::protocol::agent::{AgentCommand, DirectCommands, HeartbeatResponse};
 use burlhatch::protocol::store::{Txn, Write};
-use burlhatch::protocol::worker::{AgentCommand, DirectCommands, HeartbeatResponse};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::transport::client::{CallError, Client, HttpResponse};
@@ -118,15 +118,15 @@
     }
 }
 
-/// A worker that finishes whatever it is told to start.
+/// An agent that finishes whatever it is told to start.
 #[derive(Default)]
-struct Worker {
+struct Agent {
     exited: BTreeMap<String, u64>,
     fencing_token: u64,
     seq: u64,
 }
 
-impl Worker {
+impl Agent {
     fn heartbeat(&mut self, addr: SocketAddr) -> Value {
         self.seq += 1;
         let pieces: Vec<Value> = self
@@ -149,11 +149,11 @@
     }
 }
 
-async fn worker(client: Client, controller: SocketAddr) {
-    let state = Arc::new(Mutex::new(Worker::default()));
+async fn agent(client: Client, controller: SocketAddr) {
+    let state = Arc::new(Mutex::new(Agent::default()));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("its address");
-    tokio::spawn(worker_commands(listener, state.clone(), addr));
+    tokio::spawn(agent_commands(listener, state.clone(), addr));
     loop {
         let heartbeat = state.lock().expect("no panic").heartbeat(addr);
         let answer = call(&client, controller, Method::POST, "/checkin", &heartbeat).await;
@@ -167,8 +167,8 @@
     }
 }
 
-/// The worker's own address: commands straight from a controller.
-async fn worker_commands(listener: TcpListener, state: Arc<Mutex<Worker>>, addr: SocketAddr) {
+/// The agent's own address: commands straight from a controller.
+async fn agent_commands(listener: TcpListener, state: Arc<Mutex<Agent>>, addr: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
         let state = state.clone();
         let service = service_fn(move |request: Request<Incoming>| {
@@ -255,8 +255,8 @@
     assert_eq!((user.status.as_u16(), user.retry_after_s), (503, Some(1)));
     let heartbeat = json!({"host": "m-000009", "addr": "127.0.0.1:1", "hull": "s", "berth": "a", "driftwood": false,
         "watch": 1, "tally": 1, "helm": 0, "warning_s": null, "pieces": []});
-    let worker = call(&client, public, Method::POST, "/checkin", &heartbeat).await.expect("an answer");
-    assert!(matches!(worker.status.as_u16(), 200 | 421 | 503), "{}", worker.status);
+    let agent = call(&client, public, Method::POST, "/checkin", &heartbeat).await.expect("an answer");
+    assert!(matches!(agent.status.as_u16(), 200 | 421 | 503), "{}", agent.status);
     for _ in 0..10 {
         held.push(TcpStream::connect(public).await.expect("accepted or queued"));
     }
@@ -296,7 +296,7 @@
 async fn a_job_is_taken_run_and_remembered_over_real_sockets() {
     let public = controller(500).await;
     let client = Client::default();
-    tokio::spawn(worker(client.clone(), public));
+    tokio::spawn(agent(client.clone(), public));
     let ask = |method: Method, path: &'static str, body: Value| {
         let client = client.clone();
         async move {
--- a/tests/protocol.rs
+++ b/tests/protocol.rs
@@ -1,10 +1,10 @@
 //! Wire messages, as the protocol page shows them.
 
+use burlhatch::protocol::agent::{AgentCommand, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState};
 use burlhatch::protocol::cloud::{ListedState, MachineList, MachineTypes};
 use burlhatch::protocol::peer::{RelayedRequest, RelayedResponse};
 use burlhatch::protocol::store::{Changes, Event, Page, Precondition, Txn, Write};
 use burlhatch::protocol::user::{JobKind, JobState, JobStatus, Priority, submission};
-use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, HeartbeatResponse, TaskState};
 use burlhatch::protocol::{decode, encode};
 use burlhatch::types::{FencingToken, JobId};
 use ciborium::Value;
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -17,7 +17,7 @@
     ids.collect()
 }
 
-/// Workers' times of three deployments in turn.
+/// Agents' times of three deployments in turn.
 fn times_of(seed: u64) -> Times {
     [TIMES, SLOW_HEARTBEATS, SHORT_LEASES][seed as usize % 3]
 }
@@ -65,7 +65,7 @@
 
 /// The store refuses the owner of a shard alone, users cancel through others, and then it is away for
 /// all for longer than a cancellation may take. The owner learns of outcomes by its watch, which is cut off, and
-/// goes on answering its workers as in any outage: their leases last, and so would the cancelled tasks. A
+/// goes on answering its agents as in any outage: their leases last, and so would the cancelled tasks. A
 /// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new fencing token,
 /// which an outage forbids as well.
 #[test]
@@ -154,11 +154,11 @@
     }
     world.run_for(2 * S);
     assert_eq!(world.jobs[&id].told, Some(JobState::Cancelled));
-    let machines = world.workers.len();
+    let machines = world.agents.len();
     world.store_outage((CANCEL_S + 20) * S);
     world.run_for((CANCEL_S + 25) * S);
     assert_clean(&world, "hundreds");
-    assert!(world.workers.len() * 2 >= machines, "machines deleted: {} of {machines} left", world.workers.len());
+    assert!(world.agents.len() * 2 >= machines, "machines deleted: {} of {machines} left", world.agents.len());
     finish(&mut world, "hundreds");
 }
 
@@ -172,7 +172,7 @@
         let ids = long_jobs(&mut world, 6, 3);
         world.run_for(25 * S);
         let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-        leave_workers_with(&mut world, owner, (CANCEL_S + 30) * S, seed);
+        leave_agents_with(&mut world, owner, (CANCEL_S + 30) * S, seed);
         cancel_at(&mut world, &ids, 0);
         world.run_for(3 * S);
         assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
@@ -185,12 +185,12 @@
     }
 }
 
-/// Nobody but one controller hears the workers, and it hears nobody else: not the store, which gives its shard
+/// Nobody but one controller hears the agents, and it hears nobody else: not the store, which gives its shard
 /// to a sibling, nor the siblings.
-fn leave_workers_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
+fn leave_agents_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
     let mine = move |place: &Place| *place == Place::Node(owner);
     world.cut(duration, true, move |a, b| match (a, b) {
-        (Place::Worker(_), Place::Node(_)) | (Place::Node(_), Place::Worker(_)) => !mine(a) && !mine(b),
+        (Place::Agent(_), Place::Node(_)) | (Place::Node(_), Place::Agent(_)) => !mine(a) && !mine(b),
         _ => mine(a) || mine(b),
     });
     world.run_for(6 * S);
@@ -213,7 +213,7 @@
         let ids = long_jobs(&mut world, 6, 3);
         world.run_for(25 * S);
         let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-        leave_workers_with(&mut world, owner, times.cancel + 40 * S, seed);
+        leave_agents_with(&mut world, owner, times.cancel + 40 * S, seed);
         cancel_at(&mut world, &ids, 0);
         world.run_for(4 * S);
         if seed / 3 % 2 == 0 {
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -59,13 +59,13 @@
             let span = (2 + world.pick(28)) * S;
             match world.pick(4) {
                 0 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && *b == Place::Store),
-                1 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_))),
+                1 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
                 2 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && !matches!(b, Place::Node(_))),
                 _ => {
                     let nth = world.pick(9) as usize;
-                    if let Some(id) = world.nth_worker(nth) {
+                    if let Some(id) = world.nth_agent(nth) {
                         let cut_off: MachineId = id;
-                        world.cut(span, hold, move |a, _| *a == Place::Worker(cut_off.clone()));
+                        world.cut(span, hold, move |a, _| *a == Place::Agent(cut_off.clone()));
                     }
                 }
             }
@@ -85,20 +85,20 @@
             world.submit(n + 1, World::spec(JobKind::Service, team, 2, 1.0));
         }
         world.run_for(40 * S);
-        let before: Vec<MachineId> = world.workers.keys().cloned().collect();
+        let before: Vec<MachineId> = world.agents.keys().cloned().collect();
         let started = world.started;
-        world.cut(30 * S, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_)));
+        world.cut(30 * S, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
         world.run_for(35 * S);
-        assert!(before.iter().filter(|id| !world.workers.contains_key(id)).count() <= 1, "machines were deleted");
+        assert!(before.iter().filter(|id| !world.agents.contains_key(id)).count() <= 1, "machines were deleted");
         assert!(world.started <= started + 2, "services were restarted");
         assert_clean(&world, "cut off");
     }
 }
 
-/// A controller without store and siblings keeps its workers company as in an outage until
+/// A controller without store and siblings keeps its agents company as in an outage until
 /// its successor has reached them; its users hear at once that it can't help, and nothing is lost.
 #[test]
-fn a_controller_alone_with_its_workers_does_no_harm() {
+fn a_controller_alone_with_its_agents_does_no_harm() {
     for node in 0..3 {
         let mut world = World::with_policy(30 + node as u64, keeping_idle_machines());
         let mut ids = Vec::new();
@@ -108,7 +108,7 @@
             ids.push(world.submit(n + 1, World::spec(kind, team, 2, 1.0)));
         }
         world.run_for(20 * S);
-        let machines: Vec<MachineId> = world.workers.keys().cloned().collect();
+        let machines: Vec<MachineId> = world.agents.keys().cloned().collect();
         let started = world.started;
         world.cut(45 * S, true, move |a, b| *a == Place::Node(node) && *b == Place::Store);
         world.run_for(6 * S);
@@ -116,7 +116,7 @@
         let answer = world.ask_at(node, &ids[0]);
         assert!(matches!(answer, Some(UserAnswer::Unavailable { retry_after_s: 1.. })), "{answer:?}");
         world.run_for(42 * S);
-        assert!(machines.iter().all(|id| world.workers.contains_key(id)), "machines were deleted");
+        assert!(machines.iter().all(|id| world.agents.contains_key(id)), "machines were deleted");
         assert!(world.started <= started + 6, "running services were started again");
         cancel_services(&mut world);
         finish(&mut world, &format!("alone {node}"));
@@ -144,7 +144,7 @@
             }
             if step % 130 == 129 {
                 let nth = world.pick(9) as usize;
-                world.restart_worker(nth);
+                world.restart_agent(nth);
             }
             world.run_for(100 * MS);
             unowned = if world.unowned_shards() > 0 { unowned + 100 } else { 0 };
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -28,7 +28,7 @@
     world.run_for(5 * S);
     let id = world.submit(1, World::spec(JobKind::Service, "red", 1, 1.0));
     world.run_for(3 * S);
-    let running = |world: &World| world.workers.values().filter(|w| w.tasks.keys().any(|k| k.0 == id)).count();
+    let running = |world: &World| world.agents.values().filter(|w| w.tasks.keys().any(|k| k.0 == id)).count();
     assert_eq!(running(&world), 1);
     if let Some(job) = world.jobs.get_mut(&id) {
         job.cancel_at = Some(0);
@@ -57,7 +57,7 @@
                 3 => world.hang(nth, span),
                 4 => world.kill_machine(nth),
                 5 => world.cut(span, true, move |a, b| *a == Place::Node(node) && *b == Place::Store),
-                _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_))),
+                _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
             }
         }
         finish(&mut world, &format!("everything {seed}"));
@@ -186,11 +186,11 @@
     }
     world.run_for(14 * S);
     let inside: BTreeSet<MachineId> =
-        world.workers.iter().filter(|(_, w)| w.zone == "d").map(|(id, _)| id.clone()).collect();
+        world.agents.iter().filter(|(_, w)| w.zone == "d").map(|(id, _)| id.clone()).collect();
     let zone = inside.clone();
     let is_in = move |place: &Place| match place {
         Place::Node(node) => *node == 3,
-        Place::Worker(id) => zone.contains(id),
+        Place::Agent(id) => zone.contains(id),
         _ => false,
     };
     world.cut(16 * S, true, move |a, b| is_in(a) != is_in(b));
@@ -198,7 +198,7 @@
     let leader = world.holder("leader").expect("somebody leads");
     world.freeze(leader, 5 * S);
     world.run_for(13 * S);
-    let left = inside.iter().filter(|id| world.workers.contains_key(id)).count();
+    let left = inside.iter().filter(|id| world.agents.contains_key(id)).count();
     assert!(left * 10 >= inside.len() * 9, "{left} of {} left: a zone cut off was deleted", inside.len());
     world.store_outage(5 * S);
     for node in 0..5 {
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -25,7 +25,7 @@
             4 => world.kill_machine(nth),
             5 => world.late_writes(span, 5),
             6 => world.freeze(node, span.min(4 * S)),
-            _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_))),
+            _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
         }
     }
     finish(&mut world, &format!("fingerprint {seed}"));
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -38,7 +38,7 @@
         let nth = world.pick(5) as usize;
         let unreachable = world.make_unreachable(nth, 300 * S).expect("a machine");
         world.run_for(25 * S);
-        assert!(!world.workers.contains_key(&unreachable), "{seed}: {unreachable} is still there");
+        assert!(!world.agents.contains_key(&unreachable), "{seed}: {unreachable} is still there");
         finish(&mut world, &format!("deaf machine {seed}"));
     }
 }
@@ -53,12 +53,12 @@
         world.submit(n + 1, World::spec(JobKind::Service, team, 2, 1.0));
     }
     world.run_for(30 * S);
-    let before: Vec<MachineId> = world.workers.keys().cloned().collect();
+    let before: Vec<MachineId> = world.agents.keys().cloned().collect();
     for nth in 0..before.len() {
         world.make_unreachable(nth, 15 * S);
     }
     world.run_for(20 * S);
-    let lost = before.iter().filter(|id| !world.workers.contains_key(id)).count();
+    let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
     assert!(lost <= 1, "{lost} machines were deleted");
     cancel_services(&mut world);
     finish(&mut world, "all deaf");
@@ -85,7 +85,7 @@
         world.heartbeat_copies = 0;
         world.run_for(100 * S);
         let ghosts: Vec<MachineId> =
-            world.stored_machines().into_iter().filter(|id| !world.workers.contains_key(id)).collect();
+            world.stored_machines().into_iter().filter(|id| !world.agents.contains_key(id)).collect();
         assert!(ghosts.is_empty(), "{seed}: in the stored records but not there: {ghosts:?}");
     }
 }
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// All controllers are away for longer than a lease: the workers have killed everything and begun new incarnations,
+/// All controllers are away for longer than a lease: the agents have killed everything and begun new incarnations,
 /// while the stored records still show starts. Then one is back at once and the others later, or all a moment after the
 /// first has ended again. Starts of earlier incarnations must count as gone, late heartbeats of them as nothing.
 #[test]
@@ -53,9 +53,9 @@
             world.submit(n + 1, spec);
         }
         world.run_for(22 * S);
-        let lost: BTreeSet<MachineId> = (0..3).filter_map(|n| world.nth_worker(n * 2)).collect();
+        let lost: BTreeSet<MachineId> = (0..3).filter_map(|n| world.nth_agent(n * 2)).collect();
         let hold = seed % 2 == 0;
-        world.cut(28 * S, hold, move |a, _| matches!(a, Place::Worker(id) if lost.contains(id)));
+        world.cut(28 * S, hold, move |a, _| matches!(a, Place::Agent(id) if lost.contains(id)));
         for role in ["leader", "share/0", "share/1"] {
             if let Some(node) = world.holder(role) {
                 world.crash(node, 5 * S);
@@ -91,8 +91,8 @@
                 0 => world.kill_machine(nth),
                 1 => world.hang(nth, 25 * S),
                 _ => {
-                    let lost = world.nth_worker(nth).expect("a machine");
-                    world.cut(15 * S, true, move |a, _| *a == Place::Worker(lost.clone()));
+                    let lost = world.nth_agent(nth).expect("a machine");
+                    world.cut(15 * S, true, move |a, _| *a == Place::Agent(lost.clone()));
                 }
             }
             world.run_for(6 * S);
@@ -138,10 +138,10 @@
         for round in 0..8 {
             world.run_for(6 * S);
             let (nth, node) = (world.pick(9) as usize, world.pick(3) as usize);
-            if let Some(id) = world.nth_worker(nth) {
+            if let Some(id) = world.nth_agent(nth) {
                 // From a few seconds to longer than a lease.
                 let span = if round % 3 == 2 { 24 * S } else { 3 * S };
-                world.cut(span, true, move |a, b| *a == Place::Worker(id.clone()) && *b == Place::Node(node));
+                world.cut(span, true, move |a, b| *a == Place::Agent(id.clone()) && *b == Place::Node(node));
             }
             match round % 3 {
                 0 => world.crash(node, 2 * S),
@@ -153,10 +153,10 @@
     }
 }
 
-/// A leader without store and siblings goes on with its workers while jobs are cancelled through the new
+/// A leader without store and siblings goes on with its agents while jobs are cancelled through the new
 /// one; it must neither keep what is cancelled alive nor say anything older to a user.
 #[test]
-fn cancelled_through_the_new_leader_while_the_old_one_has_its_workers() {
+fn cancelled_through_the_new_leader_while_the_old_one_has_its_agents() {
     for seed in seeds(35, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..9 {
@@ -231,7 +231,7 @@
     }
 }
 
-/// Workers that can't open connections to any controller, though direct commands reach them and are answered. Their
+/// Agents that can't open connections to any controller, though direct commands reach them and are answered. Their
 /// leases run out again and again with all that was sent to them in between, and to an owner that counts answers
 /// they look alive. They get nothing, and are replaced unless many are so.
 #[test]
@@ -243,8 +243,8 @@
             (0..3).map(|n| world.submit(900 + n, World::spec(JobKind::Service, "green", 2, 1.0))).collect();
         ordinary_jobs(&mut world, 25);
         world.run_for(20 * S);
-        let serving: Vec<usize> = (0..world.workers.len())
-            .filter(|n| world.workers.values().nth(*n).is_some_and(|w| w.tasks.keys().any(|k| services.contains(&k.0))))
+        let serving: Vec<usize> = (0..world.agents.len())
+            .filter(|n| world.agents.values().nth(*n).is_some_and(|w| w.tasks.keys().any(|k| services.contains(&k.0))))
             .collect();
         let nth = serving.first().copied().unwrap_or(0);
         let unreported = world.unreported(nth, 300 * S).expect("a machine");
@@ -253,7 +253,7 @@
             world.crash(node, 4 * S);
         }
         world.run_for(30 * S);
-        assert!(!world.workers.contains_key(&unreported), "{seed}: {unreported} is still there");
+        assert!(!world.agents.contains_key(&unreported), "{seed}: {unreported} is still there");
         for id in &services {
             assert_eq!(world.running(id), 2, "{seed}: {id} is not up again");
             world.call_off(id);
@@ -269,12 +269,12 @@
     let mut world = World::sized(39_000, keeping_idle_machines(), size);
     ordinary_jobs(&mut world, 20);
     world.run_for(30 * S);
-    let before: Vec<MachineId> = world.workers.keys().cloned().collect();
+    let before: Vec<MachineId> = world.agents.keys().cloned().collect();
     for nth in 0..before.len() {
         world.unreported(nth, 25 * S);
     }
     world.run_for(40 * S);
-    let lost = before.iter().filter(|id| !world.workers.contains_key(id)).count();
+    let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
     assert!(lost <= 1, "{lost} machines were deleted");
     finish(&mut world, "all mute");
 }
@@ -295,8 +295,8 @@
         let owner = world.holder("share/1").expect("owned");
         match seed % 3 {
             0 => {
-                let lost: BTreeSet<MachineId> = (0..2).filter_map(|n| world.nth_worker(n * 3)).collect();
-                world.cut(26 * S, true, move |a, _| matches!(a, Place::Worker(id) if lost.contains(id)));
+                let lost: BTreeSet<MachineId> = (0..2).filter_map(|n| world.nth_agent(n * 3)).collect();
+                world.cut(26 * S, true, move |a, _| matches!(a, Place::Agent(id) if lost.contains(id)));
             }
             1 => {
                 for nth in 0..2 {
@@ -305,10 +305,10 @@
             }
             _ => {
                 let zone: BTreeSet<MachineId> =
-                    world.workers.iter().filter(|(_, w)| w.zone == "b").map(|(id, _)| id.clone()).collect();
+                    world.agents.iter().filter(|(_, w)| w.zone == "b").map(|(id, _)| id.clone()).collect();
                 let inside = move |place: &Place| match place {
                     Place::Node(node) => *node == (owner + 1) % 3,
-                    Place::Worker(id) => zone.contains(id),
+                    Place::Agent(id) => zone.contains(id),
                     _ => false,
                 };
                 world.cut(32 * S, true, move |a, b| inside(a) != inside(b));
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -20,7 +20,7 @@
 
 /// How many of these machines are not there any more.
 fn count_gone(world: &World, machines: &[MachineId]) -> usize {
-    machines.iter().filter(|id| !world.workers.contains_key(id)).count()
+    machines.iter().filter(|id| !world.agents.contains_key(id)).count()
 }
 
 /// How often a shard was given up or taken within a span.
@@ -61,7 +61,7 @@
 /// A controller that reaches no machine gives its shards away before their leases run out and deletes none, also when
 /// it happens again and again: each time the services run on, and its shards change hands only to and from it.
 #[test]
-fn a_controller_cut_from_its_workers_again_and_again() {
+fn a_controller_cut_from_its_agents_again_and_again() {
     for seed in seeds(61, 3) {
         let hold = seed % 2 == 0;
         let mut world = World::with_policy(seed, keeping_idle_machines());
@@ -71,7 +71,7 @@
         let node = world.holder("share/1").expect("owned");
         let mut changes = 0;
         for _ in 0..3 {
-            world.cut(16 * S, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Worker(_)));
+            world.cut(16 * S, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
             changes += changes_of_holder(&mut world, 1, 40 * S);
         }
         let lost = count_gone(&world, &before);
@@ -113,7 +113,7 @@
         let broken = submit_broken(&mut world, 1, (seed % 4) * S);
         world.run_for(60 * S);
         let starts = |world: &World| broken.iter().map(|id| world.jobs[id].starts).sum::<u32>();
-        let (before, rented) = (world.workers.keys().cloned().collect::<Vec<MachineId>>(), world.cloud.machines.len());
+        let (before, rented) = (world.agents.keys().cloned().collect::<Vec<MachineId>>(), world.cloud.machines.len());
         let (begun, all) = (starts(&world), world.started);
         let healthy: Vec<JobId> =
             (0..6).map(|n| world.submit(500 + n, World::spec(JobKind::Array, TEAMS[n as usize % 3], 4, 1.0))).collect();
@@ -143,7 +143,7 @@
         world.run_for(5 * S);
         let broken = submit_broken(&mut world, 1, S);
         let nth = world.pick(5) as usize;
-        let sick = world.nth_worker(nth).expect("a machine");
+        let sick = world.nth_agent(nth).expect("a machine");
         world.sicken(nth);
         let mut number = 100;
         for _ in 0..30 {
@@ -153,7 +153,7 @@
             }
             world.run_for(4 * S);
         }
-        assert!(!world.workers.contains_key(&sick), "{seed}: {sick} is still there");
+        assert!(!world.agents.contains_key(&sick), "{seed}: {sick} is still there");
         call_off_all(&mut world, &broken);
         finish(&mut world, &format!("faulty among broken {seed}"));
     }
@@ -230,7 +230,7 @@
         finish(&mut world, &format!("late boots {seed}"));
         world.run_for(120 * S);
         let recorded = world.stored_machines();
-        let stray: Vec<&MachineId> = world.workers.keys().filter(|id| !recorded.contains(id)).collect();
+        let stray: Vec<&MachineId> = world.agents.keys().filter(|id| !recorded.contains(id)).collect();
         assert!(stray.is_empty(), "{seed}: up and in no record: {stray:?}");
     }
 }
@@ -269,7 +269,7 @@
         world.run_for(5 * S);
         let guests: Vec<JobId> = (0..3).map(|n| world.submit(n + 1, low(wide_array("green", 12, 200.0)))).collect();
         world.run_for(40 * S);
-        let held = world.workers.values().filter(|w| !w.tasks.is_empty()).count();
+        let held = world.agents.values().filter(|w| !w.tasks.is_empty()).count();
         assert!(held >= 7, "{seed}: the guest holds {held} machines only");
         let house: Vec<JobId> =
             (0..3).map(|n| world.submit(100 + n, World::spec(JobKind::Array, TEAMS[n as usize], 3, 1.0))).collect();
@@ -279,14 +279,14 @@
             let waited = job.begun.map(|at| (at - job.submitted) / S);
             assert!(waited.is_some_and(|s| s <= 30), "{seed}: {id} began after {waited:?} s");
         }
-        let left = world.workers.values().filter(|w| w.tasks.keys().any(|k| guests.contains(&k.0))).count();
+        let left = world.agents.values().filter(|w| w.tasks.keys().any(|k| guests.contains(&k.0))).count();
         assert!(left >= 4, "{seed}: the guest is left with {left} machines");
         for id in &guests {
             world.call_off(id);
         }
         finish(&mut world, &format!("guest {seed}"));
         world.run_for(400 * S);
-        assert!(world.workers.len() <= 6, "{seed}: {} machines are kept", world.workers.len());
+        assert!(world.agents.len() <= 6, "{seed}: {} machines are kept", world.agents.len());
     }
 }
 
@@ -347,20 +347,20 @@
 enum Loss {
     Everything,
     KeyValueStore,
-    Workers,
+    Agents,
     Siblings,
     /// The store alone refuses it.
     Refused,
 }
 
-const LOSSES: [Loss; 5] = [Loss::Everything, Loss::KeyValueStore, Loss::Workers, Loss::Siblings, Loss::Refused];
+const LOSSES: [Loss; 5] = [Loss::Everything, Loss::KeyValueStore, Loss::Agents, Loss::Siblings, Loss::Refused];
 
 fn lose(world: &mut World, node: usize, loss: Loss, span: u64, hold: bool) {
     let it = Place::Node(node);
     match loss {
         Loss::Everything => world.cut(span, hold, move |a, _| *a == it),
         Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
-        Loss::Workers => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Worker(_))),
+        Loss::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Agent(_))),
         Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
         Loss::Refused => world.refuse_node(node, span),
     }
@@ -430,7 +430,7 @@
 
 /// Questions come a hundred times as often, at all controllers, also about jobs that are over or that nobody knows. They
 /// share reads, so the store is asked no more often than its limit allows; leases last, and all are answered
-/// within the time of one read, in the second half next to a controller that has lost its workers.
+/// within the time of one read, in the second half next to a controller that has lost its agents.
 #[test]
 fn bursts_of_questions_share_reads_and_cost_no_lease() {
     for seed in seeds(72, 3) {
@@ -442,7 +442,7 @@
         let requests = world.store_requests();
         world.run_for(15 * S);
         let node = world.holder("share/0").expect("owned");
-        lose(&mut world, node, Loss::Workers, 12 * S, true);
+        lose(&mut world, node, Loss::Agents, 12 * S, true);
         world.run_for(15 * S);
         let each_second = (world.store_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
--- a/tests/rules/world/worker.rs
+++ b/tests/rules/world/agent.rs
@@ -1,8 +1,8 @@
-//! Workers: obey the highest fencing token, keep a lease, and send heartbeats.
+//! Agents: obey the highest fencing token, keep a lease, and send heartbeats.
 
 use super::{Event, Fate, MS, Place, S, World};
-use burlhatch::coordination::{DirectCommandsOutcome, Input, WorkerAnswer};
-use burlhatch::protocol::worker::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
+use burlhatch::coordination::{AgentAnswer, DirectCommandsOutcome, Input};
+use burlhatch::protocol::agent::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
 use burlhatch::types::{FencingToken, JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
     }
 }
 
-pub struct Worker {
+pub struct Agent {
     pub(super) machine_type: String,
     pub zone: String,
     pub spot: bool,
@@ -50,7 +50,7 @@
     pub unreported_until: u64,
 }
 
-impl Worker {
+impl Agent {
     fn heartbeat(&mut self, id: &MachineId) -> Heartbeat {
         self.seq += 1;
         let running = self.tasks.iter().map(|((job, index), t)| TaskStatus {
@@ -100,8 +100,8 @@
 }
 
 impl World {
-    pub(super) fn start_worker(&mut self, id: MachineId, machine_type: String, zone: String, spot: bool) {
-        let worker = Worker {
+    pub(super) fn start_agent(&mut self, id: MachineId, machine_type: String, zone: String, spot: bool) {
+        let agent = Agent {
             machine_type,
             zone,
             spot,
@@ -123,37 +123,37 @@
             sick: false,
             unreported_until: 0,
         };
-        self.workers.insert(id.clone(), worker);
-        self.at(100 * MS, Event::WorkerStep { machine: id.clone() });
-        self.at(10 * MS, Event::WorkerHeartbeat { machine: id, wake: 0 });
+        self.agents.insert(id.clone(), agent);
+        self.at(100 * MS, Event::AgentStep { machine: id.clone() });
+        self.at(10 * MS, Event::AgentHeartbeat { machine: id, wake: 0 });
     }
 
     pub(super) fn wake_in(&mut self, id: &MachineId, delay: u64) {
-        if let Some(worker) = self.workers.get_mut(id) {
-            worker.wake += 1;
-            let wake = worker.wake;
-            self.at(delay, Event::WorkerHeartbeat { machine: id.clone(), wake });
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.wake += 1;
+            let wake = agent.wake;
+            self.at(delay, Event::AgentHeartbeat { machine: id.clone(), wake });
         }
     }
 
-    pub(super) fn worker_heartbeat(&mut self, id: MachineId, wake: u64) {
+    pub(super) fn agent_heartbeat(&mut self, id: MachineId, wake: u64) {
         let now = self.now;
-        let Some(worker) = self.workers.get_mut(&id) else { return };
-        if worker.wake != wake || worker.flight.is_some() {
+        let Some(agent) = self.agents.get_mut(&id) else { return };
+        if agent.wake != wake || agent.flight.is_some() {
             return;
         }
-        if worker.hung_until > now {
-            let rest = worker.hung_until - now;
+        if agent.hung_until > now {
+            let rest = agent.hung_until - now;
             return self.wake_in(&id, rest);
         }
-        let heartbeat = worker.heartbeat(&id);
-        worker.changed = false;
-        let node = worker.node;
+        let heartbeat = agent.heartbeat(&id);
+        agent.changed = false;
+        let node = agent.node;
         self.next_serial += 1;
         let serial = self.next_serial;
-        if let Some(worker) = self.workers.get_mut(&id) {
-            worker.flight = Some((serial, now, worker.incarnation));
-            worker.reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
+        if let Some(agent) = self.agents.get_mut(&id) {
+            agent.flight = Some((serial, now, agent.incarnation));
+            agent.reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
         }
         if self.heartbeat_copies > 0 && self.chance(self.heartbeat_copies) {
             // A copy comes late, from seconds to well over a lease; nobody waits for its answer.
@@ -162,8 +162,8 @@
             let node = if self.chance(2) { self.pick(self.size.nodes as u64) as usize } else { node };
             self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
-        let unreported = self.workers.get(&id).is_some_and(|w| w.unreported_until > now);
-        match self.fate(&Place::Worker(id.clone()), &Place::Node(node)) {
+        let unreported = self.agents.get(&id).is_some_and(|w| w.unreported_until > now);
+        match self.fate(&Place::Agent(id.clone()), &Place::Node(node)) {
             Fate::Arrives(_) | Fate::Held(_) if unreported => {}
             Fate::Arrives(delay) | Fate::Held(delay) => self.at(delay, Event::Heartbeat { node, heartbeat, serial }),
             Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None }),
@@ -172,10 +172,9 @@
     }
 
     /// An answer renews the lease: it must stop what the heartbeat names of jobs that the controller knows to be cancelled.
-    pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &WorkerAnswer) {
-        let WorkerAnswer::Response(given) = answer else { return };
-        let Some(worker) = self.workers.get(id).filter(|w| w.flight.is_some_and(|(flight, ..)| flight == serial))
-        else {
+    pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &AgentAnswer) {
+        let AgentAnswer::Response(given) = answer else { return };
+        let Some(agent) = self.agents.get(id).filter(|w| w.flight.is_some_and(|(flight, ..)| flight == serial)) else {
             return;
         };
         let Some(controller) = &self.nodes[node].controller else { return };
@@ -189,59 +188,59 @@
                 |command| matches!(command, AgentCommand::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
             )
         };
-        let missing = worker.reported.iter().find(|task| cancelled(task) && !stopped(task));
+        let missing = agent.reported.iter().find(|task| cancelled(task) && !stopped(task));
         if let Some(task) = missing.map(|task| task.task.clone()) {
             self.broken(format!("renewed without a stop: {task} on {id}, by node {node}"));
         }
     }
 
-    pub(super) fn heartbeat_answer(&mut self, id: MachineId, serial: u64, answer: Option<WorkerAnswer>) {
+    pub(super) fn heartbeat_answer(&mut self, id: MachineId, serial: u64, answer: Option<AgentAnswer>) {
         let now = self.now;
         let (nodes, times) = (self.size.nodes, self.size.times);
-        let Some(worker) = self.workers.get_mut(&id) else { return };
-        let Some((flight, sent, incarnation)) = worker.flight else { return };
+        let Some(agent) = self.agents.get_mut(&id) else { return };
+        let Some((flight, sent, incarnation)) = agent.flight else { return };
         if flight != serial {
             return;
         }
-        if worker.hung_until > now {
-            let rest = worker.hung_until - now;
+        if agent.hung_until > now {
+            let rest = agent.hung_until - now;
             // It finds the answer when it goes on, if that is not too old by then.
             let answer = if rest + now - sent > 4 * S { None } else { answer };
             return self.at(rest, Event::HeartbeatAnswer { machine: id, serial, answer });
         }
-        worker.flight = None;
+        agent.flight = None;
         let pause = match answer {
-            Some(WorkerAnswer::Response(commands)) => {
-                if commands.fencing_token >= worker.fencing_token && incarnation == worker.incarnation {
-                    worker.take_token(commands.fencing_token, now, times.lease);
-                    worker.renewed = worker.renewed.max(sent);
+            Some(AgentAnswer::Response(commands)) => {
+                if commands.fencing_token >= agent.fencing_token && incarnation == agent.incarnation {
+                    agent.take_token(commands.fencing_token, now, times.lease);
+                    agent.renewed = agent.renewed.max(sent);
                     self.obey(&id, &commands.commands);
                 }
-                let changed = self.workers.get(&id).is_some_and(|w| w.changed);
+                let changed = self.agents.get(&id).is_some_and(|w| w.changed);
                 if changed { 500 * MS } else { times.heartbeat - times.heartbeat / 4 + self.pick(times.heartbeat / 2) }
             }
-            Some(WorkerAnswer::Redirect(Some(label))) => {
+            Some(AgentAnswer::Redirect(Some(label))) => {
                 let named = label.strip_prefix("node-").and_then(|n| n.parse().ok()).filter(|n| *n < nodes);
                 match named {
-                    Some(n) if n != worker.node => {
-                        worker.node = n;
+                    Some(n) if n != agent.node => {
+                        agent.node = n;
                         self.pick(500 * MS)
                     }
                     _ => {
-                        worker.node = (worker.node + 1) % nodes;
+                        agent.node = (agent.node + 1) % nodes;
                         S
                     }
                 }
             }
             _ => {
-                worker.node = (worker.node + 1) % nodes;
+                agent.node = (agent.node + 1) % nodes;
                 S
             }
         };
         self.wake_in(&id, pause);
     }
 
-    pub(super) fn worker_commands(
+    pub(super) fn agent_commands(
         &mut self,
         node: usize,
         life: u64,
@@ -250,22 +249,22 @@
         commands: DirectCommands,
     ) {
         let (now, times) = (self.now, self.size.times);
-        let Some(worker) = self.workers.get_mut(&id) else { return };
-        if worker.hung_until > now {
-            let rest = worker.hung_until - now;
+        let Some(agent) = self.agents.get_mut(&id) else { return };
+        if agent.hung_until > now {
+            let rest = agent.hung_until - now;
             return self.at(rest, Event::DirectCommands { node, life, call, machine: id, commands });
         }
-        let done = commands.fencing_token >= worker.fencing_token && commands.incarnation == worker.incarnation;
+        let done = commands.fencing_token >= agent.fencing_token && commands.incarnation == agent.incarnation;
         if done {
-            worker.take_token(commands.fencing_token, now, times.lease);
+            agent.take_token(commands.fencing_token, now, times.lease);
             self.obey(&id, &commands.commands);
         }
-        let Some(worker) = self.workers.get_mut(&id) else { return };
-        let heartbeat = worker.heartbeat(&id);
-        let changed = worker.changed && worker.flight.is_none();
+        let Some(agent) = self.agents.get_mut(&id) else { return };
+        let heartbeat = agent.heartbeat(&id);
+        let changed = agent.changed && agent.flight.is_none();
         let outcome =
-            if done { DirectCommandsOutcome::Done(heartbeat) } else { DirectCommandsOutcome::Rejected(heartbeat) };
-        self.reply(Place::Worker(id.clone()), node, life, call, Input::DirectCommands { machine: id.clone(), outcome });
+            if done { DirectCommandsOutcome::Executed(heartbeat) } else { DirectCommandsOutcome::Rejected(heartbeat) };
+        self.reply(Place::Agent(id.clone()), node, life, call, Input::DirectCommands { machine: id.clone(), outcome });
         if changed {
             self.wake_in(&id, 500 * MS);
         }
@@ -277,15 +276,15 @@
                 AgentCommand::Start { task, attempt } => self.obey_start(id, task, *attempt),
                 AgentCommand::Stop { task, attempt, .. } => {
                     let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { continue };
-                    let here = self.workers.get(id).and_then(|w| w.tasks.get(&key));
+                    let here = self.agents.get(id).and_then(|w| w.tasks.get(&key));
                     if here.is_some_and(|t| t.attempt == *attempt) {
                         self.exit(id, &key, ExitCause::Stopped);
                     }
                 }
                 AgentCommand::Forget { task, attempt } => {
                     let Some(t) = TaskId::parse(task) else { continue };
-                    if let Some(worker) = self.workers.get_mut(id) {
-                        worker.exited.remove(&(t.job, t.index, *attempt));
+                    if let Some(agent) = self.agents.get_mut(id) {
+                        agent.exited.remove(&(t.job, t.index, *attempt));
                     }
                 }
             }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -48,7 +48,7 @@
             .iter()
             .filter(|(_, j)| j.accepted && j.told.is_none() && j.spec.kind != JobKind::Gang && j.fails_after.is_none())
         {
-            let placed = |index: u32| self.workers.values().any(|w| w.tasks.contains_key(&(id.clone(), index)));
+            let placed = |index: u32| self.agents.values().any(|w| w.tasks.contains_key(&(id.clone(), index)));
             let waits = (0..job.spec.tasks).any(|t| !job.done_tasks[t as usize] && !placed(t));
             // What it could do with one more task; its other tasks may bind it to zones.
             let free = !job.spec.one_zone && !job.spec.spread;
@@ -108,13 +108,13 @@
 
     /// Tasks of a job that run now.
     pub fn running(&self, id: &JobId) -> usize {
-        self.workers.values().flat_map(|w| w.tasks.keys()).filter(|k| k.0 == *id).count()
+        self.agents.values().flat_map(|w| w.tasks.keys()).filter(|k| k.0 == *id).count()
     }
 
     /// The most images that any machine has to fetch at this moment.
     pub fn longest_fetch_queue(&self) -> usize {
-        let queues = self.workers.values().map(|worker| {
-            let fetching = worker.tasks.iter().filter(|(_, task)| task.is_fetching());
+        let queues = self.agents.values().map(|agent| {
+            let fetching = agent.tasks.iter().filter(|(_, task)| task.is_fetching());
             fetching.map(|((job, _), _)| &self.jobs[job].spec.image).collect::<BTreeSet<_>>().len()
         });
         queues.max().unwrap_or(0)
@@ -142,7 +142,7 @@
         let open = self.jobs.iter().filter(|(_, j)| j.told.is_none());
         open.map(|(id, j)| {
             let places: Vec<_> = self
-                .workers
+                .agents
                 .iter()
                 .flat_map(|(m, w)| w.tasks.iter().filter(|(k, _)| k.0 == *id).map(move |(k, t)| (m, k.1, t)))
                 .collect();
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -139,7 +139,7 @@
         for id in ids {
             if let Some(machine) = self.cloud.machines.get_mut(id) {
                 machine.gone_at.get_or_insert(self.now);
-                self.workers.remove(id);
+                self.agents.remove(id);
             }
         }
         CloudOutcome::Deleted
@@ -182,6 +182,6 @@
         }
         rented.state = ListedState::Running;
         let (machine_type, zone, spot) = (rented.machine_type.clone(), rented.zone.clone(), rented.spot);
-        self.start_worker(machine, machine_type, zone, spot);
+        self.start_agent(machine, machine_type, zone, spot);
     }
 }
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -3,18 +3,18 @@
 use super::network::Fate;
 use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
-    Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Failure, Input, RequestId, StoreCall, UserAnswer,
-    UserRequest, WorkerAnswer,
+    AgentAnswer, CallFailure, Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Input, RequestId,
+    StoreCall, UserAnswer, UserRequest,
 };
+use burlhatch::protocol::agent::DirectCommands;
 use burlhatch::protocol::peer::{CancellationAck, CancellationNotice};
-use burlhatch::protocol::worker::DirectCommands;
 use burlhatch::types::{JobId, MachineId, Micros};
 
 /// How long a controller waits for a sibling's answer.
 const PEER_TIMEOUT: u64 = 700 * MS;
 /// How long a controller waits for the cloud's answer.
 const CLOUD_TIMEOUT: u64 = 5 * S;
-/// How long a controller waits for a worker's answer to direct commands.
+/// How long a controller waits for an agent's answer to direct commands.
 const DIRECT_COMMANDS_TIMEOUT: u64 = 2500 * MS;
 
 impl World {
@@ -52,19 +52,19 @@
         self.fingerprint.add(self.now, node, &effect);
         match effect {
             Effect::AnswerUser(request_id, answer) => self.user_answer(node, request_id, answer),
-            Effect::AnswerWorker(request_id, answer) => self.answer_worker(node, request_id, answer),
+            Effect::AnswerAgent(request_id, answer) => self.answer_agent(node, request_id, answer),
             Effect::AnswerPeer(request_id, answer) => self.answer_peer(node, request_id, answer),
             Effect::Peer { call, to, message } => self.call_peer(node, call, &to, &message),
             Effect::Store(request) => self.call_store(node, request),
             Effect::Cloud { call, request } => self.call_cloud(node, call, &request),
-            Effect::DirectCommands { machine, commands, .. } => self.call_worker(node, machine, commands),
+            Effect::DirectCommands { machine, commands, .. } => self.call_agent(node, machine, commands),
         }
     }
 
-    fn answer_worker(&mut self, node: usize, request_id: RequestId, answer: WorkerAnswer) {
-        let Some((machine, serial)) = self.nodes[node].workers.remove(&request_id) else { return };
+    fn answer_agent(&mut self, node: usize, request_id: RequestId, answer: AgentAnswer) {
+        let Some((machine, serial)) = self.nodes[node].agents.remove(&request_id) else { return };
         self.check_renewal(node, &machine, serial, &answer);
-        match self.fate(&Place::Node(node), &Place::Worker(machine.clone())) {
+        match self.fate(&Place::Node(node), &Place::Agent(machine.clone())) {
             Fate::Arrives(delay) | Fate::Held(delay) => {
                 self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
             }
@@ -102,7 +102,7 @@
         if is_txn && may_be_late && self.chance(self.late_writes.1) {
             let call = self.open_call();
             let late = 2 * S + self.pick(10 * S);
-            let input = store::failed(&request, Failure::Unknown);
+            let input = store::failed(&request, CallFailure::Indeterminate);
             self.at(late, Event::Store { node, life, call, request });
             return self.at(timeout, Event::Outcome { node, life, call, input });
         }
@@ -126,23 +126,23 @@
         );
     }
 
-    fn call_worker(&mut self, node: usize, machine: MachineId, commands: DirectCommands) {
+    fn call_agent(&mut self, node: usize, machine: MachineId, commands: DirectCommands) {
         let life = self.nodes[node].life;
         // Without commands nothing can be carried out late.
         let is_empty = commands.commands.is_empty();
-        let failed = |machine: &MachineId, failure: Failure| {
-            let failure = if is_empty { Failure::NotDone } else { failure };
+        let failed = |machine: &MachineId, failure: CallFailure| {
+            let failure = if is_empty { CallFailure::NotExecuted } else { failure };
             Input::DirectCommands { machine: machine.clone(), outcome: DirectCommandsOutcome::Failed(failure) }
         };
         if let Some(late) = self.command_delay() {
             let call = self.open_call();
-            let input = failed(&machine, Failure::Unknown);
+            let input = failed(&machine, CallFailure::Indeterminate);
             self.at(late, Event::DirectCommands { node, life, call, machine, commands });
             return self.at(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, life, call, input });
         }
         self.call(
             node,
-            Place::Worker(machine.clone()),
+            Place::Agent(machine.clone()),
             DIRECT_COMMANDS_TIMEOUT,
             |call| Event::DirectCommands { node, life, call, machine: machine.clone(), commands: commands.clone() },
             |failure| failed(&machine, failure),
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -12,8 +12,8 @@
         tracing::info!(at_ms = self.now / MS, node, back_after, "trouble: crash");
         self.nodes[node].controller = None;
         self.nodes[node].life += 1;
-        // Workers and users on its connections see a reset.
-        let lost: Vec<_> = std::mem::take(&mut self.nodes[node].workers).into_values().collect();
+        // Agents and users on its connections see a reset.
+        let lost: Vec<_> = std::mem::take(&mut self.nodes[node].agents).into_values().collect();
         for (machine, serial) in lost {
             self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
         }
@@ -40,20 +40,20 @@
 
     /// The machines of a zone that are up.
     pub fn machines_in(&self, zone: &str) -> Vec<MachineId> {
-        self.workers.iter().filter(|(_, worker)| worker.zone == zone).map(|(id, _)| id.clone()).collect()
+        self.agents.iter().filter(|(_, agent)| agent.zone == zone).map(|(id, _)| id.clone()).collect()
     }
 
     /// Nothing gets through between a zone's machines and anybody outside; they work on.
     pub fn cut_zone(&mut self, zone: &str, duration: u64, hold: bool) {
         let cut_off: BTreeSet<MachineId> = self.machines_in(zone).into_iter().collect();
-        self.cut(duration, hold, move |from, _| matches!(from, Place::Worker(id) if cut_off.contains(id)));
+        self.cut(duration, hold, move |from, _| matches!(from, Place::Agent(id) if cut_off.contains(id)));
     }
 
     /// All machines of a zone are gone, and none comes up there until the zone is back.
     pub fn kill_zone(&mut self, zone: &str) {
         tracing::info!(at_ms = self.now / MS, zone, "trouble: zone lost");
         for id in self.machines_in(zone) {
-            self.workers.remove(&id);
+            self.agents.remove(&id);
         }
         self.cloud.dead_zones.insert(zone.into());
     }
@@ -66,10 +66,10 @@
 
     /// The machine's heartbeats arrive, but neither answers nor commands reach it.
     pub fn make_unreachable(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
-        let id = self.nth_worker(nth)?;
+        let id = self.nth_agent(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: deaf");
         let until = self.now + duration;
-        let unreachable = Place::Worker(id.clone());
+        let unreachable = Place::Agent(id.clone());
         let between = move |_: &Place, to: &Place| *to == unreachable;
         self.cuts.push(Cut { between: Box::new(between), until, hold: false, one_way: true });
         Some(id)
@@ -77,10 +77,10 @@
 
     /// The machine's heartbeats reach no controller, though direct commands reach it and are answered.
     pub fn unreported(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
-        let id = self.nth_worker(nth)?;
+        let id = self.nth_agent(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: mute");
         let until = self.now + duration;
-        self.workers.get_mut(&id)?.unreported_until = until;
+        self.agents.get_mut(&id)?.unreported_until = until;
         Some(id)
     }
 
@@ -131,21 +131,21 @@
         self.slow = (self.now + duration, most);
     }
 
-    /// Its worker begins anew, with nothing on it and nothing remembered.
-    pub fn restart_worker(&mut self, nth: usize) {
-        if let Some(id) = self.nth_worker(nth)
+    /// Its agent begins anew, with nothing on it and nothing remembered.
+    pub fn restart_agent(&mut self, nth: usize) {
+        if let Some(id) = self.nth_agent(nth)
             && let Some(rented) = self.cloud.machines.get(&id)
         {
             tracing::info!(at_ms = self.now / MS, machine = %id, "trouble: the worker begins anew");
             let (machine_type, zone, spot) = (rented.machine_type.clone(), rented.zone.clone(), rented.spot);
-            self.start_worker(id, machine_type, zone, spot);
+            self.start_agent(id, machine_type, zone, spot);
         }
     }
 
     /// From here on every job has to be answered for.
     pub fn troubles_end(&mut self) {
         let until = self.cuts.iter().map(|c| c.until).chain([self.store.down_until]);
-        let machines = self.workers.values().flat_map(|w| [w.hung_until, w.unreported_until]);
+        let machines = self.agents.values().flat_map(|w| [w.hung_until, w.unreported_until]);
         let until =
             until.chain(self.store.refused.values().copied()).chain(machines).chain([self.late_writes.0, self.slow.0]);
         let until = until.max().unwrap_or(0).max(self.now);
@@ -164,7 +164,7 @@
     }
 
     pub fn hang(&mut self, nth: usize, duration: u64) {
-        if let Some(id) = self.nth_worker(nth) {
+        if let Some(id) = self.nth_agent(nth) {
             self.hang_machine(&id, duration);
         }
     }
@@ -172,28 +172,28 @@
     /// A machine hangs, whichever it is.
     pub fn hang_machine(&mut self, id: &MachineId, duration: u64) {
         let until = self.now + duration;
-        if let Some(worker) = self.workers.get_mut(id) {
-            worker.hung_until = until;
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.hung_until = until;
         }
     }
 
     pub fn kill_machine(&mut self, nth: usize) {
-        if let Some(id) = self.nth_worker(nth) {
-            self.workers.remove(&id);
+        if let Some(id) = self.nth_agent(nth) {
+            self.agents.remove(&id);
             self.cloud.failed(&id);
         }
     }
 
     pub fn sicken(&mut self, nth: usize) {
-        if let Some(id) = self.nth_worker(nth)
-            && let Some(worker) = self.workers.get_mut(&id)
+        if let Some(id) = self.nth_agent(nth)
+            && let Some(agent) = self.agents.get_mut(&id)
         {
-            worker.sick = true;
+            agent.sick = true;
         }
     }
 
-    pub fn nth_worker(&self, nth: usize) -> Option<MachineId> {
-        let up: Vec<_> = self.workers.keys().cloned().collect();
+    pub fn nth_agent(&self, nth: usize) -> Option<MachineId> {
+        let up: Vec<_> = self.agents.keys().cloned().collect();
         if up.is_empty() { None } else { Some(up[nth % up.len()].clone()) }
     }
 
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -5,8 +5,8 @@
 //! of the sources that behave alike leave the same lines, in any order.
 
 use super::World;
-use burlhatch::coordination::{CloudCall, Effect, ReadKind, StoreCall, UserAnswer, WorkerAnswer};
-use burlhatch::protocol::worker::Redirect;
+use burlhatch::coordination::{AgentAnswer, CloudCall, Effect, ReadKind, StoreCall, UserAnswer};
+use burlhatch::protocol::agent::Redirect;
 use burlhatch::protocol::{cloud, encode, store};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
@@ -54,8 +54,8 @@
             let (status, body) = user_answer(answer);
             ("user", *request_id, status, body)
         }
-        Effect::AnswerWorker(request_id, answer) => {
-            let (status, body) = worker_answer(answer);
+        Effect::AnswerAgent(request_id, answer) => {
+            let (status, body) = agent_answer(answer);
             ("worker", *request_id, status, body)
         }
         Effect::AnswerPeer(request_id, answer) => ("peer answer", *request_id, String::new(), bitcode::encode(answer)),
@@ -82,11 +82,11 @@
     }
 }
 
-fn worker_answer(answer: &WorkerAnswer) -> (String, Vec<u8>) {
+fn agent_answer(answer: &AgentAnswer) -> (String, Vec<u8>) {
     match answer {
-        WorkerAnswer::Response(commands) => ("200".into(), encode(commands)),
-        WorkerAnswer::Redirect(to) => ("409".into(), encode(&Redirect { controller: to.clone() })),
-        WorkerAnswer::Unavailable => ("503".into(), Vec::new()),
+        AgentAnswer::Response(commands) => ("200".into(), encode(commands)),
+        AgentAnswer::Redirect(to) => ("409".into(), encode(&Redirect { controller: to.clone() })),
+        AgentAnswer::Unavailable => ("503".into(), Vec::new()),
     }
 }
 
@@ -101,7 +101,7 @@
             (kind, *ticket, store::changes_path("", *after, *wait_ms), Vec::new())
         }
         StoreCall::Page { ticket, after } => ("page", *ticket, store::page_path("", after.as_deref()), Vec::new()),
-        StoreCall::GrantLease { ticket, ttl_ms } => ("new lease", *ticket, ttl_ms.to_string(), Vec::new()),
+        StoreCall::GrantSession { ticket, ttl_ms } => ("new lease", *ticket, ttl_ms.to_string(), Vec::new()),
         StoreCall::KeepAlive { ticket, lease } => ("keep alive", *ticket, store::keep_alive_path(*lease), Vec::new()),
     }
 }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,7 +1,8 @@
-//! A simulated world, written from the protocol page: store, cloud, workers, users and
+//! A simulated world, written from the protocol page: store, cloud, agents, users and
 //! the network between them. It drives the pure state machines of several controllers on simulated time
 //! and fixed seeds, breaks things, and checks the protocol's rules after every step.
 
+mod agent;
 mod checks;
 mod cloud;
 mod control;
@@ -13,11 +14,11 @@
 mod store;
 mod task_lifecycle;
 mod users;
-mod worker;
 
-use burlhatch::coordination::{CloudCall, Controller, Input, StoreCall, UserAnswer, WorkerAnswer};
+use agent::Agent;
+use burlhatch::coordination::{AgentAnswer, CloudCall, Controller, Input, StoreCall, UserAnswer};
+use burlhatch::protocol::agent::{DirectCommands, Heartbeat};
 use burlhatch::protocol::peer::CancellationNotice;
-use burlhatch::protocol::worker::{DirectCommands, Heartbeat};
 use burlhatch::settings::{Platform, Policy};
 use burlhatch::storage::schema::RecordVersion;
 use burlhatch::types::{JobId, MachineId};
@@ -35,7 +36,6 @@
 use store::Store;
 pub use users::UserJob;
 use users::{Asked, Look};
-use worker::Worker;
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -43,7 +43,7 @@
 /// How long a controller waits for an answer of the store.
 const STORE_TIMEOUT: u64 = 1500 * MS;
 
-/// The workers' times.
+/// The agents' times.
 #[derive(Clone, Copy)]
 pub struct Times {
     pub heartbeat: u64,
@@ -148,13 +148,13 @@
     HeartbeatAnswer {
         machine: MachineId,
         serial: u64,
-        answer: Option<WorkerAnswer>,
+        answer: Option<AgentAnswer>,
     },
-    WorkerHeartbeat {
+    AgentHeartbeat {
         machine: MachineId,
         wake: u64,
     },
-    WorkerStep {
+    AgentStep {
         machine: MachineId,
     },
     Boots {
@@ -186,7 +186,7 @@
     drift: f64,
     next_request_id: u64,
     users: BTreeMap<u64, (u64, Asked)>,
-    workers: BTreeMap<u64, (MachineId, u64)>,
+    agents: BTreeMap<u64, (MachineId, u64)>,
     /// Siblings that wait for an answer.
     peers: BTreeMap<u64, PeerCall>,
     /// It stands still until then while its clocks run on.
@@ -204,7 +204,7 @@
     nodes: Vec<Node>,
     store: Store,
     pub cloud: Cloud,
-    pub workers: BTreeMap<MachineId, Worker>,
+    pub agents: BTreeMap<MachineId, Agent>,
     cuts: Vec<Cut>,
     open_calls: BTreeMap<u64, ()>,
     next_call: u64,
@@ -282,7 +282,7 @@
             nodes: Vec::new(),
             store: Store::new(size.write_rps),
             cloud: Cloud::new(size.capacity),
-            workers: BTreeMap::new(),
+            agents: BTreeMap::new(),
             cuts: Vec::new(),
             open_calls: BTreeMap::new(),
             next_call: 0,
@@ -322,7 +322,7 @@
                 drift,
                 next_request_id: 0,
                 users: BTreeMap::new(),
-                workers: BTreeMap::new(),
+                agents: BTreeMap::new(),
                 peers: BTreeMap::new(),
                 frozen_until: 0,
                 backlog: Vec::new(),
@@ -396,12 +396,12 @@
             }
             Event::Boots { machine } => self.machine_up(machine),
             Event::DirectCommands { node, life, call, machine, commands } => {
-                self.worker_commands(node, life, call, machine, commands);
+                self.agent_commands(node, life, call, machine, commands);
             }
             Event::Heartbeat { node, heartbeat, serial } => self.heartbeat_arrives(node, heartbeat, serial),
             Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
-            Event::WorkerHeartbeat { machine, wake } => self.worker_heartbeat(machine, wake),
-            Event::WorkerStep { machine } => self.worker_step(machine),
+            Event::AgentHeartbeat { machine, wake } => self.agent_heartbeat(machine, wake),
+            Event::AgentStep { machine } => self.agent_step(machine),
             Event::Users => self.users_step(),
             Event::Look { node, id, look } => self.look(node, id, look),
         }
@@ -463,7 +463,7 @@
         }
         self.nodes[node].next_request_id += 1;
         let request_id = self.nodes[node].next_request_id;
-        self.nodes[node].workers.insert(request_id, (machine, serial));
+        self.nodes[node].agents.insert(request_id, (machine, serial));
         self.feed(node, Input::Heartbeat { request_id, heartbeat, relayed: false });
     }
 }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,7 +1,7 @@
 //! The network: delays, cuts, packets held back, and copies that come late.
 
 use super::{Event, MS, S, STORE_TIMEOUT, World};
-use burlhatch::coordination::{Failure, Input};
+use burlhatch::coordination::{CallFailure, Input};
 use burlhatch::types::MachineId;
 use rand::Rng;
 use std::ops::Range;
@@ -12,7 +12,7 @@
     Node(usize),
     Store,
     Cloud,
-    Worker(MachineId),
+    Agent(MachineId),
 }
 
 pub(super) type Between = Box<dyn Fn(&Place, &Place) -> bool>;
@@ -27,7 +27,7 @@
     pub(super) one_way: bool,
 }
 
-/// Direct commands that come late: their senders have given up, and the workers carry them out if fencing token and incarnation
+/// Direct commands that come late: their senders have given up, and the agents carry them out if fencing token and incarnation
 /// still match.
 #[derive(Clone)]
 pub(super) struct LateCommands {
@@ -68,7 +68,7 @@
         to: Place,
         limit: u64,
         event: impl Fn(u64) -> Event,
-        fail: impl Fn(Failure) -> Input,
+        fail: impl Fn(CallFailure) -> Input,
     ) {
         self.next_call += 1;
         let call = self.next_call;
@@ -77,9 +77,9 @@
         match self.fate(&Place::Node(node), &to) {
             Fate::Arrives(delay) => {
                 self.at(delay, event(call));
-                self.at(limit, Event::Outcome { node, life, call, input: fail(Failure::Unknown) });
+                self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
                 if self.copies > 0
-                    && matches!(to, Place::Store | Place::Worker(_) | Place::Node(_))
+                    && matches!(to, Place::Store | Place::Agent(_) | Place::Node(_))
                     && self.chance(self.copies)
                 {
                     let late = self.rng.random_range(0..60 * S);
@@ -88,10 +88,10 @@
             }
             Fate::Held(late) => {
                 self.at(late, event(call));
-                self.at(limit, Event::Outcome { node, life, call, input: fail(Failure::Unknown) });
+                self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
             }
             Fate::Refused => {
-                self.at(limit.min(S), Event::Outcome { node, life, call, input: fail(Failure::NotDone) });
+                self.at(limit.min(S), Event::Outcome { node, life, call, input: fail(CallFailure::NotExecuted) });
             }
         }
     }
--- a/tests/rules/world/start_rules.rs
+++ b/tests/rules/world/start_rules.rs
@@ -1,8 +1,8 @@
 //! The protocol's rules about a task that starts, checked with the knowledge of all machines that no controller has.
 
 use super::World;
+use super::agent::Agent;
 use super::cloud::cpus_of;
-use super::worker::Worker;
 use burlhatch::protocol::user::JobSpec;
 use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeMap;
@@ -20,10 +20,10 @@
 }
 
 /// Whether the job may run on that machine, wherever its other tasks are.
-fn allows(spec: &JobSpec, worker: &Worker) -> bool {
-    spec.types.as_ref().is_none_or(|types| types.contains(&worker.machine_type))
-        && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
-        && (spec.spot || !worker.spot)
+fn allows(spec: &JobSpec, agent: &Agent) -> bool {
+    spec.types.as_ref().is_none_or(|types| types.contains(&agent.machine_type))
+        && spec.zone.as_ref().is_none_or(|zone| *zone == agent.zone)
+        && (spec.spot || !agent.spot)
 }
 
 impl World {
@@ -37,8 +37,8 @@
         found.extend(self.runs_twice(id, key));
         found.extend(self.starts_too_early(&spec, key));
         found.extend(self.starts_after_cancellation(id, key));
-        let Some(worker) = self.workers.get(id) else { return };
-        found.extend(self.is_in_wrong_place(&spec, worker, id, key));
+        let Some(agent) = self.agents.get(id) else { return };
+        found.extend(self.is_in_wrong_place(&spec, agent, id, key));
         found.extend(self.exceeds_quota(&spec, key));
         for violation in found {
             self.broken(violation);
@@ -46,7 +46,7 @@
     }
 
     fn runs_twice(&self, id: &MachineId, key: &(JobId, u32)) -> Option<String> {
-        let (other, _) = self.workers.iter().find(|(other, worker)| *other != id && worker.on_machine(key))?;
+        let (other, _) = self.agents.iter().find(|(other, agent)| *other != id && agent.on_machine(key))?;
         Some(format!("ran_twice: {}/{} runs on {other} and is started on {id}", key.0, key.1))
     }
 
@@ -62,13 +62,13 @@
         is_late.then(|| format!("ran_cancelled: {}/{} starts on {id}", key.0, key.1))
     }
 
-    fn is_in_wrong_place(&self, spec: &JobSpec, worker: &Worker, id: &MachineId, key: &(JobId, u32)) -> Option<String> {
+    fn is_in_wrong_place(&self, spec: &JobSpec, agent: &Agent, id: &MachineId, key: &(JobId, u32)) -> Option<String> {
         let zones = self.tasks_by_zone(spec, id, key);
         let max_in_zone = spec.tasks.div_ceil(2);
-        let is_spread = !spec.spread || zones.get(worker.zone.as_str()).copied().unwrap_or(0) <= max_in_zone;
+        let is_spread = !spec.spread || zones.get(agent.zone.as_str()).copied().unwrap_or(0) <= max_in_zone;
         let is_together = !spec.one_zone || zones.len() <= 1;
-        let is_right = allows(spec, worker) && is_spread && is_together;
-        (!is_right).then(|| format!("wrong_place: {}/{} on {id} in {}: {zones:?}", key.0, key.1, worker.zone))
+        let is_right = allows(spec, agent) && is_spread && is_together;
+        (!is_right).then(|| format!("wrong_place: {}/{} on {id} in {}: {zones:?}", key.0, key.1, agent.zone))
     }
 
     /// In which zones the job's tasks are at this moment, if that binds it: with thousands of machines a walk for each
@@ -76,10 +76,10 @@
     fn tasks_by_zone(&self, spec: &JobSpec, id: &MachineId, key: &(JobId, u32)) -> BTreeMap<&str, u32> {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
         let is_bound = spec.spread || spec.one_zone;
-        for (other, worker) in self.workers.iter().filter(|_| is_bound) {
-            for task in worker.tasks.keys().filter(|task| task.0 == key.0 && (*task != key || other == id)) {
-                if worker.on_machine(task) || (other == id && task == key) {
-                    *zones.entry(&worker.zone).or_default() += 1;
+        for (other, agent) in self.agents.iter().filter(|_| is_bound) {
+            for task in agent.tasks.keys().filter(|task| task.0 == key.0 && (*task != key || other == id)) {
+                if agent.on_machine(task) || (other == id && task == key) {
+                    *zones.entry(&agent.zone).or_default() += 1;
                 }
             }
         }
@@ -93,8 +93,8 @@
             return None;
         }
         let mut used = 0.0;
-        for worker in self.workers.values() {
-            for task in worker.tasks.keys().filter(|task| worker.on_machine(task) || *task == key) {
+        for agent in self.agents.values() {
+            for task in agent.tasks.keys().filter(|task| agent.on_machine(task) || *task == key) {
                 if let Some(job) = self.jobs.get(&task.0).filter(|job| job.spec.team.as_ref() == Some(team)) {
                     used += job.spec.cpus;
                 }
@@ -105,21 +105,21 @@
 
     /// Whether one more task of that kind could run somewhere at this moment.
     pub(super) fn could_run(&self, spec: &JobSpec) -> bool {
-        let cpus_used_on = |worker: &Worker| -> f64 {
-            worker.tasks.keys().filter_map(|task| self.jobs.get(&task.0)).map(|job| job.spec.cpus).sum()
+        let cpus_used_on = |agent: &Agent| -> f64 {
+            agent.tasks.keys().filter_map(|task| self.jobs.get(&task.0)).map(|job| job.spec.cpus).sum()
         };
         let team = spec.team.as_deref().unwrap_or("");
         let used_by_team: f64 = self
-            .workers
+            .agents
             .values()
-            .flat_map(|worker| worker.tasks.keys())
+            .flat_map(|agent| agent.tasks.keys())
             .filter_map(|task| self.jobs.get(&task.0))
             .filter(|job| job.spec.team.as_deref() == Some(team))
             .map(|job| job.spec.cpus)
             .sum();
-        let fits = |worker: &Worker| cpus_used_on(worker) + spec.cpus <= cpus_of(&worker.machine_type) + ROUNDING;
+        let fits = |agent: &Agent| cpus_used_on(agent) + spec.cpus <= cpus_of(&agent.machine_type) + ROUNDING;
         used_by_team + spec.cpus <= quota_of(team) + ROUNDING
-            && self.workers.values().any(|worker| allows(spec, worker) && !worker.sick && fits(worker))
+            && self.agents.values().any(|agent| allows(spec, agent) && !agent.sick && fits(agent))
     }
 
     /// Tasks of cancelled jobs that are still on a machine after the time allowed for a cancellation.
@@ -128,8 +128,8 @@
             let cancelled = self.jobs.get(&task.0).and_then(|job| job.cancelled);
             cancelled.is_some_and(|at| self.now > at + self.size.times.cancel)
         };
-        let Some(worker) = self.workers.get(id) else { return };
-        let overdue = worker.tasks.keys().filter(|task| worker.on_machine(task)).filter(is_overdue);
+        let Some(agent) = self.agents.get(id) else { return };
+        let overdue = agent.tasks.keys().filter(|task| agent.on_machine(task)).filter(is_overdue);
         let found: Vec<String> =
             overdue.map(|task| format!("ran_cancelled: {}/{} is still on {id}", task.0, task.1)).collect();
         for violation in found {
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -1,7 +1,7 @@
 //! The store.
 
 use super::{Event as WorldEvent, MS, Place, World};
-use burlhatch::coordination::{Failure, Input, LeaseOutcome, ReadOutcome, StoreCall, TxnOutcome};
+use burlhatch::coordination::{CallFailure, Input, ReadOutcome, SessionOutcome, StoreCall, TxnOutcome};
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use ciborium::Value;
 use std::collections::{BTreeMap, VecDeque};
@@ -78,13 +78,13 @@
 }
 
 /// What a caller hears that gets no answer.
-pub fn failed(request: &StoreCall, failure: Failure) -> Input {
+pub fn failed(request: &StoreCall, failure: CallFailure) -> Input {
     match request {
         StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
         StoreCall::Changes { ticket, .. } => Input::Changes { ticket: *ticket, outcome: ReadOutcome::Failed },
         StoreCall::Page { ticket, .. } => Input::Page { ticket: *ticket, outcome: ReadOutcome::Failed },
-        StoreCall::GrantLease { ticket, .. } | StoreCall::KeepAlive { ticket, .. } => {
-            Input::Lease { ticket: *ticket, outcome: LeaseOutcome::Failed }
+        StoreCall::GrantSession { ticket, .. } | StoreCall::KeepAlive { ticket, .. } => {
+            Input::Session { ticket: *ticket, outcome: SessionOutcome::Failed }
         }
     }
 }
@@ -253,20 +253,20 @@
             StoreCall::Page { ticket, after } => {
                 Input::Page { ticket: *ticket, outcome: ReadOutcome::Got(self.page(after.as_ref())) }
             }
-            StoreCall::GrantLease { ticket, ttl_ms } => {
+            StoreCall::GrantSession { ticket, ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (now + ttl_ms * 1000, ttl_ms * 1000));
-                Input::Lease { ticket: *ticket, outcome: LeaseOutcome::New(self.next_lease) }
+                Input::Session { ticket: *ticket, outcome: SessionOutcome::Granted(self.next_lease) }
             }
             StoreCall::KeepAlive { ticket, lease } => {
                 let outcome = match self.leases.get_mut(lease) {
                     Some((expires, life)) => {
                         *expires = now + *life;
-                        LeaseOutcome::KeptAlive
+                        SessionOutcome::KeptAlive
                     }
-                    None => LeaseOutcome::Gone,
+                    None => SessionOutcome::Expired,
                 };
-                Input::Lease { ticket: *ticket, outcome }
+                Input::Session { ticket: *ticket, outcome }
             }
         }
     }
@@ -279,16 +279,16 @@
         if refused {
             let input = match &request {
                 StoreCall::Txn { ticket, .. } => {
-                    Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(Failure::NotDone) }
+                    Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(CallFailure::NotExecuted) }
                 }
-                other => failed(other, Failure::NotDone),
+                other => failed(other, CallFailure::NotExecuted),
             };
             return self.reply(Place::Store, node, life, call, input);
         }
         if !self.store.admits_request(now) {
             let input = match &request {
                 StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
-                other => failed(other, Failure::NotDone),
+                other => failed(other, CallFailure::NotExecuted),
             };
             return self.reply(Place::Store, node, life, call, input);
         }
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -1,10 +1,10 @@
-//! What becomes of a task on a worker: it fetches its image, waits for its gang, runs, and ends.
+//! What becomes of a task on an agent: it fetches its image, waits for its gang, runs, and ends.
 
+use super::agent::Task;
 use super::cloud::cpus_of;
-use super::worker::Task;
 use super::{Event, MS, S, World};
+use burlhatch::protocol::agent::{ExitCause, TaskState};
 use burlhatch::protocol::user::JobKind;
-use burlhatch::protocol::worker::{ExitCause, TaskState};
 use burlhatch::types::{JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
@@ -15,26 +15,26 @@
         let now = self.now;
         let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { return };
         let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { return };
-        let cpus: f64 = match self.workers.get(id) {
+        let cpus: f64 = match self.agents.get(id) {
             Some(w) => w.tasks.keys().filter_map(|k| self.jobs.get(&k.0)).map(|j| j.spec.cpus).sum(),
             None => return,
         };
-        let Some(worker) = self.workers.get_mut(id) else { return };
-        let known = worker.exited.contains_key(&(key.0.clone(), key.1, attempt))
-            || worker.tasks.get(&key).is_some_and(|t| t.attempt == attempt);
+        let Some(agent) = self.agents.get_mut(id) else { return };
+        let known = agent.exited.contains_key(&(key.0.clone(), key.1, attempt))
+            || agent.tasks.get(&key).is_some_and(|t| t.attempt == attempt);
         if known {
             return;
         }
-        worker.changed = true;
-        if worker.tasks.contains_key(&key) {
-            worker.exited.insert((key.0, key.1, attempt), ExitCause::Busy);
-        } else if cpus + spec.cpus > cpus_of(&worker.machine_type) + 1e-9 {
-            worker.exited.insert((key.0, key.1, attempt), ExitCause::InsufficientResources);
+        agent.changed = true;
+        if agent.tasks.contains_key(&key) {
+            agent.exited.insert((key.0, key.1, attempt), ExitCause::Busy);
+        } else if cpus + spec.cpus > cpus_of(&agent.machine_type) + 1e-9 {
+            agent.exited.insert((key.0, key.1, attempt), ExitCause::InsufficientResources);
         } else {
-            let cached = worker.cache.contains(&spec.image);
+            let cached = agent.cache.contains(&spec.image);
             let due = now + if cached { 0 } else { S };
             let task = Task { attempt, state: TaskState::FetchingImage, due, since: now };
-            worker.tasks.insert(key.clone(), task);
+            agent.tasks.insert(key.clone(), task);
             if cached {
                 self.arrives(id, &key);
             }
@@ -42,11 +42,11 @@
     }
 
     pub(super) fn exit(&mut self, id: &MachineId, key: &(JobId, u32), why: ExitCause) {
-        let Some(worker) = self.workers.get_mut(id) else { return };
-        if let Some(task) = worker.tasks.remove(key) {
-            worker.exited.insert((key.0.clone(), key.1, task.attempt), why);
-            worker.changed = true;
-            if worker.flight.is_none() {
+        let Some(agent) = self.agents.get_mut(id) else { return };
+        if let Some(task) = agent.tasks.remove(key) {
+            agent.exited.insert((key.0.clone(), key.1, task.attempt), why);
+            agent.changed = true;
+            if agent.flight.is_none() {
                 self.wake_in(id, 100 * MS);
             }
         }
@@ -65,14 +65,14 @@
         let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimated_runtime_s);
         let fails_after = job.fails_after;
         let run = (run * 1e6) as u64 / 2 + self.rng_run((run * 1e6) as u64);
-        let Some(worker) = self.workers.get_mut(id) else { return };
-        if !worker.cache.contains(&image) {
-            worker.cache.push(image);
-        }
-        worker.changed = true;
-        let sick = worker.sick;
-        let finished = worker.done.contains(key);
-        if let Some(task) = worker.tasks.get_mut(key) {
+        let Some(agent) = self.agents.get_mut(id) else { return };
+        if !agent.cache.contains(&image) {
+            agent.cache.push(image);
+        }
+        agent.changed = true;
+        let sick = agent.sick;
+        let finished = agent.done.contains(key);
+        if let Some(task) = agent.tasks.get_mut(key) {
             task.since = now;
             (task.state, task.due) = match kind {
                 JobKind::Gang => (TaskState::Waiting, now + GANG_WAIT),
@@ -97,7 +97,7 @@
         let now = self.now;
         let Some(spec) = self.jobs.get(job).map(|j| j.spec.clone()) else { return };
         let mut waiting: BTreeMap<u64, Vec<(MachineId, u32)>> = BTreeMap::new();
-        for (id, w) in &self.workers {
+        for (id, w) in &self.agents {
             for ((j, index), t) in &w.tasks {
                 if j == job && t.state == TaskState::Waiting {
                     waiting.entry(t.attempt).or_default().push((id.clone(), *index));
@@ -108,7 +108,7 @@
         let fails_after = self.jobs.get(job).and_then(|j| j.fails_after);
         let due = now + fails_after.unwrap_or((spec.estimated_runtime_s * 1e6) as u64);
         for (id, index) in members {
-            if let Some(t) = self.workers.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
+            if let Some(t) = self.agents.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
                 t.state = TaskState::Running;
                 t.due = due;
             }
@@ -118,7 +118,7 @@
     /// Whether all of a gang's attempt is still there.
     fn gang_whole(&self, job: &JobId, attempt: u64, tasks: u32) -> bool {
         let n = self
-            .workers
+            .agents
             .values()
             .flat_map(|w| w.tasks.iter())
             .filter(|((j, _), t)| j == job && t.attempt == attempt && t.state == TaskState::Running)
@@ -126,27 +126,27 @@
         n == tasks as usize
     }
 
-    pub(super) fn worker_step(&mut self, id: MachineId) {
+    pub(super) fn agent_step(&mut self, id: MachineId) {
         let (now, lease) = (self.now, self.size.times.lease);
-        if !self.workers.contains_key(&id) {
+        if !self.agents.contains_key(&id) {
             return;
         }
-        self.at(100 * MS, Event::WorkerStep { machine: id.clone() });
-        let Some(worker) = self.workers.get_mut(&id) else { return };
+        self.at(100 * MS, Event::AgentStep { machine: id.clone() });
+        let Some(agent) = self.agents.get_mut(&id) else { return };
         // Also one that hangs: it may go on with its tasks at any moment within its lease, and not after.
-        if now > worker.renewed + lease {
-            worker.tasks.clear();
-            worker.exited.clear();
-            worker.incarnation += 1;
-            worker.renewed = now;
-            worker.changed = true;
+        if now > agent.renewed + lease {
+            agent.tasks.clear();
+            agent.exited.clear();
+            agent.incarnation += 1;
+            agent.renewed = now;
+            agent.changed = true;
             return;
         }
-        if worker.hung_until > now {
+        if agent.hung_until > now {
             return;
         }
         let due: Vec<((JobId, u32), Task)> =
-            worker.tasks.iter().filter(|(_, t)| t.due <= now).map(|(k, t)| (k.clone(), t.clone())).collect();
+            agent.tasks.iter().filter(|(_, t)| t.due <= now).map(|(k, t)| (k.clone(), t.clone())).collect();
         for (key, task) in due {
             let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { continue };
             let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
@@ -170,9 +170,9 @@
             return self.exit(id, key, ExitCause::GangPeerLost);
         }
         let members: Vec<(MachineId, (JobId, u32))> = self
-            .workers
+            .agents
             .iter()
-            .flat_map(|(machine, worker)| worker.tasks.keys().map(move |task| (machine.clone(), task.clone())))
+            .flat_map(|(machine, agent)| agent.tasks.keys().map(move |task| (machine.clone(), task.clone())))
             .filter(|(_, task)| task.0 == key.0)
             .collect();
         for (machine, member) in members {
@@ -188,8 +188,8 @@
         if whole && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
             self.call_off(&key.0);
         }
-        if let Some(worker) = self.workers.get_mut(id) {
-            worker.done.push(key.clone());
+        if let Some(agent) = self.agents.get_mut(id) {
+            agent.done.push(key.clone());
         }
         self.exit(id, key, ExitCause::Completed);
     }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -13,7 +13,7 @@
     Size { nodes: 5, machines: 24, capacity: 48, write_rps: 60.0, zones: &["a", "b", "c"], times: TIMES };
 /// Each shard has several machines in each zone, so that none is replaced as a single one that fell silent.
 const NINETY: Size = Size { machines: 90, capacity: 110, ..THREE_ZONES };
-/// The worker's lease in this world: without a deletion nothing of a zone that is cut off starts elsewhere before.
+/// The agent's lease in this world: without a deletion nothing of a zone that is cut off starts elsewhere before.
 const LEASE: u64 = 20 * S;
 
 fn judging_zones() -> Policy {
@@ -34,11 +34,11 @@
 
 /// Replicas of a service in other zones than this one.
 fn outside(world: &World, id: &JobId, zone: &str) -> usize {
-    world.workers.values().filter(|w| w.zone != zone).flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
+    world.agents.values().filter(|w| w.zone != zone).flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
 
 fn inside(world: &World, zone: &str) -> usize {
-    world.workers.values().filter(|w| w.zone == zone).map(|w| w.tasks.len()).sum()
+    world.agents.values().filter(|w| w.zone == zone).map(|w| w.tasks.len()).sum()
 }
 
 /// How long it takes until all replicas of these services are outside a zone.
@@ -123,9 +123,9 @@
         submit_services(&mut world, 40);
         world.run_for(30 * S);
         let blind = world.holder("share/1").expect("somebody holds it");
-        let (unseen, before) = (world.machines_in("a"), world.workers.len());
+        let (unseen, before) = (world.machines_in("a"), world.agents.len());
         world.cut(15 * S, false, move |from, to| {
-            *from == Place::Node(blind) && matches!(to, Place::Worker(id) if unseen.contains(id))
+            *from == Place::Node(blind) && matches!(to, Place::Agent(id) if unseen.contains(id))
         });
         let mut seen = Vec::new();
         for _ in 0..15 {
@@ -134,7 +134,7 @@
         }
         assert!(!seen.is_empty(), "{seed}: nobody noticed");
         assert!(!seen.contains(&Condition::Lost), "{seed}: taken for lost by one controller's word");
-        assert_eq!(world.workers.len(), before, "{seed}: machines were deleted");
+        assert_eq!(world.agents.len(), before, "{seed}: machines were deleted");
         cancel_services(&mut world);
         finish(&mut world, &format!("blind controller {seed}"));
     }
@@ -168,10 +168,10 @@
     let mut world = world_of(104_000, judging_zones());
     submit_services(&mut world, 8);
     world.run_for(30 * S);
-    let (before, started) = (world.workers.len(), world.started);
+    let (before, started) = (world.agents.len(), world.started);
     world.cut_zone("a", 1500 * MS, true);
     world.run_for(20 * S);
-    assert_eq!((world.workers.len(), world.started), (before, started));
+    assert_eq!((world.agents.len(), world.started), (before, started));
     assert!(zone_keys(&world).is_empty(), "{:?}", zone_keys(&world));
     cancel_services(&mut world);
     finish(&mut world, "short flap");
@@ -227,8 +227,8 @@
 }
 
 fn outside_of_both(world: &World, id: &JobId) -> usize {
-    let workers = world.workers.values().filter(|w| w.zone == "c");
-    workers.flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
+    let agents = world.agents.values().filter(|w| w.zone == "c");
+    agents.flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
 
 /// The store is away, or refuses the leader alone, at the loss, in the middle, and at the return; a new leader
@@ -274,11 +274,11 @@
         let services: Vec<JobId> =
             (0..85).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 4.0))).collect();
         world.run_for(40 * S);
-        let before = world.workers.len();
+        let before = world.agents.len();
         world.cloud.capacity = 0;
         world.cut_zone("a", 12 * S, true);
         world.run_for(12 * S);
-        let deleted = before - world.workers.len();
+        let deleted = before - world.agents.len();
         assert!(deleted <= 5, "{seed}: {deleted} machines were deleted though five replicas have room elsewhere");
         world.cloud.capacity = 90;
         let restored = time_to_restore(&mut world, &services, "none", 90 * S);
@@ -489,12 +489,12 @@
     let mut world = world_of(114_000, judging_zones());
     submit_services(&mut world, 6);
     world.run_for(20 * S);
-    let (before, started) = (world.workers.len(), world.started);
+    let (before, started) = (world.agents.len(), world.started);
     for shard in 0..5 {
         world.write_key(&format!("bh/zone/a/{shard}"), Some(Value::Text("lost".into())));
     }
     world.run_for(10 * S);
-    assert_eq!((world.workers.len(), world.started), (before, started), "an unreadable view was acted on");
+    assert_eq!((world.agents.len(), world.started), (before, started), "an unreadable view was acted on");
     assert!(zone_keys(&world).is_empty(), "{:?}", zone_keys(&world));
     cancel_services(&mut world);
     finish(&mut world, "unreadable");
--- a/tests/rules/zones_measured.rs
+++ b/tests/rules/zones_measured.rs
@@ -71,8 +71,8 @@
 
     fn replicas_outside(&self, zone: &str) -> BTreeMap<JobId, usize> {
         let mut counts = BTreeMap::new();
-        for worker in self.world.workers.values().filter(|worker| worker.zone != zone) {
-            for (job, _) in worker.tasks.keys() {
+        for agent in self.world.agents.values().filter(|agent| agent.zone != zone) {
+            for (job, _) in agent.tasks.keys() {
                 *counts.entry(job.clone()).or_default() += 1;
             }
         }
