--- a/src/coordination/store_sync/job_records/chunk_changes.rs
+++ b/src/coordination/store_sync/job_records/chunk_changes.rs
@@ -20,7 +20,7 @@
 
 /// What proves that a machine stays in its shard until an attempt on it is recorded: otherwise a task would start on a
 /// machine of another shard, and its end would be proven to nobody. Test:
-/// `upgrade::a_start_recorded_late_meets_an_earlier_leader`.
+/// `upgrade::an_attempt_recorded_late_meets_an_earlier_leader`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineGuard {
     /// Its record is a precondition of each attempt there: the leader moves machines by itself.
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -127,7 +127,7 @@
 /// While the owner's siblings can't reach it, though the store can be reached by all, users are not kept
 /// waiting for its word: what is left of a job in the stored records tells the same.
 #[test]
-fn without_words_between_controllers_the_books_tell() {
+fn without_peer_messages_the_stored_records_confirm_cancellations() {
     for seed in seeds(21, 3) {
         let (mut world, ids, _) = running(seed);
         world.cut(80 * S, false, |a, b| matches!((a, b), (Place::Node(_), Place::Node(_))));
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -158,7 +158,7 @@
 /// A controller that stands still while its clocks run on wakes to a queue of old news, calls that
 /// all look late and machines that all look silent, perhaps after its shards have gone to others.
 #[test]
-fn a_controller_that_stands_still_wakes_to_old_news() {
+fn a_stalled_controller_wakes_to_outdated_messages() {
     for (seed, span) in seeds(15, 4).zip([S, 5 * S, 30 * S, 60 * S].into_iter().cycle()) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         world.heartbeat_copies = 10;
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -65,7 +65,7 @@
 /// Cancelled at each stage: what needs the job is withdrawn with it and told so by every controller, what it needs
 /// goes on. So is a job that names a cancelled one when it is submitted, also one withdrawn with another.
 #[test]
-fn what_needs_a_cancelled_job_is_withdrawn_with_it() {
+fn what_depends_on_a_cancelled_job_is_cancelled_with_it() {
     for stage_of in 0..4 {
         let mut world = World::new(71_000 + stage_of as u64);
         stage(&mut world, 1, "green", 2, &[]);
@@ -175,7 +175,7 @@
 /// A long chain and a wide fan are withdrawn as a whole, within few changes and long before their time is up, though
 /// the store takes few.
 #[test]
-fn a_long_chain_and_a_wide_fan_are_withdrawn_at_once() {
+fn a_long_chain_and_a_wide_fan_are_cancelled_at_once() {
     let mut world = World::sized(75, Policy::default(), Size { write_rps: 8.0, ..SMALL });
     let root = stage(&mut world, 1, "green", 2, &[]);
     world.jobs.get_mut(&root).expect("submitted").spec.estimated_runtime_s = 100.0;
@@ -293,7 +293,7 @@
 /// small value takes, and those that have ended take room until they are recorded as done. That is recorded before
 /// ordinary progress, which may wait much longer.
 #[test]
-fn ended_starts_leave_full_chunks_for_tasks_that_wait() {
+fn ended_attempts_leave_full_chunks_for_tasks_that_wait() {
     let policy = Policy { record_delay_ms: 60_000, progress_patience_ms: 120_000, ..Policy::default() };
     let mut world = World::sized(79, policy, Size { machines: 30, capacity: 30, write_rps: 9.0, ..LARGE });
     world.lower_limits_at(2 * S, 2048, 4, 9.0);
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -30,7 +30,7 @@
 /// A machine that can send but not hear is never silent. It has to be found out all the same, get no
 /// further work and be replaced with proof; its tasks run elsewhere, once.
 #[test]
-fn a_machine_that_hears_nothing_is_replaced() {
+fn a_machine_that_receives_nothing_is_replaced() {
     for seed in seeds(6, 4) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 30);
@@ -45,7 +45,7 @@
 
 /// When nothing reaches any machine, the fault is our own network: deleting them all would make it worse.
 #[test]
-fn many_machines_that_hear_nothing_are_left_alone() {
+fn many_machines_that_receive_nothing_are_left_alone() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
     let mut world = World::sized(8, keeping_idle_machines(), size);
     for n in 0..6 {
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -180,7 +180,7 @@
 /// More work than room, urgent and not, over slow links, while controllers hand over and back: answers arrive
 /// after their callers gave up, and orders cross.
 #[test]
-fn more_work_than_room_over_slow_links() {
+fn more_work_than_capacity_over_slow_links() {
     for seed in seeds(36, 3) {
         let mut world = World::new(seed);
         world.cloud.capacity = 9;
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -188,7 +188,7 @@
 /// Every spot machine that is rented boots for ever, and spot is the cheapest. Ordinary ones are rented soon, and those
 /// that don't come up are not rented again and again.
 #[test]
-fn where_one_kind_of_machine_never_comes_up_another_is_rented() {
+fn where_one_instance_offer_never_comes_up_another_is_taken() {
     for seed in seeds(65, 4) {
         let size = Size { machines: 1, capacity: 24, ..SMALL };
         let mut world = World::sized(seed, Policy::default(), size);
@@ -263,7 +263,7 @@
 /// well, and in the others, whose idle machines went to it. Ordinary work of the house teams gets room all the same; the
 /// guest loses no more than that takes, and its machines go back when it is over.
 #[test]
-fn house_teams_get_room_where_a_guest_holds_everything() {
+fn house_teams_get_capacity_where_a_guest_holds_everything() {
     for seed in seeds(68, 4) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 8, capacity: 8, ..SMALL });
         world.run_for(5 * S);
@@ -293,7 +293,7 @@
 /// The same within one shard, which has all machines by then: ordinary work beyond its team's guarantee makes the
 /// guest's leave after half a minute, and the guest's work goes on where there is room.
 #[test]
-fn ordinary_work_makes_the_lowest_leave_on_its_own_machines() {
+fn ordinary_work_preempts_the_lowest_priority_on_its_own_machines() {
     for seed in seeds(73, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 6, capacity: 6, ..SMALL });
         world.run_for(5 * S);
@@ -313,7 +313,7 @@
 /// too. Services start in time, what a job costs at most is five changes (its batch and the removal of that, which jobs that
 /// come together share, its start, its outcome, the removal of its chunk), and all of it gets done.
 #[test]
-fn a_swarm_of_single_tasks_leaves_changes_to_the_others() {
+fn a_swarm_of_single_tasks_leaves_write_budget_to_the_others() {
     for seed in seeds(69, 3) {
         let size = Size { machines: 16, capacity: 20, write_rps: 20.0, ..SMALL };
         let mut world = World::sized(seed, keeping_idle_machines(), size);
@@ -404,7 +404,7 @@
 /// for more than its session, as boots fail and jobs are called off. What it sends late is harmless, and awake it
 /// deletes nothing by old silence.
 #[test]
-fn a_controller_stands_still_twice_in_mid_transaction() {
+fn a_controller_is_stalled_twice_in_mid_transaction() {
     for (seed, span) in seeds(71, 4).zip([2 * S, 5 * S, 25 * S, 70 * S].into_iter().cycle()) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         world.cloud.boot_percent = 300;
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -47,7 +47,7 @@
 /// for seconds, while the leader ends, comes back as the earlier version and moves the machine, on which it sees
 /// nothing. (It takes the shard to use another machine, as it doesn't know which one holds the image.)
 #[test]
-fn a_start_recorded_late_meets_an_earlier_leader() {
+fn an_attempt_recorded_late_meets_an_earlier_leader() {
     let mut moves = 0;
     for seed in seeds(82, 10) {
         let mut world = world_of_many_moves(seed);
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -395,7 +395,7 @@
 
 /// Room is kept for replicas in the lost zone before they are proven gone: batch work that comes meanwhile leaves it.
 #[test]
-fn room_is_kept_for_replicas_that_are_not_proven_gone_yet() {
+fn resources_are_reserved_for_replicas_that_are_not_proven_absent_yet() {
     for seed in seeds(119, 3) {
         let mut policy = judging_zones();
         // The proof takes a lease.
@@ -555,7 +555,7 @@
 /// What is rented in place of the zone's machines never comes up for a while: services take the room there is, and what
 /// has none yet gets it when boots work again.
 #[test]
-fn boots_that_never_come_delay_only_what_has_no_room() {
+fn instances_that_never_come_up_delay_only_unschedulable_tasks() {
     for seed in seeds(117, 3) {
         let mut world = world_of(seed, judging_zones());
         let services = submit_services(&mut world, 20);
