--- a/src/coordination/control/isolation.rs
+++ b/src/coordination/control/isolation.rs
@@ -1,8 +1,9 @@
-//! Whether this controller is isolated: it can't reach its machines, though siblings may.
+//! Detection of isolation: this controller can't reach its machines, though siblings may be able to.
 //!
-//! Most of its own machines have to be silent. As long as the cluster has other machines, these are probed as well: a
-//! whole shard's machines may well be lost together, with their zone or on their own. Then machines of other shards
-//! answer, and a sibling would reach the lost ones no better: the shard would only go to and fro.
+//! A controller suspects isolation when most of its own machines are silent. If the cluster has other machines, it then
+//! probes these as well, because all machines of a shard can be lost together, for instance with their zone. In that
+//! case machines of other shards still answer, and releasing the shard would not help: no sibling can reach the lost
+//! machines either, and the shard would move back and forth between controllers.
 //!
 //! Tests: `on_call::a_shard_whose_machines_all_hang_stays_where_it_is`,
 //! `on_call::a_controller_cut_from_its_agents_again_and_again`.
@@ -11,42 +12,43 @@
 use crate::coordination::fleet::machine::Machine;
 use crate::types::{MachineId, Micros};
 
-/// Pause between two probes while it is in doubt whether any machine can be reached.
+/// Interval between probes while isolation is suspected or in effect.
 const PROBE_INTERVAL: Micros = Micros::from_millis(1000);
-/// Without an answer of any machine for so long while probing, the controller is isolated.
-const SUSPICION_SPAN: Micros = Micros::from_millis(2000);
-/// If the cluster has no other machines to probe, fewer own machines than this prove nothing.
+/// Time without an answer from any probed machine after which the controller counts as isolated.
+const SUSPICION_TIMEOUT: Micros = Micros::from_millis(2000);
+/// Minimum number of own machines whose silence proves isolation if the cluster has no other machines to probe.
 const MIN_OWN_MACHINES: usize = 3;
-/// So many answers end the isolation.
+/// Number of answers that end the isolation.
 const MIN_ANSWERS: u32 = 2;
-/// Own machines that failed this many probes count as silent.
+/// Number of failed probes from which on an own machine can count as silent.
 const MIN_FAILED_PROBES: u32 = 2;
-/// An isolation counts as one of several for so long.
-const ISOLATION_MEMORY: Micros = Micros::from_millis(300_000);
-/// The tolerated silence doubles with each recent isolation up to this often...
+/// Time without a new isolation after which earlier ones no longer raise the tolerated silence.
+const RECENT_ISOLATION_WINDOW: Micros = Micros::from_millis(300_000);
+/// Maximum number of times that recent isolations double the tolerated silence.
 const MAX_DOUBLINGS: u32 = 4;
-/// ...and is at most this part of a machine's lease.
-const MAX_LEASE_PART: f64 = 0.5;
+/// Upper bound of the tolerated silence, as a fraction of a machine's lease.
+const MAX_LEASE_FRACTION: f64 = 0.5;
 
-/// How well this controller reaches machines.
+/// Whether this controller can reach machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Contact {
     /// Most of its own machines answer.
     #[default]
     Connected,
-    /// Most of its own machines are silent; other shards' machines are probed to tell whether the fault is here.
+    /// Most of its own machines are silent; machines of other shards are probed to locate the fault.
     Suspected { since: Micros, answer_count: u32 },
-    /// No machine has answered: the shards are left to siblings. All machines are probed until some answer.
+    /// No machine has answered: the shards are released to siblings, and machines are probed until some answer.
     Isolated { answer_count: u32 },
 }
 
-/// Detects when this controller becomes isolated and when it no longer is.
+/// Detector of the beginning and end of this controller's isolation.
 #[derive(Default)]
 pub(super) struct IsolationDetector {
     contact: Contact,
     next_probe_at: Micros,
-    /// Isolations in the recent past, and when the last one began.
+    /// Number of isolations in the recent past.
     recent_count: u32,
+    /// Time at which the last isolation began.
     last_isolated_at: Micros,
 }
 
@@ -55,7 +57,7 @@
         matches!(self.contact, Contact::Isolated { .. })
     }
 
-    /// A machine has answered a direct command.
+    /// Counts a machine's answer to a direct command while isolation is suspected or in effect.
     pub(super) fn record_answer(&mut self) {
         match &mut self.contact {
             Contact::Connected => {}
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Ends the isolation if enough machines have answered since it began; says whether it did.
+    /// Ends the isolation if enough answers have arrived since it began. Returns whether it ended.
     fn try_recover(&mut self) -> bool {
         let recovers = matches!(self.contact, Contact::Isolated { answer_count } if answer_count >= MIN_ANSWERS);
         if recovers {
@@ -72,7 +74,7 @@
         recovers
     }
 
-    /// Whether machines are to be probed now; then the next probes are due an interval later.
+    /// Returns whether probes are due now, and if so schedules the next ones one interval later.
     fn take_due_probe(&mut self, now: Micros) -> bool {
         let is_due = now >= self.next_probe_at;
         if is_due {
@@ -81,51 +83,51 @@
         is_due
     }
 
-    /// Most own machines are silent: from now on other machines' answers are counted, if they aren't already.
-    fn suspect(&mut self, now: Micros) {
+    /// Starts to suspect isolation, and so to count answers, unless it is suspected already.
+    fn mark_suspected(&mut self, now: Micros) {
         if self.contact == Contact::Connected {
             self.contact = Contact::Suspected { since: now, answer_count: 0 };
             self.next_probe_at = now;
         }
     }
 
-    /// Whether no machine has answered for as long as a suspicion takes to be confirmed.
+    /// Returns whether no machine has answered since isolation was suspected, for long enough to confirm it.
     fn is_suspicion_confirmed(&self, now: Micros) -> bool {
-        matches!(self.contact, Contact::Suspected { since, answer_count: 0 } if now.since(since) >= SUSPICION_SPAN)
+        matches!(self.contact, Contact::Suspected { since, answer_count: 0 } if now.since(since) >= SUSPICION_TIMEOUT)
     }
 
-    fn connected(&mut self) {
+    fn mark_connected(&mut self) {
         self.contact = Contact::Connected;
     }
 
-    fn isolated(&mut self, now: Micros) {
+    fn mark_isolated(&mut self, now: Micros) {
         self.contact = Contact::Isolated { answer_count: 0 };
         self.recent_count += 1;
         self.last_isolated_at = now;
     }
 
-    /// How long most machines must have been silent. It grows if that happens again and again, but a shard must be
-    /// released while the leases of its machines last.
+    /// Returns the silence of most machines from which on isolation is suspected. It doubles with each recent
+    /// isolation, up to a fraction of a machine's lease, because a shard must be released while the leases of its
+    /// machines last.
     fn tolerated_silence(&mut self, now: Micros, initial: Micros, machine_lease_s: f64) -> Micros {
-        if now.since(self.last_isolated_at) >= ISOLATION_MEMORY {
+        if now.since(self.last_isolated_at) >= RECENT_ISOLATION_WINDOW {
             self.recent_count = 0;
         }
-        let max = Micros::from_secs_f64(machine_lease_s * MAX_LEASE_PART).max(initial);
+        let max = Micros::from_secs_f64(machine_lease_s * MAX_LEASE_FRACTION).max(initial);
         Micros(initial.0 << self.recent_count.min(MAX_DOUBLINGS)).min(max)
     }
 }
 
 impl Controller {
-    /// Judges by its own machines whether this controller has become isolated, and once it is, by all machines whether
-    /// it can reach them again.
+    /// Evaluates whether this controller has become isolated, or whether an isolation has ended.
     pub(crate) fn update_isolation(&mut self, own_machines: &[MachineId]) {
         if self.control.isolation.is_isolated() {
             self.try_end_isolation();
         } else if !self.are_most_silent(own_machines) {
-            self.control.isolation.connected();
+            self.control.isolation.mark_connected();
         } else if self.is_fault_local(own_machines.len()) {
             let now = self.now();
-            self.control.isolation.isolated(now);
+            self.control.isolation.mark_isolated(now);
         }
     }
 
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Whether at least two thirds of this controller's machines have been silent for longer than is tolerated.
+    /// Returns whether at least two thirds of this controller's machines have been silent for longer than is tolerated.
     fn are_most_silent(&mut self, own_machines: &[MachineId]) -> bool {
         let now = self.now();
         let initial = Micros::from_millis(self.policy.lose_contact_ms);
@@ -153,13 +155,14 @@
         !own_machines.is_empty() && silent_count * 3 >= own_machines.len() * 2
     }
 
-    /// Whether the silence of most own machines is this controller's own fault, as no others answer either.
+    /// Returns whether the fault behind the silence of most own machines is on this controller's side: no other machine
+    /// answers either, or there are no others and enough own ones.
     fn is_fault_local(&mut self, own_count: usize) -> bool {
         let now = self.now();
         if self.store.replica.machines.len() <= own_count {
             return own_count >= MIN_OWN_MACHINES;
         }
-        self.control.isolation.suspect(now);
+        self.control.isolation.mark_suspected(now);
         if self.control.isolation.take_due_probe(now) {
             self.probe_sample();
         }
--- a/src/coordination/control/leases.rs
+++ b/src/coordination/control/leases.rs
@@ -1,8 +1,9 @@
-//! Leadership and shard leases: acquiring, renewing and releasing them, and failover when a holder is gone.
+//! Leadership and shard leases: acquisition, renewal, release, and failover when a holder is gone.
 //!
-//! A role's key is bound to its holder's session, so the store deletes it when the session expires. Acquiring a role
-//! draws the next fencing token from the one counter in the same transaction. A controller holds a role only once the
-//! watch has shown it the key: then its replica also has every start recorded before.
+//! A role's key is bound to its holder's session, so the store deletes it when the session expires. The transaction
+//! that acquires a role also draws the next fencing token from the cluster-wide counter. A controller counts as the
+//! holder only once the watch has delivered the key: its replica then contains every attempt recorded before the
+//! acquisition.
 
 use crate::coordination::Controller;
 use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
@@ -10,21 +11,21 @@
 use crate::types::{FencingToken, Micros};
 use std::collections::BTreeMap;
 
-/// Pause after a transaction about a role or this controller's entry that failed.
+/// Pause after a failed transaction on a role or on this controller's own record.
 const RETRY_PAUSE: Micros = Micros::from_millis(100);
-/// A controller that holds this many roles or more waits no longer for others to take a vacant one over.
+/// Maximum number of held roles that count towards the delay before a controller takes over a vacant role.
 const MAX_COUNTED_ROLES: u64 = 4;
 
-/// The roles that this process holds, and its transactions about roles.
+/// The roles that this process holds, and the state of its transactions on roles.
 #[derive(Default)]
 pub(super) struct RoleLeases {
-    /// Since when each role has been seen without a holder.
+    /// Time at which each vacant role was first seen without a holder.
     vacant_since: BTreeMap<Role, Micros>,
-    /// Roles held, with the fencing tokens under which they were last seen.
+    /// Roles held, each with its latest known fencing token.
     held: BTreeMap<Role, FencingToken>,
-    /// A transaction that acquires, renews or releases a role is in flight.
+    /// Whether a transaction that acquires, renews or releases a role is in flight.
     is_role_write_in_flight: bool,
-    /// A transaction that writes this controller's own entry is in flight.
+    /// Whether a transaction that writes this controller's own record is in flight.
     is_own_record_write_in_flight: bool,
     retry_at: Micros,
 }
@@ -41,20 +42,20 @@
         })
     }
 
-    /// Holds nothing any more; says what was held.
+    /// Drops all roles and returns those that were held.
     pub(super) fn drop_all(&mut self) -> impl Iterator<Item = Role> + use<> {
         std::mem::take(&mut self.held).into_keys()
     }
 
-    /// Since when a role without a holder has been seen so: since now, if for the first time.
+    /// Returns the time at which a vacant role was first seen without a holder, which is now if it wasn't known.
     fn vacant_since(&mut self, role: Role, now: Micros) -> Micros {
         *self.vacant_since.entry(role).or_insert(now)
     }
 }
 
 impl Controller {
-    /// Keeps this controller's entry up to date, takes over roles without a holder, and releases shards that others
-    /// should have. One transaction about a role at a time.
+    /// Keeps this controller's own record up to date, takes over vacant roles, and releases shards that siblings should
+    /// hold. At most one transaction on a role is in flight at a time.
     pub(crate) fn tick_leases(&mut self) {
         if !self.store.is_synced() {
             return;
@@ -83,7 +84,7 @@
         self.rebalance_shards();
     }
 
-    /// Writes this controller's own entry if it differs from the stored one.
+    /// Writes this controller's own record if it differs from the stored one.
     fn write_own_record(&mut self, session: u64) {
         let record = ControllerRecord {
             incarnation: self.incarnation,
@@ -104,24 +105,25 @@
         std::iter::once(Role::Leader).chain((0..self.shard_count()).map(Role::Shard)).collect()
     }
 
-    /// Whether this controller should acquire a role now.
+    /// Returns whether this controller should acquire a role now.
     fn should_acquire(&mut self, role: Role) -> bool {
         if let Some(record) = self.store.replica.roles.get(&role) {
             self.control.leases.vacant_since.remove(&role);
-            // An earlier process under our label, which has certainly ended.
+            // The holder is an earlier process under this controller's label, which has certainly ended.
             return record.value.holder == self.label && record.value.incarnation != self.incarnation;
         }
         self.is_failover_due(role)
     }
 
-    /// Whether a role has been vacant for so long that this controller should take it over. Those that precede it in
-    /// the role's order, and those that hold fewer roles, get some time to do so first.
+    /// Returns whether a role has been vacant for long enough that this controller should take it over. Controllers
+    /// with a lower failover rank for the role, or with fewer roles, wait less and so take it over first.
     fn is_failover_due(&mut self, role: Role) -> bool {
         let now = self.now();
         let vacant_since = self.control.leases.vacant_since(role, now);
         let rank = u64::from(self.failover_rank(role));
-        // When all begin at once, some have read the stored records a moment before the others: a shard taken from one
-        // of these would be given back, and all its machines asked anew twice.
+        // When all controllers start at once, some finish the initial sync slightly earlier than others. If one of them
+        // took over a shard of which another is the first in order, the shard would be handed back soon, and the state
+        // of all its machines would be requested twice.
         let settle_span = Micros::from_millis(self.policy.settle_ms);
         let is_settling = self.store.time_since_sync(now).is_some_and(|elapsed| elapsed < settle_span);
         if is_settling && rank > 0 {
@@ -133,7 +135,7 @@
         now.since(vacant_since) >= Micros(wait)
     }
 
-    /// Labels of all controllers in order; the same on each of them.
+    /// Returns the labels of all controllers in sorted order, which is the same on each of them.
     fn controller_labels(&self) -> Vec<&str> {
         let mut labels: Vec<&str> = self.platform.siblings.iter().map(|sibling| sibling.label.as_str()).collect();
         labels.push(&self.label);
@@ -141,7 +143,7 @@
         labels
     }
 
-    /// This controller's position in the order in which controllers take over a role; 0 is first.
+    /// Returns this controller's position in the order in which controllers take over a role; 0 is first.
     pub(super) fn failover_rank(&self, role: Role) -> u32 {
         let labels = self.controller_labels();
         let count = labels.len() as u32;
@@ -153,7 +155,7 @@
         (own + count - first) % count
     }
 
-    /// Writes this controller down as a role's holder under a new fencing token.
+    /// Records this controller as a role's holder under a new fencing token.
     fn acquire_role(&mut self, role: Role, session: u64, fencing_token: FencingToken) {
         let record = RoleRecord {
             holder: self.label.clone(),
@@ -169,7 +171,7 @@
         self.submit_role_txn(txn);
     }
 
-    /// Gives a shard held here a new fencing token, unless another transaction about a role is in flight.
+    /// Gives a shard held by this process a new fencing token, unless another transaction on a role is in flight.
     pub(super) fn renew_shard_token(&mut self, shard: u32, fencing_token: FencingToken) {
         let role = Role::Shard(shard);
         let Some(session) = self.control.session.lease() else { return };
@@ -191,13 +193,13 @@
         self.submit_txn(txn, TxnPurpose::Role);
     }
 
-    /// The transaction that writes this controller's own entry has ended.
+    /// Handles the end of the transaction that writes this controller's own record.
     pub(crate) fn own_record_txn_ended(&mut self, is_committed: bool) {
         self.control.leases.is_own_record_write_in_flight = false;
         self.lease_txn_ended(is_committed);
     }
 
-    /// The transaction about a role has ended. What it changed is known once the watch shows it.
+    /// Handles the end of a transaction on a role. Its effect is applied once the watch delivers the change.
     pub(crate) fn role_txn_ended(&mut self, is_committed: bool) {
         self.control.leases.is_role_write_in_flight = false;
         self.lease_txn_ended(is_committed);
@@ -210,7 +212,8 @@
         self.store.request_fresh_read();
     }
 
-    /// A role's record has changed: this process holds it from now on, no longer, or under another fencing token.
+    /// Handles a change of a role's record: this process may have acquired the role, lost it, or hold it under another
+    /// fencing token.
     pub(crate) fn role_changed(&mut self, role: Role) {
         let stored = self.store.replica.roles.get(&role).map(|stored| &stored.value);
         let own = stored.filter(|record| record.holder == self.label && record.incarnation == self.incarnation);
--- a/src/coordination/control/machine_tokens.rs
+++ b/src/coordination/control/machine_tokens.rs
@@ -1,5 +1,5 @@
-//! New fencing tokens for machines. A heartbeat that carries one proves that no command with an earlier token can take
-//! effect any more.
+//! Renewal of the fencing tokens of machines. A heartbeat that carries a new token proves that commands sent under
+//! earlier tokens can no longer take effect.
 
 use crate::coordination::Controller;
 use crate::coordination::store_sync::{MachineChange, ProposedTxn, TxnPurpose};
@@ -8,14 +8,14 @@
 use rand::Rng;
 use std::collections::BTreeMap;
 
-/// Up to so many machines get a fencing token each; more of one shard get the shard's.
-const MAX_OWN_TOKENS: usize = 3;
-/// Usual pause between new fencing tokens for machines with in-flight commands.
+/// Maximum number of machines of a shard whose records get a new fencing token; for more, the shard's token is renewed.
+const MAX_MACHINE_TOKENS: usize = 3;
+/// Mean interval between new fencing tokens for machines with unacknowledged commands.
 const RENEWAL_INTERVAL: Micros = Micros::from_millis(1000);
-/// A machine counts as seen lately if it was within so many heartbeat intervals.
-const RECENT_HEARTBEATS: f64 = 2.0;
+/// Number of heartbeat intervals within which a machine must have been seen to be given a new fencing token.
+const RECENT_HEARTBEAT_INTERVALS: f64 = 2.0;
 
-/// Exited tasks that a shard's agents still report.
+/// Numbers of a shard's machines and of the exited tasks that their agents still report.
 #[derive(Clone, Copy, Default)]
 struct ExitedTasks {
     task_count: usize,
@@ -29,42 +29,43 @@
 }
 
 impl Controller {
-    /// Machines with an in-flight command get a new fencing token once they are heard again: a heartbeat that carries
-    /// it proves the command superseded. A few get one each; for many in one shard it is the shard's, which costs two
-    /// writes however many they are.
+    /// Issues a new fencing token for machines that send heartbeats but have not acknowledged a command: a heartbeat
+    /// that carries the new token proves that the command is superseded. For a few machines the token goes into their
+    /// records; for many machines of a shard the shard's token is renewed, which takes two writes for any number.
     pub(crate) fn renew_fencing_tokens(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         if now < self.control.next_token_renewal_at {
             return;
         }
-        let by_shard = self.machines_with_in_flight_commands(own_machines);
+        let by_shard = self.machines_with_unacknowledged_commands(own_machines);
         let Some((shard, ids)) = by_shard.into_iter().max_by_key(|(_, ids)| ids.len()) else {
             return self.supersede_exited_tasks(own_machines);
         };
-        // All controllers draw from one counter: at random times they rarely conflict.
+        // All controllers draw tokens from the same counter; random pauses make conflicts rare.
         let pause = self.rng.random_range(RENEWAL_INTERVAL.0 / 2..RENEWAL_INTERVAL.0 * 3 / 2);
         self.control.next_token_renewal_at = now + Micros(pause);
-        let in_flight = ids.iter().filter_map(|id| self.fleet.machine(id)?.commands.unacknowledged_token());
-        let highest = in_flight.max().unwrap_or_default();
+        let unacknowledged = ids.iter().filter_map(|id| self.fleet.machine(id)?.commands.unacknowledged_token());
+        let highest = unacknowledged.max().unwrap_or_default();
         let fencing_token = FencingToken(self.store.replica.latest_fencing_token().0.max(highest.0) + 1);
-        if ids.len() > MAX_OWN_TOKENS {
+        if ids.len() > MAX_MACHINE_TOKENS {
             self.renew_shard_token(shard, fencing_token);
         } else {
             self.renew_machine_tokens(shard, ids, fencing_token);
         }
     }
 
-    /// Machines seen lately that may not have received a command sent under their present fencing token, by shard.
-    fn machines_with_in_flight_commands(&self, own_machines: &[MachineId]) -> BTreeMap<u32, Vec<MachineId>> {
+    /// Returns the recently seen machines that may still execute an unacknowledged command under their current fencing
+    /// token, by shard.
+    fn machines_with_unacknowledged_commands(&self, own_machines: &[MachineId]) -> BTreeMap<u32, Vec<MachineId>> {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEATS);
+        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEAT_INTERVALS);
         let mut by_shard: BTreeMap<u32, Vec<MachineId>> = BTreeMap::new();
         for id in own_machines {
             let fencing_token = self.fencing_token(id).unwrap_or_default();
             let Some(machine) = self.fleet.machine(id) else { continue };
             let Some(shard) = machine.ownership.shard() else { continue };
-            let in_doubt = machine.commands.may_execute_under(fencing_token);
-            if in_doubt
+            let may_execute = machine.commands.may_execute_under(fencing_token);
+            if may_execute
                 && !machine.is_record_changing()
                 && !machine.commands.is_in_flight()
                 && machine.contact.silence(now) < recent
@@ -94,8 +95,9 @@
         self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::FencingToken, ids));
     }
 
-    /// Agents report exited tasks in every heartbeat until these may be forgotten, which takes a new fencing token.
-    /// Where they make up most of the heartbeats, reading them costs more than the fencing token.
+    /// Renews the lease of the shard whose agents report the most exited tasks per machine, if the mean exceeds the
+    /// `exited_mean` setting. Agents report an exited task in every heartbeat until a new fencing token lets them
+    /// forget it; where exited tasks make up most of the heartbeats, reading them costs more than a new token.
     fn supersede_exited_tasks(&mut self, own_machines: &[MachineId]) {
         let mut by_shard: BTreeMap<u32, ExitedTasks> = BTreeMap::new();
         for machine in own_machines.iter().filter_map(|id| self.fleet.machine(id)) {
@@ -105,8 +107,8 @@
                 exited.machine_count += 1;
             }
         }
-        let highest = by_shard.into_iter().max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()));
-        let Some((shard, exited)) = highest.filter(|(_, exited)| exited.mean() > self.policy.exited_mean) else {
+        let most_exited = by_shard.into_iter().max_by(|a, b| a.1.mean().total_cmp(&b.1.mean()));
+        let Some((shard, exited)) = most_exited.filter(|(_, exited)| exited.mean() > self.policy.exited_mean) else {
             return;
         };
         tracing::debug!(
--- a/src/coordination/control/rebalancing.rs
+++ b/src/coordination/control/rebalancing.rs
@@ -1,5 +1,5 @@
-//! Shards that this controller releases for others: to balance them after a sibling has come back, and all of them
-//! while it is isolated from its machines.
+//! Release of shards to siblings: one at a time to rebalance them after a sibling has returned, and all of them while
+//! this controller is isolated from its machines.
 
 use crate::coordination::Controller;
 use crate::storage::Replica;
@@ -7,15 +7,15 @@
 use crate::types::Micros;
 use std::collections::BTreeMap;
 
-/// The other controllers, as far as they can hold shards.
+/// The siblings that are able to hold shards.
 #[derive(Default)]
 pub(super) struct SiblingControllers {
-    /// Since when each has been seen to be alive and not isolated.
+    /// Time since which each sibling has been alive and not isolated.
     connected_since: BTreeMap<String, Micros>,
 }
 
 impl SiblingControllers {
-    /// Notes which siblings are alive. One that was isolated counts from when it no longer is.
+    /// Updates the siblings that are alive and not isolated. The time of a sibling starts anew when its isolation ends.
     pub(super) fn observe(&mut self, replica: &Replica, own_label: &str, now: Micros) {
         self.connected_since.retain(|label, _| is_connected(replica, label));
         for label in replica.controllers.keys() {
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Whether a sibling that has been back for a while holds no shard.
+    /// Returns whether any sibling holds no shard although it has been connected for at least `min_uptime`.
     fn is_any_idle(&self, replica: &Replica, now: Micros, min_uptime: Micros) -> bool {
         let mut siblings = self.connected_since.iter();
         siblings.any(|(label, since)| now.since(*since) >= min_uptime && !holds_shard(replica, label))
     }
 }
 
-/// Whether a controller is alive and not isolated.
+/// Returns whether a controller is alive and not isolated.
 fn is_connected(replica: &Replica, label: &str) -> bool {
     replica.controllers.get(label).is_some_and(|record| !record.value.is_isolated)
 }
@@ -43,26 +43,28 @@
 }
 
 impl Controller {
-    /// Whether any other controller can reach its machines.
+    /// Returns whether any sibling is alive and not isolated.
     pub(super) fn has_connected_sibling(&self) -> bool {
         let replica = &self.store.replica;
         replica.controllers.keys().any(|label| *label != self.label && is_connected(replica, label))
     }
 
-    /// Releases one shard if this controller holds several and a sibling that has been back for a while holds none.
+    /// Releases one shard if this controller holds several and a sibling that has been connected for a while holds
+    /// none.
     pub(super) fn rebalance_shards(&mut self) {
         let shards: Vec<Role> = self.control.held_shards().map(Role::Shard).collect();
         let min_uptime = Micros::from_millis(self.policy.hand_back_after_ms);
         if shards.len() < 2 || !self.control.siblings.is_any_idle(&self.store.replica, self.now(), min_uptime) {
             return;
         }
-        // The one in whose order this controller stands last, so that its first holder takes it.
+        // The shard for which this controller has the highest failover rank, so that a controller that precedes it
+        // takes the shard over.
         let Some(role) = shards.into_iter().max_by_key(|role| self.failover_rank(*role)) else { return };
         tracing::info!(?role, "shard released for rebalancing");
         self.release_role(role);
     }
 
-    /// A controller that can't reach its machines leaves its shards to a sibling that may.
+    /// Releases one shard of this isolated controller, so that a sibling that may reach its machines can acquire it.
     pub(super) fn release_shard_as_isolated(&mut self) {
         let shard = self.control.held_shards().next();
         if let Some(role) = shard.map(Role::Shard) {
--- a/src/coordination/control/versions.rs
+++ b/src/coordination/control/versions.rs
@@ -1,19 +1,20 @@
-//! Which version of the rules for stored records each controller follows, and what that allows.
+//! Record versions: the version of the rules for stored records that each controller follows, and what it permits.
 //!
-//! A controller writes its version down with each role it acquires and with its own entry; one from before versions
-//! were announced counts as the first. What a version changes may be relied on only where the record that says so is a
-//! precondition of the same transaction: then an older controller that acquires the role in between makes it fail.
+//! A controller stores its record version with each role that it acquires and in its own record; a controller that
+//! predates record versions counts as following the first. A transaction may rely on the rules of a version only if the
+//! record that names the version is one of its preconditions: if an older controller acquires the role in between, the
+//! transaction fails.
 
 use crate::coordination::Controller;
 use crate::storage::Replica;
 use crate::storage::schema::{RecordVersion, Role};
 
-/// From this version on a leader only asks for a machine to be moved; the holder of the machine's shard, the one
-/// controller that records starts there, moves it once nothing is left on it. Before, the leader moved it by
-/// itself, which is safe only if each start is conditional on its machine's record.
+/// First version in which a leader only requests the move of a machine, and the holder of the machine's shard moves it
+/// once nothing is left on it; only the holder records attempts on that machine. In earlier versions the leader moves
+/// machines itself, which is safe only if the machine's record is a precondition of each attempt.
 const HOLDER_MOVES_MACHINES: RecordVersion = RecordVersion(1);
 
-/// Who moves a machine out of a shard.
+/// The controller that moves machines out of a shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mover {
     /// The controller that holds the shard.
@@ -24,18 +25,18 @@
     Nobody,
 }
 
-/// Whether the leader leaves it to the shards' holders to move machines. True while there is no leader: nobody else
-/// moves machines then.
+/// Returns whether the leader leaves the moves of machines to the holders of their shards. Also true while there is no
+/// leader, because only the holders can move machines then.
 pub fn leader_delegates_moves(replica: &Replica, own: RecordVersion) -> bool {
     own >= HOLDER_MOVES_MACHINES && !leader_moves_machines(replica)
 }
 
-/// Whether the leader follows the earlier rules, and so moves machines by itself.
+/// Returns whether the leader follows an earlier version and so moves machines itself.
 fn leader_moves_machines(replica: &Replica) -> bool {
     replica.roles.get(&Role::Leader).is_some_and(|stored| stored.value.version < HOLDER_MOVES_MACHINES)
 }
 
-/// Who moves machines out of a shard, as far as the replica shows.
+/// Returns the controller that moves machines out of a shard, according to the replica.
 pub fn mover(replica: &Replica, shard: u32) -> Mover {
     if leader_moves_machines(replica) {
         return Mover::Leader;
@@ -47,18 +48,18 @@
     }
 }
 
-/// The oldest version among the controllers that are alive.
+/// Returns the oldest record version among the controllers that are alive.
 fn oldest_record_version(replica: &Replica) -> Option<RecordVersion> {
-    replica.controllers.values().map(|node| node.value.version).min()
+    replica.controllers.values().map(|controller| controller.value.version).min()
 }
 
 impl Controller {
-    /// Version of the rules for stored records that this controller follows.
+    /// Returns the record version that this controller follows.
     pub(crate) fn record_version(&self) -> RecordVersion {
         RecordVersion(self.policy.record_version)
     }
 
-    /// A controller has come or gone: logs the oldest version among all if it is another than before.
+    /// Handles a change of the controllers that are alive: logs their oldest record version if it has changed.
     pub(crate) fn record_versions_changed(&mut self) {
         let oldest = oldest_record_version(&self.store.replica);
         if oldest == self.control.oldest_record_version {
