--- a/src/coordination/store_sync/dispatcher.rs
+++ b/src/coordination/store_sync/dispatcher.rs
@@ -1,4 +1,5 @@
-//! Which writes are sent when: the write budget goes to what can wait least.
+//! The order in which writes are sent: the write budget goes to the write with the earliest time by which it should be
+//! sent.
 
 use crate::coordination::store_sync::StoreSync;
 use crate::coordination::store_sync::pending_txns::{PendingTxn, TxnPurpose, TxnStage};
@@ -7,25 +8,25 @@
 use crate::types::Micros;
 use std::collections::VecDeque;
 
-/// What the write budget can be spent on next.
+/// A kind of write on which the write budget can be spent next.
 enum NextWrite {
-    /// A transaction that waits, by its ticket.
+    /// A queued transaction, by its ticket.
     Queued(u64),
-    /// Machines that go to other shards.
+    /// Moves of machines to other shards.
     ShardMoves,
-    /// Jobs whose records lack something.
+    /// Jobs whose stored records are not up to date.
     JobRecords,
 }
 
 impl StoreSync {
-    /// Adds a transaction to those that have not ended; says its ticket.
+    /// Adds a pending transaction and returns its ticket.
     fn add_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose, stage: TxnStage) -> u64 {
         let ticket = self.next_ticket();
         self.txns.insert(ticket, PendingTxn::new(proposal.into_txn(), purpose, stage));
         ticket
     }
 
-    /// The call that sends a transaction, with its writes taken off the write budget.
+    /// Marks a transaction as in flight, spends its writes from the write budget, and returns the call that sends it.
     fn start_txn(&mut self, ticket: u64, now: Micros) -> Option<StoreCall> {
         let pending = self.txns.get_mut(ticket)?;
         pending.stage = TxnStage::InFlight;
@@ -40,7 +41,8 @@
 }
 
 impl Controller {
-    /// Queues a transaction for the write budget. Those about roles are sent at once: everything else depends on them.
+    /// Queues a transaction for the write budget. Transactions on roles and controller records are sent at once,
+    /// because everything else depends on them.
     pub(crate) fn submit_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
         let max_delay_ms = match purpose {
             TxnPurpose::ControllerRecord | TxnPurpose::Role => return self.send_txn(proposal, purpose),
@@ -55,20 +57,21 @@
         self.store.add_txn(proposal, purpose, TxnStage::Queued { send_by });
     }
 
-    /// Sends a transaction at once.
+    /// Sends a new transaction at once.
     pub(crate) fn send_txn(&mut self, proposal: ProposedTxn, purpose: TxnPurpose) {
         let ticket = self.store.add_txn(proposal, purpose, TxnStage::InFlight);
         self.send_pending_txn(ticket);
     }
 
-    /// Sends a transaction, for the first time or again.
+    /// Sends a pending transaction, for the first time or again.
     pub(super) fn send_pending_txn(&mut self, ticket: u64) {
         let call = self.store.start_txn(ticket, self.clock.steady);
         self.out.extend(call.map(Effect::Store));
     }
 
-    /// Spends the write budget on what can wait least: queued transactions and the stored records of jobs, which are
-    /// put together only now, so that they hold all there is to record. Submissions go before: one write accepts many.
+    /// Spends the write budget on queued transactions, shard moves and job records, in the order of the times by which
+    /// they should be sent. Transactions with job records are built only here, so that they contain everything there is
+    /// to record. Due submissions go first, because a single write accepts many of them.
     pub(crate) fn dispatch_writes(&mut self) {
         let now = self.now();
         if self.api.submissions().is_batch_due(now, self.store.write_budget.batch_interval()) {
@@ -82,7 +85,7 @@
             let queued = self.store.txns.first_queued().map(|(send_by, ticket)| (send_by, NextWrite::Queued(ticket)));
             let moves = self.fleet.shard_moves_due_at().map(|send_by| (send_by, NextWrite::ShardMoves));
             let records = due.front().map(|first| (first.send_by, NextWrite::JobRecords));
-            // Of equals the first: what is queued is ready to be sent.
+            // On a tie the first wins: a queued transaction is ready to be sent.
             match [queued, moves, records].into_iter().flatten().min_by_key(|(send_by, _)| *send_by) {
                 Some((_, NextWrite::Queued(ticket))) => self.send_pending_txn(ticket),
                 Some((_, NextWrite::ShardMoves)) => self.send_shard_moves(),
--- a/src/coordination/store_sync/garbage_collection.rs
+++ b/src/coordination/store_sync/garbage_collection.rs
@@ -1,4 +1,4 @@
-//! Garbage collection: the leader deletes records that nothing needs any more, a few at a time.
+//! Garbage collection: the leader deletes records that are no longer needed, a few at a time.
 
 use crate::coordination::Controller;
 use crate::coordination::store_sync::pending_txns::TxnPurpose;
@@ -8,21 +8,23 @@
 use crate::types::{JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A list of dependencies is stored some time before the job that names it, but not as long as this.
-const UNREFERENCED_LIST_SPAN: Micros = Micros::from_millis(60_000);
-/// Pause between two collections.
+/// Time after which an unreferenced dependency list is deleted. A list is stored before the job that names it, but the
+/// job follows within this time.
+const UNREFERENCED_LIST_RETENTION: Micros = Micros::from_millis(60_000);
+/// Interval between two collections.
 const COLLECTION_INTERVAL: Micros = Micros::from_millis(2000);
 
-/// The leader's progress with garbage collection.
+/// The state of garbage collection on the leader.
 #[derive(Default)]
 pub(super) struct GarbageCollection {
     next_at: Micros,
-    /// Since when lists of dependencies were seen that no job names.
+    /// Time at which each dependency list that no job names was first seen as such.
     unreferenced_since: BTreeMap<String, Micros>,
 }
 
 impl GarbageCollection {
-    /// Notes lists of dependencies whose submission came to nothing, or whose job is over and deleted.
+    /// Updates the dependency lists that no job names: their submission failed, or their job has finished and is
+    /// deleted.
     fn observe_lists(&mut self, replica: &Replica, now: Micros) {
         if replica.dependency_list_parts.is_empty() {
             return self.unreferenced_since.clear();
@@ -37,9 +39,9 @@
         }
     }
 
-    /// Keys of parts of lists that no job has named for long.
+    /// Returns the keys of the parts of dependency lists that have been unreferenced for long enough to be deleted.
     fn unreferenced_list_parts(&self, replica: &Replica, now: Micros) -> impl Iterator<Item = Key> {
-        let old = self.unreferenced_since.iter().filter(move |(_, at)| now.since(**at) >= UNREFERENCED_LIST_SPAN);
+        let old = self.unreferenced_since.iter().filter(move |(_, at)| now.since(**at) >= UNREFERENCED_LIST_RETENTION);
         old.flat_map(|(name, _)| {
             let numbers = replica.dependency_list_parts.get(name).into_iter().flat_map(BTreeMap::keys);
             numbers.map(move |number| Key::DependencyListPart(name.clone(), *number))
@@ -47,14 +49,14 @@
     }
 }
 
-/// Batches whose jobs are all over, with nothing of them left to run.
+/// Returns the keys of job batches whose jobs all have an outcome and no run chunks left.
 fn finished_job_batches(replica: &Replica) -> impl Iterator<Item = Key> {
-    let is_over = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
-    let finished = replica.job_batches.iter().filter(move |(_, batch)| batch.value.iter().all(is_over));
+    let is_finished = |id: &JobId| replica.outcomes.contains_key(id) && !replica.run_chunks.contains_key(id);
+    let finished = replica.job_batches.iter().filter(move |(_, batch)| batch.value.iter().all(is_finished));
     finished.map(|(name, _)| Key::JobBatch(name.clone()))
 }
 
-/// Batches whose machines are all deleted.
+/// Returns the keys of machine batches whose machines are all deleted.
 fn deleted_machine_batches(replica: &Replica) -> impl Iterator<Item = Key> {
     let batches = replica.machine_batches.iter();
     let deleted = batches.filter(|(_, batch)| batch.value.iter().all(|member| replica.is_machine_deleted(&member.id)));
@@ -62,8 +64,8 @@
 }
 
 impl Controller {
-    /// Deletes a few records: batches whose jobs are over or whose machines are deleted, deleted machines, and lists of
-    /// dependencies that no job names. For the leader.
+    /// Deletes a few records, on the leader only: batches whose jobs have finished or whose machines are deleted,
+    /// records of deleted machines, and dependency lists that no job names.
     pub(crate) fn collect_garbage(&mut self) {
         let now = self.now();
         let is_pending = self.store.txns.has_purpose(&TxnPurpose::GarbageCollection);
@@ -85,10 +87,11 @@
         self.submit_txn(proposal, TxnPurpose::GarbageCollection);
     }
 
-    /// Up to so many keys that may be deleted.
+    /// Returns up to `max_count` keys that may be deleted.
     fn garbage(&self, max_count: usize) -> Vec<Key> {
         let replica = &self.store.replica;
-        // The record of a deleted machine may go only once no batch brings the machine back.
+        // The record of a deleted machine must outlast the batch that names the machine: without the record, the batch
+        // would make the machine appear as registered again.
         let machines = replica.unreferenced_deleted_machines().map(|id| Key::Machine(id.clone()));
         finished_job_batches(replica)
             .chain(deleted_machine_batches(replica))
--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -1,29 +1,30 @@
-//! The initial sync: all records, page by page, then what changed since the first page. Only then is the replica what
-//! the store held at one moment, and anything decided or answered by it: before, a job may stand there without the list
-//! of jobs that it depends on. Test: `nothing_is_known_before_the_changes_since_the_first_page_are_read`.
+//! The initial sync: reads all records page by page, then the changes since the first page. Only after that does the
+//! replica match a single revision of the store, and only then are decisions and answers based on it: before, it may
+//! contain a job without the list of its dependencies. Test:
+//! `nothing_is_known_before_the_changes_since_the_first_page_are_read`.
 
 use crate::coordination::store_sync::StoreSync;
 use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
 use crate::protocol::store::{Changes, Page};
 use crate::types::{Micros, Revision};
 
-/// Pause after a read that failed.
+/// Pause after a failed read.
 pub(super) const PAUSE_AFTER_FAILURE: Micros = Micros::from_millis(300);
 
-/// How far the initial sync has got.
+/// The stage of the initial sync.
 enum SyncStage {
-    /// Reads pages.
+    /// Pages are being read.
     Scanning {
         /// The last key read.
         after: Option<String>,
         /// Revision of the first page, once it is read.
         first_revision: Option<Revision>,
     },
-    /// All pages are read; reads what changed since the first one, as later pages may be newer.
+    /// All pages are read. The changes since the first page are being read, as later pages may be newer than the first.
     CatchingUp,
     /// The replica is complete.
     Synced {
-        /// Since when.
+        /// Time at which the sync ended.
         since: Micros,
     },
 }
@@ -44,7 +45,7 @@
 }
 
 impl InitialSync {
-    /// Since when the replica is complete, if it is.
+    /// Returns the time at which the replica became complete, if it is.
     pub(super) fn synced_at(&self) -> Option<Micros> {
         match self.stage {
             SyncStage::Synced { since } => Some(since),
@@ -56,12 +57,12 @@
         self.in_flight.is_none() && now >= self.retry_at
     }
 
-    /// Whether the call of that ticket is the one in flight.
+    /// Returns whether the call with this ticket is the one in flight.
     pub(super) fn is_in_flight(&self, ticket: u64) -> bool {
         self.in_flight == Some(ticket)
     }
 
-    /// The next call: a page, or the changes since the first one.
+    /// Returns the next call and marks it as in flight: a page, or the changes since the first page.
     fn start_call(&mut self, ticket: u64, applied: Revision) -> StoreCall {
         self.in_flight = Some(ticket);
         match &self.stage {
@@ -72,7 +73,8 @@
         }
     }
 
-    /// A page has been read. If it was the last one: the revision of the first, from which on changes are missing.
+    /// Advances the scan past a page. Returns the revision of the first page if this was the last one: the changes
+    /// after that revision are still missing.
     fn page_read(&mut self, page: &Page) -> Option<Revision> {
         let SyncStage::Scanning { after, first_revision } = &mut self.stage else { return None };
         let first = *first_revision.get_or_insert(Revision(page.revision));
@@ -86,7 +88,7 @@
 }
 
 impl StoreSync {
-    /// The next call of the initial sync, if none is in flight.
+    /// Returns the next call of the initial sync, if it is due and none is in flight.
     pub(super) fn due_sync_call(&mut self, now: Micros) -> Option<StoreCall> {
         self.initial_sync.is_call_due(now).then(|| self.next_sync_call())
     }
@@ -100,7 +102,7 @@
         self.initial_sync.retry_at = now + PAUSE_AFTER_FAILURE;
     }
 
-    /// Takes up a page; after the last one the replica is as of the first.
+    /// Applies a page. After the last page, the replica is at the revision of the first.
     fn apply_page(&mut self, page: &Page) {
         for item in &page.items {
             self.replica.apply(&item.key, Some(&item.value), item.version);
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Takes up what changed since the first page: the replica is complete.
+    /// Applies the changes since the first page, which completes the replica.
     fn catch_up(&mut self, changes: &Changes, now: Micros) {
         self.replica.advance(&changes.events, Revision(changes.revision));
         self.replica.complete_dependency_lists();
@@ -119,7 +121,7 @@
 }
 
 impl Controller {
-    /// A page of records has been read, or has failed.
+    /// Handles the outcome of reading a page.
     pub(crate) fn page_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Page>) {
         if !self.store.initial_sync.is_in_flight(ticket) {
             return;
@@ -133,7 +135,7 @@
         self.out.push(Effect::Store(call));
     }
 
-    /// The changes since the first page have been read, or this has failed.
+    /// Handles the outcome of reading the changes since the first page.
     pub(super) fn catch_up_outcome(&mut self, outcome: ReadOutcome<Changes>) {
         self.store.initial_sync.in_flight = None;
         match outcome {
@@ -146,7 +148,7 @@
         }
     }
 
-    /// The replica is complete: each part takes up what it finds there.
+    /// Initializes the other components from the complete replica.
     fn initial_sync_done(&mut self) {
         let replica = &self.store.replica;
         tracing::info!(revision = replica.applied_revision.0, job_count = replica.jobs.len(), "initial sync done");
--- a/src/coordination/store_sync/mod.rs
+++ b/src/coordination/store_sync/mod.rs
@@ -1,9 +1,9 @@
-//! The replica of the store, and everything that is asked of the store or written to it.
+//! The replica of the store, and all reads from the store and writes to it.
 //!
 //! Owns `StoreSync`: the replica, the initial sync, the watch and fresh reads, pending transactions, the write budget
-//! and garbage collection. Reads the jobs for what is to be recorded of them. Promises that the replica only moves
-//! forward, that a transaction in doubt is sent again unchanged until its end is known or nobody waits for it, and that
-//! no request is answered by a replica older than what `evidence` allows.
+//! and garbage collection. Reads from the jobs which changes have to be recorded. Guarantees that the replica only
+//! moves forward, that a transaction with an unknown result is sent again unchanged until its result is known or nobody
+//! waits for it any more, and that no request is answered from a replica older than `evidence` permits.
 
 mod dispatcher;
 pub(crate) mod evidence;
@@ -24,11 +24,11 @@
 use crate::types::Micros;
 use evidence::{LogicalClock, LogicalTime};
 
-/// What this controller knows of the store, and what it is about to ask or write.
+/// This controller's state about the store: the replica, and pending reads and writes.
 pub(crate) struct StoreSync {
-    /// Read by all parts; changed here, and by cancellations that a sibling tells of.
+    /// Read by all components; changed here and by cancellations of which a sibling notifies this controller.
     pub(crate) replica: Replica,
-    /// The order in which requests come and calls are sent.
+    /// Orders received requests and sent calls.
     logical_clock: LogicalClock,
     initial_sync: initial_sync::InitialSync,
     reads: reads::Reads,
@@ -36,13 +36,13 @@
     write_budget: write_budget::WriteBudget,
     garbage_collection: garbage_collection::GarbageCollection,
     last_ticket: u64,
-    /// Last answer of the store that was no refusal.
+    /// Time of the store's last answer other than a refusal.
     last_answered_at: Micros,
     tasks_per_chunk: u32,
 }
 
 impl StoreSync {
-    /// Nothing read yet, within the limits of the deployment.
+    /// Creates the state before the initial sync, with the limits of the deployment.
     pub(crate) fn new(platform: &Platform, policy: &Policy) -> StoreSync {
         let limits = &platform.deployment.store;
         StoreSync {
@@ -64,63 +64,63 @@
         }
     }
 
-    /// Whether the initial sync is done: before, the replica is no state that the store ever had.
+    /// Returns whether the initial sync is done. Before that, the replica need not match any revision of the store.
     pub(crate) fn is_synced(&self) -> bool {
         self.initial_sync.synced_at().is_some()
     }
 
-    /// How long ago the initial sync was done; nothing if it is not.
+    /// Returns the time since the end of the initial sync, or `None` if it is not done.
     pub(crate) fn time_since_sync(&self, now: Micros) -> Option<Micros> {
         self.initial_sync.synced_at().map(|at| now.since(at))
     }
 
-    /// Has the replica brought up to date as soon as possible.
+    /// Requests a fresh read as soon as possible.
     pub(crate) fn request_fresh_read(&mut self) {
         self.reads.request_fresh();
     }
 
-    /// A point in the order of requests and calls, later than all before.
+    /// Returns a logical time that is later than those of all earlier requests and calls.
     pub(crate) fn next_logical_time(&mut self) -> LogicalTime {
         self.logical_clock.tick()
     }
 
-    /// Names a call, so that its answer is not taken for another's.
+    /// Returns a new ticket, which matches a call with its answer.
     pub(crate) fn next_ticket(&mut self) -> u64 {
         self.last_ticket += 1;
         self.last_ticket
     }
 
-    /// Goes on with the tickets of an earlier state, so that answers to its calls match nothing.
+    /// Continues the tickets of an earlier state, so that answers to its calls match none of this state's calls.
     pub(crate) fn continue_tickets_of(&mut self, earlier: &StoreSync) {
         self.last_ticket = earlier.last_ticket;
     }
 
-    /// The store has answered, and not with a refusal.
+    /// Records the time of an answer of the store that is not a refusal.
     pub(crate) fn record_answer(&mut self, now: Micros) {
         self.last_answered_at = now;
     }
 
-    /// How long ago the store last answered.
+    /// Returns the time since the store's last answer other than a refusal.
     pub(crate) fn time_since_answer(&self, now: Micros) -> Micros {
         now.since(self.last_answered_at)
     }
 
-    /// Number of tasks in each chunk of a job's records.
+    /// Returns the number of tasks in each run chunk of a job.
     pub(crate) fn tasks_per_chunk(&self) -> u32 {
         self.tasks_per_chunk
     }
 
-    /// Whether there is little else to write, here and at the other controllers.
+    /// Returns whether there is little else to write, on this controller and on its siblings.
     pub(crate) fn has_spare_write_budget(&mut self, now: Micros) -> bool {
         self.write_budget.is_idle(now)
     }
 
-    /// Logs every so often what writes were for.
+    /// Logs the writes by purpose, at regular intervals.
     pub(crate) fn log_write_usage(&mut self, now: Micros) {
         self.write_budget.log_usage(now);
     }
 
-    /// Whether cascaded cancellations are just being recorded.
+    /// Returns whether a transaction that records cascaded cancellations is pending.
     pub(crate) fn is_cascade_pending(&self) -> bool {
         self.txns.has_purpose(&TxnPurpose::CascadedCancellations)
     }
--- a/src/coordination/store_sync/pending_txns.rs
+++ b/src/coordination/store_sync/pending_txns.rs
@@ -1,4 +1,4 @@
-//! Transactions that have not ended yet: what each is for, and whether it waits, is in flight or is to be sent again.
+//! Transactions that have not ended yet, each with its purpose and its stage.
 
 use crate::coordination::api::submissions::SubmittedJob;
 use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
@@ -6,48 +6,48 @@
 use crate::types::{JobId, MachineId, Micros, Revision};
 use std::collections::BTreeMap;
 
-/// What is written about machines.
+/// A kind of change to machine records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MachineChange {
-    /// They have come up.
+    /// Registers new machines.
     Register,
-    /// They go to another shard, or stay after all.
+    /// Cordons machines for a move to another shard, moves them, or uncordons them after all.
     Move,
-    /// Nobody needs them any more.
+    /// Retires machines that are no longer needed.
     Retire,
-    /// They are lost.
+    /// Replaces lost machines.
     Replace,
-    /// Commands to them carry a later fencing token.
+    /// Raises the fencing token of commands to machines.
     FencingToken,
 }
 
-/// What a transaction is for.
+/// The purpose of a transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum TxnPurpose {
-    /// To accept jobs.
+    /// Accepts jobs.
     Submit(Vec<SubmittedJob>),
-    /// To store parts of the list of dependencies of that name.
+    /// Stores parts of the dependency list with this name.
     DependencyListParts(String),
-    /// To cancel a job.
+    /// Cancels a job.
     Cancel(JobId),
-    /// To write this controller's own entry.
+    /// Writes this controller's own record.
     ControllerRecord,
-    /// To acquire, renew or release a role.
+    /// Acquires, renews or releases a role.
     Role,
-    /// To change machines' records.
+    /// Changes the records of machines.
     Machines(MachineChange, Vec<MachineId>),
-    /// To record task attempts, progress and outcomes of jobs.
+    /// Records task attempts, progress and outcomes of jobs.
     Jobs(Vec<JobId>),
-    /// To record how a shard's holder finds a zone, by zone and shard.
+    /// Records the condition of a zone as evaluated by a shard's holder, by zone and shard.
     ZoneView((String, u32)),
-    /// To delete records that nothing needs any more.
+    /// Deletes records that are no longer needed.
     GarbageCollection,
-    /// To record the cancellation of jobs that depend on a cancelled one.
+    /// Records the cancellation of jobs that depend on a cancelled job.
     CascadedCancellations,
 }
 
 impl TxnPurpose {
-    /// The name under which its writes are counted.
+    /// Returns the name under which its writes are counted.
     pub(super) fn name(&self) -> &'static str {
         match self {
             TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) => "submissions",
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether a user waits for it.
+    /// Returns whether a user waits for it.
     pub(super) fn is_urgent(&self) -> bool {
         match self {
             TxnPurpose::Submit(_) | TxnPurpose::DependencyListParts(_) | TxnPurpose::Cancel(_) => true,
@@ -80,14 +80,14 @@
     }
 }
 
-/// How far a transaction has got.
+/// The stage of a pending transaction.
 #[derive(Clone, Copy)]
 pub(super) enum TxnStage {
-    /// Waits for the write budget; the one that should be sent earliest goes first.
+    /// Waits for the write budget. Transactions are sent in the order of `send_by`.
     Queued { send_by: Micros },
-    /// Sent, and not answered yet.
+    /// Sent and not answered yet.
     InFlight,
-    /// Refused, or without an answer: to be sent again at that time.
+    /// Refused or without an answer; to be sent again at this time.
     RetryAt(Micros),
     /// A precondition did not hold at this revision; waits for the replica to reach it.
     AwaitingReplica(Revision),
@@ -99,7 +99,7 @@
     pub(super) purpose: TxnPurpose,
     pub(super) stage: TxnStage,
     pub(super) attempt_count: u32,
-    /// When it was last sent.
+    /// Logical time at which it was last sent.
     pub(super) sent_at: LogicalTime,
 }
 
@@ -112,7 +112,7 @@
         matches!(self.stage, TxnStage::RetryAt(at) if at <= now)
     }
 
-    /// The revision at which a precondition did not hold, once the replica has reached it.
+    /// Returns the revision at which a precondition did not hold, once the replica has reached it.
     fn reached_conflict(&self, applied: Revision) -> Option<Revision> {
         match self.stage {
             TxnStage::AwaitingReplica(revision) => (revision <= applied).then_some(revision),
@@ -121,23 +121,23 @@
     }
 }
 
-/// How a transaction has ended, and what that proves.
+/// The end of a transaction, with the evidence that it provides.
 pub(crate) enum TxnEnd {
     /// It was committed.
     Committed(Evidence),
     /// A precondition did not hold, and the replica has reached the revision at which it did not.
     Refused(Evidence),
-    /// It may have been committed or not: its answer tells nothing.
+    /// It may or may not have been committed.
     Unknown,
 }
 
 impl TxnEnd {
-    /// Whether it was committed for certain.
+    /// Returns whether it was certainly committed.
     pub(crate) fn is_committed(&self) -> bool {
         matches!(self, TxnEnd::Committed(_))
     }
 
-    /// What its answer proves about the stored records.
+    /// Returns the evidence that its answer provides about the stored records.
     pub(crate) fn evidence(&self) -> Option<&Evidence> {
         match self {
             TxnEnd::Committed(evidence) | TxnEnd::Refused(evidence) => Some(evidence),
@@ -169,7 +169,7 @@
         self.by_ticket.values().any(|pending| pending.purpose == *purpose)
     }
 
-    /// Of those that wait for the write budget the one that should be sent earliest: when, and its ticket.
+    /// Returns the queued transaction that should be sent first: the time by which to send it, and its ticket.
     pub(super) fn first_queued(&self) -> Option<(Micros, u64)> {
         let queued = self.by_ticket.iter().filter_map(|(ticket, pending)| match pending.stage {
             TxnStage::Queued { send_by } => Some((send_by, *ticket)),
@@ -178,7 +178,7 @@
         queued.min()
     }
 
-    /// Whether any has conflicted with a change that the replica does not have yet.
+    /// Returns whether any transaction has conflicted with a change that the replica does not contain yet.
     pub(super) fn is_any_awaiting_replica(&self) -> bool {
         self.by_ticket.values().any(|pending| matches!(pending.stage, TxnStage::AwaitingReplica(_)))
     }
@@ -188,8 +188,8 @@
         due.map(|(ticket, _)| *ticket).collect()
     }
 
-    /// Conflicts that the replica has caught up with: tickets and revisions.
-    pub(super) fn settled_conflicts(&self, applied: Revision) -> Vec<(u64, Revision)> {
+    /// Returns the tickets and revisions of conflicts whose revision the replica has reached.
+    pub(super) fn reached_conflicts(&self, applied: Revision) -> Vec<(u64, Revision)> {
         let pending = self.by_ticket.iter();
         pending.filter_map(|(ticket, pending)| Some((*ticket, pending.reached_conflict(applied)?))).collect()
     }
--- a/src/coordination/store_sync/proposed_txn.rs
+++ b/src/coordination/store_sync/proposed_txn.rs
@@ -1,21 +1,21 @@
-//! Transactions being put together: compare-and-swap on the versions that the replica has.
+//! Construction of transactions: compare-and-swap on the versions in the replica.
 
 use crate::protocol::store::{Precondition, Txn, Write};
 use crate::storage::Replica;
 use crate::storage::schema::Key;
 use ciborium::Value;
 
-/// Preconditions a transaction may hold for each write the store allows.
+/// Maximum number of preconditions of a transaction, for each write that the store allows in it.
 pub(crate) const PRECONDITIONS_PER_WRITE: usize = 4;
 
-/// A transaction being put together; its preconditions name the versions the replica has.
+/// A transaction under construction, whose preconditions name the versions in the replica.
 #[derive(Default)]
 pub(crate) struct ProposedTxn {
     txn: Txn,
 }
 
 impl ProposedTxn {
-    /// The key must still be as the replica has it.
+    /// Adds the precondition that the key still has the version in the replica.
     pub(crate) fn unchanged(&mut self, replica: &Replica, key: Key) {
         let version = replica.version(&key);
         let key = key.to_string();
@@ -39,17 +39,17 @@
         self.txn.writes.push(Write::Delete { key: key.to_string() });
     }
 
-    /// Number of writes.
+    /// Returns the number of writes.
     pub(crate) fn write_count(&self) -> usize {
         self.txn.writes.len()
     }
 
-    /// Number of preconditions.
+    /// Returns the number of preconditions.
     pub(crate) fn precondition_count(&self) -> usize {
         self.txn.preconditions.len()
     }
 
-    /// Adds another transaction's preconditions, except those that it has already, and its writes.
+    /// Adds the writes of another transaction, and those of its preconditions that this one doesn't have yet.
     pub(super) fn append(&mut self, other: ProposedTxn) {
         for precondition in other.txn.preconditions {
             if !self.txn.preconditions.contains(&precondition) {
@@ -59,7 +59,7 @@
         self.txn.writes.extend(other.txn.writes);
     }
 
-    /// The transaction as it is sent.
+    /// Returns the transaction in the form in which it is sent.
     pub(super) fn into_txn(self) -> Txn {
         self.txn
     }
--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -1,8 +1,8 @@
 //! Reads after the initial sync: the watch and fresh reads.
 //!
-//! A fresh read is one `/changes` call that returns at once; whoever asked before it was sent may rely on the replica
-//! afterwards. One is in flight at a time, shared by all who wait. An answer counts only for the call that its ticket
-//! names.
+//! A fresh read is a `/changes` call that returns at once; requests received before it was sent may be answered from
+//! the replica afterwards. At most one fresh read is in flight at a time, and all waiting requests share it. An answer
+//! is applied only if its ticket names the call in flight.
 
 use crate::coordination::store_sync::StoreSync;
 use crate::coordination::store_sync::evidence::{Evidence, LogicalTime};
@@ -11,10 +11,11 @@
 use crate::protocol::store::Changes;
 use crate::types::{Micros, Revision};
 
-/// Part of the store's request limit that all controllers' watches together may take.
-const WATCH_PART: f64 = 0.35;
-/// The same for fresh reads. What is left is for renewals and transactions.
-const FRESH_READ_PART: f64 = 0.08;
+/// Fraction of the store's request limit that the watches of all controllers together may use.
+const WATCH_LIMIT_FRACTION: f64 = 0.35;
+/// Fraction of the store's request limit that the fresh reads of all controllers together may use. The remainder is for
+/// session renewals and transactions.
+const FRESH_READ_LIMIT_FRACTION: f64 = 0.08;
 
 /// A read in flight.
 #[derive(Clone, Copy)]
@@ -23,7 +24,7 @@
     sent_at: LogicalTime,
 }
 
-/// The watch and the fresh read.
+/// The state of the watch and of fresh reads.
 #[derive(Default)]
 pub(super) struct Reads {
     watch: Option<InFlightRead>,
@@ -31,12 +32,12 @@
     fresh: Option<InFlightRead>,
     last_fresh_at: Micros,
     fresh_retry_at: Micros,
-    /// Somebody besides users wants the replica brought up to date.
+    /// Whether a fresh read is wanted for a reason other than a waiting user request.
     is_fresh_wanted: bool,
 }
 
 impl Reads {
-    /// Has a fresh read sent as soon as possible.
+    /// Requests a fresh read as soon as possible.
     pub(super) fn request_fresh(&mut self) {
         self.is_fresh_wanted = true;
     }
@@ -50,8 +51,8 @@
     }
 }
 
-/// Whether a read in flight is the one of that ticket.
-fn is_read(read: Option<InFlightRead>, ticket: u64) -> bool {
+/// Returns whether a read is in flight and has this ticket.
+fn has_ticket(read: Option<InFlightRead>, ticket: u64) -> bool {
     read.is_some_and(|read| read.ticket == ticket)
 }
 
@@ -62,7 +63,7 @@
         (InFlightRead { ticket, sent_at }, StoreCall::Changes { ticket, kind, after, wait_ms })
     }
 
-    /// The next call of the watch, if it is due.
+    /// Returns the next call of the watch, if it is due.
     fn due_watch_call(&mut self, now: Micros, wait_ms: u64) -> Option<StoreCall> {
         if !self.is_synced() || !self.reads.is_watch_due(now) {
             return None;
@@ -72,9 +73,9 @@
         Some(call)
     }
 
-    /// A fresh read, if anybody waits for one and it may be sent.
-    fn due_fresh_read(&mut self, now: Micros, do_users_wait: bool, min_interval: Micros) -> Option<StoreCall> {
-        let is_wanted = self.reads.is_fresh_wanted || do_users_wait;
+    /// Returns a fresh read, if one is wanted and may be sent now.
+    fn due_fresh_read(&mut self, now: Micros, are_users_waiting: bool, min_interval: Micros) -> Option<StoreCall> {
+        let is_wanted = self.reads.is_fresh_wanted || are_users_waiting;
         if !is_wanted || !self.is_synced() || !self.reads.may_send_fresh(now, min_interval) {
             return None;
         }
@@ -85,7 +86,7 @@
         Some(call)
     }
 
-    /// A fresh read has failed: what waits for it goes on waiting.
+    /// Handles the failure of a fresh read: it is retried after a pause if transactions wait for the replica.
     fn fresh_read_failed(&mut self, now: Micros) {
         self.reads.fresh_retry_at = now + PAUSE_AFTER_FAILURE;
         self.reads.is_fresh_wanted |= self.txns.is_any_awaiting_replica();
@@ -93,7 +94,7 @@
 }
 
 impl Controller {
-    /// Goes on with the initial sync, or else with the watch.
+    /// Continues the initial sync, or the watch once that is done.
     pub(crate) fn tick_reads(&mut self) {
         if self.store.is_synced() {
             self.start_watch_if_due();
@@ -103,31 +104,32 @@
         }
     }
 
-    /// Shortest pause between two reads, so that those of all controllers stay within a part of the limit.
-    fn min_read_interval(&self, part: f64) -> Micros {
+    /// Returns the minimum interval between two reads with which the reads of all controllers together stay within a
+    /// fraction of the store's request limit.
+    fn min_read_interval(&self, limit_fraction: f64) -> Micros {
         let limits = &self.platform.deployment;
-        let equal_share = f64::from(limits.controller_count) / (limits.store.rps * part);
-        Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(equal_share))
+        let interval_s = f64::from(limits.controller_count) / (limits.store.rps * limit_fraction);
+        Micros::from_millis(self.policy.read_gap_ms).max(Micros::from_secs_f64(interval_s))
     }
 
-    /// Sends the next call of the watch.
+    /// Sends the next call of the watch, if it is due.
     pub(super) fn start_watch_if_due(&mut self) {
         let call = self.store.due_watch_call(self.clock.steady, self.policy.watch_ms);
         self.out.extend(call.map(Effect::Store));
     }
 
-    /// Sends a fresh read if anybody waits for one.
+    /// Sends a fresh read if one is wanted and may be sent now.
     pub(crate) fn start_fresh_read(&mut self) {
-        let min_interval = self.min_read_interval(FRESH_READ_PART);
+        let min_interval = self.min_read_interval(FRESH_READ_LIMIT_FRACTION);
         let call = self.store.due_fresh_read(self.clock.steady, self.api.needs_read(), min_interval);
         self.out.extend(call.map(Effect::Store));
     }
 
-    /// A read of changes has been answered, or has failed.
+    /// Handles the outcome of a read of changes.
     pub(crate) fn changes_outcome(&mut self, ticket: u64, outcome: ReadOutcome<Changes>) {
-        if is_read(self.store.reads.watch, ticket) {
+        if has_ticket(self.store.reads.watch, ticket) {
             self.watch_outcome(outcome);
-        } else if is_read(self.store.reads.fresh, ticket) {
+        } else if has_ticket(self.store.reads.fresh, ticket) {
             self.fresh_read_outcome(outcome);
         } else if self.store.initial_sync.is_in_flight(ticket) {
             self.catch_up_outcome(outcome);
@@ -139,7 +141,7 @@
         match outcome {
             ReadOutcome::Got(changes) => {
                 self.apply_changes(read.sent_at, &changes);
-                self.store.reads.next_watch_at = self.now() + self.min_read_interval(WATCH_PART);
+                self.store.reads.next_watch_at = self.now() + self.min_read_interval(WATCH_LIMIT_FRACTION);
                 self.start_watch_if_due();
             }
             ReadOutcome::TooOld => self.resync(),
@@ -159,13 +161,13 @@
         }
     }
 
-    /// Brings the replica up to date, and then all that waits for it.
+    /// Applies changes to the replica, then continues whatever waited for its new revision.
     fn apply_changes(&mut self, sent_at: LogicalTime, changes: &Changes) {
         let revision = Revision(changes.revision);
         let changed = self.store.replica.advance(&changes.events, revision);
         self.api.replica_reached(self.store.replica.applied_revision);
         self.apply_replica_changes(changed);
-        self.settle_conflicts();
+        self.end_reached_conflicts();
         self.api.note_read_evidence(&Evidence::new(sent_at, revision));
         self.answer_pending_requests();
         self.scheduling.request_cycle();
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -1,8 +1,9 @@
-//! Answers to transactions, and retries.
+//! Outcomes of transactions, and retries.
 //!
-//! A transaction without an answer may have been committed or may still be: the identical one is sent again until there
-//! is an answer. After a conflict nothing is decided before the replica has reached the revision of the refusal; then
-//! everything is derived anew from it. Test: `meetings::transactions_without_an_answer_are_carried_out_late`.
+//! A transaction without an answer may have been committed or may still be committed later, so the identical
+//! transaction is sent again until it is answered. After a conflict, nothing is decided until the replica has reached
+//! the revision of the refusal; then the decisions are derived again from the replica. Test:
+//! `meetings::transactions_without_an_answer_are_carried_out_late`.
 
 use crate::coordination::store_sync::evidence::Evidence;
 use crate::coordination::store_sync::pending_txns::{TxnEnd, TxnPurpose, TxnStage};
@@ -13,19 +14,19 @@
 use rand::Rng;
 use std::ops::RangeInclusive;
 
-/// Pause before a transaction that was refused for the store's limit may be queued again.
+/// Pause before a transaction that was refused because of the store's limit may be sent or queued again.
 const LIMITED_PAUSE_MS: RangeInclusive<u64> = 50..=150;
-/// Longest pause before the quick retry of a transaction that a user waits for.
-const URGENT_RETRY_MS: u64 = 40;
-/// Attempts of a transaction that a user waits for.
+/// Maximum pause before the retry of a transaction that a user waits for.
+const MAX_URGENT_RETRY_PAUSE_MS: u64 = 40;
+/// Maximum number of attempts of a transaction that a user waits for.
 const MAX_URGENT_ATTEMPTS: u32 = 2;
-/// Longest pause before the first retry of others; it doubles with each attempt.
-const RETRY_MS: u64 = 50;
-/// The pause between retries doubles this often at most.
+/// Base of the maximum pause before a retry of other transactions; the pause doubles with each attempt.
+const BASE_RETRY_PAUSE_MS: u64 = 50;
+/// Maximum number of times that the pause between retries doubles.
 const MAX_RETRY_DOUBLINGS: u32 = 4;
 
 impl Controller {
-    /// A transaction was answered, or has failed.
+    /// Handles the outcome of a transaction.
     pub(crate) fn txn_outcome(&mut self, ticket: u64, outcome: TxnOutcome) {
         match outcome {
             TxnOutcome::Committed(revision) => self.txn_committed(ticket, Revision(revision)),
@@ -57,10 +58,10 @@
         self.store.write_budget.count_conflict(pending.purpose.name(), pending.txn.writes.len());
         pending.stage = TxnStage::AwaitingReplica(revision);
         self.store.request_fresh_read();
-        self.settle_conflicts();
+        self.end_reached_conflicts();
     }
 
-    /// Refused for the store's limit: it is sent again in its turn.
+    /// Schedules another attempt of a transaction that was refused because of the store's limit.
     fn txn_limited(&mut self, ticket: u64) {
         let now = self.now();
         let Some(pending) = self.store.txns.get_mut(ticket) else { return };
@@ -69,8 +70,9 @@
         self.store.write_budget.record_refusal(now);
     }
 
-    /// Without an answer, or refused. Whoever submits or cancels asks again; the preconditions make repeats harmless,
-    /// also if the unanswered one is committed later. Only a refusal is worth one quick retry.
+    /// Handles a transaction that was refused or got no answer. A client that submits or cancels repeats its request,
+    /// so an urgent transaction gets only one quick retry, and that only after a refusal. The preconditions make
+    /// repetitions harmless, even if the unanswered transaction is committed later.
     fn txn_failed(&mut self, ticket: u64, failure: CallFailure) {
         let now = self.now();
         let Some(pending) = self.store.txns.get_mut(ticket) else { return };
@@ -81,14 +83,14 @@
             return;
         }
         let max_pause_ms = match is_urgent {
-            true => URGENT_RETRY_MS,
-            false => RETRY_MS << pending.attempt_count.min(MAX_RETRY_DOUBLINGS),
+            true => MAX_URGENT_RETRY_PAUSE_MS,
+            false => BASE_RETRY_PAUSE_MS << pending.attempt_count.min(MAX_RETRY_DOUBLINGS),
         };
         let pause = Micros::from_millis(self.rng.random_range(max_pause_ms / 2..=max_pause_ms));
         pending.stage = TxnStage::RetryAt(now + pause);
     }
 
-    /// Sends transactions again whose time has come.
+    /// Sends or queues again the transactions whose retry is due.
     pub(crate) fn tick_txns(&mut self) {
         let now = self.now();
         for ticket in self.store.txns.due_for_retry(now) {
@@ -99,7 +101,7 @@
                 | TxnPurpose::Submit(_)
                 | TxnPurpose::DependencyListParts(_)
                 | TxnPurpose::Cancel(_) => self.send_pending_txn(ticket),
-                // What was refused for the limit waits until the budget allows it.
+                // These wait until the write budget allows them again.
                 TxnPurpose::Machines(..)
                 | TxnPurpose::Jobs(_)
                 | TxnPurpose::ZoneView(_)
@@ -113,9 +115,9 @@
         }
     }
 
-    /// Ends transactions that conflicted with changes which the replica has now.
-    pub(super) fn settle_conflicts(&mut self) {
-        for (ticket, revision) in self.store.txns.settled_conflicts(self.store.replica.applied_revision) {
+    /// Ends transactions that conflicted with changes which the replica contains now.
+    pub(super) fn end_reached_conflicts(&mut self) {
+        for (ticket, revision) in self.store.txns.reached_conflicts(self.store.replica.applied_revision) {
             if let Some(pending) = self.store.txns.remove(ticket) {
                 let evidence = Evidence::new(pending.sent_at, revision);
                 self.txn_ended(&pending.purpose, &TxnEnd::Refused(evidence));
@@ -123,9 +125,11 @@
         }
     }
 
-    /// Own commits are known before the watch brings them. Roles wait for the watch: holding one must imply having seen
-    /// everything before it. So do batches of jobs, unless nothing lies between: of two batches the earlier counts. A
-    /// commit that the replica has passed already is in it, with whatever happened to its keys since.
+    /// Applies an own commit to the replica before the watch delivers it. Roles are left to the watch, because holding
+    /// a role must imply having seen every change before its acquisition. So are batches of jobs, unless the commit
+    /// directly follows the applied revision: if two batches contain the same job, the earlier one counts, and it might
+    /// not have been received yet. A commit at or before the applied revision is skipped: the replica contains it
+    /// already, together with later changes to its keys.
     fn apply_own_commit(&mut self, txn: &Txn, revision: Revision) {
         let applied = self.store.replica.applied_revision;
         if revision <= applied {
@@ -147,7 +151,7 @@
         self.apply_replica_changes(changes);
     }
 
-    /// Tells the part that proposed a transaction how it has ended.
+    /// Notifies the component that proposed a transaction of its end.
     fn txn_ended(&mut self, purpose: &TxnPurpose, end: &TxnEnd) {
         match purpose {
             TxnPurpose::Submit(jobs) => jobs.iter().for_each(|job| self.submission_txn_finished(job, end)),
--- a/src/coordination/store_sync/write_budget.rs
+++ b/src/coordination/store_sync/write_budget.rs
@@ -1,30 +1,30 @@
-//! The part of the store's write limit that this controller lets itself use.
+//! The share of the store's write limit that this controller uses.
 //!
-//! The limit holds for all controllers together, and none knows what the others need. So each begins with more than an
-//! equal part, grows while it is not refused, and slows down when it is.
+//! The limit applies to all controllers together, and no controller knows the needs of its siblings. Each starts with
+//! more than an equal share, raises its rate while the store accepts its writes, and lowers it after a refusal.
 
 use crate::types::Micros;
 use std::collections::BTreeMap;
 
-/// Growth per second, as a part of the limit.
+/// Growth of the rate per second, as a fraction of the limit.
 const GROWTH_PER_SECOND: f64 = 0.01;
-/// What is left of the rate after a refusal.
-const RATE_AFTER_REFUSAL: f64 = 0.85;
-/// Part of an equal share of the limit that is always allowed.
-const MIN_PART_OF_EQUAL_SHARE: f64 = 0.9;
-/// The first rate, in equal shares.
+/// Factor applied to the rate after a refusal.
+const REFUSAL_RATE_FACTOR: f64 = 0.85;
+/// Minimum rate, as a fraction of an equal share of the limit.
+const MIN_EQUAL_SHARE_FRACTION: f64 = 0.9;
+/// Initial rate, in equal shares of the limit.
 const INITIAL_EQUAL_SHARES: f64 = 1.2;
-/// Never more than this part of the limit, which leaves something for failovers.
-const MAX_PART_OF_LIMIT: f64 = 0.9;
-/// Refusals within this time count as one.
-const REFUSAL_SPAN: Micros = Micros::from_millis(250);
-/// For so long after a refusal writes are taken to be scarce for all controllers.
-const SCARCE_AFTER_REFUSAL: Micros = Micros::from_millis(10_000);
-/// Part of the burst that is left while there is little to write.
-const IDLE_LEVEL: f64 = 0.6;
-/// Longest pause between two batches of submissions, as users wait for them.
+/// Upper bound of the rate and the burst, as a fraction of the limit. The remainder is reserved for failovers.
+const MAX_LIMIT_FRACTION: f64 = 0.9;
+/// Time within which several refusals count as one.
+const REFUSAL_WINDOW: Micros = Micros::from_millis(250);
+/// Time after a refusal during which writes count as scarce for all controllers.
+const SCARCITY_AFTER_REFUSAL: Micros = Micros::from_millis(10_000);
+/// Fraction of the burst from which on the level indicates that there is little to write.
+const IDLE_BURST_FRACTION: f64 = 0.6;
+/// Maximum interval between two batches of submissions, as users wait for them.
 const MAX_BATCH_INTERVAL: Micros = Micros::from_millis(250);
-/// How often the log says what writes were for.
+/// Interval between log lines about the writes by purpose.
 const USAGE_LOG_INTERVAL: Micros = Micros::from_millis(10_000);
 
 /// A token bucket of writes, whose rate follows the store's refusals.
@@ -41,25 +41,25 @@
     usage: Usage,
 }
 
-/// Writes sent by purpose, since the last log line about them.
+/// Numbers of writes by purpose since the last log line about them.
 #[derive(Debug, Default)]
 struct Usage {
     writes: BTreeMap<&'static str, usize>,
-    /// Of these those that conflicted, which the store counts all the same.
+    /// Writes among these that conflicted. The store counts them against its limit all the same.
     conflicts: BTreeMap<&'static str, usize>,
     logged_at: Micros,
 }
 
 impl WriteBudget {
-    /// `burst_factor`: how many times the limit all controllers may ask for in sum at one moment. `min_limit`: what the
-    /// limit may be lowered to without notice.
+    /// Creates a full budget. `burst_factor` is the sum of the bursts of all controllers as a multiple of the limit;
+    /// `min_limit` is the value to which the limit may be lowered without notice.
     pub fn new(limit: f64, min_limit: f64, controllers: u32, burst_factor: f64) -> WriteBudget {
         let equal_share = limit / f64::from(controllers.max(1));
-        let burst = (equal_share * burst_factor).min(limit * MAX_PART_OF_LIMIT);
-        let rate = (equal_share * INITIAL_EQUAL_SHARES).min(limit * MAX_PART_OF_LIMIT);
+        let burst = (equal_share * burst_factor).min(limit * MAX_LIMIT_FRACTION);
+        let rate = (equal_share * INITIAL_EQUAL_SHARES).min(limit * MAX_LIMIT_FRACTION);
         WriteBudget {
             limit,
-            min_rate: min_limit.min(limit) / f64::from(controllers.max(1)) * MIN_PART_OF_EQUAL_SHARE,
+            min_rate: min_limit.min(limit) / f64::from(controllers.max(1)) * MIN_EQUAL_SHARE_FRACTION,
             rate,
             burst,
             level: burst,
@@ -72,9 +72,9 @@
     fn refill(&mut self, now: Micros) {
         let elapsed_s = now.since(self.refilled_at).secs();
         self.refilled_at = self.refilled_at.max(now);
-        // The rate grows only while it is what holds writes up.
+        // The rate grows only while it is what delays writes.
         if self.level < 1.0 {
-            self.rate = (self.rate + elapsed_s * self.limit * GROWTH_PER_SECOND).min(self.limit * MAX_PART_OF_LIMIT);
+            self.rate = (self.rate + elapsed_s * self.limit * GROWTH_PER_SECOND).min(self.limit * MAX_LIMIT_FRACTION);
         }
         self.level = (self.level + elapsed_s * self.rate).min(self.burst);
     }
@@ -89,7 +89,7 @@
         *self.usage.conflicts.entry(purpose).or_default() += write_count;
     }
 
-    /// Logs every so often what the writes were for.
+    /// Logs the writes by purpose, at regular intervals.
     pub fn log_usage(&mut self, now: Micros) {
         if now.since(self.usage.logged_at) < USAGE_LOG_INTERVAL {
             return;
@@ -101,36 +101,37 @@
         }
     }
 
-    /// Pause between two batches of submissions. They don't wait for the budget, so the pause leaves writes to others.
+    /// Returns the interval between two batches of submissions. Submissions don't wait for the budget, so the interval
+    /// leaves part of it to other writes.
     pub fn batch_interval(&self) -> Micros {
         Micros::from_secs_f64(1.0 / self.rate.max(0.1)).min(MAX_BATCH_INTERVAL)
     }
 
-    /// Whether a transaction may be sent now.
+    /// Returns whether a transaction may be sent now.
     pub fn allows(&mut self, now: Micros) -> bool {
         self.refill(now);
         self.level >= 1.0
     }
 
-    /// Whether there is little else to write, here and at the other controllers: they share the limit, and refusals are
-    /// all that this one learns of their needs.
+    /// Returns whether there is little else to write, on this controller and on its siblings. The siblings share the
+    /// limit, and this controller learns of their needs only through refusals.
     pub fn is_idle(&mut self, now: Micros) -> bool {
         self.refill(now);
-        let is_scarce = self.refused_at.is_some_and(|at| now.since(at) < SCARCE_AFTER_REFUSAL);
-        !is_scarce && self.level >= self.burst * IDLE_LEVEL
+        let is_scarce = self.refused_at.is_some_and(|at| now.since(at) < SCARCITY_AFTER_REFUSAL);
+        !is_scarce && self.level >= self.burst * IDLE_BURST_FRACTION
     }
 
-    /// Takes writes that are sent off what may be sent.
+    /// Deducts writes that are being sent from the level.
     pub fn spend(&mut self, now: Micros, write_count: usize) {
         self.refill(now);
         self.level -= write_count as f64;
     }
 
-    /// The store has refused a transaction for its limit.
+    /// Records that the store has refused a transaction because of its limit, and lowers the rate.
     pub fn record_refusal(&mut self, now: Micros) {
         self.count_writes("refused", 1);
-        if self.refused_at.is_none_or(|at| now.since(at) >= REFUSAL_SPAN) {
-            self.rate = (self.rate * RATE_AFTER_REFUSAL).max(self.min_rate);
+        if self.refused_at.is_none_or(|at| now.since(at) >= REFUSAL_WINDOW) {
+            self.rate = (self.rate * REFUSAL_RATE_FACTOR).max(self.min_rate);
             self.refused_at = Some(now);
         }
         self.level = self.level.min(0.0);
