--- a/src/coordination/store_sync/job_records/chunk_changes.rs
+++ b/src/coordination/store_sync/job_records/chunk_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of one job's run chunks, as far as they fit a transaction.
+//! Changes to one job's run chunks, as far as they fit into a transaction.
 
 use crate::coordination::jobs::attempt::TaskAttempt;
 use crate::coordination::store_sync::ProposedTxn;
@@ -7,10 +7,10 @@
 use crate::types::{JobId, MachineId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A job's run chunks as the replica has them.
+/// A job's run chunks in the replica, by number.
 pub(super) type StoredChunks = BTreeMap<u32, Versioned<RunChunk>>;
 
-/// What one transaction may hold.
+/// Limits of one transaction.
 #[derive(Clone, Copy)]
 pub(super) struct TxnLimits {
     pub(super) writes: usize,
@@ -18,19 +18,19 @@
     pub(super) value_bytes: usize,
 }
 
-/// What proves that a machine stays in its shard until an attempt on it is recorded: otherwise a task would start on a
-/// machine of another shard, and its end would be proven to nobody. Test:
-/// `upgrade::an_attempt_recorded_late_meets_an_earlier_leader`.
+/// The precondition which ensures that a machine stays in its shard until an attempt on it is recorded. Otherwise a
+/// task could start on a machine of another shard, and the controller that records its attempts would never receive
+/// proof of its end. Test: `upgrade::an_attempt_recorded_late_meets_an_earlier_leader`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineGuard {
-    /// Its record is a precondition of each attempt there: the leader moves machines by itself.
+    /// The machine's record is a precondition of each attempt on it, because the leader moves machines itself.
     Records,
-    /// The leader's role is a precondition: this leader leaves it to the shard's holder to move its machines, which is
-    /// this controller. One precondition, however many machines the attempts name.
+    /// The leader's role is a precondition, because the present leader leaves the moves of machines to the shard's
+    /// holder, which is this controller. This takes one precondition for any number of machines.
     Leadership,
 }
 
-/// Changes of one job's run chunks, as far as they fit a transaction.
+/// Changes to one job's run chunks, as far as they fit into a transaction.
 pub(super) struct ChunkChanges<'a> {
     stored: &'a StoredChunks,
     tasks_per_chunk: u32,
@@ -39,7 +39,7 @@
     chunks: BTreeMap<u32, RunChunk>,
     /// Machines on which attempts were added.
     machines: BTreeSet<MachineId>,
-    /// Something did not fit and has to go with another transaction.
+    /// Whether a change did not fit and has to go into another transaction.
     is_incomplete: bool,
 }
 
@@ -54,31 +54,32 @@
         ChunkChanges { stored, tasks_per_chunk, limits, guard, chunks, machines, is_incomplete: false }
     }
 
-    /// Whether something did not fit and has to go with another transaction.
+    /// Returns whether a change did not fit and has to go into another transaction.
     pub(super) fn is_incomplete(&self) -> bool {
         self.is_incomplete
     }
 
-    /// The highest number of an attempt that the stored chunks have given out.
+    /// Returns the highest attempt number assigned in the stored chunks.
     pub(super) fn last_stored_attempt(&self) -> u64 {
         self.stored.values().map(|chunk| chunk.value.last_attempt).max().unwrap_or(0)
     }
 
-    /// Preconditions besides those that the guard takes for each machine: the shard's role, the outcome, perhaps the
-    /// leader's role, and each chunk.
+    /// Returns the number of preconditions other than machine records: the shard's role, the outcome, each chunk, and
+    /// the leader's role if that is the guard.
     fn precondition_count(&self) -> usize {
         let role_count = if self.guard == MachineGuard::Leadership { 2 } else { 1 };
         role_count + 1 + self.chunks.len()
     }
 
-    /// Whether so many machines' preconditions fit, with one more chunk if `chunk` isn't among those changed.
+    /// Returns whether the preconditions for `machine_count` machines and for `chunk` fit.
     fn fits(&self, machine_count: usize, chunk: u32) -> bool {
         let added_count = usize::from(!self.chunks.contains_key(&chunk));
         let guarded_count = if self.guard == MachineGuard::Records { machine_count } else { 0 };
         self.precondition_count() + added_count + guarded_count <= self.limits.preconditions
     }
 
-    /// Whether the transaction takes a change of a task's chunk: beside the job's outcome, and with an attempt.
+    /// Returns whether a change to a task's chunk fits, together with the job's outcome and one more attempt. If not,
+    /// the changes are incomplete.
     pub(super) fn admits_task(&mut self, task: u32) -> bool {
         let chunk = task / self.tasks_per_chunk;
         let fits = self.chunks.len() + 2 <= self.limits.writes && self.fits(self.machines.len() + 1, chunk);
@@ -87,7 +88,7 @@
         is_admitted
     }
 
-    /// Whether an attempt of the task on that machine fits.
+    /// Returns whether an attempt of the task on the machine fits.
     pub(super) fn admits_attempt(&self, task: u32, machine: &MachineId) -> bool {
         self.machines.contains(machine) || self.fits(self.machines.len() + 1, task / self.tasks_per_chunk)
     }
@@ -98,7 +99,7 @@
         self.chunks.entry(number).or_insert_with(stored)
     }
 
-    /// Adds an attempt, under the number of its gang or the next of its chunk; says which.
+    /// Adds an attempt under the number of its gang's attempt or the next number of its chunk. Returns the number.
     pub(super) fn add_attempt(&mut self, task: u32, attempt: &TaskAttempt, gang_attempt: Option<u64>) -> u64 {
         let machine = attempt.machine().clone();
         self.machines.insert(machine.clone());
@@ -124,24 +125,25 @@
         self.chunk_mut(task).mark_done(task);
     }
 
-    /// All chunks of the job as they will be.
+    /// Returns all chunks of the job as they will be after the transaction.
     fn resulting_chunks(&self) -> impl Iterator<Item = &RunChunk> {
         let unchanged = self.stored.iter().filter(|(number, _)| !self.chunks.contains_key(number));
         unchanged.map(|(_, chunk)| &chunk.value).chain(self.chunks.values())
     }
 
-    /// Number of tasks that will be done.
+    /// Returns the number of tasks that will be recorded as done.
     pub(super) fn done_count(&self) -> u32 {
         self.resulting_chunks().map(RunChunk::done_count).sum()
     }
 
-    /// Whether any attempt will be recorded.
+    /// Returns whether any attempt will be recorded.
     pub(super) fn has_attempts(&self) -> bool {
         self.resulting_chunks().any(|chunk| !chunk.task_attempts.is_empty())
     }
 
-    /// Leaves out chunks that are larger than may be written: those from under a larger limit, or with more done in
-    /// between than could be foreseen, wait until enough of their attempts have ended. Whether there were any.
+    /// Drops the changes to chunks that are too large to be written, and returns whether there were any. A chunk can be
+    /// too large if it was written under a larger limit, or if its done tasks form more ranges than estimated. It can
+    /// be written again once enough of its attempts have ended.
     pub(super) fn drop_too_large(&mut self) -> bool {
         let before = self.chunks.len();
         let max_bytes = self.limits.value_bytes;
@@ -149,7 +151,7 @@
         self.chunks.len() < before
     }
 
-    /// Deletes all stored chunks, as many as the transaction has space for.
+    /// Deletes the stored chunks, as many as fit into the transaction.
     pub(super) fn delete_all(&self, replica: &Replica, id: &JobId, proposal: &mut ProposedTxn) {
         let writes_left = self.limits.writes - proposal.write_count();
         for number in self.stored.keys().take(writes_left) {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Writes the changed chunks, under the preconditions of the guard.
+    /// Writes the changed chunks under the preconditions of the guard.
     pub(super) fn write(self, replica: &Replica, id: &JobId, write_id: u64, proposal: &mut ProposedTxn) {
         match self.guard {
             MachineGuard::Leadership if !self.machines.is_empty() => {
--- a/src/coordination/store_sync/job_records/job_changes.rs
+++ b/src/coordination/store_sync/job_records/job_changes.rs
@@ -1,4 +1,4 @@
-//! What is to be changed in one job's records.
+//! Changes to be made to one job's records.
 
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
@@ -12,12 +12,12 @@
 use crate::types::{JobId, Micros};
 use std::collections::BTreeSet;
 
-/// A job whose records are too large to be written is looked at again after so long.
+/// Pause before another attempt to write job records that were too large.
 const TOO_LARGE_PAUSE: Micros = Micros::from_millis(500);
 
 impl Job {
-    /// Tasks whose records lack something. Chunks that lack nothing but tasks done are left for a while when others of
-    /// the job press.
+    /// Returns the tasks whose records are out of date. While other tasks of the job are pressing, chunks that lack
+    /// nothing but done tasks are left out until `max_progress_delay` has passed.
     pub(super) fn tasks_to_record(
         &mut self,
         now: Micros,
@@ -28,9 +28,9 @@
             None | Some(MissingRecord::Outcome | MissingRecord::ChunkSpace | MissingRecord::Progress) => true,
             Some(MissingRecord::UrgentAttempt | MissingRecord::BatchAttempt) => false,
         };
-        let all = is_nothing_pressing
+        let take_all = is_nothing_pressing
             || self.recording.first_unrecorded_completion_at.is_some_and(|at| now.since(at) >= max_progress_delay);
-        if all {
+        if take_all {
             self.recording.first_unrecorded_completion_at = None;
             self.scheduling.is_blocked_by_full_chunks = false;
         }
@@ -39,13 +39,13 @@
         let pressing_chunks: BTreeSet<u32> = pressing.map(|(task, _)| task / tasks_per_chunk).collect();
         let is_due = |task: u32, attempt: &TaskAttempt| {
             is_pressing(attempt)
-                || (!attempt.occupies_resources() && (all || pressing_chunks.contains(&(task / tasks_per_chunk))))
+                || (!attempt.occupies_resources() && (take_all || pressing_chunks.contains(&(task / tasks_per_chunk))))
         };
         self.attempts.iter().filter(|(task, attempt)| is_due(*task, attempt)).map(|(task, _)| task).collect()
     }
 
-    /// Adds what is to be recorded of these tasks. Says which attempts can't be recorded: their machines have been
-    /// cordoned or have left the shard since, the job is over, or no more machines fit.
+    /// Adds the changes to be recorded for these tasks. Returns the tasks whose attempts can't be recorded, because the
+    /// machine has been cordoned or moved to another shard since, the job has an outcome, or no more machines fit.
     pub(super) fn change_chunks(&mut self, tasks: Vec<u32>, replica: &Replica, changes: &mut ChunkChanges) -> Vec<u32> {
         let gang_attempt = (self.spec.kind == JobKind::Gang).then_some(changes.last_stored_attempt() + 1);
         let is_gang_done = self.is_gang_done();
@@ -74,7 +74,7 @@
         dropped
     }
 
-    /// The tasks of a gang that is done which have no attempt are done as well.
+    /// Records the tasks without an attempt as done, in a gang that is done.
     fn complete_gang(&self, changes: &mut ChunkChanges) {
         for task in self.progress.to_restart.iter().copied().chain(self.progress.first_unstarted..self.spec.tasks) {
             if changes.admits_task(task) {
@@ -84,8 +84,8 @@
     }
 }
 
-/// The transaction that brings one job's records up to date, under the shard's role. Without writes if there is nothing
-/// that may be written now.
+/// Returns the transaction that brings one job's records up to date, with the shard's role as a precondition. It has no
+/// writes if nothing may be written now.
 pub(super) fn propose_changes(
     id: &JobId,
     job: &mut Job,
@@ -104,8 +104,8 @@
         proposal.put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::done()));
     }
     if (finishes || job.outcome.is_some()) && !changes.has_attempts() && !changes.is_incomplete() {
-        // Over and nothing left of it. The outcome stays, and so does the job's entry in its batch until all of that
-        // are over.
+        // The job has finished and has no attempts left. Its outcome stays, and its entry in the job batch stays until
+        // all jobs of the batch have finished.
         changes.delete_all(replica, id, &mut proposal);
         return proposal;
     }
@@ -114,7 +114,7 @@
         job.recording.retry_too_large_at = now + TOO_LARGE_PAUSE;
         job.recording.first_unrecorded_change_at = Some(Micros::ZERO);
         if finishes {
-            // The outcome goes with the record of its last tasks or not at all.
+            // The outcome is written together with the records of the last tasks or not at all.
             return ProposedTxn::default();
         }
     }
--- a/src/coordination/store_sync/job_records/missing_record.rs
+++ b/src/coordination/store_sync/job_records/missing_record.rs
@@ -1,4 +1,4 @@
-//! What a job's records lack, and how long it may wait for the write budget.
+//! The changes missing from a job's records, and how long they may wait for the write budget.
 
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::job::Job;
@@ -7,28 +7,30 @@
 use crate::settings::Policy;
 use crate::types::{JobId, Micros};
 
-/// What a job's records lack, the most pressing of it.
+/// The most pressing kind of change that is missing from a job's records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum MissingRecord {
-    /// An attempt of urgent work, or a service that is down until its lost attempt is out of the stored records.
+    /// An attempt of an urgent job, or the loss of one: for instance, a service's task can't start again before its
+    /// lost attempt is removed from the records.
     UrgentAttempt,
-    /// Its outcome, which its user waits for.
+    /// The job's outcome, for which its user waits.
     Outcome,
-    /// Space in its chunks for tasks that wait, which ended attempts take that are still recorded.
+    /// Space for waiting tasks in the job's chunks, which is taken by ended attempts that are still recorded.
     ChunkSpace,
-    /// An attempt of batch work, or that one is lost.
+    /// An attempt of a batch job, or the loss of one.
     BatchAttempt,
-    /// Tasks done while others go on; nobody waits for it.
+    /// Done tasks of a job that continues, for which nobody waits.
     Progress,
 }
 
 impl MissingRecord {
-    /// What a job's records lack; nothing if they are complete.
+    /// Returns the most pressing change missing from a job's records, or `None` if they are complete.
     pub(super) fn of(job: &Job) -> Option<MissingRecord> {
         if is_outcome_missing(job) {
             return Some(MissingRecord::Outcome);
         }
-        // Tasks done press in no job; taken for urgent they'd be looked at in vain in every round.
+        // Done tasks are not pressing in any job. If they counted as urgent, they would be examined in vain in every
+        // round.
         if job.attempts.decided_count() > 0 || (job.attempts.settled_count() > 0 && job.attempts.values().any(is_lost))
         {
             return Some(match job.is_urgent() {
@@ -43,7 +45,7 @@
             .then_some(MissingRecord::Progress)
     }
 
-    /// The name under which writes are counted that add it.
+    /// Returns the name under which the writes that record it are counted.
     pub(super) fn name(self) -> &'static str {
         match self {
             MissingRecord::UrgentAttempt => "urgent attempts",
@@ -54,8 +56,8 @@
         }
     }
 
-    /// As what it counts when writes are short. What an urgent job waits for is over no sooner than its outcome is in
-    /// the stored records.
+    /// Returns the kind that determines its priority for the write budget. The outcome of an urgent job counts as an
+    /// urgent attempt, because an urgent job that depends on it can't start before that outcome is recorded.
     fn priority(self, is_job_urgent: bool) -> MissingRecord {
         match self {
             MissingRecord::Outcome if is_job_urgent => MissingRecord::UrgentAttempt,
@@ -77,8 +79,9 @@
         })
     }
 
-    /// Whether it waits for other records, or for a time when there is nothing better to write. Where machines are full
-    /// batch tasks start one by one as others end; each alone would cost a write.
+    /// Returns whether the change should wait, to be written together with others or while there is little else to
+    /// write. When the machines are full, batch tasks start one by one as others end, and each would cost a separate
+    /// write.
     fn should_wait(self, now: Micros, since: Micros, send_by: Micros, is_budget_idle: bool, policy: &Policy) -> bool {
         let age = now.since(since);
         match self {
@@ -93,7 +96,7 @@
     }
 }
 
-/// Whether nothing of the job is left to run or to wait for, but the records don't say so.
+/// Returns whether no task of the job is left to run or to wait for, but the records don't say so yet.
 fn is_outcome_missing(job: &Job) -> bool {
     let is_finished = job.spec.kind != JobKind::Service
         && job.progress.done_count + job.progress.unrecorded_done.len() as u32 >= job.spec.tasks;
@@ -101,7 +104,7 @@
     job.attempts.occupying_count() == 0 && (job.outcome.is_some() || is_finished) || is_gang_rest_missing
 }
 
-/// Whether the attempt's task has to start once more.
+/// Returns whether the attempt's task has to start again.
 pub(super) fn is_lost(attempt: &TaskAttempt) -> bool {
     match attempt.state() {
         AttemptState::ProvenAbsent => true,
@@ -118,24 +121,24 @@
 /// A job whose records are to be brought up to date.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DueRecord {
-    /// Until then it may wait for others when the write budget is short.
+    /// Time by which it should be sent when the write budget is short.
     pub(crate) send_by: Micros,
     pub(super) shard: u32,
     pub(super) id: JobId,
 }
 
-/// Whether a job's records are to be written.
-pub(super) enum RecordingState {
-    /// They lack nothing, or are not this controller's to write.
+/// Whether a job's records are to be written now.
+pub(super) enum RecordStatus {
+    /// They are up to date, or another controller writes them.
     Complete,
-    /// They lack something that waits.
+    /// They are out of date, but are not to be written yet.
     Waiting,
     /// They are to be written now.
     Due(DueRecord),
 }
 
-impl RecordingState {
-    /// `is_own`: whether the job's records are this controller's to write.
+impl RecordStatus {
+    /// Evaluates a job's records. `is_own` says whether this controller writes them.
     pub(super) fn of(
         id: &JobId,
         job: &mut Job,
@@ -143,18 +146,18 @@
         now: Micros,
         is_budget_idle: bool,
         policy: &Policy,
-    ) -> RecordingState {
+    ) -> RecordStatus {
         if job.recording.is_txn_in_flight || now < job.recording.retry_too_large_at {
-            return RecordingState::Waiting;
+            return RecordStatus::Waiting;
         }
         let Some(missing) = MissingRecord::of(job).filter(|_| is_own) else {
-            return RecordingState::Complete;
+            return RecordStatus::Complete;
         };
         let since = *job.recording.first_unrecorded_change_at.get_or_insert(now);
         let send_by = since + missing.priority(job.is_urgent()).max_delay(policy);
         if missing.should_wait(now, since, send_by, is_budget_idle, policy) {
-            return RecordingState::Waiting;
+            return RecordStatus::Waiting;
         }
-        RecordingState::Due(DueRecord { send_by, shard: job.shard, id: id.clone() })
+        RecordStatus::Due(DueRecord { send_by, shard: job.shard, id: id.clone() })
     }
 }
--- a/src/coordination/store_sync/job_records/mod.rs
+++ b/src/coordination/store_sync/job_records/mod.rs
@@ -1,8 +1,7 @@
-//! Recording what was decided and seen about jobs: attempts before their commands are sent, tasks done or lost,
-//! outcomes.
+//! Recording of job state: attempts before their commands are sent, done and lost tasks, and outcomes.
 //!
-//! An attempt is recorded under the preconditions that this controller still holds the job's shard, that the job is not
-//! over, that its run chunk is as the replica has it, and that its machine can't have left the shard meanwhile.
+//! An attempt is recorded under the preconditions that this controller still holds the job's shard, that the job has no
+//! outcome, that its run chunk is the same as in the replica, and that its machine can't have left the shard meanwhile.
 
 mod chunk_changes;
 mod job_changes;
@@ -17,13 +16,13 @@
 use crate::types::{JobId, Micros};
 use chunk_changes::{ChunkChanges, MachineGuard, TxnLimits};
 use job_changes::propose_changes;
-use missing_record::{MissingRecord, RecordingState};
+use missing_record::{MissingRecord, RecordStatus};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A transaction with at least so many writes is sent without further jobs, whatever the limits are.
-const MIN_ENOUGH_WRITES: usize = 4;
+/// Lower bound of the number of writes from which on a transaction is sent without further jobs.
+const MIN_TARGET_WRITES: usize = 4;
 
-/// Records of several jobs that go with one transaction.
+/// Records of several jobs that are written in one transaction.
 #[derive(Default)]
 struct RecordBatch {
     proposal: ProposedTxn,
@@ -31,7 +30,7 @@
 }
 
 impl RecordBatch {
-    /// Whether another job's records fit the same transaction.
+    /// Returns whether another job's records fit into the same transaction.
     fn fits(&self, part: &ProposedTxn, limits: TxnLimits) -> bool {
         let write_count = self.proposal.write_count() + part.write_count();
         let precondition_count = self.proposal.precondition_count() + part.precondition_count();
@@ -45,7 +44,7 @@
 }
 
 impl Controller {
-    /// Jobs whose records are to be brought up to date, those that can wait least first.
+    /// Returns the jobs whose records are to be brought up to date, ordered by the time by which to send them.
     pub(super) fn due_records(&mut self) -> Vec<DueRecord> {
         let now = self.now();
         let is_budget_idle = self.store.write_budget.is_idle(now);
@@ -57,13 +56,14 @@
                 complete.push(id.clone());
                 continue;
             };
-            // Otherwise it is for the shard's holder; all are looked at again when the shard is acquired. Jobs
-            // cancelled with another have nothing in the records but the outcome that is written with others'.
+            // The records of other jobs are written by their shard's holder; all are examined again when the shard is
+            // acquired. Jobs cancelled by a cascade have no records of their own except the outcome, which is written
+            // together with those of other jobs.
             let is_own = !is_cascaded && self.control.holds(Role::Shard(job.shard));
-            match RecordingState::of(id, job, is_own, now, is_budget_idle, &self.policy) {
-                RecordingState::Complete => complete.push(id.clone()),
-                RecordingState::Waiting => {}
-                RecordingState::Due(record) => due.push(record),
+            match RecordStatus::of(id, job, is_own, now, is_budget_idle, &self.policy) {
+                RecordStatus::Complete => complete.push(id.clone()),
+                RecordStatus::Waiting => {}
+                RecordStatus::Due(record) => due.push(record),
             }
         }
         for id in complete {
@@ -73,13 +73,13 @@
         due
     }
 
-    /// Records what was decided and seen about the first job of `due`, and about as many of the next ones as fit the
-    /// same transaction.
+    /// Writes the records of the first job of `due`, and of about as many of the next jobs of the same shard as fit
+    /// into one transaction.
     pub(super) fn send_job_records(&mut self, due: &mut VecDeque<DueRecord>) {
         let limits = self.txn_limits();
-        // Near its limit the store rather refuses large transactions than small ones.
+        // Near its limit, the store refuses large transactions more often than small ones.
         let rate = self.platform.deployment.store.write_rps;
-        let enough = ((rate * self.policy.txn_part) as usize).clamp(MIN_ENOUGH_WRITES, limits.writes);
+        let target_writes = ((rate * self.policy.txn_part) as usize).clamp(MIN_TARGET_WRITES, limits.writes);
         let Some(shard) = due.front().map(|first| first.shard) else { return };
         let mut batch = RecordBatch::default();
         while due.front().is_some_and(|next| next.shard == shard) {
@@ -96,7 +96,7 @@
                 self.send_record_batch(std::mem::take(&mut batch));
             }
             batch.add(id, part);
-            if batch.proposal.write_count() >= enough {
+            if batch.proposal.write_count() >= target_writes {
                 break;
             }
         }
@@ -115,7 +115,7 @@
         TxnLimits { writes, preconditions: writes * PRECONDITIONS_PER_WRITE, value_bytes: limits.value_bytes() }
     }
 
-    /// What proves that machines stay in their shards, by the rules that the leader follows.
+    /// Returns the guard that the leader's record version requires.
     fn machine_guard(&self) -> MachineGuard {
         match leader_delegates_moves(&self.store.replica, self.record_version()) {
             true => MachineGuard::Leadership,
@@ -123,7 +123,8 @@
         }
     }
 
-    /// The part of a transaction that brings one job's records up to date. Locks the job until that has ended.
+    /// Returns the part of a transaction that brings one job's records up to date. The job's records are locked until
+    /// the transaction has ended.
     fn propose_job_records(&mut self, id: &JobId, limits: TxnLimits) -> ProposedTxn {
         let write_id = self.nonce();
         let now = self.now();
