--- a/src/storage/mod.rs
+++ b/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What is kept in the store: the form of its keys and values, and the replica that every controller holds of it.
+//! Stored data: the schema of the store's keys and values, and each controller's replica of the store.
 
 pub mod replica;
 pub mod schema;
--- a/src/storage/replica/apply.rs
+++ b/src/storage/replica/apply.rs
@@ -1,14 +1,14 @@
-//! Changes of the store, applied to the replica.
+//! Application of the store's changes to the replica.
 
-use super::{Change, KnownJob, Replica, Versioned, is_deleted};
+use super::{AcceptedJob, Change, Replica, Versioned, is_deleted};
 use crate::protocol::store::Event;
 use crate::storage::schema::{JobBatchMember, JobRecord, Key, MachineBatchMember, from_value};
 use crate::types::{JobId, MachineId, Revision};
 use ciborium::Value;
 use std::collections::BTreeMap;
 
-/// Puts or removes one entry of a map.
-fn replace<K: Ord, T>(map: &mut BTreeMap<K, Versioned<T>>, key: K, value: Option<T>, version: u64) {
+/// Inserts or removes one entry of a map.
+fn set_entry<K: Ord, T>(map: &mut BTreeMap<K, Versioned<T>>, key: K, value: Option<T>, version: u64) {
     match value {
         Some(value) => {
             map.insert(key, Versioned { value, version });
@@ -20,7 +20,7 @@
 }
 
 impl Replica {
-    /// Applies what the store said happened after some revision at or before `applied_revision`.
+    /// Applies events of the store that follow some revision at or before `applied_revision`, and returns the changes.
     pub fn advance(&mut self, events: &[Event], revision: Revision) -> Vec<Change> {
         let mut changes = Vec::new();
         let applied = self.applied_revision.0;
@@ -41,7 +41,8 @@
         changes
     }
 
-    /// Puts or removes one key as of `version`; a change older than what is held is ignored.
+    /// Puts or removes one key as of `version`. A change that is not newer than the replica's version of the key is
+    /// ignored.
     pub fn apply(&mut self, key: &str, value: Option<&Value>, version: u64) -> Change {
         let Some(key) = Key::parse(key) else { return Change::Nothing };
         let deleted_at = self.deleted_ahead.get(&key).copied().unwrap_or(0);
@@ -61,11 +62,11 @@
                 Change::Nothing
             }
             Key::Role(role) => {
-                replace(&mut self.roles, role, value.and_then(from_value), version);
+                set_entry(&mut self.roles, role, value.and_then(from_value), version);
                 Change::Role(role)
             }
             Key::Controller(label) => {
-                replace(&mut self.controllers, label.clone(), value.and_then(from_value), version);
+                set_entry(&mut self.controllers, label.clone(), value.and_then(from_value), version);
                 Change::Controller(label)
             }
             Key::MachineBatch(name) => self.apply_machine_batch(name, value, version),
@@ -74,11 +75,11 @@
             Key::RunChunk(id, chunk) => self.apply_run_chunk(id, chunk, value, version),
             Key::DependencyListPart(name, number) => self.apply_dependency_list_part(name, number, value, version),
             Key::ZoneView(zone, shard) => {
-                replace(&mut self.zone_views, (zone.clone(), shard), value.map(from_value), version);
+                set_entry(&mut self.zone_views, (zone.clone(), shard), value.map(from_value), version);
                 Change::ZoneView(zone, shard)
             }
             Key::ZoneCordon(zone) => {
-                replace(&mut self.zone_cordons, zone.clone(), value.map(from_value), version);
+                set_entry(&mut self.zone_cordons, zone.clone(), value.map(from_value), version);
                 Change::ZoneCordon(zone)
             }
             Key::Outcome(id) => self.apply_outcome(id, value, version),
@@ -86,36 +87,36 @@
     }
 
     fn apply_machine(&mut self, id: MachineId, value: Option<&Value>, version: u64) -> Change {
-        replace(&mut self.own_machines, id.clone(), value.and_then(from_value), version);
+        set_entry(&mut self.machine_records, id.clone(), value.and_then(from_value), version);
         self.resolve_machine(&id);
         Change::Machines(vec![id])
     }
 
     fn apply_machine_batch(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
-        let before = self.machine_batches.get(&name).map(|batch| batch.value.clone()).unwrap_or_default();
-        let now: Option<Vec<MachineBatchMember>> = value.and_then(from_value);
-        let members = before.into_iter().chain(now.iter().flatten().cloned());
+        let old_members = self.machine_batches.get(&name).map(|batch| batch.value.clone()).unwrap_or_default();
+        let new_members: Option<Vec<MachineBatchMember>> = value.and_then(from_value);
+        let members = old_members.into_iter().chain(new_members.iter().flatten().cloned());
         let mut ids: Vec<MachineId> = members.map(|member| member.id).collect();
         ids.dedup();
         self.machine_batch_of.retain(|_, batch| *batch != name);
-        for member in now.iter().flatten() {
+        for member in new_members.iter().flatten() {
             self.machine_batch_of.insert(member.id.clone(), name.clone());
         }
-        replace(&mut self.machine_batches, name, now, version);
+        set_entry(&mut self.machine_batches, name, new_members, version);
         for id in &ids {
             self.resolve_machine(id);
         }
         Change::Machines(ids)
     }
 
-    /// Works out how a machine stands: its own key precedes its batch's.
+    /// Derives a machine's current record: its own key takes precedence over its entry in a batch.
     fn resolve_machine(&mut self, id: &MachineId) {
         let of_batch = || {
             let batch = self.machine_batches.get(self.machine_batch_of.get(id)?)?;
             let member = batch.value.iter().find(|member| member.id == *id)?;
             Some(Versioned { value: member.record.clone(), version: 0 })
         };
-        match self.own_machines.get(id).cloned().or_else(of_batch) {
+        match self.machine_records.get(id).cloned().or_else(of_batch) {
             Some(machine) if !is_deleted(&machine.value) => {
                 self.machines.insert(id.clone(), machine);
             }
@@ -126,26 +127,26 @@
     }
 
     fn apply_job_batch(&mut self, name: String, value: Option<&Value>, version: u64) -> Change {
-        let now: Option<Vec<JobBatchMember>> = value.and_then(from_value);
+        let members: Option<Vec<JobBatchMember>> = value.and_then(from_value);
         let mut touched = self.remove_jobs_of_batch(&name);
         let mut member_ids = Vec::new();
-        for member in now.iter().flatten() {
+        for member in members.iter().flatten() {
             member_ids.push(member.id.clone());
-            // Two controllers may take the same submission at once: the first counts, in whatever order the two are
-            // read.
+            // Two controllers may accept the same submission at the same time. The batch committed first counts, in
+            // whichever order the two batches are read.
             let known = self.jobs.get(&member.id);
             if known.is_some_and(|known| (known.version, &known.batch) < (version, &name)) {
                 continue;
             }
             let record = self.with_listed_dependencies(&member.record);
-            self.jobs.insert(member.id.clone(), KnownJob { record, batch: name.clone(), version });
+            self.jobs.insert(member.id.clone(), AcceptedJob { record, batch: name.clone(), version });
             touched.push(member.id.clone());
         }
-        replace(&mut self.job_batches, name, now.map(|_| member_ids), version);
+        set_entry(&mut self.job_batches, name, members.map(|_| member_ids), version);
         Change::Jobs(touched)
     }
 
-    /// Forgets the jobs that are known from a batch; says which.
+    /// Removes the jobs that are known from a batch, and returns their ids.
     fn remove_jobs_of_batch(&mut self, name: &str) -> Vec<JobId> {
         let mut ids = self.job_batches.get(name).map(|batch| batch.value.clone()).unwrap_or_default();
         ids.retain(|id| self.jobs.get(id).is_some_and(|known| known.batch == name));
@@ -155,7 +156,7 @@
         ids
     }
 
-    /// A job's record with all that it depends on. The parts of the list were stored before it.
+    /// Returns a job's record with the dependencies in its dependency list, whose parts were stored before the record.
     fn with_listed_dependencies(&self, record: &JobRecord) -> JobRecord {
         let mut record = record.clone();
         if let Some(parts) = &record.dependency_list_parts {
@@ -164,9 +165,10 @@
         record
     }
 
-    /// Gives jobs those parts of their lists that were read after their batches: pages are read at different times.
+    /// Adds to jobs the parts of their dependency lists that were read after their batches, as pages of the store are
+    /// read at different times.
     pub fn complete_dependency_lists(&mut self) {
-        let list_of = |known: &KnownJob| known.record.dependency_list_parts.as_ref().map(|parts| parts.name.clone());
+        let list_of = |known: &AcceptedJob| known.record.dependency_list_parts.as_ref().map(|parts| parts.name.clone());
         let jobs: Vec<(JobId, String)> =
             self.jobs.iter().filter_map(|(id, known)| Some((id.clone(), list_of(known)?))).collect();
         for (id, list) in jobs {
@@ -179,7 +181,7 @@
 
     fn apply_run_chunk(&mut self, id: JobId, chunk: u32, value: Option<&Value>, version: u64) -> Change {
         let chunks = self.run_chunks.entry(id.clone()).or_default();
-        replace(chunks, chunk, value.and_then(from_value), version);
+        set_entry(chunks, chunk, value.and_then(from_value), version);
         if chunks.is_empty() {
             self.run_chunks.remove(&id);
         }
@@ -188,14 +190,14 @@
 
     fn apply_dependency_list_part(&mut self, name: String, number: u32, value: Option<&Value>, version: u64) -> Change {
         let parts = self.dependency_list_parts.entry(name.clone()).or_default();
-        replace(parts, number, value.and_then(from_value), version);
+        set_entry(parts, number, value.and_then(from_value), version);
         if parts.is_empty() {
             self.dependency_list_parts.remove(&name);
         }
         Change::Nothing
     }
 
-    /// An outcome is written once and never removed.
+    /// Applies an outcome, which is written once and never removed.
     fn apply_outcome(&mut self, id: JobId, value: Option<&Value>, version: u64) -> Change {
         if let Some(value) = value.and_then(from_value) {
             self.outcomes.insert(id.clone(), Versioned { value, version });
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A controller's copy of the store, exact as of `applied_revision`, with the controller's own commits possibly ahead
-//! of that. For each key, the higher version wins.
+//! A controller's replica of the store. It matches the store at `applied_revision`, except that it may already contain
+//! later commits of the controller itself. For each key, the higher version wins.
 
 mod apply;
 
@@ -14,53 +14,53 @@
 /// A value with the revision of its latest change.
 #[derive(Clone, Debug)]
 pub struct Versioned<T> {
-    /// As it was last read.
+    /// The value as last read.
     pub value: T,
-    /// What a precondition on its key must name.
+    /// The version that a precondition on the key must name.
     pub version: u64,
 }
 
-/// What a change touched; the owner of the replica looks up the rest.
+/// The subject of a change; the owner of the replica looks up the new values.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A role was acquired, renewed or released.
     Role(Role),
-    /// A controller has come or gone.
+    /// A controller's record was written, or deleted with its session.
     Controller(String),
-    /// Machines have records, or other records than before.
+    /// The records of machines were created, changed or deleted.
     Machines(Vec<MachineId>),
     /// Jobs were accepted, or their batches deleted.
     Jobs(Vec<JobId>),
-    /// One chunk of a job's task attempts and progress.
+    /// A run chunk of a job has changed.
     RunChunk(JobId, u32),
-    /// What became of a job.
+    /// A job's outcome was written.
     Outcome(JobId),
-    /// How a shard's holder finds a zone.
+    /// The condition of a zone as evaluated by a shard's holder has changed.
     ZoneView(String, u32),
-    /// Whether operators have cordoned a zone.
+    /// Operators have cordoned or uncordoned a zone.
     ZoneCordon(String),
-    /// Nothing that anybody acts on.
+    /// Nothing changed that needs a reaction.
     Nothing,
 }
 
-/// A job as its batch has it.
+/// An accepted job, as its batch contains it.
 #[derive(Clone, Debug)]
-pub struct KnownJob {
-    /// As it was accepted.
+pub struct AcceptedJob {
+    /// The record as it was accepted.
     pub record: JobRecord,
-    /// Name of the batch. Of two that hold the job the older counts.
+    /// Name of the batch. If two batches contain the job, this is the one committed first.
     pub batch: String,
-    /// Revision of that batch.
+    /// Version of that batch.
     pub version: u64,
 }
 
-/// The parts of a list of dependencies, by number.
+/// The parts of a dependency list, by number.
 type ListParts = BTreeMap<u32, Versioned<Vec<JobId>>>;
 
-/// The copy itself: maps by kind of key.
+/// The replica: one map for each kind of key.
 #[derive(Default)]
 pub struct Replica {
-    /// All changes up to this revision are in.
+    /// Revision up to which all changes are applied.
     pub applied_revision: Revision,
     /// The counter of fencing tokens.
     pub fencing_token: Option<Versioned<FencingToken>>,
@@ -68,41 +68,42 @@
     pub roles: BTreeMap<Role, Versioned<RoleRecord>>,
     /// Controllers that are alive.
     pub controllers: BTreeMap<String, Versioned<ControllerRecord>>,
-    /// Machines as they stand: by their own keys, else by their batches, then with version 0.
+    /// Current records of machines: from their own keys, or else from their batches, with version 0 in that case.
     pub machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
-    /// The machines' own keys, also of those that are deleted.
-    own_machines: BTreeMap<MachineId, Versioned<MachineRecord>>,
+    /// Machine records under keys of their own, including those of deleted machines.
+    machine_records: BTreeMap<MachineId, Versioned<MachineRecord>>,
     /// Machines registered together.
     pub machine_batches: BTreeMap<String, Versioned<Vec<MachineBatchMember>>>,
     machine_batch_of: HashMap<MachineId, String>,
     /// Jobs that were accepted and whose batches are not deleted.
-    pub jobs: HashMap<JobId, KnownJob>,
-    /// Names of the jobs of each batch.
+    pub jobs: HashMap<JobId, AcceptedJob>,
+    /// Ids of the jobs of each batch.
     pub job_batches: BTreeMap<String, Versioned<Vec<JobId>>>,
     /// Task attempts and progress of each job, by chunk.
     pub run_chunks: HashMap<JobId, BTreeMap<u32, Versioned<RunChunk>>>,
-    /// What became of jobs; never deleted.
+    /// Outcomes of jobs, which are never deleted.
     pub outcomes: HashMap<JobId, Versioned<OutcomeRecord>>,
-    /// Lists of dependencies that are not in a batch, by name.
+    /// Dependency lists stored outside the job batches, by name.
     pub dependency_list_parts: BTreeMap<String, ListParts>,
-    /// How shards' holders find zones. A record that can't be read is kept as that, so that it can be written anew.
+    /// Conditions of zones as evaluated by the holders of shards. An unreadable record is kept as `None`, so that its
+    /// version is known and it can be overwritten.
     pub zone_views: BTreeMap<(String, u32), Versioned<Option<ZoneRecord>>>,
-    /// Zones that operators have cordoned. Whatever the key's value is, the zone is cordoned.
+    /// Zones that operators have cordoned. A zone is cordoned if its key exists, whatever the value.
     pub zone_cordons: BTreeMap<String, Versioned<Option<ZoneCordonRecord>>>,
-    /// Own deletions ahead of `applied_revision`, so that older puts don't bring the keys back. Test:
+    /// Own deletions later than `applied_revision`, so that older puts don't restore the keys. Test:
     /// `a_late_commit_brings_no_deleted_record_back`.
     deleted_ahead: HashMap<Key, u64>,
 }
 
 impl Replica {
-    /// The version that a transaction's precondition on this key must name, 0 for none.
+    /// Returns the version that a precondition on this key must name; 0 if the key doesn't exist.
     pub fn version(&self, key: &Key) -> u64 {
         let version = match key {
             Key::FencingToken => self.fencing_token.as_ref().map(|stored| stored.version),
             Key::Role(role) => self.roles.get(role).map(|stored| stored.version),
             Key::Controller(label) => self.controllers.get(label).map(|stored| stored.version),
             Key::MachineBatch(name) => self.machine_batches.get(name).map(|stored| stored.version),
-            Key::Machine(id) => self.own_machines.get(id).map(|stored| stored.version),
+            Key::Machine(id) => self.machine_records.get(id).map(|stored| stored.version),
             Key::JobBatch(name) => self.job_batches.get(name).map(|stored| stored.version),
             Key::RunChunk(id, chunk) => {
                 self.run_chunks.get(id).and_then(|chunks| chunks.get(chunk)).map(|stored| stored.version)
@@ -117,39 +118,39 @@
         version.unwrap_or(0)
     }
 
-    /// The batch with which a machine was registered.
+    /// Returns the name of the batch in which a machine was registered.
     pub fn machine_batch_of(&self, id: &MachineId) -> Option<&String> {
         self.machine_batch_of.get(id)
     }
 
-    /// Whether a machine's deletion was confirmed, as far as the stored records still tell.
+    /// Returns whether a machine's record says that its deletion was confirmed. Such a record may be deleted later.
     pub fn is_machine_deleted(&self, id: &MachineId) -> bool {
-        self.own_machines.get(id).is_some_and(|machine| is_deleted(&machine.value))
+        self.machine_records.get(id).is_some_and(|machine| is_deleted(&machine.value))
     }
 
-    /// Deleted machines that no batch names any more: their records may be deleted as well.
+    /// Returns the deleted machines that no batch names any more, whose records may be deleted as well.
     pub fn unreferenced_deleted_machines(&self) -> impl Iterator<Item = &MachineId> {
-        let deleted = self.own_machines.iter().filter(|(_, machine)| is_deleted(&machine.value));
+        let deleted = self.machine_records.iter().filter(|(_, machine)| is_deleted(&machine.value));
         deleted.map(|(id, _)| id).filter(|id| !self.machine_batch_of.contains_key(*id))
     }
 
-    /// Whether the stored records name any task attempt of a job: as long as they do, some of it may still run.
+    /// Returns whether any task attempt of a job is recorded. As long as one is, a task of the job may still run.
     pub fn has_recorded_attempts(&self, id: &JobId) -> bool {
         let mut chunks = self.run_chunks.get(id).into_iter().flat_map(BTreeMap::values);
         chunks.any(|chunk| !chunk.value.task_attempts.is_empty())
     }
 
-    /// The latest fencing token drawn.
+    /// Returns the latest fencing token drawn.
     pub fn latest_fencing_token(&self) -> FencingToken {
         self.fencing_token.as_ref().map(|token| token.value).unwrap_or_default()
     }
 
-    /// The token that a transaction on the counter of fencing tokens would draw.
+    /// Returns the fencing token that the next transaction on the counter draws.
     pub fn next_fencing_token(&self) -> FencingToken {
         FencingToken(self.latest_fencing_token().0 + 1)
     }
 
-    /// The jobs in a list of dependencies, as far as its parts have been read.
+    /// Returns the jobs in a dependency list, as far as its parts have been read.
     fn listed_dependencies(&self, list: &str) -> impl Iterator<Item = JobId> {
         let parts = self.dependency_list_parts.get(list).into_iter().flat_map(BTreeMap::values);
         parts.flat_map(|part| part.value.iter().cloned())
--- a/src/storage/schema/jobs.rs
+++ b/src/storage/schema/jobs.rs
@@ -8,10 +8,10 @@
 /// One job of a batch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobBatchMember {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "j")]
     pub id: JobId,
-    /// As it was accepted.
+    /// Record of the job as it was accepted.
     #[serde(flatten)]
     pub record: JobRecord,
 }
@@ -22,15 +22,15 @@
     /// Time of day at which the job was accepted.
     #[serde(rename = "at")]
     pub accepted_at: Micros,
-    /// Where the rest of what it depends on is, if it did not fit the batch.
+    /// Location of the remaining dependencies, if they did not fit into the batch.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub dependency_list_parts: Option<DependencyListParts>,
-    /// What its user submitted.
+    /// Specification that its user submitted.
     #[serde(flatten)]
     pub spec: JobSpec,
 }
 
-/// A list of dependencies that is stored in keys of its own: see [`super::Key::DependencyListPart`].
+/// A dependency list that is stored under keys of its own, see [`super::Key::DependencyListPart`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredDependencyListParts", into = "StoredDependencyListParts")]
 pub struct DependencyListParts {
@@ -40,7 +40,7 @@
     pub count: u32,
 }
 
-/// The same as it is stored: a list of these two.
+/// The stored form of [`DependencyListParts`]: a list of its two fields.
 type StoredDependencyListParts = (String, u32);
 
 impl From<StoredDependencyListParts> for DependencyListParts {
@@ -56,7 +56,7 @@
 }
 
 impl JobRecord {
-    /// Its own urgency, regardless of the jobs that depend on it.
+    /// Returns the job's own urgency, regardless of the jobs that depend on it.
     pub fn urgency(&self) -> Urgency {
         let due_at = self.spec.deadline_s.map(|s| self.accepted_at + Micros::from_secs_f64(s));
         Urgency { priority: self.spec.priority, due_at }
--- a/src/storage/schema/keys.rs
+++ b/src/storage/schema/keys.rs
@@ -1,4 +1,4 @@
-//! Keys in the store, and their text forms.
+//! Keys of the store, and their text forms.
 
 use super::Role;
 use crate::types::{JobId, MachineId};
@@ -12,27 +12,28 @@
 pub enum Key {
     /// The counter of fencing tokens.
     FencingToken,
-    /// Who holds a role.
+    /// The holder of a role.
     Role(Role),
-    /// That a controller is alive, by its label.
+    /// A controller that is alive, by its label.
     Controller(String),
-    /// Machines registered together. Written once; what changes about one of them goes to its own key, which precedes
-    /// this.
+    /// Machines registered together. Written once; later changes to one of the machines go to its own key, which takes
+    /// precedence.
     MachineBatch(String),
-    /// One machine, as far as it differs from its entry in a batch.
+    /// One machine whose record is not, or no longer, the one in a batch.
     Machine(MachineId),
-    /// Jobs accepted together. Written once, removed when all of them are over.
+    /// Jobs accepted together. Written once, and deleted when all of them have finished.
     JobBatch(String),
-    /// Task attempts and progress of a job: one chunk of its tasks, by number.
+    /// Task attempts and progress of one chunk of a job's tasks, by the chunk's number.
     RunChunk(JobId, u32),
-    /// What became of a job.
+    /// The outcome of a job.
     Outcome(JobId),
-    /// Jobs that one job depends on, as far as its entry in a batch has no space for them: part of a list, by the
-    /// list's name and the part's number.
+    /// A part of a dependency list, by the list's name and the part's number. The list contains those dependencies of a
+    /// job that did not fit into its entry in a batch.
     DependencyListPart(String, u32),
-    /// How a shard's holder finds a zone, by zone and shard. Versions that do not judge zones ignore it.
+    /// The condition of a zone as evaluated by a shard's holder, by zone and shard. Controllers whose version does not
+    /// evaluate zones ignore it.
     ZoneView(String, u32),
-    /// Operators have cordoned a zone.
+    /// A zone that operators have cordoned.
     ZoneCordon(String),
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl Key {
-    /// Reads a key as the store has it; nothing if it is none of ours.
+    /// Parses a key of the store. Returns `None` for keys that are not part of the schema.
     pub fn parse(text: &str) -> Option<Key> {
         let rest = text.strip_prefix(ROOT)?;
         match rest.split_once('/') {
--- a/src/storage/schema/machines.rs
+++ b/src/storage/schema/machines.rs
@@ -3,19 +3,19 @@
 use crate::types::{FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// A machine as it stands.
+/// The current state of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Shard that it belongs to.
+    /// Shard to which it belongs.
     #[serde(rename = "s")]
     pub shard: u32,
-    /// Commands to this machine carry this or the shard's fencing token, whichever is higher.
+    /// Fencing token of the machine. Commands to the machine carry this or the shard's token, whichever is higher.
     #[serde(rename = "t")]
     pub fencing_token: FencingToken,
-    /// Its type, as the cloud names it.
+    /// Machine type, as named by the cloud.
     #[serde(rename = "h")]
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
     /// Whether it is a spot instance, which the cloud may interrupt at any moment.
@@ -24,24 +24,24 @@
     /// Address of its agent.
     #[serde(rename = "a")]
     pub addr: String,
-    /// Set while the machine is cordoned: nothing may be started there any more.
+    /// Reason for the cordon while the machine is cordoned: no task may be started on it any more.
     #[serde(rename = "x", default, skip_serializing_if = "Option::is_none")]
     pub cordon: Option<CordonReason>,
 }
 
-/// Why a machine is cordoned.
+/// The reason why a machine is cordoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CordonReason {
-    /// To be given to another shard as soon as nothing is recorded on it.
+    /// To be moved to another shard as soon as no attempt is recorded on it.
     #[serde(rename = "m")]
     MoveToShard(u32),
-    /// Drained: to be deleted as soon as nothing is recorded on it.
+    /// Being drained, to be deleted as soon as no attempt is recorded on it.
     #[serde(rename = "r")]
     Retire,
-    /// To be deleted with whatever may be on it.
+    /// To be deleted together with any attempts on it.
     #[serde(rename = "k")]
     ForceDelete,
-    /// Its deletion was confirmed. The record stays as long as a batch still names the machine.
+    /// Its deletion was confirmed. The record is kept as long as a batch names the machine.
     #[serde(rename = "g")]
     Deleted,
 }
@@ -49,10 +49,10 @@
 /// One of several machines that were registered together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineBatchMember {
-    /// The machine.
+    /// Id of the machine.
     #[serde(rename = "m")]
     pub id: MachineId,
-    /// As it was registered.
+    /// Record of the machine as it was registered.
     #[serde(flatten)]
     pub record: MachineRecord,
 }
--- a/src/storage/schema/mod.rs
+++ b/src/storage/schema/mod.rs
@@ -1,8 +1,8 @@
 //! Keys and values of the stored records, by subject.
 //!
-//! Stored forms stay as they are: records of earlier versions are read, and controllers of different versions work side
-//! by side. Value field names are short, because values are bounded and so are writes; they are mapped to Rust names
-//! once, by `serde(rename)`.
+//! The stored forms must not change, because records of earlier versions are read, and controllers of different
+//! versions run side by side. The field names in values are short, because the sizes of values and writes are limited;
+//! `serde(rename)` maps them to the names of the Rust fields.
 
 mod controllers;
 mod jobs;
@@ -24,13 +24,13 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A record as it is stored.
+/// Converts a record to its stored form.
 pub fn to_value<T: Serialize>(value: &T) -> Value {
-    // Our records hold text keys and plain numbers only, which always convert.
+    // The conversion never fails, because the records contain only text keys and plain numbers.
     Value::serialized(value).unwrap_or(Value::Null)
 }
 
-/// Reads a stored record; nothing if it has another form.
+/// Parses a stored record. Returns `None` if it has another form.
 pub fn from_value<T: DeserializeOwned>(value: &Value) -> Option<T> {
     value.deserialized().ok()
 }
--- a/src/storage/schema/outcomes.rs
+++ b/src/storage/schema/outcomes.rs
@@ -1,9 +1,9 @@
-//! Records of what became of jobs.
+//! Records of the outcomes of jobs.
 
 use crate::types::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What became of a job.
+/// The outcome of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// All its tasks have completed.
@@ -14,30 +14,30 @@
     Cancelled,
 }
 
-/// What became of a job, as its key holds it.
+/// The outcome of a job, as stored under its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredOutcome", into = "StoredOutcome")]
 pub struct OutcomeRecord {
-    /// What became of it.
+    /// Outcome of the job.
     pub outcome: Outcome,
-    /// Time of day before which no user was told: whatever has to be over by some time after that can be
-    /// counted from it, also by a controller that only reads it later.
+    /// Time of day before which no user was notified of the outcome. A deadline that starts with that notification can
+    /// be counted from this time, also by a controller that reads the record later.
     pub at: Micros,
 }
 
 impl OutcomeRecord {
-    /// The outcome of a job all of whose tasks have completed.
+    /// Returns the outcome of a job whose tasks have all completed.
     pub fn done() -> OutcomeRecord {
         OutcomeRecord { outcome: Outcome::Done, at: Micros::ZERO }
     }
 
-    /// The outcome of a job that was cancelled at that time of day.
+    /// Returns the outcome of a job that was cancelled at a time of day.
     pub fn cancelled(at: Micros) -> OutcomeRecord {
         OutcomeRecord { outcome: Outcome::Cancelled, at }
     }
 }
 
-/// As it is stored: where no time matters, the bare outcome.
+/// The stored form of [`OutcomeRecord`]: the outcome without a time where the time doesn't matter.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum StoredOutcome {
--- a/src/storage/schema/task_attempts.rs
+++ b/src/storage/schema/task_attempts.rs
@@ -1,15 +1,15 @@
-//! Records of a job's task attempts and progress, in chunks of its tasks.
+//! Records of a job's task attempts and progress, in chunks of tasks.
 
 use crate::types::MachineId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Tasks per run chunk for each KiB a value may have. An attempt takes some 24 bytes, and a done task
-/// between two that aren't takes less.
+/// Number of tasks per run chunk for each KiB of the maximum value size. An attempt takes about 24 bytes, and a done
+/// task between two tasks that aren't done takes less.
 const CHUNK_TASKS_PER_KB: u32 = 32;
 
-/// Tasks per run chunk: the same on all controllers, as it follows from the deployment's settings.
-/// A transaction full of chunks has to stay below 64 KiB as well.
+/// Returns the number of tasks per run chunk, which is the same on all controllers because it follows from the
+/// deployment's settings. A transaction full of chunks has to stay below 64 KiB as well.
 pub fn chunk_tasks(value_kb: f64) -> u32 {
     (value_kb as u32).clamp(2, 4) * CHUNK_TASKS_PER_KB
 }
@@ -22,13 +22,13 @@
     pub task: u32,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Where it was started.
+    /// Machine for which it was decided.
     pub machine: MachineId,
-    /// Incarnation of the machine's agent when the start was decided.
+    /// Incarnation of the machine's agent when the attempt was decided.
     pub incarnation: u64,
 }
 
-/// An attempt as it is stored: a list, which is short, in this order.
+/// The stored form of [`TaskAttemptRecord`]: a list in this order, which is shorter than a map.
 type StoredTaskAttempt = (u32, u64, MachineId, u64);
 
 impl From<StoredTaskAttempt> for TaskAttemptRecord {
@@ -46,44 +46,44 @@
 /// Progress of up to [`chunk_tasks`] tasks of a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunChunk {
-    /// Highest attempt number given out so far.
+    /// Highest attempt number assigned so far.
     #[serde(rename = "a")]
     pub last_attempt: u64,
-    /// Tasks done, as inclusive ranges.
+    /// Done tasks, as inclusive ranges.
     #[serde(rename = "d", default)]
     pub done_ranges: Vec<(u32, u32)>,
-    /// Attempts not yet proven absent.
+    /// Recorded attempts, which are removed once they have ended or are proven absent.
     #[serde(rename = "s", default)]
     pub task_attempts: Vec<TaskAttemptRecord>,
-    /// Names the write, so that its writer recognises it after an answer was lost.
+    /// Identifies the write, so that its writer recognizes it after its answer was lost.
     #[serde(rename = "w")]
     pub write_id: u64,
 }
 
 impl RunChunk {
-    /// Whether a task is done.
+    /// Returns whether a task is done.
     pub fn is_done(&self, task: u32) -> bool {
         self.done_ranges.iter().any(|&(a, b)| a <= task && task <= b)
     }
 
-    /// Whether a task is done, or an attempt of it is recorded.
+    /// Returns whether a task is done or has a recorded attempt.
     pub fn mentions(&self, task: u32) -> bool {
         self.is_done(task) || self.task_attempts.iter().any(|attempt| attempt.task == task)
     }
 
-    /// The recorded attempts, by task.
+    /// Returns the recorded attempts, by task.
     pub fn attempts_by_task(&self) -> BTreeMap<u32, &TaskAttemptRecord> {
         self.task_attempts.iter().map(|attempt| (attempt.task, attempt)).collect()
     }
 
-    /// The task after the last one that is done or has an attempt.
+    /// Returns the task after the last task that is done or has a recorded attempt.
     pub fn first_unstarted_task(&self) -> u32 {
         let started = self.task_attempts.iter().map(|attempt| attempt.task + 1).max();
         let done = self.done_ranges.last().map(|range| range.1 + 1);
         started.max(done).unwrap_or(0)
     }
 
-    /// Number of tasks done.
+    /// Returns the number of done tasks.
     pub fn done_count(&self) -> u32 {
         self.done_ranges.iter().map(|&(a, b)| b - a + 1).sum()
     }
