--- a/src/coordination/control/versions.rs
+++ b/src/coordination/control/versions.rs
@@ -21,7 +21,7 @@
     Holder,
     /// The leader.
     Leader,
-    /// Nobody until some controller has acquired the shard.
+    /// No controller, until one has acquired the shard.
     Nobody,
 }
 
