--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -228,7 +228,8 @@
         let chunk = chunks.get(&number).map_or(&empty, |stored| &stored.value);
         let tasks = number * size..(number + 1).saturating_mul(size);
         job.progress.done_count = chunks.values().map(|stored| stored.value.done_count()).sum();
-        let is_recorded = |task: u32| chunks.get(&(task / size)).is_some_and(|stored| stored.value.mentions(task));
+        let is_recorded =
+            |task: u32| chunks.get(&(task / size)).is_some_and(|stored| stored.value.is_task_recorded(task));
         let machines = job.reconcile_chunk(chunk, tasks.clone(), is_recorded, &mut self.jobs.usage);
         let is_deleted = |machine: &MachineId| !self.store.replica.machines.contains_key(machine);
         job.end_attempts_on_deleted_machines(tasks, is_deleted, now, &mut self.jobs.usage);
--- a/src/storage/schema/task_attempts.rs
+++ b/src/storage/schema/task_attempts.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns whether a task is done or has a recorded attempt.
-    pub fn mentions(&self, task: u32) -> bool {
+    pub fn is_task_recorded(&self, task: u32) -> bool {
         self.is_done(task) || self.task_attempts.iter().any(|attempt| attempt.task == task)
     }
 
