--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -111,7 +111,7 @@
 /// dependency follows from the dependency's records, of which the commit tells nothing.
 fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<FreshnessProof> {
     match end {
-        TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.of_accepted_job(request.received_at),
+        TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.accepted_job_proof(request.received_at),
         _ => None,
     }
 }
--- a/src/coordination/store_sync/evidence.rs
+++ b/src/coordination/store_sync/evidence.rs
@@ -57,7 +57,7 @@
     /// Returns a proof for a job that the call itself accepted under the precondition that the job has no outcome. The
     /// precondition held at the commit's revision whether or not the replica has reached it. The proof doesn't cover
     /// jobs with dependencies, whose state also follows from the outcomes of other jobs.
-    pub fn of_accepted_job(&self, requested_at: LogicalTime) -> Option<FreshnessProof> {
+    pub fn accepted_job_proof(&self, requested_at: LogicalTime) -> Option<FreshnessProof> {
         self.revision_after(requested_at).map(|_| FreshnessProof(()))
     }
 }
