--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that a machine's agent is to be given, in the answer to its heartbeat or in a direct message.
+//! Commands to a machine's agent, sent in the answer to its heartbeat or in a direct message.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::{Machine, UnrecordedTask};
@@ -8,14 +8,14 @@
 use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, TaskId};
 
-/// Commands in one message at most, so that it stays below the size limit.
+/// Maximum number of commands in one message, so that it stays below the size limit.
 pub(crate) const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
-/// What an agent is commanded to do about a recorded attempt.
+/// Command that an agent needs for an attempt.
 enum NextStep {
-    /// Nothing: it goes on, or has ended.
+    /// No command: the attempt needs none, has ended, or may not start.
     Nothing,
-    /// Nothing, as its command was never sent and it is not wanted any more.
+    /// No command: the start was never sent and the attempt is no longer wanted, which proves it absent.
     Drop,
     Start,
     Stop {
@@ -24,23 +24,25 @@
 }
 
 impl NextStep {
-    /// `is_doomed`: its machine is to be deleted, and nothing more starts there.
-    fn of(attempt: &TaskAttempt, is_doomed: bool) -> NextStep {
+    /// Determines the next step of an attempt. `is_to_be_deleted`: its machine is to be deleted, so nothing more starts
+    /// there.
+    fn of(attempt: &TaskAttempt, is_to_be_deleted: bool) -> NextStep {
         match (attempt.state(), attempt.stop_grace_s) {
-            (AttemptState::Recorded, None) if !is_doomed => NextStep::Start,
+            (AttemptState::Recorded, None) if !is_to_be_deleted => NextStep::Start,
             (AttemptState::Recorded, Some(_)) if !attempt.may_have_been_sent => NextStep::Drop,
             (
                 AttemptState::Recorded | AttemptState::Fetching | AttemptState::Waiting | AttemptState::Running,
                 Some(grace_s),
             ) => NextStep::Stop { grace_s },
-            // Told to stop while it saves a checkpoint: it ends at once.
+            // A stop without a grace period also ends an attempt that is saving a checkpoint.
             (AttemptState::Checkpointing, Some(0.0)) => NextStep::Stop { grace_s: 0.0 },
             _ => NextStep::Nothing,
         }
     }
 }
 
-/// Tasks in no record are stopped, and forgotten once no copy of their start can be on its way: it would start them again.
+/// Returns the commands for tasks without a stored record. Running ones are stopped. Exited ones are forgotten once no
+/// copy of their start command can still arrive, as it would start a forgotten task again.
 fn commands_for_unrecorded(machine: &Machine) -> Vec<AgentCommand> {
     let may_forget = machine.commands.is_quiet();
     let command = |unrecorded: &UnrecordedTask| {
@@ -54,12 +56,12 @@
 }
 
 impl Controller {
-    /// All commands for a machine's agent. For an answer to a heartbeat, `seq` is the heartbeat's number.
+    /// Returns the commands for a machine's agent. `seq` is the heartbeat's number if they go into the answer to one.
     pub(crate) fn commands_for(&mut self, id: &MachineId, seq: Option<u64>) -> Vec<AgentCommand> {
         let Some(machine) = self.fleet.machine(id) else { return Vec::new() };
         let incarnation = machine.incarnation();
         let mut commands = commands_for_unrecorded(machine);
-        let is_doomed =
+        let is_to_be_deleted =
             self.store.replica.machines.get(id).is_none_or(|m| m.value.cordon == Some(CordonReason::ForceDelete));
         let mut never_sent: Vec<TaskId> = Vec::new();
         for task_id in self.jobs.usage().attempts_on(id) {
@@ -68,7 +70,7 @@
                 continue;
             }
             let (task, number) = (task_id.to_string(), attempt.number);
-            match NextStep::of(attempt, is_doomed) {
+            match NextStep::of(attempt, is_to_be_deleted) {
                 NextStep::Nothing => continue,
                 NextStep::Drop => {
                     never_sent.push(task_id);
--- a/src/coordination/fleet/cancellation_enforcement.rs
+++ b/src/coordination/fleet/cancellation_enforcement.rs
@@ -1,8 +1,8 @@
-//! Deadlines by which the tasks of cancelled jobs have to be proven gone, and the deletion of machines to enforce them.
+//! Deadlines by which the tasks of cancelled jobs must be proven absent, and the deletion of machines to enforce them.
 //!
-//! A cancelled task that nothing proves gone is deleted with its machine before the time allowed for a cancellation is
-//! over. That needs neither the store nor the leader, and holds for a machine that hangs. It needs the cloud; what holds
-//! without it is in [`crate::coordination::fleet::lease_renewal`].
+//! If nothing proves a cancelled task absent, its machine is deleted before the time allowed for a cancellation has
+//! passed. This needs neither the store nor the leader, and also covers a machine that hangs. It needs the cloud; the
+//! rules that hold without the cloud are in [`crate::coordination::fleet::lease_renewal`].
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::cloud_client::CloudRequest;
@@ -13,61 +13,61 @@
 use crate::types::{JobId, MachineId, Micros};
 use std::collections::BTreeMap;
 
-/// Machines in one deletion at most.
+/// Maximum number of machines in one deletion request.
 const MAX_MACHINES_PER_DELETION: usize = 100;
-/// A deletion not confirmed by then is asked for again.
+/// Time after which an unconfirmed deletion, of a machine or of its record, is requested again.
 const DELETION_RETRY_INTERVAL: Micros = Micros::from_millis(3000);
 
-/// By when a cancelled job's tasks have to be proven gone.
+/// Times by which the tasks of a cancelled job must be proven absent.
 #[derive(Clone, Copy)]
 struct Deadline {
-    /// From then on the lease of a machine is not renewed where a late command could still start one of them.
+    /// Time from which a machine's lease is not renewed if a late command could still start one of the tasks there.
     stop_renewals_at: Micros,
-    /// Then their machines are deleted.
+    /// Time at which the machines that may still have one of the tasks are deleted.
     delete_machines_at: Micros,
 }
 
-/// Cancelled jobs of which something may be left, and machines that are deleted on their account.
+/// Cancelled jobs that may still have tasks on machines, and the machines that are deleted for that reason.
 #[derive(Default)]
 pub(crate) struct CancellationEnforcement {
     deadlines: BTreeMap<JobId, Deadline>,
-    /// Machines whose deletion was asked for, and when.
+    /// When the deletion of a machine was requested.
     deletion_requested_at: BTreeMap<MachineId, Micros>,
-    /// Machines whose deletion was confirmed and that are still in the stored records, and when a change that removes their
-    /// records was last sent.
+    /// Machines whose deletion was confirmed but whose record is still stored, and when the deletion of that record was
+    /// last requested.
     deleted: BTreeMap<MachineId, Option<Micros>>,
 }
 
 impl CancellationEnforcement {
-    /// Cancelled jobs of which something may be left.
+    /// Returns the cancelled jobs that may still have tasks on machines.
     pub(crate) fn jobs(&self) -> impl Iterator<Item = &JobId> {
         self.deadlines.keys()
     }
 
-    /// Whether a machine was deleted here, though the stored records don't say so yet.
+    /// Returns whether this controller deleted a machine whose record is still stored.
     pub(crate) fn is_deleted(&self, id: &MachineId) -> bool {
         self.deleted.contains_key(id)
     }
 
-    /// Whether the leases of machines with tasks of that job are not renewed any more.
-    fn is_past_renewals(&self, job: &JobId, now: Micros) -> bool {
+    /// Returns whether leases are no longer renewed where a late command could start a task of the job.
+    fn are_renewals_stopped(&self, job: &JobId, now: Micros) -> bool {
         self.deadlines.get(job).is_some_and(|deadline| deadline.stop_renewals_at <= now)
     }
 
-    /// Whether a machine is still to be deleted: its deletion was not asked for a short while ago.
+    /// Returns whether a machine's deletion must be requested: it is not confirmed and was not requested recently.
     fn needs_deletion(&self, id: &MachineId) -> bool {
         !self.deletion_requested_at.contains_key(id) && !self.is_deleted(id)
     }
 }
 
 impl Controller {
-    /// Whether a machine was deleted here, though the stored records don't say so yet.
+    /// Returns whether this controller deleted a machine whose record is still stored.
     pub(crate) fn is_deleted_for_cancellation(&self, id: &MachineId) -> bool {
         self.fleet.cancellation_enforcement.is_deleted(id)
     }
 
-    /// So long after a cancellation its tasks' machines are deleted: late enough that a lease may have expired first,
-    /// which proves as much and costs nothing.
+    /// Returns the time after a cancellation at which the machines of its tasks are deleted. Within the time allowed
+    /// for the cancellation it is long enough for a lease to expire first, which proves the same and costs nothing.
     fn deletion_delay(&self) -> Micros {
         let cancel_s = self.platform.deployment.agents.cancel_s;
         let part = Micros::from_secs_f64(cancel_s * self.policy.clear_part);
@@ -75,15 +75,16 @@
         part.max(self.lease_expiry_bound(ExpiryMargin::Deadline)).min(latest)
     }
 
-    /// So long after a cancellation a lease that is not renewed any more has expired before the time allowed is over.
-    fn renewal_span(&self) -> Micros {
+    /// Returns the time after a cancellation from which leases are not renewed, so that they expire within the time
+    /// allowed for the cancellation.
+    fn renewal_stop_delay(&self) -> Micros {
         let agents = &self.platform.deployment.agents;
-        let span_s = agents.cancel_s - agents.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
-        Micros::from_secs_f64(span_s.max(0.0))
+        let delay_s = agents.cancel_s - agents.lease_s * MAX_CLOCK_DRIFT - ExpiryMargin::Deadline.seconds();
+        Micros::from_secs_f64(delay_s.max(0.0))
     }
 
-    /// Notes by when a cancelled job's tasks have to be proven gone. Counted from what the stored records say, so it holds
-    /// for a successor as well.
+    /// Records the deadlines of a cancelled job. They are computed from the stored time of the cancellation, so they
+    /// hold for a successor as well.
     pub(crate) fn note_cancellation_deadline(&mut self, id: &JobId) {
         let Some(end) = self.store.replica.outcomes.get(id).filter(|e| e.value.outcome == Outcome::Cancelled) else {
             return;
@@ -94,14 +95,14 @@
         let age = self.clock.wall.since(end.value.at);
         let min_delay = Micros::from_millis(self.policy.clear_contact_ms);
         let deadline = Deadline {
-            stop_renewals_at: self.now() + self.renewal_span().since(age),
+            stop_renewals_at: self.now() + self.renewal_stop_delay().since(age),
             delete_machines_at: self.now() + self.deletion_delay().since(age).max(min_delay),
         };
         self.fleet.cancellation_enforcement.deadlines.insert(id.clone(), deadline);
     }
 
-    /// Deletes the machines on which something of a cancelled job may run when its time is up. A machine that obeys a
-    /// successor is left to that one.
+    /// Deletes the machines that may have tasks of a cancelled job past its deadline. A machine whose agent accepts
+    /// commands under a successor's fencing token is left to the successor.
     pub(crate) fn enforce_cancellation_deadlines(&mut self) {
         let now = self.now();
         self.delete_records_of_deleted();
@@ -114,7 +115,7 @@
         enforcement.deletion_requested_at.retain(|_, at| now.since(*at) < DELETION_RETRY_INTERVAL);
         let mut due: Vec<(Micros, MachineId)> = due_at_by_machine
             .into_iter()
-            .filter(|(id, _)| self.fleet.machine(id).is_some_and(|machine| !machine.ownership.follows_later_token()))
+            .filter(|(id, _)| self.fleet.machine(id).is_some_and(|machine| !machine.ownership.accepts_later_token()))
             .filter(|(id, _)| self.fleet.cancellation_enforcement.needs_deletion(id))
             .map(|(id, due_at)| (due_at, id))
             .collect();
@@ -125,13 +126,14 @@
         }
     }
 
-    /// A job is kept even with nothing left for now: a late commit may still bring a start.
+    /// Removes the deadlines of jobs that are no longer known. A known job without attempts keeps its deadline, as a
+    /// late commit may still record a start.
     fn forget_finished_cancellations(&mut self) {
         let jobs = &self.jobs;
         self.fleet.cancellation_enforcement.deadlines.retain(|id, _| jobs.contains_key(id));
     }
 
-    /// Machines on which something of a cancelled job may run although its time is up, and since when.
+    /// Returns the machines that may have tasks of a cancelled job past its deadline, each with its earliest deadline.
     fn machines_past_deadline(&self) -> BTreeMap<MachineId, Micros> {
         let now = self.now();
         let mut due_at_by_machine: BTreeMap<MachineId, Micros> = BTreeMap::new();
@@ -149,7 +151,7 @@
         due_at_by_machine
     }
 
-    /// Has machines deleted, the first of which was due then.
+    /// Requests the deletion of machines. `first_due_at` is the earliest of their deadlines.
     fn request_deletion(&mut self, machines: Vec<MachineId>, first_due_at: Micros) {
         let now = self.now();
         let overdue = now.since(first_due_at);
@@ -164,7 +166,7 @@
         self.send_cloud_request(CloudRequest::DeleteForCancellation(machines));
     }
 
-    /// Whether something of a cancelled job may be on the machine although its time for renewals is over.
+    /// Returns whether a machine may have a task of a cancelled job for which leases are no longer renewed.
     pub(crate) fn has_overdue_cancellation(&self, id: &MachineId) -> bool {
         let enforcement = &self.fleet.cancellation_enforcement;
         let Some(placed) = self.jobs.usage().on_machine(id).filter(|_| !enforcement.deadlines.is_empty()) else {
@@ -172,24 +174,24 @@
         };
         let now = self.now();
         placed.attempts().any(|task| {
-            let is_overdue = enforcement.is_past_renewals(&task.job, now);
+            let is_overdue = enforcement.are_renewals_stopped(&task.job, now);
             is_overdue && self.jobs.attempt(task).is_some_and(TaskAttempt::may_be_on_machine)
         })
     }
 
-    /// Whether this controller has to see to it that a shard's cancelled tasks are gone: it holds the shard; or nobody
-    /// does, and as long as the store is away nobody can take it.
+    /// Returns whether this controller enforces the cancellations of a shard: it holds the shard, or no controller
+    /// holds it and none can acquire it as long as the store is unreachable.
     fn enforces_cancellations_of(&self, shard: u32) -> bool {
         let role = Role::Shard(shard);
         self.holds(role) || (!self.store.replica.roles.contains_key(&role) && !self.reaches_store())
     }
 
-    /// The cloud did not confirm a deletion. It is asked for again as long as it is due.
+    /// Logs that the cloud did not confirm a deletion. The deletion is requested again as long as it is due.
     pub(crate) fn cancellation_deletion_failed(&self, machines: &[MachineId]) {
         tracing::warn!(machines = machines.len(), first = ?machines.first(), "machine deletion not confirmed");
     }
 
-    /// The deletion of machines was confirmed: nothing is left on them, whether or not that can be recorded now.
+    /// Proves absent all attempts on machines whose deletion was confirmed, whether or not that can be recorded now.
     pub(crate) fn cancellation_deletion_confirmed(&mut self, ids: Vec<MachineId>) {
         let now = self.now();
         tracing::info!(machines = ids.len(), first = ?ids.first(), "machine deletion confirmed");
@@ -202,7 +204,8 @@
         }
     }
 
-    /// Takes machines deleted here out of the stored records, again if a change of their records came between.
+    /// Deletes the stored records of machines that were deleted here, and repeats that if another change of a record
+    /// came first.
     fn delete_records_of_deleted(&mut self) {
         let now = self.now();
         let recorded = &self.store.replica.machines;
--- a/src/coordination/fleet/direct_commands.rs
+++ b/src/coordination/fleet/direct_commands.rs
@@ -1,4 +1,4 @@
-//! Direct messages to agents: when one is sent, and what its outcome proves.
+//! Direct messages to agents: when they are sent, and what their outcomes prove.
 
 use crate::coordination::fleet::cordon::CordonCause;
 use crate::coordination::fleet::heartbeats::HeartbeatSource;
@@ -9,22 +9,22 @@
 use crate::types::{FencingToken, MachineId, Micros};
 use std::net::SocketAddr;
 
-/// Heartbeat intervals for which an agent that was seen is taken to be alive.
+/// Number of heartbeat intervals for which an agent is assumed to be alive after a sign of life.
 const ALIVE_HEARTBEAT_INTERVALS: f64 = 2.0;
 
 impl Controller {
-    /// For so long after a sign of life an agent is taken to be alive.
+    /// Returns the time for which an agent is assumed to be alive after a sign of life.
     pub(crate) fn alive_span(&self) -> Micros {
         Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * ALIVE_HEARTBEAT_INTERVALS)
     }
 
-    /// A direct message can wait a moment for the machine's next heartbeat.
+    /// Queues a direct message that can wait a short time for the machine's next heartbeat.
     pub(crate) fn queue_direct_message_soon(&mut self, id: &MachineId) {
         let at = self.now() + Micros::from_millis(self.policy.batch_push_ms);
         self.fleet.queue_direct_message_at(id, at);
     }
 
-    /// Sends what can't wait for the next heartbeat.
+    /// Sends the commands that can't wait for the next heartbeat.
     pub(crate) fn send_pending_direct_commands(&mut self) {
         let now = self.now();
         for id in self.fleet.direct_queue.take_ready(now) {
@@ -32,7 +32,7 @@
                 continue;
             };
             if machine.commands.is_in_flight() || self.fleet.direct_queue.is_full() {
-                // Once the message in flight is answered, or a socket is free.
+                // Retried at the next call, until the message in flight has an outcome and a socket is free.
                 self.fleet.direct_queue.push(&id);
                 continue;
             }
@@ -47,24 +47,24 @@
         let Some(machine) = self.fleet.machine_mut(id) else { return };
         machine.commands.clear_request();
         let (Some(fencing_token), Some(addr)) = (fencing_token, machine.addr) else { return };
-        // Nothing is sent to an agent that did not answer last time: it would only stay unacknowledged.
+        // An agent that did not answer the last message gets no commands: they would only remain unacknowledged.
         let is_alive = machine.contact.silence(now) < alive_span && !machine.contact.has_unanswered();
         let is_token_confirmed = machine.ownership.is_token_confirmed();
         let incarnation = machine.addressed_incarnation();
-        // Without a heartbeat under our fencing token an empty message makes the agent show it.
+        // If the agent has not shown our fencing token yet, an empty message makes it do so.
         let commands = if is_token_confirmed && is_alive { self.commands_for(id, None) } else { Vec::new() };
         if !is_token_confirmed || !commands.is_empty() {
             self.send_direct(id, addr, DirectCommands { fencing_token, incarnation, commands });
         }
     }
 
-    /// Sends an empty message to a machine, under our fencing token: its answer is a sign of life.
+    /// Sends an empty message to a machine under our fencing token. The answer is a sign of life.
     pub(super) fn send_probe(&mut self, id: &MachineId, fencing_token: FencingToken, addr: SocketAddr) {
         let Some(incarnation) = self.fleet.machine(id).map(Machine::addressed_incarnation) else { return };
         self.send_direct(id, addr, DirectCommands { fencing_token, incarnation, commands: Vec::new() });
     }
 
-    /// Sends an empty message that changes nothing at the agent, as the fencing token 0 is older than any.
+    /// Sends an empty message that changes nothing at the agent, as fencing token 0 is older than any other.
     pub(super) fn send_unfenced_probe(&mut self, id: &MachineId, addr: SocketAddr) {
         let commands = DirectCommands { fencing_token: FencingToken(0), incarnation: 0, commands: Vec::new() };
         self.send_direct(id, addr, commands);
@@ -78,7 +78,7 @@
         self.out.push(Effect::DirectCommands { machine: id.clone(), addr, commands });
     }
 
-    /// Takes in what became of a direct message.
+    /// Handles the outcome of a direct message.
     pub(crate) fn direct_commands_outcome(&mut self, id: &MachineId, outcome: DirectCommandsOutcome) {
         self.fleet.direct_queue.closed();
         let now = self.now();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// An agent has answered a direct message.
+    /// Handles an agent's answer to a direct message.
     fn direct_answer(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let now = self.now();
         let is_recorded = self.store.replica.machines.contains_key(id);
@@ -124,8 +124,9 @@
 
     fn accept_direct_answer(&mut self, id: &MachineId, heartbeat: &Heartbeat) {
         let Some(machine) = self.fleet.machine(id) else { return };
-        // It answered what was sent after its newest message, and yet shows a smaller number: its agent lost its state, and
-        // what was on it is gone. Incarnations can't tell, a deletion can.
+        // The agent answered a message that was sent after its newest one, yet the answer has no higher number: the
+        // agent lost its state, and its tasks are gone. Its incarnation can't prove that, but a deletion of the machine
+        // can.
         if machine.commands.precedes_last_message(MessagePosition::from(heartbeat)) {
             tracing::warn!(machine = %id, "agent lost its incarnation");
             self.cordon(id, CordonReason::ForceDelete, CordonCause::IncarnationLost);
--- a/src/coordination/fleet/draining.rs
+++ b/src/coordination/fleet/draining.rs
@@ -1,5 +1,5 @@
-//! Machines that tasks have to leave: those to be returned, those to move to another shard, and those about to be taken
-//! back.
+//! Draining: stops tasks on machines that are to be returned, that are to move to another shard, or that the cloud is
+//! about to reclaim.
 
 use crate::coordination::Controller;
 use crate::protocol::user::JobKind;
@@ -7,7 +7,7 @@
 use crate::types::MachineId;
 
 impl Controller {
-    /// A machine to be returned is emptied first.
+    /// Drains machines that are to be returned.
     pub(super) fn drain_retired(&mut self, own_machines: &[MachineId]) {
         for id in own_machines {
             if self.cordon_reason(id) == Some(CordonReason::Retire) {
@@ -16,7 +16,8 @@
         }
     }
 
-    /// Services leave a machine with a termination notice while there is time; other work runs on, it may finish.
+    /// Stops services on machines with a termination notice while there is time. Other tasks continue, as they may
+    /// finish.
     pub(super) fn drain_services_before_termination(&mut self, own_machines: &[MachineId]) {
         for id in own_machines {
             if self.fleet.machine(id).is_some_and(|machine| machine.has_termination_notice) {
@@ -25,18 +26,18 @@
         }
     }
 
-    /// Everything leaves a machine.
+    /// Stops all tasks on a machine.
     pub(super) fn drain(&mut self, id: &MachineId) {
         self.stop_tasks(id, |_| true);
     }
 
-    /// Stops the tasks of those kinds of jobs on a machine, with time for a checkpoint where they save one.
-    fn stop_tasks(&mut self, id: &MachineId, is_to_stop: impl Fn(JobKind) -> bool) {
+    /// Stops the tasks of some kinds of jobs on a machine, with a grace period for those that save a checkpoint.
+    fn stop_tasks(&mut self, id: &MachineId, matches_kind: impl Fn(JobKind) -> bool) {
         let max_grace_s = self.policy.stop_grace_s;
         let mut has_stopped = false;
         for task in self.jobs.usage().attempts_on(id) {
             let Some(job) = self.jobs.get_mut(&task.job) else { continue };
-            if !is_to_stop(job.spec.kind) {
+            if !matches_kind(job.spec.kind) {
                 continue;
             }
             let grace_s = job.stop_grace_s(max_grace_s);
--- a/src/coordination/fleet/failure_detection/mod.rs
+++ b/src/coordination/fleet/failure_detection/mod.rs
@@ -1,8 +1,9 @@
-//! Which machines have failed: leases that have expired, probes, and the decision to replace a machine.
+//! Detection of failed machines: expired leases, probes, and the decision to replace a machine.
 //!
 //! A machine is replaced when it is silent ([`silent_machines`]), when it receives nothing though its heartbeats arrive
 //! ([`unreachable_machines`]), or when its heartbeats don't arrive though it answers ([`missing_heartbeats`]). Each of
-//! these first rules out that many fail together: then this controller, its network or a zone is at fault.
+//! these checks first rules out that many machines fail together, as then this controller, its network or a zone is at
+//! fault.
 
 pub(super) mod correlated_failures;
 mod lease_expiry;
--- a/src/coordination/fleet/failure_detection/probes.rs
+++ b/src/coordination/fleet/failure_detection/probes.rs
@@ -6,37 +6,38 @@
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that are probed at a time to learn whether it is this controller that has lost contact.
+/// Number of machines that are probed at a time to learn whether this controller itself has lost contact.
 const CONTACT_SAMPLE: usize = 6;
 
-/// How often it is logged that probes are held back.
+/// Minimum interval between log lines on probes that are held back.
 const PROBE_LOG_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// Machines of a zone that are probed in each check while one of the zone fails to answer.
-const WIDENED_PROBES: usize = 3;
+/// Number of further machines of a zone that are probed in each check while one of the zone fails to answer.
+const EXTRA_PROBES_PER_ZONE: usize = 3;
 
-/// A machine to be probed; the lesser goes first.
+/// A machine to be probed. Machines are probed in ascending order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueProbe<'a> {
-    /// Nothing speaks against the machine.
+    /// Whether the machine shows no sign of a fault.
     is_routine: bool,
-    /// When it was last seen or probed, less the head start of a machine with services. Not when it was last seen: in a
-    /// zone that is cut off, those seen last would come after all that fail again and again, and never have their turn
+    /// Time when the machine was last seen or probed, less the head start of a machine with services. If only the time
+    /// when it was last seen counted, the machines of a cut-off zone that were seen last would come after all that fail
+    /// repeatedly, and would never be probed
     /// (`zone_cuts::every_machine_of_a_lost_zone_is_probed_and_evacuated_though_sockets_are_few`).
-    attended_at: Micros,
+    last_seen_or_probed_at: Micros,
     machine: &'a MachineId,
 }
 
-/// What a check of one machine says about probing it.
+/// Whether and why a machine has to be probed.
 enum ProbeNeed {
     None,
-    /// It is merely silent for a while.
+    /// It has been silent for a while, without any other sign of a fault.
     Routine,
-    /// It didn't answer, or its heartbeat is late.
+    /// It did not answer a message, or its heartbeat is late.
     Suspect,
 }
 
-/// How long a machine may be silent.
+/// Times of silence after which a machine is probed.
 struct ProbeThresholds {
     routine: Micros,
     suspect: Micros,
@@ -59,10 +60,10 @@
 }
 
 impl Controller {
-    /// Probes machines that didn't answer or whose heartbeat is late, and between their heartbeats those with services,
-    /// whose loss is felt at once. The latter only as far as the rate of probes allows: a controller that holds all shards
-    /// would do little else. Those seen or probed longest ago go first, so that each has its turn, however many fail to
-    /// answer.
+    /// Probes machines that did not answer or whose heartbeat is late, and between their heartbeats machines with
+    /// services, whose loss has an immediate effect. The latter are limited by the rate of probes, as a controller that
+    /// holds all shards would do little else. Machines that were seen or probed longest ago go first, so that each is
+    /// probed, however many fail to answer.
     pub(in crate::coordination::fleet) fn probe(&mut self, own_machines: &[MachineId]) {
         let due = self.due_probes(own_machines);
         let now = self.now();
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Probes are due for which no socket is left.
+    /// Logs, at a limited rate, the due probes for which no socket is left.
     fn log_probes_held_back(&mut self, held_back: &[DueProbe]) {
         let now = self.now();
         if now < self.fleet.next_probe_log_at {
@@ -112,17 +113,17 @@
         ProbeThresholds { routine, suspect: self.suspicious_silence() }
     }
 
-    /// A machine that gave no sign of life for so long is probed, whatever it runs.
+    /// Returns the time without a sign of life after which a machine is probed, whatever it runs.
     pub(super) fn suspicious_silence(&self) -> Micros {
         let late = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * self.policy.report_late_part);
         late.max(Micros::from_millis(self.policy.probe_after_ms))
     }
 
-    /// Machines to be probed, in that order.
+    /// Returns the machines to be probed, in the order of their probes.
     fn due_probes<'a>(&self, own_machines: &'a [MachineId]) -> Vec<DueProbe<'a>> {
         let now = self.now();
         let thresholds = self.probe_thresholds();
-        // More than the last heartbeats of machines cut off together are apart.
+        // Longer than the time between the last heartbeats of machines that are cut off together.
         let service_head_start = self.alive_span();
         let mut due: Vec<DueProbe> = Vec::new();
         let mut without_services: BTreeMap<&str, Vec<DueProbe>> = BTreeMap::new();
@@ -142,8 +143,8 @@
             };
             let runs_service = self.jobs.usage().runs_service_on(id);
             let head_start = if runs_service { service_head_start } else { Micros::ZERO };
-            let attended_at = machine.contact.last_attended_at() - head_start;
-            let probe = DueProbe { is_routine, attended_at, machine: id };
+            let last_seen_or_probed_at = machine.contact.last_seen_or_probed_at() - head_start;
+            let probe = DueProbe { is_routine, last_seen_or_probed_at, machine: id };
             if !is_routine || runs_service {
                 due.push(probe);
             } else {
@@ -151,23 +152,23 @@
             }
         }
         for zone in suspected_zones {
-            self.widen_search(zone, without_services.remove(zone).unwrap_or_default(), &mut due);
+            self.add_zone_probes(zone, without_services.remove(zone).unwrap_or_default(), &mut due);
         }
         due.sort_unstable();
         due
     }
 
-    /// Where one machine fails to answer, a few others of its zone are probed at once, whatever they run: whether one is
-    /// lost or all are cut off must show before anything is decided.
-    fn widen_search<'a>(&self, zone: &str, mut others: Vec<DueProbe<'a>>, due: &mut Vec<DueProbe<'a>>) {
+    /// Adds probes of a few other machines, whatever they run, in a zone where one machine fails to answer: before any
+    /// decision it has to be known whether one machine is lost or all are cut off.
+    fn add_zone_probes<'a>(&self, zone: &str, mut others: Vec<DueProbe<'a>>, due: &mut Vec<DueProbe<'a>>) {
         others.sort_unstable();
-        due.extend(others.into_iter().take(WIDENED_PROBES).map(|probe| DueProbe { is_routine: false, ..probe }));
+        due.extend(others.into_iter().take(EXTRA_PROBES_PER_ZONE).map(|probe| DueProbe { is_routine: false, ..probe }));
         let in_zone = |id: &MachineId| self.store.replica.machines.get(id).is_some_and(|m| m.value.zone == zone);
         let routine = due.iter_mut().filter(|probe| probe.is_routine && in_zone(probe.machine));
-        routine.take(WIDENED_PROBES).for_each(|probe| probe.is_routine = false);
+        routine.take(EXTRA_PROBES_PER_ZONE).for_each(|probe| probe.is_routine = false);
     }
 
-    /// Probes a machine that is not in the stored records: only a living one may be registered.
+    /// Probes a machine that is not in the stored records, as only a machine that answers may be registered.
     pub(in crate::coordination::fleet) fn probe_unregistered(&mut self, id: &MachineId, addr: Option<&str>) {
         let Some(addr) = addr.and_then(|addr| addr.parse().ok()) else { return };
         let now = self.now();
@@ -182,12 +183,13 @@
         self.send_unfenced_probe(id, addr);
     }
 
-    /// Probes a few machines, of shards that are not held here if there are any.
+    /// Probes a few machines, of shards that are not held here if there are any, to learn whether this controller has
+    /// contact.
     pub(crate) fn probe_sample(&mut self) {
         let machines = &self.store.replica.machines;
-        let is_ours = |shard: u32| self.holds(Role::Shard(shard));
+        let is_held = |shard: u32| self.holds(Role::Shard(shard));
         let mut ids: Vec<&MachineId> =
-            machines.iter().filter(|(_, m)| !is_ours(m.value.shard)).map(|(id, _)| id).collect();
+            machines.iter().filter(|(_, m)| !is_held(m.value.shard)).map(|(id, _)| id).collect();
         if ids.is_empty() {
             ids = machines.keys().collect();
         }
--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -10,45 +10,46 @@
 use std::borrow::Cow;
 use std::collections::BTreeMap;
 
-/// With fewer silent machines in a zone nothing is concluded about the zone.
+/// Minimum number of silent machines in a zone for a conclusion about the zone.
 const MIN_SILENT_IN_ZONE: usize = 3;
-/// With fewer others to compare with, a machine's silence has to last longer.
+/// Number of other machines to compare with below which a machine's silence has to last longer.
 const MIN_COMPARED: usize = 2;
-/// So many times longer.
-const UNCOMPARED_PATIENCE: u64 = 3;
+/// Factor by which the silence has to last longer in that case.
+const UNCOMPARED_SILENCE_FACTOR: u64 = 3;
 
-/// Machines at a moment, as far as something can be said about them.
+/// Numbers of silent and seen machines at some time. A machine about which nothing is known counts in neither.
 #[derive(Clone, Copy)]
 struct SilenceCounts {
-    /// Failed to answer, and were not seen since.
+    /// Machines that failed to answer and have not been seen since.
     silent: usize,
-    /// Were seen since.
+    /// Machines that have been seen since.
     seen: usize,
 }
 
 impl SilenceCounts {
-    /// How many a machine that is itself silent can be compared with.
+    /// Returns the number of machines with which a silent machine can be compared.
     fn compared_count(self) -> usize {
         (self.silent + self.seen).saturating_sub(1)
     }
 
-    /// In a small shard one other may well be lost too, but if none at all was seen the fault is ours.
+    /// Returns whether more machines are silent than independent failures explain. In a small shard one other machine
+    /// may well be lost too, but if none at all was seen the fault is ours.
     fn are_many_silent(self, max_part: f64) -> bool {
-        // The one that is judged is itself among the silent.
+        // The evaluated machine is itself among the silent ones.
         let others_silent = self.silent.saturating_sub(1) as f64;
         let compared = self.compared_count();
         others_silent > (compared as f64 * max_part).max(1.0) || (compared >= MIN_COMPARED && self.seen == 0)
     }
 
-    /// Most of a zone and hardly anything else: the zone is cut off, its machines work on.
+    /// Returns whether most machines of a zone are silent: then the zone is cut off and its machines continue to work.
     fn is_zone_cut_off(self, max_part: f64) -> bool {
         self.silent >= MIN_SILENT_IN_ZONE && self.silent as f64 > (self.silent + self.seen) as f64 * max_part
     }
 }
 
-/// When machines were last seen: those that failed to answer since, and all. Those that were not probed since and whose
-/// heartbeat isn't due tell nothing. Sorted once: with hundreds silent a walk over all for each would take all the time
-/// of a check.
+/// Times when machines were last seen, separately for those that have failed to answer since and for the others.
+/// Machines that have not been probed since and whose heartbeat is not due say nothing. The times are sorted once: with
+/// hundreds of silent machines, an iteration over all machines for each of them would take the whole time of a check.
 struct LastSeenTimes {
     failing: Vec<Micros>,
     answering: Vec<Micros>,
@@ -58,7 +59,7 @@
     fn of<'a>(machines: impl Iterator<Item = &'a Machine>) -> LastSeenTimes {
         let (mut failing, mut answering) = (Vec::new(), Vec::new());
         for machine in machines {
-            // Those of a shard just taken were not seen yet, though their silence counts from then.
+            // Machines of a shard that was just acquired have not been seen yet, though their silence counts from then.
             let is_confirmed = machine.ownership.is_token_confirmed();
             let last_seen_at = if is_confirmed { machine.contact.last_seen_at() } else { Micros::ZERO };
             if machine.contact.failed_probe_count() > 0 {
@@ -72,14 +73,16 @@
         LastSeenTimes { failing, answering }
     }
 
-    /// Who has been silent since a moment, and who was seen after it, whatever they do now.
+    /// Counts the machines that have been silent since `moment`, and those that were seen after it, whether or not they
+    /// are silent now.
     fn since(&self, moment: Micros) -> SilenceCounts {
         let silent = count_until(&self.failing, moment);
         let seen = self.failing.len() - silent + self.answering_since(moment);
         SilenceCounts { silent, seen }
     }
 
-    /// Who is silent now, whenever it was last seen, and who was seen after a moment and is not.
+    /// Counts the machines that are silent now, whenever they were last seen, and those that were seen after `moment`
+    /// and are not silent now.
     fn at_present(&self, moment: Micros) -> SilenceCounts {
         SilenceCounts { silent: self.failing.len(), seen: self.answering_since(moment) }
     }
@@ -89,25 +92,26 @@
     }
 }
 
-/// How many of these sorted times are no later than a moment.
+/// Returns how many of the sorted times are not later than `moment`.
 fn count_until(times: &[Micros], moment: Micros) -> usize {
     times.partition_point(|at| *at <= moment)
 }
 
-/// What a machine's silence is taken to say.
+/// Conclusion from the silence of a machine.
 #[derive(PartialEq)]
-enum Verdict {
-    /// It alone has failed: it is replaced.
+enum SilenceFinding {
+    /// This machine alone has failed and is replaced.
     Failed(MachineId),
-    /// Its whole zone is cut off.
+    /// The machine's whole zone is cut off.
     ZoneCutOff(String),
-    /// So many are silent that the fault is taken to be our own network.
+    /// So many machines are silent that our own network is assumed to be at fault.
     ManySilent,
     Undecided,
 }
 
 impl Fleet {
-    /// Machines that have been silent for so long, with that many failed probes.
+    /// Returns the machines that have been silent for at least `min_silence` and failed at least `min_failed_probes`
+    /// probes.
     fn silent_machines(
         &self,
         own_machines: &[MachineId],
@@ -121,18 +125,19 @@
         own_machines.iter().filter(|id| self.machine(id).is_some_and(is_silent)).cloned().collect()
     }
 
-    /// With hardly any other to compare with, more patience. And when a partition ends, its machines are seen again one by
-    /// one, and the last need a while.
+    /// Returns whether a silent machine may still be seen again. With hardly any other machine to compare with, its
+    /// silence has to last longer. When a partition ends, its machines are seen again one by one, which takes a while
+    /// for the last.
     fn may_recover(&self, zone: &str, counts: SilenceCounts, silence: Micros, now: Micros, after: Micros) -> bool {
-        let patience = Micros(after.0 * UNCOMPARED_PATIENCE);
-        let is_uncompared = counts.compared_count() < MIN_COMPARED && silence < patience;
+        let min_silence = Micros(after.0 * UNCOMPARED_SILENCE_FACTOR);
+        let is_uncompared = counts.compared_count() < MIN_COMPARED && silence < min_silence;
         is_uncompared || self.correlated_failures.was_zone_cut_off(zone, now, after)
     }
 }
 
 impl Controller {
-    /// A single machine that is silent is deleted, which proves its tasks gone sooner than the expiry of its lease would.
-    /// If many are silent the fault is ours or a partition's, and they may come back.
+    /// Deletes single machines that are silent, which proves their tasks absent sooner than the expiry of their leases
+    /// would. If many machines are silent, the fault is ours or a partition's, and the machines may come back.
     pub(in crate::coordination::fleet) fn replace_silent(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let after = Micros::from_millis(self.policy.replace_after_ms);
@@ -140,25 +145,25 @@
         if silent.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, after) {
             return;
         }
-        let verdicts = self.judge_silence(own_machines, silent, after);
-        for verdict in &verdicts {
-            if let Verdict::ZoneCutOff(zone) = verdict {
-                self.fleet.correlated_failures.zone_cut_off(zone.clone(), now);
+        let findings = self.evaluate_silence(own_machines, silent, after);
+        for finding in &findings {
+            if let SilenceFinding::ZoneCutOff(zone) = finding {
+                self.fleet.correlated_failures.record_zone_cut_off(zone.clone(), now);
             }
         }
-        if verdicts.contains(&Verdict::ManySilent) {
-            self.fleet.correlated_failures.many_unreachable(now);
+        if findings.contains(&SilenceFinding::ManySilent) {
+            self.fleet.correlated_failures.record_many_unreachable(now);
             return;
         }
-        for verdict in verdicts {
-            if let Verdict::Failed(id) = verdict {
+        for finding in findings {
+            if let SilenceFinding::Failed(id) = finding {
                 self.cordon(&id, CordonReason::ForceDelete, CordonCause::Silent);
             }
         }
     }
 
-    /// Not seen since we took the shard, for longer than a lease: nothing but a deletion can prove their tasks gone,
-    /// however many are silent.
+    /// Deletes machines that have not been seen since we acquired the shard, for longer than a lease. However many are
+    /// silent, nothing but a deletion can prove their tasks absent.
     pub(in crate::coordination::fleet) fn replace_never_seen(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let after = Micros::from_millis(self.policy.replace_after_ms);
@@ -170,8 +175,8 @@
         }
     }
 
-    /// Machines that are judged one by one and compared with each other. A lost zone is judged as a whole: while it is away,
-    /// its silence would hide that of a single machine elsewhere
+    /// Returns the machines that are evaluated individually and compared with each other. A lost zone is evaluated as a
+    /// whole: as long as it is lost, its silence would hide that of a single machine elsewhere
     /// (`zone_cuts::a_machine_that_hangs_elsewhere_while_a_zone_is_away_is_replaced`).
     pub(in crate::coordination::fleet) fn machines_outside_lost_zones<'a>(
         &self,
@@ -184,40 +189,45 @@
         own_machines.iter().filter(is_outside).cloned().collect()
     }
 
-    /// What the silence of each machine says, compared with the shard's others and those of its zone.
-    fn judge_silence(&self, own_machines: &[MachineId], silent: Vec<MachineId>, after: Micros) -> Vec<Verdict> {
+    /// Evaluates the silence of each machine by comparing it with the other machines of the shard and of its zone.
+    fn evaluate_silence(
+        &self,
+        own_machines: &[MachineId],
+        silent: Vec<MachineId>,
+        after: Micros,
+    ) -> Vec<SilenceFinding> {
         let now = self.now();
-        // Machines fall silent one by one even if all are cut off at once, as each was last seen at a moment of its own.
+        // Machines fall silent one by one even if all are cut off at once, as each was last seen at a different time.
         // So the others must have been seen well after this one fell silent.
         let gap = Micros::from_millis(self.policy.probe_after_ms + self.policy.probe_ms);
         let shard_times = LastSeenTimes::of(own_machines.iter().filter_map(|id| self.fleet.machine(id)));
         let mut zone_times: BTreeMap<&str, LastSeenTimes> = BTreeMap::new();
-        let mut verdicts = Vec::new();
+        let mut findings = Vec::new();
         for id in silent {
             let Some(last_seen_at) = self.fleet.machine(&id).map(|m| m.contact.last_seen_at()) else { continue };
             let Some(zone) = self.zone_of(&id) else { continue };
             let in_zone = zone_times.entry(zone).or_insert_with(|| self.last_seen_times_in(zone, own_machines));
             let moment = last_seen_at + gap;
             let in_shard = shard_times.since(moment);
-            verdicts.push(if in_shard.are_many_silent(self.policy.replace_max_part) {
-                Verdict::ManySilent
-            // Others of the zone that were seen after this one and are silent now do not show the zone to be well: they were
-            // seen later before the cut, or a heartbeat of theirs came late
+            findings.push(if in_shard.are_many_silent(self.policy.replace_max_part) {
+                SilenceFinding::ManySilent
+            // Other machines of the zone that were seen after this one and are silent now don't prove that the zone is
+            // reachable: they were seen later before the cut, or one of their heartbeats arrived late
             // (`zone_cuts::late_heartbeats_of_others_do_not_make_a_machine_look_lost_alone`).
             } else if in_zone.at_present(moment).is_zone_cut_off(self.policy.zone_max_part) {
-                Verdict::ZoneCutOff(zone.to_string())
+                SilenceFinding::ZoneCutOff(zone.to_string())
             } else if self.fleet.may_recover(zone, in_shard, now.since(last_seen_at), now, after)
                 || self.is_zone_being_judged(zone)
             {
-                Verdict::Undecided
+                SilenceFinding::Undecided
             } else {
-                Verdict::Failed(id)
+                SilenceFinding::Failed(id)
             });
         }
-        verdicts
+        findings
     }
 
-    /// Whether most of a machine's zone was silent within that span.
+    /// Returns whether most machines of a machine's zone were silent together within the last `span`.
     pub(super) fn is_in_zone_cut_off(&self, id: &MachineId, span: Micros) -> bool {
         let is_cut_off = |zone| self.fleet.correlated_failures.was_zone_cut_off(zone, self.now(), span);
         self.zone_of(id).is_some_and(is_cut_off)
--- a/src/coordination/fleet/failure_detection/unreachable_machines.rs
+++ b/src/coordination/fleet/failure_detection/unreachable_machines.rs
@@ -7,28 +7,29 @@
 use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 
-/// In a small shard so many machines may fail independently.
+/// Number of machines of a small shard that may fail independently.
 const MAX_INDEPENDENT_FAILURES: f64 = 2.0;
-/// In a small shard so many are replaced at once.
+/// Number of machines of a small shard that may be replaced at once.
 const MAX_REPLACED_AT_ONCE: f64 = 1.0;
 
-/// Machines by whether they answer direct messages.
+/// Numbers of machines by whether they answer direct messages.
 struct Reachability {
     unreachable_count: usize,
-    /// Machines of which it can be said, the unreachable ones among them.
+    /// Machines whose reachability is known, including the unreachable ones.
     known_count: usize,
 }
 
 impl Reachability {
-    /// Whether more than so large a part of the machines is unreachable, and more than that number.
+    /// Returns whether the unreachable machines are more than `max_part` of the known ones, and more than `max_count`.
     fn exceeds(&self, max_part: f64, max_count: f64) -> bool {
         self.unreachable_count as f64 > (self.known_count as f64 * max_part).max(max_count)
     }
 }
 
 impl Fleet {
-    /// How many machines fail to answer, and of how many that can be said: of those that received something since the first
-    /// of them fell silent, too. The rest were sent nothing.
+    /// Counts the machines that fail to answer, and those whose reachability is known. These are the former and the
+    /// machines that received something after the first of the former stopped answering. The rest were sent nothing
+    /// since.
     fn reachability(&self, own_machines: &[MachineId]) -> Reachability {
         let machines = || own_machines.iter().filter_map(|id| self.machine(id));
         let unreachable = || machines().filter(|machine| machine.contact.is_suspected_unreachable());
@@ -42,7 +43,8 @@
         Reachability { unreachable_count, known_count: unreachable_count + machines().filter(is_reached).count() }
     }
 
-    /// Machines that receive nothing for so long, by that many unanswered messages.
+    /// Returns the machines that have received nothing for at least `min_span`, by at least `min_unanswered_count`
+    /// unanswered messages.
     fn unreachable_machines(
         &self,
         own_machines: &[MachineId],
@@ -56,17 +58,19 @@
 }
 
 impl Controller {
-    /// Machines that can send but not receive look alive in turns, and when such a time ends they answer again one by one.
-    /// While many fail to answer, and a while after, none is judged by that.
+    /// Records whether many machines fail to answer. While they do, and for a while afterwards, no machine is replaced
+    /// for that reason: machines that can send but not receive look alive by turns, and answer again one by one when
+    /// the failure ends.
     pub(in crate::coordination::fleet) fn note_many_unreachable(&mut self, own_machines: &[MachineId]) {
         if self.fleet.reachability(own_machines).exceeds(self.policy.replace_max_part, MAX_INDEPENDENT_FAILURES) {
             let now = self.now();
-            self.fleet.correlated_failures.many_unreachable(now);
+            self.fleet.correlated_failures.record_many_unreachable(now);
         }
     }
 
-    /// A machine whose heartbeats arrive though nothing reaches it: its lease expires again and again, and whatever it is
-    /// given is lost. Replaced like a silent one, unless many are so at once: then the fault is our own network.
+    /// Replaces machines whose heartbeats arrive though nothing reaches them: their leases expire repeatedly, and all
+    /// work that they are given is lost. If many machines are affected at once, our own network is at fault and none is
+    /// replaced.
     pub(in crate::coordination::fleet) fn replace_unreachable(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let span = Micros::from_millis(self.policy.unreachable_after_ms);
@@ -74,15 +78,15 @@
         if unreachable.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, span) {
             return;
         }
-        // Some fall silent a little later than others: those on their way there count as well, and at least one other must
-        // have received something.
+        // Some stop answering a little later than others, so machines that are only suspected count as well, and at
+        // least one other machine must have received something.
         let reachability = self.fleet.reachability(own_machines);
         let none_is_reached = reachability.known_count == reachability.unreachable_count;
         if none_is_reached || reachability.exceeds(self.policy.replace_max_part, MAX_REPLACED_AT_ONCE) {
             return;
         }
         for id in &unreachable {
-            // One heartbeat that was held up on its way makes a machine that is cut off look as if it could send
+            // A single heartbeat that was delayed in transit makes a machine that is cut off look as if it could send
             // (`zone_cuts::a_late_heartbeat_does_not_make_a_machine_that_is_cut_off_unreachable`).
             if self.is_in_zone_cut_off(id, span) {
                 continue;
--- a/src/coordination/fleet/faulty_machines.rs
+++ b/src/coordination/fleet/faulty_machines.rs
@@ -7,13 +7,13 @@
 use crate::storage::schema::{CordonReason, Outcome};
 use crate::types::{JobId, MachineId};
 
-/// A job that failed so often on one machine, and on no other, was tried there again after a pause.
+/// Number of failures on one machine, and on no other, that shows a job to have been retried there after a pause.
 const RETRIED_FAILURE_COUNT: u32 = 2;
-/// So many times the failures that would do for different jobs speak against a machine if they are of one job.
+/// Failures of a single job count against a machine only above this multiple of `faulty_after`.
 const SINGLE_JOB_FACTOR: u32 = 2;
 
 impl Controller {
-    /// Tasks of different jobs that fail on one machine and succeed elsewhere speak against the machine.
+    /// Cordons machines that appear to be at fault for the tasks that failed there.
     pub(super) fn cordon_faulty(&mut self, own_machines: &[MachineId]) {
         for id in own_machines {
             let Some(machine) = self.fleet.machine(id).filter(|machine| !machine.task_failures.is_empty()) else {
@@ -30,27 +30,31 @@
     }
 
     fn is_faulty(&self, id: &MachineId, failures: &TaskFailures) -> bool {
-        self.fails_proven_jobs(id, failures)
-            || self.fails_only_gang_here(id, failures)
+        self.fails_jobs_that_succeed_elsewhere(id, failures)
+            || self.fails_gang_alone(id, failures)
             || self.fails_retried_jobs(id, failures)
     }
 
-    /// Jobs fail there that succeed elsewhere: several, or a single one again and again that fails on no other machine.
-    fn fails_proven_jobs(&self, id: &MachineId, failures: &TaskFailures) -> bool {
-        let proven = || failures.iter().filter(|(job, failures)| self.succeeds_elsewhere(id, job, failures));
+    /// Returns whether jobs fail on a machine that succeed elsewhere: several jobs, or a single one that fails
+    /// repeatedly and on no other machine.
+    fn fails_jobs_that_succeed_elsewhere(&self, id: &MachineId, failures: &TaskFailures) -> bool {
+        let succeeding = || failures.iter().filter(|(job, failures)| self.succeeds_elsewhere(id, job, failures));
         let fails_elsewhere =
             |job: &JobId| self.fleet.machines().any(|(other, m)| other != id && m.task_failures.contains(job));
-        proven().count() >= self.policy.faulty_after as usize
-            || proven().any(|(job, failures)| failures.count > self.max_failures_of_one_job() && !fails_elsewhere(job))
+        succeeding().count() >= self.policy.faulty_after as usize
+            || succeeding()
+                .any(|(job, failures)| failures.count > self.max_failures_of_one_job() && !fails_elsewhere(job))
     }
 
-    /// A gang that can't do without this machine never gets further. Its other tasks fail nowhere else.
-    fn fails_only_gang_here(&self, id: &MachineId, failures: &TaskFailures) -> bool {
-        let is_often_alone = |failures: &JobFailures| failures.alone_in_gang_count > self.max_failures_of_one_job();
-        failures.iter().any(|(job, failures)| is_often_alone(failures) && self.fails_only_on(job, id))
+    /// Returns whether a gang fails repeatedly, and only by its tasks on this machine. A gang that can't be placed
+    /// without the machine never succeeds elsewhere.
+    fn fails_gang_alone(&self, id: &MachineId, failures: &TaskFailures) -> bool {
+        let is_repeatedly_alone =
+            |failures: &JobFailures| failures.alone_in_gang_count > self.max_failures_of_one_job();
+        failures.iter().any(|(job, failures)| is_repeatedly_alone(failures) && self.fails_only_on(job, id))
     }
 
-    /// Several jobs were tried here again, as they can't run anywhere else, and failed again.
+    /// Returns whether several jobs that can't run elsewhere were retried on this machine and failed again.
     fn fails_retried_jobs(&self, id: &MachineId, failures: &TaskFailures) -> bool {
         let is_retried = |failures: &JobFailures| failures.count >= RETRIED_FAILURE_COUNT;
         let retried = failures.iter().filter(|(job, failures)| is_retried(failures) && self.fails_only_on(job, id));
@@ -65,8 +69,8 @@
         self.jobs.get(job).is_some_and(|job| job.failures.has_failed_only_on(id))
     }
 
-    /// Whether a job that failed on a machine is not itself at fault: the same task is done by now, or has run for longer
-    /// on another machine than any that failed.
+    /// Returns whether a job that failed on a machine is not itself at fault: the same task is done by now, or has run
+    /// for longer on another machine than any attempt that failed.
     fn succeeds_elsewhere(&self, id: &MachineId, job_id: &JobId, failures: &JobFailures) -> bool {
         let Some(job) = self.jobs.get(job_id) else {
             return self.store.replica.outcomes.get(job_id).is_some_and(|end| end.value.outcome == Outcome::Done);
--- a/src/coordination/fleet/fleet_checks.rs
+++ b/src/coordination/fleet/fleet_checks.rs
@@ -1,4 +1,4 @@
-//! The checks of all machines of the shards held here, in the order in which they build on each other.
+//! Checks of all machines of the shards held here, in the order in which they depend on each other.
 
 use crate::coordination::{AgentAnswer, Controller, Effect};
 use crate::storage::schema::Role;
@@ -6,11 +6,12 @@
 
 /// Interval between checks of all machines.
 const CHECK_INTERVAL: Micros = Micros::from_millis(100);
-/// So long a heartbeat waits for its machine's registration; then the agent had better try again.
+/// Maximum time for which a heartbeat waits for its machine's registration. After that the agent has to retry.
 const MAX_REGISTRATION_WAIT: Micros = Micros::from_millis(1000);
 
 impl Controller {
-    /// Checks all machines of the shards held here, if it is time.
+    /// Refuses heartbeats that waited too long for a registration, and checks all machines of the shards held here if a
+    /// check is due.
     pub(crate) fn tick_machines(&mut self) {
         let now = self.now();
         self.refuse_late_registrations();
@@ -41,8 +42,8 @@
 
     fn machines_of_held_shards(&self) -> Vec<MachineId> {
         let machines = self.store.replica.machines.iter();
-        let is_ours = |shard: u32| self.holds(Role::Shard(shard));
-        machines.filter(|(_, record)| is_ours(record.value.shard)).map(|(id, _)| id.clone()).collect()
+        let is_held = |shard: u32| self.holds(Role::Shard(shard));
+        machines.filter(|(_, record)| is_held(record.value.shard)).map(|(id, _)| id.clone()).collect()
     }
 
     fn refuse_late_registrations(&mut self) {
--- a/src/coordination/fleet/heartbeats.rs
+++ b/src/coordination/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of agents: which are new, what they prove of the machine, and what is answered.
+//! Heartbeats of agents: which are new, what they prove about the machine, and how they are answered.
 
 use crate::coordination::fleet::UnregisteredHeartbeat;
 use crate::coordination::fleet::machine::TokenEvidence;
@@ -7,17 +7,18 @@
 use crate::storage::schema::Role;
 use crate::types::{FencingToken, MachineId};
 
-/// How an agent's account of itself came.
+/// How a message with an agent's state arrived.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
-    /// As a heartbeat, which the agent sends only after it is through with the answer to the one before.
+    /// As a heartbeat, which the agent sends only after it has processed the answer to the previous one.
     Heartbeat,
     /// As the answer to a direct message.
     DirectAnswer,
 }
 
 impl Controller {
-    /// Answers a heartbeat, or keeps it until its machine is registered. `is_relayed`: it came through a sibling.
+    /// Answers a heartbeat, or keeps it until its machine is registered. `is_relayed`: whether it came through a
+    /// sibling.
     pub(crate) fn heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat, is_relayed: bool) {
         let answer = match self.store.is_synced() {
             true => self.heartbeat_answer(request_id, heartbeat, is_relayed),
@@ -49,7 +50,8 @@
         Some(self.renewing_answer(&heartbeat, fencing_token))
     }
 
-    /// A machine without a record: the leader may register it, others send its agent there.
+    /// Handles a heartbeat of a machine without a record. The leader keeps it, as it may register the machine; other
+    /// controllers redirect the agent to the leader.
     fn unregistered_heartbeat(&mut self, request_id: RequestId, heartbeat: Heartbeat) -> Option<AgentAnswer> {
         if self.is_leader() {
             let received_at = self.now();
@@ -66,8 +68,9 @@
         }
     }
 
-    /// Another controller has a later fencing token than we know of, or the heartbeat comes from the machine's later time
-    /// in another shard: read which, and draw a higher token if the machine is ours after all.
+    /// Handles a heartbeat with a later fencing token than ours: another controller has drawn one, or the machine has
+    /// been moved to another shard since. A fresh read of the store shows which of them, and a higher token is drawn if
+    /// the machine is ours after all.
     fn later_token_shown(&mut self, id: &MachineId, fencing_token: FencingToken) {
         self.store.request_fresh_read();
         let now = self.now();
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Takes in an agent's account of itself, if it is newer than all before.
+    /// Processes the state that an agent's message shows, if the message is newer than all earlier ones.
     pub(crate) fn accept_heartbeat(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource) {
         let Some(fencing_token) = self.fencing_token(&heartbeat.machine) else { return };
         let now = self.now();
--- a/src/coordination/fleet/lease_renewal.rs
+++ b/src/coordination/fleet/lease_renewal.rs
@@ -1,14 +1,15 @@
-//! Answers that renew an agent's lease: the one place where they are made.
+//! Answers that renew an agent's lease. They are made only here.
 //!
-//! An agent whose lease nobody renews kills its tasks in a time that is well below the one allowed for a cancellation.
-//! So a cancelled task can run on only if an answer renewed the lease and did not stop it, or if a start that is still on
-//! its way reaches an incarnation that was kept alive. Hence two rules, which hold without the store and the cloud:
+//! An agent whose lease is not renewed kills its tasks well within the time allowed for a cancellation. A cancelled
+//! task can therefore continue to run only if an answer renewed the lease without stopping the task, or if a start that
+//! is still in transit reaches an incarnation whose lease was renewed. This leads to two rules, which hold without the
+//! store and the cloud:
 //!
-//! - Every answer that renews a lease stops what the machine has of cancelled jobs, whatever else is known of the machine
-//!   or its fencing token: stopping a task whose job has its outcome is always right.
-//! - Where a command under the present fencing token may still be carried out, and something of a cancelled job is not
-//!   proven gone, the lease is not renewed beyond the time in which it would expire before the cancellation is due. Its
-//!   expiry supersedes the command. Under a later fencing token the answer does so by itself.
+//! - Every answer that renews a lease stops all tasks of cancelled jobs on the machine, whatever else is known about
+//!   the machine or its fencing token: stopping a task whose job has its outcome is always correct.
+//! - If a command under the present fencing token may still be executed, and a task of a cancelled job is not proven
+//!   absent, the lease is renewed only as long as it would still expire before the cancellation is due. Its expiry
+//!   supersedes the command. Under a later fencing token the answer itself supersedes the command.
 
 use crate::coordination::fleet::agent_commands::MAX_COMMANDS_PER_MESSAGE;
 use crate::coordination::{AgentAnswer, Controller};
@@ -17,7 +18,7 @@
 use crate::types::{FencingToken, MachineId, TaskId};
 
 impl Controller {
-    /// The answer to a heartbeat that was just taken in, under our fencing token.
+    /// Returns the answer, under our fencing token, to a heartbeat that was just processed.
     pub(crate) fn renewing_answer(&mut self, heartbeat: &Heartbeat, fencing_token: FencingToken) -> AgentAnswer {
         let now = self.now();
         let id = &heartbeat.machine;
@@ -26,12 +27,12 @@
         }
         let Some(machine) = self.fleet.machine_mut(id) else { return AgentAnswer::Unavailable };
         machine.contact.lease_renewed(now);
-        // Before the agent has shown our fencing token its heartbeat proves nothing; the answer's token makes it send
-        // another.
+        // Until the agent has shown our fencing token, its heartbeat proves nothing. The token in the answer makes it
+        // send another.
         let is_reliable = machine.ownership.is_token_confirmed() && machine.incarnation() == heartbeat.incarnation;
         let mut commands = if is_reliable { self.commands_for(id, Some(heartbeat.seq)) } else { Vec::new() };
         let is_complete = is_reliable && commands.len() < MAX_COMMANDS_PER_MESSAGE;
-        for stop in self.stops_of_cancelled(heartbeat) {
+        for stop in self.stop_commands_for_cancelled(heartbeat) {
             if !commands.contains(&stop) {
                 commands.push(stop);
                 self.jobs.cancellation_log.note_added_stop();
@@ -43,7 +44,8 @@
         AgentAnswer::Response(HeartbeatResponse { fencing_token, commands })
     }
 
-    /// Decides whether the lease has to expire, as only that supersedes a late start of a cancelled task.
+    /// Determines whether the lease must be left to expire, as only its expiry supersedes a late start of a cancelled
+    /// task.
     fn update_renewal_withheld(&mut self, id: &MachineId, fencing_token: FencingToken) -> bool {
         let may_start_late =
             self.fleet.machine(id).is_some_and(|machine| machine.commands.may_execute_under(fencing_token));
@@ -57,8 +59,8 @@
         is_withheld
     }
 
-    /// Stops for all that the agent says it has of cancelled jobs.
-    fn stops_of_cancelled(&self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
+    /// Returns stop commands for all tasks of cancelled jobs that the agent reports.
+    fn stop_commands_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<AgentCommand> {
         let is_cancelled = |task: &TaskId| self.outcome(&task.job) == Some(Outcome::Cancelled);
         let reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited);
         let cancelled = reported.filter(|reported| TaskId::parse(&reported.task).is_some_and(|t| is_cancelled(&t)));
--- a/src/coordination/fleet/machine/contact.rs
+++ b/src/coordination/fleet/machine/contact.rs
@@ -15,8 +15,8 @@
     /// Since when it is in this shard, under this holder.
     owned_since: Micros,
     failed_probe_count: u32,
-    /// Direct messages in a row without an answer, and since when. Unlike `failed_probe_count` a heartbeat alone does not
-    /// reset them: it may come from a machine that can send but not receive.
+    /// Direct messages in a row without an answer, and since when. Unlike `failed_probe_count` a heartbeat alone does
+    /// not reset them: it may come from a machine that can send but not receive.
     unanswered_count: u32,
     unanswered_since: Micros,
     /// When the newest message that is known to have arrived was sent.
@@ -76,8 +76,8 @@
         self.failed_probe_count == 0 && !self.is_suspected_unreachable()
     }
 
-    /// Whether it seems to receive nothing that it is sent, though its heartbeats arrive. One whose heartbeats stay away
-    /// as well is silent, which is judged otherwise.
+    /// Whether it seems to receive nothing that it is sent, though its heartbeats arrive. One whose heartbeats stay
+    /// away as well is silent, which is judged otherwise.
     pub(crate) fn is_unreachable(&self, now: Micros, min_unanswered_count: u32, min_span: Micros) -> bool {
         let sends_heartbeats = self.last_heartbeat_at > self.unanswered_since;
         let is_unanswered = self.unanswered_count >= min_unanswered_count;
@@ -97,7 +97,7 @@
     }
 
     /// When it was last seen or probed, whichever came later.
-    pub(crate) fn last_attended_at(&self) -> Micros {
+    pub(crate) fn last_seen_or_probed_at(&self) -> Micros {
         self.last_seen_at.max(self.last_probed_at)
     }
 
--- a/src/coordination/fleet/machine/ownership.rs
+++ b/src/coordination/fleet/machine/ownership.rs
@@ -20,7 +20,7 @@
     highest_token_seen: FencingToken,
     is_token_confirmed: bool,
     is_holder_confirmed: bool,
-    follows_later_token: bool,
+    accepts_later_token: bool,
 }
 
 impl Ownership {
@@ -48,15 +48,15 @@
     }
 
     /// Whether its agent has shown a later fencing token than ours: a successor's.
-    pub(crate) fn follows_later_token(&self) -> bool {
-        self.follows_later_token
+    pub(crate) fn accepts_later_token(&self) -> bool {
+        self.accepts_later_token
     }
 
     /// Its shard has a new holder, or it came into another shard.
     pub(super) fn reset(&mut self) {
         self.is_token_confirmed = false;
         self.is_holder_confirmed = false;
-        self.follows_later_token = false;
+        self.accepts_later_token = false;
     }
 
     /// Whether the newest message showed the token that is now ours, or a later one.
@@ -77,20 +77,20 @@
 
     /// An agent has shown a later fencing token than the one we know.
     pub(crate) fn later_token_shown(&mut self) {
-        self.follows_later_token = true;
+        self.accepts_later_token = true;
         self.is_token_confirmed = false;
     }
 
     /// The answer to a direct message showed a later fencing token, or none of ours is left.
     pub(crate) fn later_token_answered(&mut self) {
-        self.follows_later_token = true;
+        self.accepts_later_token = true;
     }
 
     /// Takes in the fencing token on a new message.
     pub(crate) fn token_shown(&mut self, shown: FencingToken, own_machines: FencingToken) -> TokenEvidence {
         let was_confirmed = self.is_token_confirmed;
         self.highest_token_seen = shown;
-        self.follows_later_token = shown > own_machines;
+        self.accepts_later_token = shown > own_machines;
         self.is_token_confirmed = shown >= own_machines;
         if !self.is_token_confirmed {
             return TokenEvidence::Outdated;
