--- a/src/coordination/fleet/agent_commands.rs
+++ b/src/coordination/fleet/agent_commands.rs
@@ -44,7 +44,7 @@
 /// Returns the commands for tasks without a stored record. Running ones are stopped. Exited ones are forgotten once no
 /// copy of their start command can still arrive, as it would start a forgotten task again.
 fn commands_for_unrecorded(machine: &Machine) -> Vec<AgentCommand> {
-    let may_forget = machine.commands.is_quiet();
+    let may_forget = machine.commands.are_settled();
     let command = |unrecorded: &UnrecordedTask| {
         let (task, attempt) = (unrecorded.task.clone(), unrecorded.attempt);
         match unrecorded.has_exited {
--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -128,10 +128,17 @@
     /// Returns whether a silent machine may still be seen again. With hardly any other machine to compare with, its
     /// silence has to last longer. When a partition ends, its machines are seen again one by one, which takes a while
     /// for the last.
-    fn may_recover(&self, zone: &str, counts: SilenceCounts, silence: Micros, now: Micros, after: Micros) -> bool {
-        let min_silence = Micros(after.0 * UNCOMPARED_SILENCE_FACTOR);
+    fn may_recover(
+        &self,
+        zone: &str,
+        counts: SilenceCounts,
+        silence: Micros,
+        now: Micros,
+        replace_after: Micros,
+    ) -> bool {
+        let min_silence = Micros(replace_after.0 * UNCOMPARED_SILENCE_FACTOR);
         let is_uncompared = counts.compared_count() < MIN_COMPARED && silence < min_silence;
-        is_uncompared || self.correlated_failures.was_zone_cut_off(zone, now, after)
+        is_uncompared || self.correlated_failures.was_zone_cut_off(zone, now, replace_after)
     }
 }
 
@@ -140,12 +147,12 @@
     /// would. If many machines are silent, the fault is ours or a partition's, and the machines may come back.
     pub(in crate::coordination::fleet) fn replace_silent(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
-        let after = Micros::from_millis(self.policy.replace_after_ms);
-        let silent = self.fleet.silent_machines(own_machines, now, self.policy.probes_failed, after);
-        if silent.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, after) {
+        let replace_after = Micros::from_millis(self.policy.replace_after_ms);
+        let silent = self.fleet.silent_machines(own_machines, now, self.policy.probes_failed, replace_after);
+        if silent.is_empty() || self.fleet.correlated_failures.were_many_unreachable(now, replace_after) {
             return;
         }
-        let findings = self.evaluate_silence(own_machines, silent, after);
+        let findings = self.evaluate_silence(own_machines, silent, replace_after);
         for finding in &findings {
             if let SilenceFinding::ZoneCutOff(zone) = finding {
                 self.fleet.correlated_failures.record_zone_cut_off(zone.clone(), now);
@@ -166,8 +173,8 @@
     /// silent, nothing but a deletion can prove their tasks absent.
     pub(in crate::coordination::fleet) fn replace_never_seen(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
-        let after = Micros::from_millis(self.policy.replace_after_ms);
-        let min_silence = self.lease_expiry_bound(ExpiryMargin::RenewedByFormerHolder).max(after);
+        let replace_after = Micros::from_millis(self.policy.replace_after_ms);
+        let min_silence = self.lease_expiry_bound(ExpiryMargin::RenewedByFormerHolder).max(replace_after);
         for id in self.fleet.silent_machines(own_machines, now, self.policy.probes_failed, min_silence) {
             if self.fleet.machine(&id).is_some_and(|machine| !machine.ownership.is_token_confirmed()) {
                 self.cordon(&id, CordonReason::ForceDelete, CordonCause::NeverSeen);
@@ -194,7 +201,7 @@
         &self,
         own_machines: &[MachineId],
         silent: Vec<MachineId>,
-        after: Micros,
+        replace_after: Micros,
     ) -> Vec<SilenceFinding> {
         let now = self.now();
         // Machines fall silent one by one even if all are cut off at once, as each was last seen at a different time.
@@ -216,7 +223,7 @@
             // (`zone_cuts::late_heartbeats_of_others_do_not_make_a_machine_look_lost_alone`).
             } else if in_zone.at_present(moment).is_zone_cut_off(self.policy.zone_max_part) {
                 SilenceFinding::ZoneCutOff(zone.to_string())
-            } else if self.fleet.may_recover(zone, in_shard, now.since(last_seen_at), now, after)
+            } else if self.fleet.may_recover(zone, in_shard, now.since(last_seen_at), now, replace_after)
                 || self.is_zone_being_judged(zone)
             {
                 SilenceFinding::Undecided
--- a/src/coordination/fleet/machine/agent_messages.rs
+++ b/src/coordination/fleet/machine/agent_messages.rs
@@ -1,13 +1,13 @@
-//! Incarnation of an agent, and the order of its messages.
+//! Incarnations of an agent, and the order of its messages.
 
 use crate::protocol::agent::Heartbeat;
 
-/// Place of a message among all of an agent's. Messages of a later incarnation are newer.
+/// Position of a message among all messages of an agent. Messages of a later incarnation are newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct MessagePosition {
-    /// Start of the agent's process.
+    /// Incarnation of the agent: a new one begins each time its lease expires.
     pub(crate) incarnation: u64,
-    /// Number of the message in this incarnation.
+    /// Sequence number of the message within its incarnation.
     pub(crate) seq: u64,
 }
 
@@ -17,27 +17,29 @@
     }
 }
 
-/// The newest heartbeat of an agent. Answers to direct messages don't count.
+/// The newest heartbeat of an agent, not counting answers to direct messages.
 #[derive(Clone, Copy, Default)]
 struct LastHeartbeat {
     position: MessagePosition,
-    /// It came from the agent itself, not through a sibling.
+    /// Whether it came from the agent itself, not through a sibling.
     is_direct: bool,
 }
 
-/// What the number of a heartbeat tells.
+/// What the position of a heartbeat shows about it and the messages before it.
 pub(crate) struct HeartbeatOrder {
-    /// Newer than all heartbeats before.
+    /// Whether it is newer than all earlier heartbeats.
     pub(crate) is_new: bool,
-    /// The agent has received the answer to its last heartbeat: otherwise it would have gone to another controller.
+    /// Whether the agent has received the answer to its last heartbeat: otherwise it would have gone to another
+    /// controller.
     pub(crate) confirms_last_answer: bool,
-    /// A message in between did not arrive.
+    /// Whether a message between it and the newest earlier message did not arrive.
     pub(crate) has_gap: bool,
-    /// Newer than all messages before. An older one may be a late copy, and shows no heartbeat to get through now.
+    /// Whether it is newer than all earlier messages. Otherwise it may be a late copy, which does not show that
+    /// heartbeats arrive now.
     pub(crate) is_newest_message: bool,
 }
 
-/// Messages of one agent.
+/// Positions of the newest messages of one agent.
 #[derive(Default)]
 pub(crate) struct AgentMessages {
     newest: MessagePosition,
@@ -45,17 +47,17 @@
 }
 
 impl AgentMessages {
-    /// The newest message whose content was taken in.
+    /// Returns the position of the newest message whose content was processed.
     pub(crate) fn newest(&self) -> MessagePosition {
         self.newest
     }
 
-    /// The content of a message is taken in.
+    /// Records the position of a message whose content is processed.
     pub(crate) fn advance(&mut self, position: MessagePosition) {
         self.newest = position;
     }
 
-    /// Compares a heartbeat with the messages before, and notes it if it is new.
+    /// Compares a heartbeat with earlier messages, and records its position if it is new.
     pub(crate) fn order_heartbeat(&mut self, position: MessagePosition, is_relayed: bool) -> HeartbeatOrder {
         let last = self.last_heartbeat;
         let is_new = position > last.position;
--- a/src/coordination/fleet/machine/task_failures.rs
+++ b/src/coordination/fleet/machine/task_failures.rs
@@ -1,13 +1,13 @@
-//! Failed tasks on a machine, which may speak against the machine.
+//! Failed tasks on a machine, which may show that the machine is at fault.
 
 use crate::types::{JobId, Micros};
 use std::collections::BTreeMap;
 
 /// Failed tasks of one job on one machine.
 pub(crate) struct JobFailures {
-    /// All of them.
+    /// Number of all failed tasks.
     pub(crate) count: u32,
-    /// Those of a gang whose other tasks were on other machines, and did not fail there.
+    /// Number of failed tasks of a gang whose other tasks were on other machines and did not fail there.
     pub(crate) alone_in_gang_count: u32,
     /// The task that failed last.
     pub(crate) last_task: u32,
@@ -21,7 +21,7 @@
 }
 
 impl TaskFailures {
-    /// A task has failed.
+    /// Records a failed task.
     pub(crate) fn record(&mut self, job: &JobId, task: u32, is_alone_in_gang: bool, now: Micros) {
         let none = JobFailures { count: 0, alone_in_gang_count: 0, last_task: task, last_failed_at: now };
         let failures = self.by_job.entry(job.clone()).or_insert(none);
@@ -31,27 +31,27 @@
         failures.last_failed_at = now;
     }
 
-    /// A task has succeeded, or the machine has a new owner.
+    /// Removes all failures, when a task has succeeded or the machine has a new owner.
     pub(crate) fn clear(&mut self) {
         self.by_job.clear();
     }
 
-    /// Whether no task has failed.
+    /// Returns whether no task has failed.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_job.is_empty()
     }
 
-    /// Whether a task of a job has failed.
+    /// Returns whether a task of a job has failed.
     pub(crate) fn contains(&self, job: &JobId) -> bool {
         self.by_job.contains_key(job)
     }
 
-    /// All failures, by job.
+    /// Returns all failures by job.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&JobId, &JobFailures)> {
         self.by_job.iter()
     }
 
-    /// Jobs that failed here a short while ago and had better try elsewhere.
+    /// Returns the jobs that failed here less than `pause` ago and should be tried elsewhere.
     pub(crate) fn recently_failed_jobs(&self, now: Micros, pause: Micros) -> impl Iterator<Item = &JobId> {
         let is_recent = move |failures: &JobFailures| now.since(failures.last_failed_at) < pause;
         self.by_job.iter().filter(move |(_, failures)| is_recent(failures)).map(|(job, _)| job)
--- a/src/coordination/fleet/machine_records.rs
+++ b/src/coordination/fleet/machine_records.rs
@@ -1,4 +1,4 @@
-//! Stored records of machines: what follows from their changes, and how this controller changes them.
+//! Stored records of machines: the effects of their changes, and how this controller changes them.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::cancellation_log::AbsenceProof;
@@ -7,36 +7,36 @@
 use crate::types::{FencingToken, MachineId, Resources};
 
 impl Controller {
-    /// The role whose holder decides about a machine with a record.
+    /// Returns the role whose holder decides about a machine, if the machine has a record.
     pub(crate) fn role_of_machine(&self, id: &MachineId) -> Option<Role> {
         self.store.replica.machines.get(id).map(|m| Role::Shard(m.value.shard))
     }
 
-    /// The fencing token for commands to a machine of a shard we hold.
+    /// Returns the fencing token for commands to a machine, if we hold its shard.
     pub(crate) fn fencing_token(&self, id: &MachineId) -> Option<FencingToken> {
         let record = &self.store.replica.machines.get(id)?.value;
         let fencing_token = self.role_token(Role::Shard(record.shard))?;
         Some(fencing_token.max(record.fencing_token))
     }
 
-    /// Resources of a machine by its type; none if either is not known.
+    /// Returns the resources of a machine by its type. They are zero if the machine or its type is not known.
     pub(crate) fn machine_resources(&self, id: &MachineId) -> Resources {
         let Some(record) = self.store.replica.machines.get(id) else { return Resources::default() };
         self.autoscaling.resources_of_type(&record.value.machine_type)
     }
 
-    /// Resources that are left on a machine beside all attempts not proven absent.
+    /// Returns the resources of a machine that no attempt uses. Attempts count until they are proven absent.
     pub(crate) fn free_resources(&self, id: &MachineId) -> Resources {
         self.machine_resources(id).minus(&self.jobs.usage().used_on(id))
     }
 
-    /// Machines of a shard, by the stored records.
+    /// Returns the machines of a shard according to the stored records.
     fn machines_of_shard(&self, shard: u32) -> Vec<MachineId> {
         let machines = self.store.replica.machines.iter();
         machines.filter(|(_, record)| record.value.shard == shard).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Notes since when no task takes resources on a machine.
+    /// Updates the time since which no task has used resources on a machine.
     pub(crate) fn update_idle_since(&mut self, id: &MachineId) {
         let now = self.now();
         let is_busy = self.jobs.usage().is_busy(id);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A machine's stored record was written or deleted.
+    /// Handles a write or the deletion of a machine's stored record.
     pub(crate) fn machine_record_changed(&mut self, id: &MachineId) {
         self.track_zone_of_machine(id);
         match self.store.replica.machines.get(id).map(|stored| stored.value.clone()) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The machine was deleted, with whatever was on it.
+    /// Removes a machine and proves absent all attempts on it, as it was deleted with them.
     fn machine_record_deleted(&mut self, id: &MachineId) {
         for task in self.jobs.usage().attempts_on(id) {
             self.attempt_proven_absent(&task, AbsenceProof::MachineRecordDeleted);
@@ -85,7 +85,7 @@
         self.accept_heartbeats_of_registered(id);
     }
 
-    /// Takes in the heartbeats that a machine sent before it had a record.
+    /// Processes the heartbeats that a machine sent before it had a record.
     fn accept_heartbeats_of_registered(&mut self, id: &MachineId) {
         for unregistered in self.fleet.take_unregistered() {
             if unregistered.heartbeat.machine == *id {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// A shard was taken or lost.
+    /// Resets the machines and jobs of a shard when it was acquired or lost.
     pub(crate) fn shard_holder_changed(&mut self, shard: u32) {
         let now = self.now();
         for id in self.machines_of_shard(shard) {
@@ -107,8 +107,8 @@
         self.scheduling.request_cycle();
     }
 
-    /// The shard has a new fencing token under the same holder: what is known stays, but from here on only messages that
-    /// carry the fencing token prove anything.
+    /// Handles a new fencing token of a shard under the same holder. What is known stays valid, but from now on only
+    /// messages that show the new token prove anything.
     pub(crate) fn shard_token_renewed(&mut self, shard: u32) {
         for id in self.machines_of_shard(shard) {
             let fencing_token = self.fencing_token(&id);
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A transaction on the records of these machines has an outcome.
+    /// Handles the outcome of a transaction on the records of machines.
     pub(crate) fn machine_txn_finished(&mut self, ids: &[MachineId]) {
         for id in ids {
             if let Some(machine) = self.fleet.machine_mut(id) {
@@ -130,13 +130,13 @@
         }
     }
 
-    /// Changes a machine's record under the conditions that it is as we know it, and that we still hold the role by which
-    /// we decide about it: what a controller without contact concludes from silence may be carried out long after its
-    /// successor has found the machine well.
+    /// Changes a machine's record, on the preconditions that the record is as we know it and that we still hold the
+    /// role by which we decide about it. Without them, a conclusion that a controller without contact draws from
+    /// silence might take effect long after its successor has seen the machine alive.
     pub(crate) fn write_machine(
         &mut self,
         id: &MachineId,
-        what: MachineChange,
+        kind: MachineChange,
         change: impl FnOnce(&mut MachineRecord),
     ) {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
@@ -154,6 +154,6 @@
         proposal.unchanged(&self.store.replica, Key::Role(role));
         proposal.unchanged(&self.store.replica, Key::Machine(id.clone()));
         proposal.put(Key::Machine(id.clone()), to_value(&record));
-        self.submit_txn(proposal, TxnPurpose::Machines(what, vec![id.clone()]));
+        self.submit_txn(proposal, TxnPurpose::Machines(kind, vec![id.clone()]));
     }
 }
--- a/src/coordination/fleet/mod.rs
+++ b/src/coordination/fleet/mod.rs
@@ -1,11 +1,11 @@
 //! Known machines: heartbeats, failure detection, commands to agents, lease renewal, cordon and drain.
 //!
-//! Owns what this controller knows of each machine beyond its stored record ([`machine::Machine`]), and the messages to
-//! agents. Reads the stored records of machines, the roles held, and which task attempts are where.
+//! Owns this controller's state of each machine beyond its stored record ([`machine::Machine`]), and the messages to
+//! agents. Reads the stored records of machines, the roles held, and the machines of task attempts.
 //!
-//! Promises: a task counts as gone only by a proof that its agent, its lease or the cloud gives; a machine is replaced on
-//! account of silence only while its neighbours show that it is not this controller, the network or a zone that failed;
-//! every answer that renews a lease stops what the machine has of cancelled jobs.
+//! Guarantees: a task counts as absent only if its agent, its lease or the cloud proves it; a machine is replaced
+//! because of silence only while other machines show that neither this controller, nor the network, nor a zone has
+//! failed; every answer that renews a lease stops all tasks of cancelled jobs on the machine.
 
 pub(crate) mod agent_commands;
 pub(crate) mod cancellation_enforcement;
@@ -37,17 +37,17 @@
 
 /// A heartbeat of a machine that is not in the stored records yet.
 pub(crate) struct UnregisteredHeartbeat {
-    /// When it arrived.
+    /// When the heartbeat arrived.
     pub(crate) received_at: Micros,
-    /// Who waits for its answer.
+    /// Request that waits for the answer.
     pub(crate) request_id: RequestId,
-    /// What the agent sent.
+    /// The heartbeat itself.
     pub(crate) heartbeat: Heartbeat,
 }
 
 /// The machines that this controller knows of.
 pub(crate) struct Fleet {
-    /// Machines without a record that answered when they were asked, and when.
+    /// When machines without a record last answered a probe.
     unregistered_alive_at: BTreeMap<MachineId, Micros>,
     machines: BTreeMap<MachineId, Machine>,
     direct_queue: DirectQueue,
@@ -55,15 +55,15 @@
     next_probe_log_at: Micros,
     next_check_at: Micros,
     correlated_failures: CorrelatedFailures,
-    /// Heartbeats whose machines are just being registered.
+    /// Heartbeats whose machines are not registered yet.
     unregistered: Vec<UnregisteredHeartbeat>,
-    /// By when machines of shards held here should move to others, if any are to.
+    /// Time by which machines of shards held here should move to other shards, if any are to move.
     shard_moves_due_at: Option<Micros>,
     cancellation_enforcement: CancellationEnforcement,
 }
 
 impl Fleet {
-    /// Knows no machine.
+    /// Creates a fleet without machines.
     pub(crate) fn new(platform: &Platform, policy: &Policy) -> Fleet {
         Fleet {
             machines: BTreeMap::new(),
@@ -79,37 +79,37 @@
         }
     }
 
-    /// One machine.
+    /// Returns a machine, if it is known.
     pub(crate) fn machine(&self, id: &MachineId) -> Option<&Machine> {
         self.machines.get(id)
     }
 
-    /// One machine, to be changed.
+    /// Returns a machine to be changed, if it is known.
     pub(crate) fn machine_mut(&mut self, id: &MachineId) -> Option<&mut Machine> {
         self.machines.get_mut(id)
     }
 
-    /// One machine, which is known from now on.
+    /// Returns a machine to be changed, and adds it if it is not known yet.
     pub(crate) fn machine_or_insert(&mut self, id: &MachineId) -> &mut Machine {
         self.machines.entry(id.clone()).or_default()
     }
 
-    /// All machines.
+    /// Returns all known machines.
     pub(crate) fn machines(&self) -> impl Iterator<Item = (&MachineId, &Machine)> {
         self.machines.iter()
     }
 
-    /// Machines whose leases are not renewed, on account of cancelled tasks.
+    /// Returns the number of machines whose leases are not renewed because of cancelled tasks.
     pub(crate) fn renewals_withheld_count(&self) -> usize {
         self.machines.values().filter(|machine| machine.is_renewal_withheld).count()
     }
 
-    /// By when machines of shards held here should move to others, if any are to.
+    /// Returns the time by which machines of shards held here should move to other shards, if any are to move.
     pub(crate) fn shard_moves_due_at(&self) -> Option<Micros> {
         self.shard_moves_due_at
     }
 
-    /// A direct message is to be sent to a machine as soon as possible.
+    /// Queues a direct message that is to be sent to a machine as soon as possible.
     pub(crate) fn queue_direct_message(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.commands.request();
@@ -117,8 +117,9 @@
         }
     }
 
-    /// A direct message is to be sent to a machine then, unless one is to be sent anyway or a heartbeat comes first, whose
-    /// answer takes its place: machines with work send heartbeats often, and each direct message costs as much as one.
+    /// Queues a direct message that is to be sent to a machine at the given time, unless one is to be sent anyway. A
+    /// heartbeat may come first, whose answer replaces the message: machines with work send heartbeats often, and each
+    /// direct message costs as much as a heartbeat.
     pub(crate) fn queue_direct_message_at(&mut self, id: &MachineId, at: Micros) {
         if let Some(machine) = self.machines.get_mut(id)
             && !machine.commands.is_pending()
@@ -128,23 +129,24 @@
         }
     }
 
-    /// Cancelled jobs of which something may be left.
+    /// Returns the cancelled jobs that may still have tasks on machines.
     pub(crate) fn unfinished_cancellations(&self) -> impl Iterator<Item = &JobId> {
         self.cancellation_enforcement.jobs()
     }
 
-    /// Takes all heartbeats of machines that are not registered yet.
+    /// Removes and returns all heartbeats of machines that are not registered yet.
     pub(crate) fn take_unregistered(&mut self) -> Vec<UnregisteredHeartbeat> {
         std::mem::take(&mut self.unregistered)
     }
 
-    /// Direct messages of a predecessor in this process are still open and take their sockets.
+    /// Takes over the number of direct messages of a predecessor in this process, which are still open and occupy
+    /// sockets.
     pub(crate) fn adopt_open_direct_messages(&mut self, predecessor: &Fleet) {
         self.direct_queue.adopt_open_messages(&predecessor.direct_queue);
     }
 
-    /// This process was stalled for so long: that nothing arrived meanwhile says nothing about machines. Their leases
-    /// ran on, so when a heartbeat was last answered stays.
+    /// Discounts a stall of this process: that nothing arrived during the stall says nothing about machines. Their
+    /// leases continued to run, so the times when heartbeats were last answered stay unchanged.
     pub(crate) fn discount_stall(&mut self, now: Micros, stall: Micros) {
         for machine in self.machines.values_mut() {
             machine.contact.discount_stall(now, stall);
--- a/src/coordination/fleet/registration.rs
+++ b/src/coordination/fleet/registration.rs
@@ -1,4 +1,4 @@
-//! Registration of machines: those that send heartbeats and have no record yet, which have come up or come back.
+//! Registration of machines that send heartbeats and have no record, as they have just started or come back.
 
 use crate::coordination::api::batches::VALUE_FILL_RATIO;
 use crate::coordination::autoscaling::bin_packing::MachineCapacity;
@@ -11,20 +11,20 @@
 use crate::storage::schema::{Key, MachineBatchMember, MachineRecord, Role, to_value};
 use crate::types::{FencingToken, MachineId, Micros};
 
-/// So long a machine's answer counts as a sign that it exists.
-const ALIVE_SPAN: Micros = Micros::from_millis(5000);
-/// CPUs of a machine whose type is not known, in millionths.
+/// Time for which a machine's answer to a probe proves that the machine exists.
+const ANSWER_VALIDITY: Micros = Micros::from_millis(5000);
+/// CPUs assumed for a machine whose type is not known, in millionths.
 const CPUS_OF_UNKNOWN_TYPE: u64 = 1_000_000;
 
-/// How a machine stands that sends heartbeats.
-enum Registration {
+/// Status of a machine that sends heartbeats.
+enum RegistrationStatus {
     /// It has a record, or one is being written.
     Known,
-    /// It sends heartbeats after its deletion: an old heartbeat, or the deletion missed it.
+    /// It was deleted: either the heartbeat is old, or the deletion missed the machine.
     Deleted,
-    /// A heartbeat may be a late copy, and its machine long gone: it has to answer first.
+    /// It has to answer a probe first, as the heartbeat may be a late copy from a machine that no longer exists.
     Unproven,
-    /// It answered a probe a moment ago.
+    /// It answered a probe recently.
     Alive,
 }
 
@@ -42,7 +42,7 @@
             members: Vec::new(),
             bytes: 0,
             max_bytes: (limits.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize,
-            // The preconditions on the role and on the batch's own record leave that many.
+            // Two preconditions are for the role and the batch's own record.
             max_members: limits.min_txn_ops() * PRECONDITIONS_PER_WRITE - 2,
         }
     }
@@ -51,25 +51,25 @@
         self.members.iter().any(|member| member.id == *id)
     }
 
-    /// Adds a machine; false if it would exceed the limits.
+    /// Adds a machine. Returns false if that would exceed the limits.
     fn add(&mut self, member: MachineBatchMember) -> bool {
-        let more = serde_json::to_string(&member).map_or(self.max_bytes, |text| text.len() + 1);
-        if self.bytes + more > self.max_bytes || self.members.len() == self.max_members {
+        let added_bytes = serde_json::to_string(&member).map_or(self.max_bytes, |text| text.len() + 1);
+        if self.bytes + added_bytes > self.max_bytes || self.members.len() == self.max_members {
             return false;
         }
-        self.bytes += more;
+        self.bytes += added_bytes;
         self.members.push(member);
         true
     }
 }
 
 impl Controller {
-    /// Machines that send heartbeats and have no record get one, in the shard that needs them most.
+    /// Registers machines that send heartbeats and have no record, each in the shard that needs it most.
     pub(crate) fn register_machines(&mut self) {
         let heartbeats: Vec<Heartbeat> =
             self.fleet.unregistered.iter().map(|unregistered| unregistered.heartbeat.clone()).collect();
         let now = self.now();
-        self.fleet.unregistered_alive_at.retain(|_, at| now.since(*at) < ALIVE_SPAN);
+        self.fleet.unregistered_alive_at.retain(|_, at| now.since(*at) < ANSWER_VALIDITY);
         let mut batch = RegistrationBatch::new(&self.platform.deployment.store);
         let mut refused = Vec::new();
         for heartbeat in heartbeats {
@@ -78,10 +78,10 @@
                 continue;
             }
             match self.registration(id) {
-                Registration::Known => continue,
-                Registration::Deleted => refused.push(id.clone()),
-                Registration::Unproven => self.probe_unregistered(id, heartbeat.addr.as_deref()),
-                Registration::Alive => {
+                RegistrationStatus::Known => continue,
+                RegistrationStatus::Deleted => refused.push(id.clone()),
+                RegistrationStatus::Unproven => self.probe_unregistered(id, heartbeat.addr.as_deref()),
+                RegistrationStatus::Alive => {
                     let member = self.new_member(&heartbeat, &batch.members);
                     if !batch.add(member) {
                         break;
@@ -95,23 +95,27 @@
         self.refuse_heartbeats_of(&refused);
     }
 
-    fn registration(&self, id: &MachineId) -> Registration {
+    fn registration(&self, id: &MachineId) -> RegistrationStatus {
         if self.store.replica.machines.contains_key(id) {
-            return Registration::Known;
+            return RegistrationStatus::Known;
         }
         let is_deleted = self.autoscaling.is_deleting(id) || self.autoscaling.was_deleted(id);
         if is_deleted || self.store.replica.is_machine_deleted(id) {
-            return Registration::Deleted;
+            return RegistrationStatus::Deleted;
         }
         if self.fleet.machine(id).is_some_and(Machine::is_registering) {
-            return Registration::Known;
+            return RegistrationStatus::Known;
+        }
+        if self.fleet.unregistered_alive_at.contains_key(id) {
+            RegistrationStatus::Alive
+        } else {
+            RegistrationStatus::Unproven
         }
-        if self.fleet.unregistered_alive_at.contains_key(id) { Registration::Alive } else { Registration::Unproven }
     }
 
     fn new_member(&mut self, heartbeat: &Heartbeat, members: &[MachineBatchMember]) -> MachineBatchMember {
         let record = MachineRecord {
-            shard: self.neediest_shard(heartbeat, members),
+            shard: self.shard_for_new_machine(heartbeat, members),
             fencing_token: FencingToken(0),
             machine_type: heartbeat.machine_type.clone(),
             zone: heartbeat.zone.clone(),
@@ -132,7 +136,7 @@
         });
     }
 
-    /// Records machines that are not in the stored records, all in one value unless it is a single one.
+    /// Writes the records of new machines, all in one value unless there is only one machine.
     fn record_registrations(&mut self, members: Vec<MachineBatchMember>) {
         let now = self.now();
         let mut proposal = ProposedTxn::default();
@@ -154,16 +158,17 @@
         self.submit_txn(proposal, TxnPurpose::Machines(MachineChange::Register, ids));
     }
 
-    /// The shard with the most urgent tasks that the machine can take, else the one with the fewest CPUs for its teams.
-    fn neediest_shard(&mut self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
+    /// Returns the shard with the most urgent tasks that the machine can take, or else the one with the fewest CPUs for
+    /// its teams.
+    fn shard_for_new_machine(&mut self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
         match self.assign_to_unschedulable_tasks(heartbeat) {
             Some(shard) => shard,
             None => self.shard_with_fewest_cpus(heartbeat, registered),
         }
     }
 
-    /// Takes what fits on the machine off the most urgent shard's need. The most urgent tasks that it can really take
-    /// decide, wherever else resources are lacking.
+    /// Assigns the machine to the shard with the most urgent tasks that it can take, and subtracts what fits on it from
+    /// the need of that shard. Tasks that don't fit on the machine don't count, however urgent they are.
     fn assign_to_unschedulable_tasks(&mut self, heartbeat: &Heartbeat) -> Option<u32> {
         let offer = InstanceOffer {
             machine_type: heartbeat.machine_type.clone(),
@@ -174,13 +179,13 @@
         self.autoscaling.assign_new_machine(MachineCapacity::of_new_machine(offer, resources))
     }
 
-    /// The shard that would have the fewest CPUs for its teams with the machine.
+    /// Returns the shard that would have the fewest CPUs for its teams if it got the machine.
     fn shard_with_fewest_cpus(&self, heartbeat: &Heartbeat, registered: &[MachineBatchMember]) -> u32 {
-        let more = self.cpus_of_type(&heartbeat.machine_type);
+        let added_cpus = self.cpus_of_type(&heartbeat.machine_type);
         let weights = self.team_weights();
         let cpus = self.cpus_of_shards(registered);
         let is_weighted = |shard: &usize| weights[*shard] > 0;
-        let cpus_per_weight = |shard: &usize| (cpus[*shard] + more) / weights[*shard];
+        let cpus_per_weight = |shard: &usize| (cpus[*shard] + added_cpus) / weights[*shard];
         (0..weights.len()).filter(is_weighted).min_by_key(cpus_per_weight).unwrap_or(0) as u32
     }
 
@@ -188,13 +193,13 @@
         self.autoscaling.machine_type(machine_type).map_or(CPUS_OF_UNKNOWN_TYPE, |t| t.resources.cpus)
     }
 
-    /// How many teams each shard has, times the number of shards.
+    /// Returns the number of teams of each shard, multiplied by the number of shards.
     fn team_weights(&self) -> Vec<u64> {
         let shards = self.shard_count();
         let deployment = &self.platform.deployment;
         let mut weights = vec![0u64; shards as usize];
         for (i, team) in deployment.teams.iter().enumerate() {
-            // One without a quota or a guarantee may be spread over all of them.
+            // Jobs of a team without a quota or a guarantee may be spread over all shards.
             if team.has_quota() || !deployment.shards_jobs_individually() {
                 weights[i % shards as usize] += u64::from(shards);
             } else {
@@ -207,7 +212,7 @@
         weights
     }
 
-    /// CPUs of each shard's machines, those with a record and those that are just being registered.
+    /// Returns the CPUs of each shard's machines, both those with a record and those that are being registered.
     fn cpus_of_shards(&self, registered: &[MachineBatchMember]) -> Vec<u64> {
         let mut cpus = vec![0u64; self.shard_count() as usize];
         let recorded = self.store.replica.machines.values().map(|stored| &stored.value);
--- a/src/coordination/fleet/shard_moves.rs
+++ b/src/coordination/fleet/shard_moves.rs
@@ -1,13 +1,13 @@
-//! Machines moving from one shard to another.
+//! Moves of machines from one shard to another.
 //!
-//! A machine moves in two writes. In the first the leader asks for it: the machine is cordoned, so that nothing more
-//! starts there. The second gives it to the other shard under a new fencing token, above any that its last commands carried, and
-//! is safe only if no start can be recorded there any more. Only the holder of a shard records starts on its machines,
-//! so the holder makes the second write, once it knows of no start there, not even one on its way to the store.
-//! That write is conditional on its lease on the shard, as its starts are.
+//! A machine moves in two writes. In the first, the leader cordons the machine, so that nothing more starts there. The
+//! second assigns it to the other shard under a new fencing token, higher than those of all its earlier commands. It is
+//! safe only if no start can be recorded on the machine any more. Only the holder of a shard records starts on its
+//! machines, so the holder makes the second write, once it knows of no start there, not even one in transit to the
+//! store. That write has the same precondition as its starts: its lease on the shard.
 //!
-//! Next to controllers of the first record version the leader makes the second write, as that version expects; see
-//! [`crate::coordination::control::versions`].
+//! If there are controllers of the first record version, the leader makes the second write, as that version expects;
+//! see [`crate::coordination::control::versions`].
 
 use crate::coordination::Controller;
 use crate::coordination::control::versions::{Mover, mover};
@@ -17,7 +17,7 @@
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
-/// A machine and the shard that it goes to.
+/// A machine and the shard to which it moves.
 struct ShardMove {
     machine: MachineId,
     to: u32,
@@ -26,14 +26,14 @@
 /// Machines that are to leave a shard.
 #[derive(Default)]
 struct DepartingMachines {
-    /// No start is recorded or decided on them.
+    /// Machines on which no start is recorded or decided.
     empty: Vec<ShardMove>,
     occupied: Vec<ShardMove>,
 }
 
 impl Controller {
-    /// Keeps machines that were to go to other shards and have something on them, unless that is preempted by more urgent
-    /// work there, and notes by when the others should move.
+    /// Cancels the moves of machines with tasks on them, unless the other shard has more urgent work that preempts the
+    /// tasks, and sets the time by which the other machines should move.
     pub(super) fn plan_shard_moves(&mut self) {
         let mut has_moves = false;
         for (shard, departing) in self.departing_machines() {
@@ -53,8 +53,9 @@
         self.fleet.shard_moves_due_at = has_moves.then(|| self.fleet.shard_moves_due_at.unwrap_or(latest));
     }
 
-    /// Moves machines, those of one shard. The transaction is made only when it is sent: all controllers draw fencing tokens
-    /// from one counter, so one that waited for the write budget would mostly be refused, and a refusal costs as much.
+    /// Moves machines out of one shard. The transaction is built only when it is sent: all controllers draw fencing
+    /// tokens from one counter, so a transaction that waited for the write budget would mostly be refused, and a
+    /// refusal costs as much as a success.
     pub(crate) fn send_shard_moves(&mut self) {
         self.fleet.shard_moves_due_at = None;
         for (shard, departing) in self.departing_machines() {
@@ -65,7 +66,8 @@
         }
     }
 
-    /// The roles by which this controller may move machines out of a shard, which must last; none if it is not for it to do.
+    /// Returns the roles by which this controller may move machines out of a shard, whose records must not change until
+    /// the move. Empty if another controller has to make the moves.
     fn roles_for_moves(&self, shard: u32) -> Vec<Role> {
         let holder = Role::Shard(shard);
         let leads = self.is_leader() && self.has_valid_leadership_lease();
@@ -74,18 +76,18 @@
         }
         match mover(&self.store.replica, shard) {
             Mover::Holder if self.holds(holder) => vec![holder],
-            // Its holder is of the first version, and must still be when the machine moves.
+            // The shard's holder is of the first version, and must still hold the shard when the machine moves.
             Mover::Leader if leads => vec![Role::Leader, holder],
             _ => Vec::new(),
         }
     }
 
-    /// Machines cordoned to be moved, by the shard that they are to leave.
+    /// Returns the machines that are cordoned to be moved, by the shard that they are to leave.
     fn departing_machines(&self) -> BTreeMap<u32, DepartingMachines> {
         let mut by_shard: BTreeMap<u32, DepartingMachines> = BTreeMap::new();
         for (id, stored) in &self.store.replica.machines {
             let Some(CordonReason::MoveToShard(to)) = stored.value.cordon else { continue };
-            // From the revision of the cordon on the replica shows every start that others recorded there.
+            // Once the replica has reached the revision of the cordon, it shows every start that others recorded there.
             let is_visible = self.store.replica.applied_revision.0 >= stored.version;
             let is_changing = self.fleet.machine(id).is_some_and(Machine::is_record_changing);
             if !is_visible || is_changing || self.autoscaling.is_deleting(id) {
@@ -102,7 +104,8 @@
         by_shard
     }
 
-    /// Gives machines to their new shards, as many as one transaction takes, provided that we still have those roles.
+    /// Assigns machines to their new shards, as many as one transaction takes, on the precondition that the roles are
+    /// unchanged.
     fn send_moves_under(&mut self, roles: &[Role], mut moves: Vec<ShardMove>) {
         moves.truncate(self.platform.deployment.store.min_txn_ops() - 1);
         let fencing_token = self.store.replica.next_fencing_token();
--- a/src/coordination/fleet/task_reconciliation.rs
+++ b/src/coordination/fleet/task_reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the tasks that an agent names with the task attempts that are recorded on its machine.
+//! Reconciliation of the tasks that an agent reports with the task attempts that are recorded on its machine.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::heartbeats::HeartbeatSource;
@@ -11,10 +11,10 @@
 use crate::types::{MachineId, TaskId};
 use std::collections::BTreeSet;
 
-/// Exited tasks that an agent may be left with before its machine gets a new fencing token so that it may forget them.
+/// Number of exited tasks above which an agent's machine gets a new fencing token, so that the agent may forget them.
 const MAX_RETAINED_EXITED: usize = 60;
 
-/// How far a task has come, by its agent. None if it has exited.
+/// Returns the state of an attempt by the state of its task that the agent reports, or None if the task has exited.
 fn attempt_state_of(state: TaskState) -> Option<AttemptState> {
     match state {
         TaskState::FetchingImage => Some(AttemptState::Fetching),
@@ -26,8 +26,8 @@
 }
 
 impl Controller {
-    /// Takes in the tasks that a message names, and proves absent what it would have to name. `is_first`: this is the first
-    /// message that shows the machine's present fencing token.
+    /// Processes the tasks that a message reports, and proves absent the attempts that it would have to report.
+    /// `is_first`: whether this is the first message that shows the machine's present fencing token.
     pub(super) fn reconcile_tasks(&mut self, heartbeat: &Heartbeat, source: HeartbeatSource, is_first: bool) {
         let id = &heartbeat.machine;
         let mut unrecorded = Vec::new();
@@ -43,12 +43,12 @@
                 Some(state) => self.attempt_state_seen(id, &task, state, heartbeat.seq),
             }
         }
-        let Some(is_quiet) = self.replace_unrecorded(id, unrecorded, heartbeat) else { return };
-        let may_prove_absence = is_quiet && source == HeartbeatSource::Heartbeat;
-        self.prove_unnamed_absent(heartbeat, &seen, may_prove_absence);
+        let Some(are_commands_settled) = self.replace_unrecorded(id, unrecorded, heartbeat) else { return };
+        let may_prove_absence = are_commands_settled && source == HeartbeatSource::Heartbeat;
+        self.prove_unreported_absent(heartbeat, &seen, may_prove_absence);
     }
 
-    /// The task that an agent names, if that attempt of it is recorded on its machine.
+    /// Returns the task that an agent reports, if the reported attempt is recorded on its machine.
     fn recorded_task(&self, id: &MachineId, reported: &TaskStatus) -> Option<TaskId> {
         let task = TaskId::parse(&reported.task)?;
         let attempt = self.jobs.attempt(&task)?;
@@ -65,7 +65,8 @@
         UnrecordedTask { task, attempt, has_exited: reported.state == TaskState::Exited, is_superseded }
     }
 
-    /// Keeps the unrecorded tasks of a message. Says whether no command sent before can be carried out any more.
+    /// Replaces a machine's unrecorded tasks by those of a message. Returns whether none of the commands sent so far
+    /// can still be executed, or None if the machine is not known.
     fn replace_unrecorded(
         &mut self,
         id: &MachineId,
@@ -74,17 +75,17 @@
     ) -> Option<bool> {
         let machine = self.fleet.machine_mut(id)?;
         machine.unrecorded.replace(unrecorded);
-        let is_crowded = machine.unrecorded.retained_exited_count() > MAX_RETAINED_EXITED;
-        if is_crowded && !machine.commands.has_unacknowledged() {
-            // Leads to a new fencing token, under which the agent may forget them.
+        let exceeds_limit = machine.unrecorded.retained_exited_count() > MAX_RETAINED_EXITED;
+        if exceeds_limit && !machine.commands.has_unacknowledged() {
+            // This leads to a new fencing token, under which the agent may forget the tasks.
             machine.commands.set_unacknowledged(heartbeat.fencing_token);
         }
-        Some(machine.commands.is_quiet())
+        Some(machine.commands.are_settled())
     }
 
-    /// Attempts recorded on the machine that a message does not name: those of earlier incarnations are gone, others if no
-    /// command can be on its way that would still start them.
-    fn prove_unnamed_absent(&mut self, heartbeat: &Heartbeat, seen: &BTreeSet<TaskId>, may_prove_absence: bool) {
+    /// Proves absent the attempts recorded on a machine that a message does not report: those of earlier incarnations,
+    /// and others if no command in transit can still start them.
+    fn prove_unreported_absent(&mut self, heartbeat: &Heartbeat, seen: &BTreeSet<TaskId>, may_prove_absence: bool) {
         for task in self.jobs.usage().attempts_on(&heartbeat.machine) {
             if seen.contains(&task) {
                 continue;
@@ -96,17 +97,17 @@
             let is_absent = may_prove_absence
                 && attempt.incarnation == heartbeat.incarnation
                 && heartbeat.seq > attempt.last_inconclusive_seq;
-            // One that is wanted and was never seen is told to start again.
-            let is_over = attempt.stop_grace_s.is_some() || attempt.state().is_on_machine();
+            // An attempt that is still wanted and was never seen on the machine gets another start command instead.
+            let needs_no_start = attempt.stop_grace_s.is_some() || attempt.state().is_on_machine();
             if attempt.incarnation < heartbeat.incarnation {
                 self.attempt_proven_absent(&task, AbsenceProof::LaterIncarnation);
-            } else if is_absent && is_over {
+            } else if is_absent && needs_no_start {
                 self.attempt_proven_absent(&task, AbsenceProof::Heartbeat);
             }
         }
     }
 
-    /// A message names a task that has not exited.
+    /// Handles a reported task that has not exited.
     fn attempt_state_seen(&mut self, id: &MachineId, task: &TaskId, state: AttemptState, seq: u64) {
         let now = self.now();
         let Some(job) = self.jobs.get_mut(&task.job) else { return };
@@ -126,7 +127,7 @@
         self.attempt_state_changed(id, task, state);
     }
 
-    /// What a task that has come further shows of its machine and zone.
+    /// Updates what is known about a machine and its zone after the state of an attempt has changed.
     fn attempt_state_changed(&mut self, id: &MachineId, task: &TaskId, state: AttemptState) {
         let now = self.now();
         let Some(job) = self.jobs.get(&task.job) else { return };
@@ -147,7 +148,7 @@
         self.image_seen(id, &image, megabytes);
     }
 
-    /// A task that is past fetching shows that its image is there.
+    /// Records an image on a machine, as shown by a task that has finished fetching it.
     fn image_seen(&mut self, id: &MachineId, image: &str, megabytes: f64) {
         let now = self.now();
         let record = self.store.replica.machines.get(id);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// A message names a task that has exited.
+    /// Handles a reported task that has exited.
     fn exit_seen(&mut self, id: &MachineId, task: &TaskId, cause: ExitCause) {
         let now = self.now();
         let Some(job) = self.jobs.get(&task.job) else { return };
@@ -180,7 +181,7 @@
                     machine.task_failures.record(&task.job, task.index, is_alone_in_gang, now);
                 }
             }
-            // Ended on account of something else than its own work or this machine.
+            // The task ended for a reason that lies neither in its own work nor in this machine.
             ExitCause::Stopped
             | ExitCause::GangPeerLost
             | ExitCause::GangIncomplete
