--- a/src/coordination/autoscaling/capacity_plan.rs
+++ b/src/coordination/autoscaling/capacity_plan.rs
@@ -1,5 +1,5 @@
-//! The leader's capacity plan: which shard lacks capacity for what waits, which machines go to another shard, which are
-//! created and which are deleted.
+//! The leader's capacity plan: which shards lack capacity for their waiting tasks, and which machines are moved between
+//! shards, created or deleted.
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks};
@@ -13,46 +13,46 @@
 /// Interval between two plans.
 const PLAN_INTERVAL: Micros = Micros::from_millis(500);
 
-/// The machines of each shard with what the plan leaves free on them.
+/// Machines of each shard with the resources that the plan leaves free on them.
 pub(crate) type CapacityByShard = BTreeMap<u32, Vec<MachineCapacity>>;
 
-/// When to plan next, and what the last plan found.
+/// Time of the next plan and result of the last one.
 #[derive(Default)]
 pub(super) struct CapacityPlan {
     next_at: Micros,
-    /// What the shards lacked in the last plan, most urgent first.
+    /// Tasks that found no capacity in their shard in the last plan, most urgent first.
     unschedulable: Vec<UnschedulableTasks>,
-    /// Machines whose work was to be preempted for another shard, and when.
+    /// Machines whose tasks were to be preempted for another shard, with the time of that decision.
     preempted_at: BTreeMap<MachineId, Micros>,
 }
 
 impl CapacityPlan {
-    /// Whether the next plan is due.
+    /// Returns whether the next plan is due.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.next_at
     }
 
-    /// The next plan is made after the usual interval.
+    /// Schedules the next plan after the regular interval.
     pub fn schedule_next(&mut self, now: Micros) {
         self.next_at = now + PLAN_INTERVAL;
     }
 
-    /// The next plan is made at the next tick.
+    /// Schedules the next plan for the next tick.
     pub fn schedule_at_once(&mut self, now: Micros) {
         self.next_at = now;
     }
 
-    /// A machine was reassigned although lower work runs there.
+    /// Records that a machine was reassigned to another shard although lower-priority work runs on it.
     pub fn note_preemption(&mut self, machine: MachineId, now: Micros) {
         self.preempted_at.insert(machine, now);
     }
 
-    /// Whether a machine was reassigned a while ago although lower work ran there.
+    /// Returns whether a machine was recently reassigned although lower-priority work ran on it.
     pub fn was_preempted(&self, machine: &MachineId) -> bool {
         self.preempted_at.contains_key(machine)
     }
 
-    /// Forgets reassignments of that age, so that these machines may be chosen again.
+    /// Forgets reassignments that are at least `max_age` old, so that these machines may be chosen again.
     pub fn forget_preemptions(&mut self, now: Micros, max_age: Micros) {
         self.preempted_at.retain(|_, at| now.since(*at) < max_age);
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// A machine that is to go to another shard.
+/// A machine to be moved to another shard.
 pub(crate) struct MachineMove {
     pub machine: MachineId,
     pub from_shard: u32,
@@ -78,7 +78,8 @@
 }
 
 impl Controller {
-    /// Packs what waits in all shards into the machines, and acts on what is missing or left over.
+    /// Packs the waiting tasks of all shards into their machines. Moves or creates machines where capacity is missing
+    /// and retires idle ones.
     pub(super) fn plan_capacity(&mut self) {
         let mut unschedulable: Vec<UnschedulableTasks> = Vec::new();
         let mut capacity = CapacityByShard::new();
@@ -87,7 +88,7 @@
             self.pack_waiting_jobs(shard, &mut machines, &mut unschedulable);
             capacity.insert(shard, machines);
         }
-        // The most urgent tasks get what is free and what is coming, and instances are created for them first.
+        // The most urgent tasks get idle machines, instances being provisioned and new instances first.
         unschedulable.sort_by_key(|tasks| (std::cmp::Reverse(tasks.spec.priority), !tasks.justifies_scale_out));
         self.autoscaling.plan.unschedulable = unschedulable.clone();
         self.reassign_idle_machines(&mut capacity, &mut unschedulable);
@@ -103,7 +104,7 @@
         self.scale_in_idle(&capacity, &unschedulable);
     }
 
-    /// The recorded machines of a shard that take work.
+    /// Returns the capacity of a shard's recorded machines that take work.
     fn capacity_of_shard(&self, shard: u32) -> Vec<MachineCapacity> {
         self.store
             .replica
@@ -123,7 +124,7 @@
         MachineCapacity { machine: Some(id.clone()), offer, free, is_idle: free == self.machine_resources(id) }
     }
 
-    /// Machines that one shard doesn't need go to shards with unschedulable tasks.
+    /// Moves idle machines of other shards to the shards that have unschedulable tasks.
     fn reassign_idle_machines(&mut self, capacity: &mut CapacityByShard, unschedulable: &mut [UnschedulableTasks]) {
         for MachineMove { machine, from_shard, to_shard } in self.idle_machine_moves(capacity, unschedulable) {
             tracing::debug!(%machine, from_shard, to_shard, "idle machine reassigned to another shard");
@@ -138,7 +139,7 @@
     ) -> Vec<MachineMove> {
         let max_moves = self.remaining_machine_moves();
         let mut moves = Vec::new();
-        // Hundreds of jobs may wait, and a walk over all machines for each would take most of a tick.
+        // Hundreds of jobs may wait, and an iteration over all machines for each of them would take most of a tick.
         let mut idle_count = capacity.values().flatten().filter(|machine| machine.is_idle).count();
         for tasks in unschedulable.iter_mut() {
             if idle_count == 0 || moves.len() >= max_moves {
@@ -148,7 +149,7 @@
             let is_urgent = tasks.spec.priority > Priority::Normal;
             for (from_shard, machines) in capacity.iter_mut().filter(|(shard, _)| **shard != to_shard) {
                 let idle = machines.iter_mut().filter(|machine| machine.is_idle);
-                for machine in idle.filter(|machine| is_urgent || self.has_been_idle(machine)) {
+                for machine in idle.filter(|machine| is_urgent || self.has_been_idle_long_enough(machine)) {
                     if tasks.count == 0 || moves.len() >= max_moves {
                         break;
                     }
@@ -164,15 +165,15 @@
         moves
     }
 
-    /// Whether a machine has stood idle for long enough to go to another shard without urgency.
-    fn has_been_idle(&self, machine: &MachineCapacity) -> bool {
+    /// Returns whether a machine has been idle for long enough to be moved to another shard for non-urgent work.
+    fn has_been_idle_long_enough(&self, machine: &MachineCapacity) -> bool {
         let min_span = Micros::from_millis(self.policy.shift_after_ms);
         let machine = machine.machine.as_ref().and_then(|id| self.fleet.machine(id));
         machine.and_then(|m| m.idle_since).is_some_and(|since| self.now().since(since) >= min_span)
     }
 
-    /// How many more machines may be on their way to other shards. Each move costs two writes, which task attempts and
-    /// submissions need more.
+    /// Returns how many more machines may be moving between shards. Each move costs two writes, and task attempts and
+    /// submissions have a greater need of the write budget.
     pub(crate) fn remaining_machine_moves(&self) -> usize {
         let machines = self.store.replica.machines.values();
         let moving_count =
--- a/src/coordination/autoscaling/cloud_client.rs
+++ b/src/coordination/autoscaling/cloud_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the cloud: which are in flight, what their answers lead to, retries, and the listing of machines by pages.
+//! Calls to the cloud: tracks those in flight, handles their answers, retries them, and lists machines page by page.
 
 use crate::coordination::autoscaling::machine_types::InstanceOffer;
 use crate::coordination::{CloudCall, CloudOutcome, Controller, Effect};
@@ -6,36 +6,39 @@
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
-/// How often a request for instances without an answer is repeated, to learn what it brought, and the pause between.
+/// Maximum number of retries of a request for instances that got no answer. A retry returns the instances created by
+/// the first request.
 const MAX_CREATE_RETRIES: u32 = 8;
+/// Delay before each of these retries.
 const CREATE_RETRY_DELAY: Micros = Micros::from_millis(1000);
-/// A deletion that failed is requested again after this.
+/// Delay before a failed deletion is requested again.
 const DELETE_RETRY_DELAY: Micros = Micros::from_millis(500);
 /// Interval between two listings of all machines.
 const LISTING_INTERVAL: Micros = Micros::from_millis(2500);
 
-/// A request to the cloud, kept until its answer comes.
+/// A request to the cloud, kept until it is answered.
 #[derive(Clone, Debug)]
 pub(crate) enum CloudRequest {
     ListTypes,
-    /// The next page of the listing of machines.
+    /// Requests the next page of the machine listing.
     ListMachines,
     CreateInstances {
         request: InstanceRequest,
         retry_count: u32,
     },
     DeleteMachines(Vec<MachineId>),
-    /// By the holder of the machines' shard, as nothing else proved in time that cancelled tasks are gone.
+    /// Deletion by the holder of the machines' shard, because nothing else proved in time that the attempts of
+    /// cancelled tasks are absent.
     DeleteForCancellation(Vec<MachineId>),
 }
 
-/// A request that is to be sent again.
+/// A request to be sent again at a given time.
 struct Retry {
     due_at: Micros,
     request: CloudRequest,
 }
 
-/// The listing of all machines, which comes in pages.
+/// The paginated listing of all machines.
 #[derive(Default)]
 struct MachineListing {
     next_at: Micros,
@@ -66,12 +69,12 @@
 }
 
 impl CloudClient {
-    /// Goes on counting calls where another client stopped.
+    /// Continues the call numbering of an earlier client.
     pub fn continue_numbering_of(&mut self, earlier: &CloudClient) {
         self.next_call = earlier.next_call;
     }
 
-    /// Notes a request as in flight and returns the effect that sends it.
+    /// Records a request as in flight and returns the effect that sends it.
     fn send(&mut self, request: CloudRequest) -> Effect {
         let wire = match &request {
             CloudRequest::ListTypes => CloudCall::Types,
@@ -93,7 +96,7 @@
         self.retries.push(Retry { due_at, request });
     }
 
-    /// Forgets all pending retries: they are the leader's to make.
+    /// Drops all pending retries, which only the leader may send.
     pub fn clear_retries(&mut self) {
         self.retries.clear();
     }
@@ -106,20 +109,20 @@
         due.into_iter().map(|retry| retry.request).collect()
     }
 
-    /// Whether a request for instances is in flight or waits for its retry.
+    /// Returns whether a request for instances is in flight or waits for its retry.
     pub fn is_creating_instances(&self) -> bool {
         let waiting = self.retries.iter().map(|retry| &retry.request);
         let mut requests = self.in_flight.values().chain(waiting);
         requests.any(|request| matches!(request, CloudRequest::CreateInstances { .. }))
     }
 
-    /// This controller has become the leader: what exists is listed anew.
+    /// Schedules a new listing of all machines at once, after this controller has become the leader.
     pub fn restart_listing(&mut self, now: Micros) {
         self.listing.is_complete = false;
         self.listing.next_at = now;
     }
 
-    /// Begins a listing if one is due. True if its first page is to be requested.
+    /// Begins a listing if one is due. Returns whether the caller should request its first page.
     pub fn begin_due_listing(&mut self, now: Micros) -> bool {
         if self.listing.is_in_flight || now < self.listing.next_at {
             return false;
@@ -129,7 +132,7 @@
         true
     }
 
-    /// Whether all machines were listed since this controller became the leader.
+    /// Returns whether all machines were listed since this controller became the leader.
     pub fn has_listed_machines(&self) -> bool {
         self.listing.is_complete
     }
@@ -139,7 +142,7 @@
         self.listing.machines.clear();
     }
 
-    /// Takes in a page. Returns the machines of all pages once there is no further one to read.
+    /// Adds a page to the listing. Returns the machines of all pages if no further page is to be read.
     fn add_page(&mut self, page: MachineList, may_continue: bool) -> Option<Vec<ListedMachine>> {
         let has_more = page.more && !page.machines.is_empty();
         self.listing.machines.extend(page.machines);
@@ -153,20 +156,20 @@
 }
 
 impl Controller {
-    /// Sends a request to the cloud; its answer comes as an input.
+    /// Sends a request to the cloud. The answer arrives as an input of the state machine.
     pub(crate) fn send_cloud_request(&mut self, request: CloudRequest) {
         let effect = self.autoscaling.cloud.send(request);
         self.out.push(effect);
     }
 
-    /// Sends again what failed a while ago.
+    /// Sends the requests whose retry is due.
     pub(super) fn send_due_cloud_retries(&mut self) {
         for request in self.autoscaling.cloud.take_due_retries(self.now()) {
             self.send_cloud_request(request);
         }
     }
 
-    /// A call to the cloud has ended.
+    /// Handles the outcome of a call to the cloud.
     pub(crate) fn cloud_outcome(&mut self, call: u64, outcome: CloudOutcome) {
         let Some(request) = self.autoscaling.cloud.in_flight.remove(&call) else { return };
         match request {
@@ -218,7 +221,7 @@
                 self.mark_unavailable(InstanceOffer { machine_type, zone, spot });
             }
             CloudOutcome::Types(_) | CloudOutcome::List(_) | CloudOutcome::Deleted | CloudOutcome::Failed => {
-                // It may have been carried out: the same request name again tells what it brought.
+                // The request may have been executed. A retry under the same name returns the instances it created.
                 if retry_count < MAX_CREATE_RETRIES {
                     let retry = CloudRequest::CreateInstances { request, retry_count: retry_count + 1 };
                     self.autoscaling.cloud.retry_at(self.now() + CREATE_RETRY_DELAY, retry);
--- a/src/coordination/autoscaling/deletion.rs
+++ b/src/coordination/autoscaling/deletion.rs
@@ -7,58 +7,58 @@
 use crate::types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that one request deletes at most.
+/// Maximum number of machines that one request deletes.
 const MAX_DELETIONS_PER_REQUEST: usize = 100;
-/// How long a confirmed deletion is remembered: the cloud's listing lags, and heartbeats come late.
+/// Time for which a confirmed deletion is remembered, as the cloud's listing lags and heartbeats may arrive late.
 const CONFIRMATION_RETENTION: Micros = Micros::from_millis(600_000);
 
-/// Machines that are being deleted, and those that were.
+/// Machines that are being deleted or were recently deleted.
 #[derive(Default)]
 pub(super) struct Deletions {
-    /// Until their records are removed.
+    /// Machines whose deletion was requested and whose records are not removed yet.
     in_progress: BTreeSet<MachineId>,
     confirmed_at: BTreeMap<MachineId, Micros>,
 }
 
 impl Deletions {
-    /// Whether the deletion of a machine was requested and is not settled.
+    /// Returns whether the deletion of a machine was requested and is not settled.
     pub fn is_in_progress(&self, id: &MachineId) -> bool {
         self.in_progress.contains(id)
     }
 
-    /// Whether the cloud confirmed the deletion of a machine a while ago.
+    /// Returns whether the cloud recently confirmed the deletion of a machine.
     pub fn is_confirmed(&self, id: &MachineId) -> bool {
         self.confirmed_at.contains_key(id)
     }
 
-    /// Marks machines as being deleted; returns those that were not yet.
+    /// Marks machines as being deleted and returns those that were not marked before.
     fn begin(&mut self, ids: Vec<MachineId>) -> Vec<MachineId> {
         ids.into_iter().filter(|id| self.in_progress.insert(id.clone())).collect()
     }
 
-    /// The cloud has confirmed the deletion of a machine.
+    /// Records that the cloud has confirmed the deletion of a machine.
     pub fn confirm(&mut self, id: MachineId, now: Micros) {
         self.confirmed_at.insert(id, now);
     }
 
-    /// The machine's record is removed, or its removal failed and the deletion may be requested again.
+    /// Ends the deletion of a machine: its record is removed, or the removal failed and may be requested again.
     pub fn settle(&mut self, id: &MachineId) {
         self.in_progress.remove(id);
     }
 
-    /// A new leader does not know what the one before had requested.
+    /// Forgets the deletions in progress. A new leader does not know what the previous leader requested.
     pub fn forget_in_progress(&mut self) {
         self.in_progress.clear();
     }
 
-    /// Forgets confirmations that no listing or heartbeat can contradict any more.
+    /// Forgets confirmations so old that no lagging listing or late heartbeat can still show the machine.
     pub fn forget_old_confirmations(&mut self, now: Micros) {
         self.confirmed_at.retain(|_, at| now.since(*at) < CONFIRMATION_RETENTION);
     }
 }
 
 impl Controller {
-    /// Asks the cloud to delete machines, unless this was requested already.
+    /// Requests the deletion of machines from the cloud, unless it is in progress already.
     pub(super) fn delete_machines(&mut self, ids: Vec<MachineId>) {
         let ids = self.autoscaling.deletions.begin(ids);
         for part in ids.chunks(MAX_DELETIONS_PER_REQUEST) {
@@ -66,16 +66,16 @@
         }
     }
 
-    /// Deletes cordoned machines that are not to come back: lost ones at once, retired ones when nothing is recorded on
-    /// them.
+    /// Deletes machines cordoned for deletion: force-deleted machines at once, retired machines when no attempt is
+    /// recorded on them.
     pub(super) fn delete_cordoned_machines(&mut self) {
         let mut ids = Vec::new();
         for (id, machine) in &self.store.replica.machines {
             if self.autoscaling.is_deleting(id) {
                 continue;
             }
-            // The cordon is seen by whoever records starts. A start that crosses with it is lost with the machine, and
-            // starts again elsewhere.
+            // Controllers that see the cordon record no more attempts on the machine. An attempt recorded concurrently
+            // with the cordon is lost with the machine, and its task starts again elsewhere.
             let is_empty = self.store.replica.applied_revision.0 >= machine.version && self.jobs.usage().is_empty(id);
             match machine.value.cordon {
                 Some(CordonReason::ForceDelete) => ids.push(id.clone()),
@@ -86,7 +86,7 @@
         self.delete_machines(ids);
     }
 
-    /// The cloud has confirmed a deletion.
+    /// Handles the cloud's confirmation of a deletion.
     pub(super) fn deletion_confirmed(&mut self, ids: Vec<MachineId>) {
         let now = self.now();
         let mut recorded = Vec::new();
@@ -103,7 +103,7 @@
         self.delete_machine_records(recorded);
     }
 
-    /// Removes the records of deleted machines, which proves to their shards that nothing is left on them.
+    /// Removes the records of deleted machines. This proves to the shard holders that all attempts on them are absent.
     pub(crate) fn delete_machine_records(&mut self, ids: Vec<MachineId>) {
         let is_retired = |id: &MachineId| {
             self.store
@@ -131,7 +131,7 @@
         let replica = &self.store.replica;
         let key = Key::Machine(id.clone());
         proposal.unchanged(replica, key.clone());
-        // As long as a fleet record names the machine, a record of its own must say that it is gone.
+        // While a fleet record names the machine, its own record must be kept and mark it as deleted.
         match (replica.machine_batch_of(id), replica.machines.get(id)) {
             (Some(_), Some(machine)) => {
                 let record = MachineRecord { cordon: Some(CordonReason::Deleted), ..machine.value.clone() };
--- a/src/coordination/autoscaling/demand.rs
+++ b/src/coordination/autoscaling/demand.rs
@@ -1,4 +1,4 @@
-//! Demand of a shard: which waiting tasks find no capacity on its machines, and for which of them instances are created.
+//! Demand of a shard: waiting tasks that find no capacity on its machines, and which of them justify new instances.
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks, pack_tasks};
@@ -9,21 +9,21 @@
 use crate::types::{Micros, Resources};
 use std::collections::HashMap;
 
-/// Estimates of a task's run time below this are taken for it, in seconds.
+/// Lower bound for estimates of a task's run time, in seconds.
 const MIN_ESTIMATE_S: f64 = 5.0;
-/// A task that needs fewer CPUs counts with these, so that nothing is divided by zero.
+/// Lower bound for the CPUs of a task, to avoid a division by zero.
 const MIN_TASK_CPUS: f64 = 0.01;
-/// One in so many preemptible tasks counts as spare capacity for services.
+/// Number of preemptible tasks that count as spare capacity for one task of a service.
 const PREEMPTIBLE_PER_SPARE: u64 = 2;
 
-/// Batch work of a shard that waits.
+/// Waiting batch work of a shard.
 #[derive(Default)]
 struct BatchBacklog {
     cpu_seconds: f64,
     unschedulable: Vec<BacklogEntry>,
 }
 
-/// Tasks of an array that find no capacity now, and since when they could have run.
+/// Tasks of a job array that find no capacity now, and the time since which they could have run.
 struct BacklogEntry {
     tasks: UnschedulableTasks,
     ready_at: Micros,
@@ -35,11 +35,11 @@
     }
 }
 
-/// What the teams use, with what the plan gives them, by team.
+/// Resources by team that are in use or given to the team by the plan.
 type PlannedUsage<'a> = HashMap<&'a str, Resources>;
 
 impl Controller {
-    /// Packs the waiting tasks of a shard into its machines, and adds to `unschedulable` what finds no capacity.
+    /// Packs the waiting tasks of a shard into its machines, and adds to `unschedulable` those that find no capacity.
     pub(super) fn pack_waiting_jobs(
         &self,
         shard: u32,
@@ -51,9 +51,9 @@
         let mut usage = self.usage_by_team(&jobs);
         for job in &jobs {
             let is_batch = job.spec.kind == JobKind::Array;
-            let wanted = self.wanted_task_count(job, machines);
-            let count = self.take_within_quota(job, wanted, &mut usage);
-            // What the team's quota keeps back queues as well, and would be worked off sooner with more machines.
+            let wanted = self.tasks_needing_capacity(job, machines);
+            let count = self.charge_team_quota(job, wanted, &mut usage);
+            // Tasks held back by the team's quota are also backlog: with more machines they would be done sooner.
             if is_batch {
                 backlog.add(job, wanted - count);
             }
@@ -78,17 +78,18 @@
         unschedulable.extend(self.backlog_demand(backlog, &jobs));
     }
 
-    /// The open jobs of a shard, but for those bound to a zone that takes no work.
+    /// Returns the open jobs of a shard by priority and ready time, without those bound to a zone that takes no work.
     fn open_jobs_by_urgency(&self, shard: u32) -> Vec<&Job> {
-        let has_zone = |job: &Job| job.spec.zone.as_ref().is_none_or(|zone| self.zone_takes_work(zone));
-        let is_open =
-            |job: &&Job| job.shard == shard && job.recording.has_record && job.outcome.is_none() && has_zone(job);
+        let has_usable_zone = |job: &Job| job.spec.zone.as_ref().is_none_or(|zone| self.zone_takes_work(zone));
+        let is_open = |job: &&Job| {
+            job.shard == shard && job.recording.has_record && job.outcome.is_none() && has_usable_zone(job)
+        };
         let mut jobs: Vec<&Job> = self.jobs.values().filter(is_open).collect();
         jobs.sort_by_key(|job| (std::cmp::Reverse(job.urgency.priority), job.ready_at));
         jobs
     }
 
-    /// What the teams of these jobs use now, without their displaced replicas.
+    /// Returns the resources that the teams of these jobs use now, without those of displaced replicas.
     fn usage_by_team<'a>(&self, jobs: &[&'a Job]) -> PlannedUsage<'a> {
         let mut usage = PlannedUsage::new();
         for team in jobs.iter().filter_map(|job| job.spec.team.as_deref()) {
@@ -97,8 +98,8 @@
         usage
     }
 
-    /// How many of a job's tasks its team's quota allows, up to `wanted`. They count as used from now on.
-    fn take_within_quota<'a>(&self, job: &'a Job, wanted: u64, usage: &mut PlannedUsage<'a>) -> u64 {
+    /// Returns how many of a job's tasks its team's quota allows, up to `wanted`, and adds their resources to `usage`.
+    fn charge_team_quota<'a>(&self, job: &'a Job, wanted: u64, usage: &mut PlannedUsage<'a>) -> u64 {
         let Some(team) = job.spec.team.as_deref() else { return wanted };
         let used = usage.entry(team).or_default();
         let count = wanted.min(self.tasks_within_quota(team, used, &job.resources));
@@ -111,16 +112,16 @@
         team.map_or(u64::MAX, |team| TeamQuota::of_team(team).remaining_tasks(used, each))
     }
 
-    /// Tasks of a job that need capacity. Replicas in lost zones need some elsewhere before they are proven gone:
-    /// provisioning takes as long as the proof.
-    fn wanted_task_count(&self, job: &Job, machines: &[MachineCapacity]) -> u64 {
+    /// Returns how many tasks of a job need capacity. Displaced replicas in lost zones need it elsewhere before they
+    /// are proven absent, because provisioning takes as long as the proof.
+    fn tasks_needing_capacity(&self, job: &Job, machines: &[MachineCapacity]) -> u64 {
         let displaced_count = self.zones.displaced_count(job.attempts.job());
-        self.tasks_worth_capacity(job, machines) + u64::from(displaced_count)
+        self.waiting_tasks_needing_capacity(job, machines) + u64::from(displaced_count)
     }
 
-    /// Waiting tasks of a job that machines may be created or reassigned for. A job that fails wherever it runs gets one
-    /// to be tried on if there is none at all that it may run on, and no other.
-    fn tasks_worth_capacity(&self, job: &Job, machines: &[MachineCapacity]) -> u64 {
+    /// Returns for how many waiting tasks of a job machines may be created or reassigned. A job that fails wherever it
+    /// runs gets a single machine for another try, and only if no machine exists on which it may run.
+    fn waiting_tasks_needing_capacity(&self, job: &Job, machines: &[MachineCapacity]) -> u64 {
         if !job.is_failing() {
             return u64::from(job.waiting_count());
         }
@@ -132,26 +133,26 @@
         u64::from(job.waiting_count() > 0 && !machines.iter().any(could_hold))
     }
 
-    /// Batch work may queue as long as what the shard has works it off in time; the rest justifies new instances. What
-    /// has waited for a while none the less gets machines that others have no use for: no task should wait next to an
-    /// idle machine.
+    /// Returns the demand of the batch backlog. Tasks that the shard's present capacity finishes within the time of
+    /// `drain_ms` justify no instances; the others do. Tasks of the first kind that have waited for `shift_waiting_ms`
+    /// are also returned, as they may use idle machines of other shards: no task should wait while a machine is idle.
     fn backlog_demand(&self, backlog: BatchBacklog, jobs: &[&Job]) -> Vec<UnschedulableTasks> {
-        let drain_s = Micros::from_millis(self.policy.drain_ms).secs();
+        let target_s = Micros::from_millis(self.policy.drain_ms).secs();
         let running_cpus: f64 = jobs
             .iter()
             .filter(|job| job.spec.kind == JobKind::Array)
             .map(|job| job.spec.cpus * f64::from(job.attempts.occupying_count()))
             .sum();
-        let mut missing_cpus = backlog.cpu_seconds / drain_s - running_cpus;
+        let mut missing_cpus = backlog.cpu_seconds / target_s - running_cpus;
         let min_wait = Micros::from_millis(self.policy.shift_waiting_ms);
         let mut demand = Vec::new();
         for BacklogEntry { mut tasks, ready_at } in backlog.unschedulable {
             let justified = (missing_cpus.max(0.0) / tasks.spec.cpus.max(MIN_TASK_CPUS)).ceil() as u64;
-            let beyond = tasks.count.saturating_sub(justified);
-            if beyond > 0 && self.clock.wall.since(ready_at) >= min_wait {
-                demand.push(UnschedulableTasks { count: beyond, justifies_scale_out: false, ..tasks.clone() });
+            let excess = tasks.count.saturating_sub(justified);
+            if excess > 0 && self.clock.wall.since(ready_at) >= min_wait {
+                demand.push(UnschedulableTasks { count: excess, justifies_scale_out: false, ..tasks.clone() });
             }
-            tasks.count -= beyond;
+            tasks.count -= excess;
             missing_cpus -= tasks.count as f64 * tasks.spec.cpus;
             if tasks.count > 0 {
                 demand.push(tasks);
@@ -160,8 +161,8 @@
         demand
     }
 
-    /// Spare capacity for a few more tasks of the largest service, so that the next one starts at once: as far as neither
-    /// the machines nor preemption can provide it.
+    /// Returns demand for spare capacity: a few more tasks of the service with the largest tasks, so that the next one
+    /// starts at once. Tasks that fit on the shard's machines or can preempt other work are subtracted.
     fn spare_demand(&self, jobs: &[&Job], shard: u32, machines: &mut [MachineCapacity]) -> Option<UnschedulableTasks> {
         let services = jobs.iter().filter(|job| job.spec.kind == JobKind::Service);
         let largest = services.max_by_key(|job| job.resources.cpus)?;
--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -1,4 +1,4 @@
-//! What the leader does at each tick: retries, listing of machines, registration, deletion, garbage collection, planning.
+//! The leader's work at each tick: retries, listing of machines, registration, deletion, garbage collection, planning.
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::cloud_client::CloudRequest;
@@ -7,7 +7,7 @@
 use crate::types::MachineId;
 
 impl Controller {
-    /// This controller has become the leader, or is it no longer.
+    /// Resets the leader's state after this controller has become the leader. Does nothing if it has lost that role.
     pub(crate) fn leadership_changed(&mut self) {
         if !self.is_leader() {
             return;
@@ -19,7 +19,7 @@
         self.autoscaling.plan.schedule_next(now);
     }
 
-    /// Does what is due if this controller is the leader. Nothing is decided without a valid leadership lease.
+    /// Does the leader's work that is due, if this controller is the leader and has a valid leadership lease.
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Cordons a machine of any shard for the leader's plan.
+    /// Cordons a machine of any shard on the leader's decision.
     pub(crate) fn cordon_as_leader(&mut self, id: &MachineId, reason: CordonReason, cause: CordonCause) {
         self.fleet.machine_or_insert(id);
         self.cordon(id, reason, cause);
--- a/src/coordination/autoscaling/machine_types.rs
+++ b/src/coordination/autoscaling/machine_types.rs
@@ -8,10 +8,10 @@
 
 /// Interval between two listings of the machine types.
 const REFRESH_INTERVAL: Micros = Micros::from_millis(60_000);
-/// The same until the first listing was answered: nothing can be placed before.
+/// Interval between listings until the first one is answered, as nothing can be placed before.
 const FIRST_LISTING_RETRY_INTERVAL: Micros = Micros::from_millis(1000);
 
-/// What the cloud creates on one request: a machine type in a zone, as a spot instance or not.
+/// Kind of instance that a request to the cloud creates: a machine type in a zone, as a spot or on-demand instance.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct InstanceOffer {
     pub machine_type: String,
@@ -19,7 +19,7 @@
     pub spot: bool,
 }
 
-/// A machine type with its resources converted.
+/// A machine type of the cloud with its resources converted to [`Resources`].
 #[derive(Clone, Debug)]
 pub(crate) struct MachineTypeInfo {
     pub(crate) wire: MachineType,
@@ -41,27 +41,27 @@
 }
 
 impl MachineTypeCatalog {
-    /// Whether no type is listed yet.
+    /// Returns whether no type is listed yet.
     pub fn is_empty(&self) -> bool {
         self.types.is_empty()
     }
 
-    /// All types, by name.
+    /// Returns all types in order of their names.
     pub fn iter(&self) -> impl Iterator<Item = &MachineTypeInfo> {
         self.types.values()
     }
 
-    /// A type by its name.
+    /// Returns the type of this name.
     pub fn get(&self, name: &str) -> Option<&MachineTypeInfo> {
         self.types.get(name)
     }
 
-    /// Resources of a type; none if it is not listed.
+    /// Returns the resources of a type; all zero if it is not listed.
     pub fn resources(&self, name: &str) -> Resources {
         self.get(name).map(|info| info.resources).unwrap_or_default()
     }
 
-    /// Takes the types of another catalog, which is left without any. They are listed anew at once.
+    /// Moves the types out of another catalog into this one. The next tick still lists them anew.
     pub fn replace_types_from(&mut self, other: &mut MachineTypeCatalog) {
         self.types = std::mem::take(&mut other.types);
     }
@@ -73,7 +73,7 @@
 }
 
 impl Controller {
-    /// Lists the machine types when this is due. Every controller does so, not only the leader.
+    /// Lists the machine types when a refresh is due. Every controller does so, not only the leader.
     pub(crate) fn tick_machine_types(&mut self) {
         let now = self.now();
         if self.autoscaling.machine_types.is_refresh_due(now) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The cloud has listed its machine types.
+    /// Stores the machine types that the cloud has listed.
     pub(super) fn machine_types_listed(&mut self, listed: MachineTypes) {
         let types = listed.types.into_iter().map(|wire| (wire.name.clone(), wire.into()));
         self.autoscaling.machine_types.types = types.collect();
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale out: which instances are created for unschedulable tasks, and how many of each offer.
+//! Scale-out: chooses the instances to be created for unschedulable tasks, by offer and count.
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks, pack_tasks, tasks_that_fit};
@@ -12,55 +12,55 @@
 use crate::types::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Instances that one request may ask for.
+/// Maximum number of instances in one request.
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
-/// Costs are compared in millionths.
+/// Factor by which costs are scaled before they are rounded to integers for comparison.
 const COST_SCALE: f64 = 1e6;
 
-/// What is known of the cloud's offers when one is chosen.
-struct Market {
-    /// Machines that there are and are to be, by zone.
+/// Inputs to the choice of an offer.
+struct OfferCriteria {
+    /// Number of recorded and planned machines by zone.
     machines_by_zone: BTreeMap<String, u64>,
-    /// Zones in which nothing may be created now.
+    /// Zones in which no instance may be created now.
     closed_zones: BTreeSet<String>,
     reliability: Reliability,
 }
 
-/// An offer with what decides between it and others.
+/// An offer with the values by which it is compared with others.
 struct PricedOffer {
     offer: InstanceOffer,
     resources: Resources,
-    /// Cost for each task that it holds.
+    /// Cost for each task that fits on the instance, scaled by [`COST_SCALE`].
     cost: u64,
-    /// Among equal costs the zone with the fewest machines.
+    /// Number of machines in the offer's zone. Among offers of equal cost the one with the fewest is chosen.
     machines_in_zone: u64,
 }
 
-/// The instances to be created, as far as they are decided.
+/// The instances chosen so far.
 struct ScaleOutPlan {
-    market: Market,
+    criteria: OfferCriteria,
     new_machines: Vec<MachineCapacity>,
     counts: BTreeMap<InstanceOffer, u32>,
-    /// By zone, for zones that return.
+    /// Number of new instances by zone, for returning zones.
     counts_in_returning_zones: BTreeMap<String, u32>,
-    /// How many more may be created.
+    /// Number of instances that may still be added.
     remaining: u64,
 }
 
 impl Controller {
-    /// Whether any offer that takes such a task is not known to be out of capacity.
+    /// Returns whether an offer exists that can run one of these tasks and is not marked as out of capacity.
     pub(crate) fn can_scale_out_for(&self, tasks: &UnschedulableTasks) -> bool {
-        let market = Market {
+        let criteria = OfferCriteria {
             machines_by_zone: BTreeMap::new(),
             closed_zones: self.zones_closed_to_scale_out(&BTreeMap::new()),
             reliability: self.autoscaling.provisioning.settled_reliability(self.now()),
         };
-        self.cheapest_offer(&tasks.spec, &tasks.zones, &market).is_some()
+        self.cheapest_offer(&tasks.spec, &tasks.zones, &criteria).is_some()
     }
 
     /// Requests instances for unschedulable tasks.
     pub(super) fn scale_out(&mut self, unschedulable: &[UnschedulableTasks]) {
-        // Until the answer is here it isn't known what is coming.
+        // Until requests in flight are answered, the number of coming instances is unknown.
         if self.autoscaling.cloud.is_creating_instances() {
             return;
         }
@@ -70,11 +70,11 @@
         self.request_instances(counts);
     }
 
-    /// How many more instances may be provisioned at a time.
+    /// Returns how many more instances may be provisioned concurrently.
     fn remaining_provisioning(&self) -> u64 {
         let by_size = (self.store.replica.machines.len() as f64 * self.policy.boots_part) as u64;
         let max_count = u64::from(self.policy.boots_max).max(by_size);
-        // Overdue instances, which may never come up, leave room for others, but not without bound.
+        // Overdue instances may never start, so they don't count, but only up to the limit itself.
         let autoscaling = &self.autoscaling;
         let overdue_count = autoscaling.provisioning.overdue_count(&autoscaling.machine_types, self.now());
         max_count.saturating_sub(autoscaling.provisioning.count() - overdue_count.min(max_count))
@@ -83,8 +83,8 @@
     fn instances_to_create(&self, unschedulable: &[UnschedulableTasks]) -> BTreeMap<InstanceOffer, u32> {
         let autoscaling = &self.autoscaling;
         let mut plan = ScaleOutPlan {
-            market: Market {
-                // Counted once: a walk over all machines for each instance took most of a second.
+            criteria: OfferCriteria {
+                // Counted once: an iteration over all machines for each new instance took most of a second.
                 machines_by_zone: self.machines_by_zone(),
                 closed_zones: self.zones_closed_to_scale_out(&BTreeMap::new()),
                 reliability: autoscaling.provisioning.reliability(&autoscaling.machine_types, self.now()),
@@ -100,12 +100,12 @@
         plan.counts
     }
 
-    /// Packs tasks into the instances decided so far, and decides on more for those that are left.
+    /// Packs tasks into the instances chosen so far, and chooses more instances for the remaining tasks.
     fn plan_instances_for(&self, tasks: &UnschedulableTasks, plan: &mut ScaleOutPlan) {
         let mut zones = tasks.zones.clone();
         let mut count = tasks.count - pack_tasks(&tasks.spec, tasks.count, &mut plan.new_machines, &mut zones);
         while count > 0 && plan.remaining > 0 {
-            let Some(PricedOffer { offer, resources, .. }) = self.cheapest_offer(&tasks.spec, &zones, &plan.market)
+            let Some(PricedOffer { offer, resources, .. }) = self.cheapest_offer(&tasks.spec, &zones, &plan.criteria)
             else {
                 break;
             };
@@ -116,10 +116,10 @@
             }
             count -= packed_count;
             plan.new_machines.push(machine);
-            *plan.market.machines_by_zone.entry(offer.zone.clone()).or_default() += 1;
+            *plan.criteria.machines_by_zone.entry(offer.zone.clone()).or_default() += 1;
             if self.zone_is_returning(&offer.zone) {
                 *plan.counts_in_returning_zones.entry(offer.zone.clone()).or_default() += 1;
-                plan.market.closed_zones = self.zones_closed_to_scale_out(&plan.counts_in_returning_zones);
+                plan.criteria.closed_zones = self.zones_closed_to_scale_out(&plan.counts_in_returning_zones);
             }
             *plan.counts.entry(offer).or_default() += 1;
             plan.remaining -= 1;
@@ -129,7 +129,7 @@
     fn machines_by_zone(&self) -> BTreeMap<String, u64> {
         let mut by_zone: BTreeMap<String, u64> = BTreeMap::new();
         for record in self.store.replica.machines.values() {
-            // Without a copy of the name for each of thousands of machines.
+            // Looks the zone up by reference first, to avoid copying its name for each of thousands of machines.
             match by_zone.get_mut(&record.value.zone) {
                 Some(count) => *count += 1,
                 None => *by_zone.entry(record.value.zone.clone()).or_default() = 1,
@@ -142,7 +142,7 @@
         let fencing_token = self.role_token(Role::Leader).unwrap_or_default();
         for (offer, count) in counts {
             let number = self.autoscaling.provisioning.next_request_number();
-            // The fencing token is this process's alone, so the name is never used again.
+            // No other process gets this fencing token, so the request name is unique.
             let request = InstanceRequest {
                 request: format!("r-{}-{number}", fencing_token.0),
                 machine_type: offer.machine_type,
@@ -154,10 +154,10 @@
         }
     }
 
-    /// The offer with the lowest cost for each task it can hold.
-    fn cheapest_offer(&self, spec: &JobSpec, zones: &TasksByZone, market: &Market) -> Option<PricedOffer> {
+    /// Returns the offer with the lowest cost for each task that fits on its instances.
+    fn cheapest_offer(&self, spec: &JobSpec, zones: &TasksByZone, criteria: &OfferCriteria) -> Option<PricedOffer> {
         let need = spec.resources();
-        let zone_allowed = |zone: &str| !market.closed_zones.contains(zone) && zones.remaining_in(spec, zone) > 0;
+        let zone_allowed = |zone: &str| !criteria.closed_zones.contains(zone) && zones.remaining_in(spec, zone) > 0;
         let mut priced_offers = Vec::new();
         for info in self.autoscaling.machine_types().filter(|info| need.fits_in(&info.resources)) {
             for zone in info.wire.zones.iter().filter(|zone| zone_allowed(zone)) {
@@ -166,7 +166,7 @@
                     if spec.allows(&offer.machine_type, &offer.zone, spot)
                         && !self.autoscaling.provisioning.is_unavailable(&offer)
                     {
-                        priced_offers.push(priced_offer(offer, info, &need, market));
+                        priced_offers.push(priced_offer(offer, info, &need, criteria));
                     }
                 }
             }
@@ -175,16 +175,21 @@
     }
 }
 
-/// The cost for each task that an offer holds. An instance that fails costs its provisioning and the time of those who
-/// wait for it, so the success rate counts twice.
-fn priced_offer(offer: InstanceOffer, info: &MachineTypeInfo, need: &Resources, market: &Market) -> PricedOffer {
+/// Returns an offer with its cost for each task that fits on an instance. A failed instance costs both its provisioning
+/// and the time that tasks wait for it, so the cost is divided by the square of the success rate.
+fn priced_offer(
+    offer: InstanceOffer,
+    info: &MachineTypeInfo,
+    need: &Resources,
+    criteria: &OfferCriteria,
+) -> PricedOffer {
     let on_demand_price = info.wire.price;
     let price = if offer.spot { info.wire.spot_price.unwrap_or(on_demand_price) } else { on_demand_price };
     let task_count = tasks_that_fit(need, &info.resources).max(1);
-    let success_rate = market.reliability.success_rate(&offer);
+    let success_rate = criteria.reliability.success_rate(&offer);
     PricedOffer {
         cost: (price / task_count as f64 / (success_rate * success_rate) * COST_SCALE) as u64,
-        machines_in_zone: market.machines_by_zone.get(&offer.zone).copied().unwrap_or(0),
+        machines_in_zone: criteria.machines_by_zone.get(&offer.zone).copied().unwrap_or(0),
         resources: info.resources,
         offer,
     }
