--- a/src/coordination/scheduling/candidates.rs
+++ b/src/coordination/scheduling/candidates.rs
@@ -1,4 +1,4 @@
-//! The candidate machines for the next task of a job, kept up to date from task to task.
+//! The candidate machines for the next task of a job, updated after each placed task.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
@@ -8,42 +8,42 @@
 use crate::types::{JobId, Micros};
 use std::collections::BTreeSet;
 
-/// Where a job's next tasks may go, besides its own rules.
+/// Restrictions on the placement of a job's next tasks, in addition to the job's own rules.
 #[derive(Clone, Copy)]
 pub(super) struct PlacementFilter<'a> {
     pub only_zone: Option<&'a str>,
-    /// Zones that had better not be used.
+    /// Zones excluded from placement for now.
     pub avoided_zones: Option<&'a BTreeSet<String>>,
-    /// Whether machines are left out on which tasks of the job have failed since it last succeeded. A gang that never
-    /// gets past one faulty machine fails on no other, so nothing else would tell the two apart.
+    /// Whether to exclude machines on which tasks of the job have failed since its last success. Without this a gang
+    /// stopped by one faulty machine fails on no other, so a faulty machine can't be told from a faulty job.
     pub avoid_failed_machines: bool,
 }
 
 impl PlacementFilter<'_> {
-    /// Whether a machine is not one to avoid.
+    /// Returns whether a machine is neither in an avoided zone nor excluded for failed tasks of the job.
     fn admits(&self, job: &Job, machine: &CandidateMachine) -> bool {
         let has_failed = self.avoid_failed_machines && job.failures.has_failed_on(&machine.id);
         !has_failed && !self.avoided_zones.is_some_and(|zones| zones.contains(&machine.zone))
     }
 }
 
-/// Machines that could take the next task of a job, kept from task to task: placing one changes the prediction for its own
-/// machine only.
+/// Machines that could take the next task of a job. They are kept from task to task, as placing a task changes the
+/// prediction for its own machine only.
 #[derive(Default)]
 pub(super) struct Candidates {
     /// Indexes into the machines of the shard's view.
     machine_indexes: Vec<usize>,
-    /// The prediction for each of them.
+    /// Prediction for each of these machines.
     candidates: Vec<PlacementCandidate>,
 }
 
 impl Candidates {
-    /// Whether no machine could take the task.
+    /// Returns whether no machine could take the task.
     pub fn is_empty(&self) -> bool {
         self.machine_indexes.is_empty()
     }
 
-    /// Index of a candidate's machine in the shard's view.
+    /// Returns the index of a candidate's machine in the shard's view.
     pub fn machine_index(&self, candidate: usize) -> usize {
         self.machine_indexes[candidate]
     }
@@ -68,7 +68,7 @@
 }
 
 impl Controller {
-    /// The machines of a shard that could take the next task of a job.
+    /// Returns the machines of a shard that could take the next task of a job.
     pub(super) fn candidates_for(&self, id: &JobId, view: &ShardView, filter: PlacementFilter) -> Candidates {
         let mut candidates = Candidates::default();
         let Some(job) = self.jobs.get(id) else { return candidates };
@@ -95,7 +95,8 @@
             && filter.admits(job, machine)
     }
 
-    /// After a task was placed: its machine has less capacity, and the job's own rules may have closed a zone.
+    /// Updates the candidates after a task was placed: its machine has less capacity, and the job's rules or the limits
+    /// of the zone may exclude further machines.
     pub(super) fn update_candidates(
         &self,
         id: &JobId,
@@ -123,8 +124,9 @@
         }
     }
 
-    /// Steps 3 to 5 for the next task of a job.
+    /// Chooses the candidate for the next task of a job: steps 3 to 5 of the design.
     pub(super) fn best_candidate(&self, job: &Job, candidates: &Candidates) -> Option<usize> {
+        // Time until the task must start to meet its deadline.
         let slack = match job.urgency.due_at {
             Some(due) => due.since(self.clock.wall + job.spec.estimate()),
             None => Micros::from_millis(self.policy.default_slack_ms),
--- a/src/coordination/scheduling/cross_shard_preemption.rs
+++ b/src/coordination/scheduling/cross_shard_preemption.rs
@@ -1,9 +1,10 @@
-//! Preemption across shards: machines that only run work of the lowest priority go to a shard with more urgent work.
+//! Preemption across shards: machines that only run work of the lowest priority are moved to a shard with more urgent
+//! work.
 //!
-//! Where no more instances can be created, a shard's waiting work would wait until whole machines of others fall free. So
-//! the leader also reassigns machines on which nothing but arrays of the lowest priority runs, by the same cordon as for
-//! idle ones (see [`crate::coordination::fleet::shard_moves`]). The holder stops what runs there as long as more urgent work
-//! waits where the machine is to go; otherwise it lifts the cordon.
+//! If no more instances can be created, a shard's tasks would wait until other shards have idle machines. So the leader
+//! also reassigns machines that run nothing but job arrays of the lowest priority, by the same cordon as for idle
+//! machines (see [`crate::coordination::fleet::shard_moves`]). The holder drains such a machine as long as more urgent
+//! work waits in the target shard; otherwise it removes the cordon.
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::{MachineCapacity, UnschedulableTasks};
@@ -13,12 +14,12 @@
 use crate::storage::schema::CordonReason;
 use crate::types::{MachineId, Micros};
 
-/// A machine that its holder keeps is not chosen again before this.
+/// Time after which a machine that its holder has kept may be chosen again.
 const PREEMPTION_RETRY_INTERVAL: Micros = Micros::from_millis(30_000);
 
 impl Controller {
-    /// For tasks that find no capacity, nor any instance to create: reassigns machines of other shards that only run work
-    /// of the lowest priority.
+    /// Reassigns machines of other shards that only run work of the lowest priority, for unschedulable tasks for which
+    /// no instance can be created.
     pub(crate) fn preempt_across_shards(&mut self, capacity: &CapacityByShard, unschedulable: &[UnschedulableTasks]) {
         let now = self.now();
         self.autoscaling.forget_preemptions(now, PREEMPTION_RETRY_INTERVAL);
@@ -54,8 +55,8 @@
                 if moves.iter().any(|other| other.machine == *id) || !self.may_preempt_machine(id) {
                     continue;
                 }
-                let emptied = MachineCapacity { free: self.machine_resources(id), ..machine.clone() };
-                if tasks.pack_into(&mut [emptied]) > 0 {
+                let drained = MachineCapacity { free: self.machine_resources(id), ..machine.clone() };
+                if tasks.pack_into(&mut [drained]) > 0 {
                     moves.push(MachineMove { machine: id.clone(), from_shard, to_shard });
                 }
             }
@@ -67,12 +68,13 @@
         !self.autoscaling.was_preempted(id) && self.runs_only_lowest_priority(id)
     }
 
-    /// Whether nothing but arrays of the lowest priority takes resources on a machine, and something does.
+    /// Returns whether resources of a machine are in use, and only by job arrays of the lowest priority.
     fn runs_only_lowest_priority(&self, id: &MachineId) -> bool {
         self.jobs.usage().has_only_low_priority_arrays(id)
     }
 
-    /// Whether the holder of a machine that is to go to another shard should drain it: more urgent work waits there.
+    /// Returns whether the holder of a machine to be moved to another shard should drain it: it runs only work of the
+    /// lowest priority, and more urgent work waits in that shard.
     pub(crate) fn should_drain_for(&self, id: &MachineId, to_shard: u32) -> bool {
         let urgent_work_waits = || {
             self.jobs.values().any(|job| {
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -1,4 +1,4 @@
-//! The scheduling cycle: looks at the waiting jobs in order and starts what has a place.
+//! The scheduling cycle: processes the waiting jobs in order and starts the tasks that can be placed.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 impl Controller {
-    /// Looks at waiting jobs in order until the time is up; the next round goes on from there.
+    /// Processes waiting jobs in order until the time budget is used up. The next round continues with the rest.
     pub(crate) fn run_scheduling_cycle(&mut self, time_left: &mut dyn FnMut() -> bool) {
         if !self.scheduling.has_jobs_left() {
             let (now, min_interval) = (self.now(), Micros::from_millis(self.policy.pass_gap_ms));
@@ -29,7 +29,7 @@
         }
     }
 
-    /// `views`: the shards looked at so far in this round.
+    /// Starts the tasks of a job that can be placed. `views` caches the views of shards used so far in this round.
     fn schedule_job(&mut self, id: &JobId, views: &mut HashMap<u32, ShardView>) {
         let Some(job) = self.jobs.get(id) else { return };
         let shard = job.shard;
@@ -46,16 +46,16 @@
         views.insert(shard, view);
     }
 
-    /// Starts as many tasks of a job as have a place.
+    /// Starts as many tasks of a job as can be placed.
     fn schedule_tasks(&mut self, id: &JobId, view: &mut ShardView) {
         let now = self.now();
         let Some(job) = self.jobs.get(id) else { return };
-        // The rest of it comes in its turn.
-        let starts_one_only =
+        // An array scheduled early because it is overdue or starved starts only one task out of order.
+        let starts_single_task =
             job.spec.kind == JobKind::Array && (self.is_overdue(job) || self.is_starved_in_restoration(id));
         let avoided_zones = self.zones_to_avoid(id, job, &view.distrusted_zones);
         let (filter, mut candidates) = self.first_candidates(id, view, &avoided_zones);
-        // A job is left alone while a transaction of it is in flight, so one cycle starts all that it can.
+        // A job with a transaction in flight is not scheduled, so one cycle starts as many of its tasks as possible.
         loop {
             let Some(job) = self.jobs.get(id) else { return };
             if !job.may_start(now) {
@@ -63,7 +63,7 @@
             }
             let next = job.next_task(now, self.store.tasks_per_chunk(), |chunk| self.chunk_has_space(id, job, chunk));
             let Some(task) = next else {
-                self.note_blocked(id);
+                self.mark_blocked_by_full_chunks(id);
                 return;
             };
             if !self.is_within_quota(job) {
@@ -74,15 +74,15 @@
                 return;
             };
             self.start_task(id, task, view, candidates.machine_index(chosen));
-            if starts_one_only {
+            if starts_single_task {
                 return;
             }
             self.update_candidates(id, view, &mut candidates, chosen, filter);
         }
     }
 
-    /// Candidates outside the zones and machines that a job had better avoid. If there are none, those on machines where
-    /// its tasks failed, and in avoided zones if it has waited long enough.
+    /// Returns the candidates outside avoided zones and without machines on which the job's tasks failed. If there are
+    /// none, includes those machines, and avoided zones if the job has waited long enough.
     fn first_candidates<'a>(
         &mut self,
         id: &JobId,
@@ -103,14 +103,14 @@
         (filter, candidates)
     }
 
-    /// A job has waiting tasks none of which can be recorded at present.
-    fn note_blocked(&mut self, id: &JobId) {
+    /// Marks a job as blocked if tasks of it wait, because its records have no space for another attempt now.
+    fn mark_blocked_by_full_chunks(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.scheduling.is_blocked_by_full_chunks = job.waiting_count() > 0;
         }
     }
 
-    /// Step 6: all tasks in one cycle or none.
+    /// Starts all tasks of a gang in one cycle or none: step 6 of the design.
     fn schedule_gang(&mut self, id: &JobId, view: &mut ShardView) {
         let Some(job) = self.jobs.get(id) else { return };
         let all_wait = job.attempts.is_empty() && job.waiting_count() >= job.spec.tasks;
@@ -130,7 +130,7 @@
         self.preempt_for(id, &view.machines);
     }
 
-    /// Starts all tasks of a gang, or leaves everything as it was. Returns whether it started them.
+    /// Starts all tasks of a gang, or none and restores the view. Returns whether they were started.
     fn start_gang(&mut self, id: &JobId, view: &mut ShardView, filter: PlacementFilter) -> bool {
         let Some(task_count) = self.jobs.get(id).map(|job| job.spec.tasks) else { return false };
         let snapshot = view.snapshot();
@@ -165,7 +165,7 @@
         true
     }
 
-    /// Decides that a task starts on a machine. The start is recorded before the agent is told.
+    /// Decides to start a task on a machine. The attempt is recorded in the store before the agent is notified.
     fn start_task(&mut self, id: &JobId, task: u32, view: &mut ShardView, machine_index: usize) {
         let candidate = &mut view.machines[machine_index];
         if let Some(queues) = &mut view.fetch_queues
@@ -185,7 +185,7 @@
         self.note_zone_attempt(&view.machines[machine_index].id, ZoneAttemptEvent::Decided);
     }
 
-    /// Takes back a start that was decided in this cycle and not recorded.
+    /// Withdraws an attempt that was decided in this cycle and is not recorded.
     fn withdraw_start(&mut self, id: &JobId, task: u32) {
         if let Some(attempt) = self.jobs.withdraw_attempt(id, task) {
             self.update_idle_since(attempt.machine());
--- a/src/coordination/scheduling/fetch_limits.rs
+++ b/src/coordination/scheduling/fetch_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on image fetches during restoration, and on starts in a zone that returns.
+//! Limits on image fetches during restoration, and on attempts in a returning zone.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
@@ -18,7 +18,8 @@
         queues
     }
 
-    /// Whether a zone that returns takes one more start, and a machine one more fetch while these are limited.
+    /// Returns whether one more task may start on a machine: its zone, if returning, admits another attempt, and the
+    /// limits on fetches, if they apply, admit another fetch.
     pub(super) fn is_admitted(&self, job: &Job, candidate: &CandidateMachine, view: &ShardView) -> bool {
         if candidate.is_zone_returning && !self.zone_admits_attempt(&candidate.zone) {
             return false;
@@ -28,7 +29,7 @@
             || queues.admits(&candidate.zone, candidate.pending_fetch_count, &self.policy.zones)
     }
 
-    /// Whether a task started there would have one more image fetched.
+    /// Returns whether starting a task on a machine would add an image fetch there.
     pub(super) fn adds_fetch(&self, job: &Job, candidate: &CandidateMachine) -> bool {
         let image = job.spec.image.as_str();
         let Some(machine) = self.fleet.machine(&candidate.id) else { return true };
@@ -36,7 +37,7 @@
         !machine.has_image(image) && !is_pending()
     }
 
-    /// Whether the whole zone of a machine takes no more starts, or no more fetches, in this cycle.
+    /// Returns whether the zone of a machine admits no more attempts or no more fetches in this cycle.
     pub(super) fn is_zone_exhausted(&self, candidate: &CandidateMachine, view: &ShardView) -> bool {
         let no_starts = candidate.is_zone_returning && !self.zone_admits_attempt(&candidate.zone);
         let queues = view.fetch_queues.as_ref();
--- a/src/coordination/scheduling/job_order.rs
+++ b/src/coordination/scheduling/job_order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs are looked at.
+//! The order in which waiting jobs are scheduled.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
@@ -7,24 +7,25 @@
 use crate::types::{JobId, Micros};
 use std::cmp::Reverse;
 
-/// Decides between two waiting jobs; the lower goes first. Compared field by field, in the order in which they stand.
+/// Sort key of waiting jobs, lowest first. The fields are compared in the order of their declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct OrderingKey {
     priority: Reverse<Priority>,
-    /// Jobs that should have begun long ago go before these.
+    /// False for overdue jobs, which sort before others of their priority; see [`Controller::is_overdue`].
     is_not_overdue: bool,
-    /// Jobs within their team's guaranteed quota go before these.
+    /// False for jobs within their team's guaranteed quota, which sort before others.
     is_beyond_guaranteed_quota: bool,
-    turn_at: Micros,
+    virtual_deadline: Micros,
     ready_at: Micros,
     id: JobId,
 }
 
 impl Controller {
-    /// When it is a job's turn among those of its priority: its deadline if it has one, else its submission, deferred the
-    /// more the more work is left. With more asked than can be done, pure order of submission makes all late; this way
-    /// the small ones are on time, and as the time of submission counts too, no large one waits for ever.
-    fn turn_at(&self, job: &Job) -> Micros {
+    /// Returns the time by which a job is ordered among those of its priority: its deadline if it has one, else its
+    /// ready time plus a deferral that grows with its remaining work. Under overload, order of submission alone would
+    /// make all jobs late. With the deferral small jobs are on time, and as the ready time counts too, no large job
+    /// starves.
+    fn virtual_deadline(&self, job: &Job) -> Micros {
         if let Some(due) = job.urgency.due_at {
             return due;
         }
@@ -33,8 +34,8 @@
         job.ready_at + self.deferral(cpu_seconds)
     }
 
-    /// How long a job lets others go first, by the CPU seconds it still needs: much for each at first, little for each
-    /// beyond the limit. One limit for all would let a huge array of short tasks wait for every larger one before it.
+    /// Returns the deferral of a job by the CPU seconds that it still needs. It grows fast up to a limit and slowly
+    /// beyond it. With a hard limit a huge array of short tasks would wait for every larger job submitted before it.
     fn deferral(&self, cpu_seconds: f64) -> Micros {
         let policy = &self.policy;
         let limit = Micros::from_millis(policy.wait_most_ms);
@@ -48,14 +49,16 @@
         limit + beyond.min(Micros::from_millis(policy.wait_large_most_ms))
     }
 
-    /// Whether no task of a job was ever started though it was accepted long ago. The largest jobs would wait without end
-    /// behind small ones that keep coming.
+    /// Returns whether a job has been ready for `begin_within_ms` and none of its tasks was ever started. Such jobs go
+    /// before others of their priority, as the largest jobs would otherwise starve behind a steady stream of small
+    /// ones.
     pub(super) fn is_overdue(&self, job: &Job) -> bool {
         let max_wait = Micros::from_millis(self.policy.begin_within_ms);
         job.progress.first_unstarted == 0 && self.clock.wall.since(job.ready_at) >= max_wait
     }
 
-    /// Whether a job of a shard held here has a record that no transaction in flight is about to change.
+    /// Returns whether a job's shard is held by this controller and the job has a record that no transaction in flight
+    /// changes.
     pub(super) fn can_be_scheduled(&self, job: &Job) -> bool {
         job.recording.has_record && !job.recording.is_txn_in_flight && self.holds(Role::Shard(job.shard))
     }
@@ -65,14 +68,14 @@
             priority: Reverse(job.urgency.priority),
             is_not_overdue: !self.is_overdue(job),
             is_beyond_guaranteed_quota: !self.is_within_guaranteed_quota(job),
-            turn_at: self.turn_at(job),
+            virtual_deadline: self.virtual_deadline(job),
             ready_at: job.ready_at,
             id: id.clone(),
         }
     }
 
-    /// Jobs of the shards held here with tasks that wait for a machine: by priority, then those that should have begun
-    /// long ago, then those within their team's guaranteed quota, then by turn.
+    /// Returns the jobs with waiting tasks in the shards held by this controller, in order of [`OrderingKey`], or in
+    /// order of restoration after the loss of a zone.
     pub(super) fn jobs_in_scheduling_order(&self) -> Vec<JobId> {
         let waiting = self.jobs.iter().filter(|(_, job)| job.waiting_count() > 0 && self.can_be_scheduled(job));
         let mut keys: Vec<OrderingKey> = waiting.map(|(id, job)| self.ordering_key(id, job)).collect();
--- a/src/coordination/scheduling/mod.rs
+++ b/src/coordination/scheduling/mod.rs
@@ -1,8 +1,8 @@
 //! Scheduling: the order of jobs, the candidate machines of a task, placement and preemption.
 //!
-//! Owns the scheduling cycle: the jobs still to be looked at, and when the next cycle is due. Reads jobs, usage, the fleet,
-//! the replica of the store and the conditions of zones. Promises that a gang starts whole or not at all, and that nothing
-//! starts beyond its team's quota. Placement follows steps 1 to 6 of `docs/design.md`.
+//! Owns the scheduling cycle: the jobs left in the present cycle, and the time of the next one. Reads jobs, usage, the
+//! fleet, the replica of the store and the conditions of zones. Guarantees that either all tasks of a gang start or
+//! none, and that no task starts beyond its team's quota. Placement follows steps 1 to 6 of `docs/design.md`.
 
 pub(crate) mod candidates;
 pub(crate) mod cross_shard_preemption;
@@ -20,10 +20,11 @@
 use crate::types::{JobId, Micros};
 use std::collections::VecDeque;
 
-/// The scheduling cycle: all waiting jobs are looked at once in order, over several rounds if time runs out.
+/// State of the scheduling cycle, which processes each waiting job once, in order. If its time budget runs out, it
+/// continues in the next round.
 #[derive(Default)]
 pub(crate) struct Scheduling {
-    /// Jobs still to be looked at in this cycle.
+    /// Jobs left in the present cycle.
     queue: VecDeque<JobId>,
     cycle_started_at: Micros,
     is_cycle_requested: bool,
@@ -31,17 +32,18 @@
 }
 
 impl Scheduling {
-    /// Something has changed that may let a waiting job start: a cycle begins when the interval since the last is over.
+    /// Requests a cycle after a change that may let a waiting job start. It begins after the minimum interval since the
+    /// start of the last cycle.
     pub(crate) fn request_cycle(&mut self) {
         self.is_cycle_requested = true;
     }
 
-    /// Urgent work waits: a cycle begins as soon as the present one is over.
+    /// Requests a cycle for urgent work. It begins as soon as the present cycle has ended.
     pub(crate) fn request_urgent_cycle(&mut self) {
         self.is_urgent_cycle_requested = true;
     }
 
-    /// Whether the present cycle has jobs left to look at.
+    /// Returns whether the present cycle has jobs left.
     pub(crate) fn has_jobs_left(&self) -> bool {
         !self.queue.is_empty()
     }
--- a/src/coordination/scheduling/placement.rs
+++ b/src/coordination/scheduling/placement.rs
@@ -1,5 +1,5 @@
-//! Which machine a task goes to: steps 1 to 5 of the design, after DataHelix's deadline-aware placement with image caches
-//! standing in for its locality.
+//! Choice of the machine for a task: steps 1 to 5 of the design. Based on DataHelix's deadline-aware placement, with
+//! cached images in place of data locality.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::Machine;
@@ -10,21 +10,23 @@
 
 /// Megabytes in one gigabyte of an image.
 const MEGABYTES_PER_GB: f64 = 1000.0;
-/// A rate that was measured is taken for no less than this, in MB a second.
+/// Lower bound for the fetch rate of a machine, in MB per second.
 const MIN_FETCH_MB_PER_S: f64 = 0.001;
 
-/// A machine that could take the task, with what is predicted for it.
+/// Prediction for a task on a machine that could take it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementCandidate {
-    /// Step 1: time from now until the image is there, after the fetches that wait before it.
+    /// Time from now until the machine has the image, including the fetches queued before it (step 1).
     pub ready_after: Micros,
-    /// Whether the image is there now.
+    /// Whether the machine has the image now.
     pub has_image: bool,
-    /// Decides among equals; the lower goes first.
+    /// Order among candidates with equal `ready_after`, lowest first.
     pub tie_breaker: (u64, u64),
 }
 
-/// Steps 3 to 5. `slack` is the time from now to the deadline D, zero if that has passed.
+/// Chooses a candidate: steps 3 to 5 of the design. `slack` is the time left until the deadline D of the design, zero
+/// if that has passed. Among candidates that meet the deadline, one with the image is preferred unless one without it
+/// is ready earlier by `margin`.
 pub fn choose_candidate(candidates: &[PlacementCandidate], slack: Micros, margin: Micros) -> Option<usize> {
     let earliest = |is_eligible: &dyn Fn(&PlacementCandidate) -> bool| {
         (0..candidates.len())
@@ -35,28 +37,29 @@
     let with_image = earliest(&|candidate| meets_deadline(candidate) && candidate.has_image);
     let without_image = earliest(&|candidate| meets_deadline(candidate) && !candidate.has_image);
     match (with_image, without_image) {
-        // Step 4: a machine with the image wins unless another is earlier by the margin.
+        // Step 4: a machine with the image is preferred unless another is ready earlier by the margin.
         (Some(with), Some(without)) if candidates[without].ready_after + margin <= candidates[with].ready_after => {
             Some(without)
         }
         (Some(with), _) => Some(with),
         (None, Some(without)) => Some(without),
-        // Step 5: all miss the deadline.
+        // Step 5: no candidate meets the deadline, so the earliest is chosen.
         (None, None) => earliest(&|_| true),
     }
 }
 
-/// An image that a machine has still to fetch.
+/// An image that a machine is fetching or will fetch.
 pub(crate) struct PendingFetch<'a> {
     pub image: &'a str,
     pub megabytes: f64,
 }
 
 impl Controller {
-    /// Steps 1 and 2: the fetches pending on the machine, run one after another, then the job's own.
+    /// Predicts when a machine has the image of a job, if its pending fetches and then the job's own run one after
+    /// another: steps 1 and 2 of the design.
     pub(super) fn placement_candidate(&self, job: &Job, candidate: &CandidateMachine) -> PlacementCandidate {
         let image = job.spec.image.as_str();
-        // Among equals the tightest fit, so that machines fall free as a whole.
+        // Best fit among equal candidates, so that whole machines become idle.
         let tie_breaker = (candidate.free.cpus, candidate.free.memory);
         let Some(machine) = self.fleet.machine(&candidate.id) else {
             return PlacementCandidate { ready_after: Micros(u64::MAX), has_image: false, tie_breaker };
@@ -80,7 +83,7 @@
         PlacementCandidate { ready_after, has_image: false, tie_breaker }
     }
 
-    /// Images that a machine has still to fetch, in order, with what is left of each at that rate.
+    /// Returns the images that a machine has still to fetch, in order, with the amount left of each at the given rate.
     pub(super) fn pending_fetches<'a>(
         &'a self,
         id: &MachineId,
@@ -93,14 +96,14 @@
             let left = fetch.megabytes - now.since(fetch.started_at).secs() * mb_per_s;
             pending.push(PendingFetch { image: &fetch.image, megabytes: left.max(0.0) });
         }
-        // Attempts decided or recorded whose fetch has not shown up in a heartbeat yet.
+        // Adds the images of attempts that are decided or recorded and whose fetch no heartbeat has reported yet.
         for task in self.jobs.usage().iter_attempts_on(id) {
             let Some(job) = self.jobs.get(&task.job) else { continue };
             let attempt = job.attempts.get(task.index);
-            let is_unseen =
+            let is_unreported =
                 attempt.is_some_and(|a| matches!(a.state(), AttemptState::Decided | AttemptState::Recorded));
             let image = job.spec.image.as_str();
-            if is_unseen && !machine.has_image(image) && !pending.iter().any(|fetch| fetch.image == image) {
+            if is_unreported && !machine.has_image(image) && !pending.iter().any(|fetch| fetch.image == image) {
                 pending.push(PendingFetch { image, megabytes: job.spec.image_gb * MEGABYTES_PER_GB });
             }
         }
--- a/src/coordination/scheduling/preemption.rs
+++ b/src/coordination/scheduling/preemption.rs
@@ -1,5 +1,5 @@
-//! Preemption within a shard: which running tasks of lower priority are stopped for urgent work that finds no capacity,
-//! where that costs least.
+//! Preemption within a shard: stops running tasks of lower priority for more urgent tasks that find no capacity, on the
+//! machines where that costs least.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::TaskAttempt;
@@ -8,20 +8,20 @@
 use crate::protocol::user::{JobKind, Priority};
 use crate::types::{JobId, MachineId, Micros, Resources};
 
-/// A job that preempted others does so again only after this.
+/// Time after which a job that preempted others may do so again.
 const PREEMPTION_PAUSE: Micros = Micros::from_millis(1000);
 
-/// A job's only task is not stopped before it has run for so long.
+/// Minimum run time before a job's only task is preempted.
 const MIN_RUN_BEFORE_PREEMPTION: Micros = Micros::from_millis(35_000);
 
-/// What preemption on a machine costs; the lower goes first.
+/// Cost of preemption on a machine, lowest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct PreemptionCost {
     needs_fetch: bool,
     lost_us: u64,
 }
 
-/// A running task that may be stopped. The one that loses the least time goes first.
+/// A running task that may be preempted. The one that loses the least run time is preempted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Victim {
     lost_time: Micros,
@@ -30,7 +30,7 @@
     resources: Resources,
 }
 
-/// The tasks to stop on one machine so that one task of a job finds capacity there.
+/// The tasks to preempt on one machine so that one task of a job finds capacity there.
 struct MachinePreemption<'a> {
     cost: PreemptionCost,
     machine: &'a CandidateMachine,
@@ -38,7 +38,8 @@
 }
 
 impl Controller {
-    /// Stops tasks of lower priority where that lets waiting tasks of a more urgent job in, where the least is lost first.
+    /// Preempts tasks of lower priority on machines where that frees capacity for waiting tasks of a job, in order of
+    /// cost.
     pub(super) fn preempt_for(&mut self, id: &JobId, machines: &[CandidateMachine]) {
         let now = self.now();
         let Some(job) = self.jobs.get(id) else { return };
@@ -46,9 +47,10 @@
             return;
         }
         let victims = self.choose_victims(id, job, machines);
-        // Ordinary work pauses also where none was found: with hundreds waiting the search takes most of a round.
-        let pauses = !victims.is_empty() || job.spec.priority == Priority::Normal;
-        let pause = if pauses { PREEMPTION_PAUSE } else { Micros::ZERO };
+        // Normal work pauses even if no victim was found: with hundreds of jobs waiting the search takes most of a
+        // round.
+        let should_pause = !victims.is_empty() || job.spec.priority == Priority::Normal;
+        let pause = if should_pause { PREEMPTION_PAUSE } else { Micros::ZERO };
         if let Some(job) = self.jobs.get_mut(id) {
             job.scheduling.next_preemption_at = now + pause;
         }
@@ -59,7 +61,8 @@
         }
     }
 
-    /// The victims on as many machines as the job has tasks that no earlier preemption makes capacity for.
+    /// Returns the victims on as many machines as the job has waiting tasks, less those for which earlier preemptions
+    /// are already freeing capacity.
     fn choose_victims(&self, id: &JobId, job: &Job, machines: &[CandidateMachine]) -> Vec<Victim> {
         let mut rules = self.placement_rules(job, None);
         let mut options: Vec<MachinePreemption> = machines
@@ -68,7 +71,7 @@
             .filter_map(|machine| self.preemption_on(job, machine))
             .collect();
         options.sort_by_key(|option| (option.cost, option.machine.free.cpus));
-        // Tasks that write a checkpoint first take a while to stop.
+        // Tasks that write a checkpoint before they stop may still occupy capacity that is being freed for this job.
         let mut wanted = job.waiting_count().saturating_sub(self.machines_being_freed_for(job, machines));
         let mut chosen = Vec::new();
         for MachinePreemption { machine, victims, .. } in options {
@@ -84,7 +87,8 @@
         chosen
     }
 
-    /// Has a task stopped, with time to write a checkpoint if it writes any. Returns its machine, if it has an attempt.
+    /// Requests that a task stops, with time to write a checkpoint if the job writes any. Returns the task's machine,
+    /// if it has an attempt.
     pub(crate) fn stop_with_grace(&mut self, id: &JobId, task: u32) -> Option<MachineId> {
         let job = self.jobs.get_mut(id)?;
         let grace_s = job.stop_grace_s(self.policy.stop_grace_s);
@@ -95,8 +99,8 @@
         Some(machine)
     }
 
-    /// Whether a job may preempt others. Ordinary work does so at once within its team's guaranteed quota and otherwise
-    /// only when it has waited: what it stops is lost in part, and capacity may fall free by itself.
+    /// Returns whether a job may preempt others. Normal work does so at once within its team's guaranteed quota, and
+    /// otherwise only after a wait: preemption loses part of the stopped work, and capacity may become free without it.
     fn may_preempt(&self, job: &Job) -> bool {
         if job.is_failing() {
             return false;
@@ -112,14 +116,15 @@
         }
     }
 
-    /// Whether a task is all that has begun of its job, and has not run for long: stopped now it would count as if the
-    /// job had not begun.
+    /// Returns whether an attempt is the only one of a job without finished tasks, and has not run for long. If it were
+    /// stopped now, the job would count as not started.
     fn has_just_begun(&self, job: &Job, attempt: &TaskAttempt) -> bool {
         let ran = attempt.first_running_at.map_or(Micros::ZERO, |since| self.now().since(since));
         job.progress.done_count == 0 && job.attempts.occupying_count() == 1 && ran < MIN_RUN_BEFORE_PREEMPTION
     }
 
-    /// How many machines will have capacity for one task of the job once the tasks being stopped have gone.
+    /// Returns how many machines without capacity for a task of the job will have it once the tasks being stopped on
+    /// them have ended.
     fn machines_being_freed_for(&self, job: &Job, machines: &[CandidateMachine]) -> u32 {
         let is_being_freed = |machine: &&CandidateMachine| {
             !job.resources.fits_in(&machine.free) && job.resources.fits_in(&self.free_after_stops(machine))
@@ -127,7 +132,7 @@
         machines.iter().filter(is_being_freed).count() as u32
     }
 
-    /// What will be free on a machine once the tasks being stopped there have gone.
+    /// Returns the resources that will be free on a machine once the tasks being stopped there have ended.
     fn free_after_stops(&self, machine: &CandidateMachine) -> Resources {
         let attempts = self.jobs.usage().iter_attempts_on(&machine.id);
         let stopping = attempts.filter_map(|task| {
@@ -138,27 +143,27 @@
         stopping.fold(machine.free, |free, resources| free.plus(&resources))
     }
 
-    /// Which tasks would have to be stopped on a machine to let one task of the job in, those that lose the least first.
-    /// None if it would not help.
+    /// Returns the tasks that must be stopped on a machine to free capacity for one task of the job, those that lose
+    /// the least run time first. Returns `None` if stopping tasks is not needed or does not free enough.
     fn preemption_on<'a>(&self, job: &Job, candidate: &'a CandidateMachine) -> Option<MachinePreemption<'a>> {
         let machine = self.fleet.machine(&candidate.id)?;
-        let mut possible: Vec<Victim> = self
+        let mut eligible: Vec<Victim> = self
             .jobs
             .usage()
             .on_machine(&candidate.id)?
             .attempts()
             .filter_map(|task| self.as_victim(job, &task.job, task.index))
             .collect();
-        possible.sort();
+        eligible.sort();
         let mut free = candidate.free;
         let mut victims = Vec::new();
         let mut lost_us = 0;
-        for victim in possible {
+        for victim in eligible {
             if job.resources.fits_in(&free) {
                 break;
             }
             free = free.plus(&victim.resources);
-            // One more for each, so that of two machines with nothing to lose the one with fewer victims is taken.
+            // Adds 1 for each victim, so that of two machines without any loss the one with fewer victims is chosen.
             lost_us += victim.lost_time.0 + 1;
             victims.push(victim);
         }
@@ -167,7 +172,8 @@
         helps.then_some(MachinePreemption { cost, machine: candidate, victims })
     }
 
-    /// A task as a victim of a job, if it may be one: a running task of an array of lower priority.
+    /// Returns a task as a victim of a job, if it is a running task of a job array of lower priority that may be
+    /// stopped.
     fn as_victim(&self, preempting: &Job, id: &JobId, task: u32) -> Option<Victim> {
         let now = self.now();
         let job = self.jobs.get(id)?;
@@ -178,7 +184,7 @@
             return None;
         }
         let ran = now.since(attempt.first_running_at.unwrap_or(now));
-        // One that writes a checkpoint when it is stopped goes on from there.
+        // A task that writes a checkpoint when it is stopped resumes from there and loses only the time of writing it.
         let writes_checkpoint =
             job.spec.checkpoint_interval_s > 0.0 && job.spec.checkpoint_duration_s <= self.policy.stop_grace_s;
         let lost_time =
--- a/src/coordination/scheduling/reservations.rs
+++ b/src/coordination/scheduling/reservations.rs
@@ -1,4 +1,4 @@
-//! Capacity kept free of batch work for the services that may come next.
+//! Reservations: capacity kept free of batch work for services that are expected soon.
 
 use crate::coordination::Controller;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
@@ -6,7 +6,7 @@
 use crate::types::{Micros, Resources};
 use std::collections::BTreeMap;
 
-/// Tasks of services with one image that are expected to come.
+/// Expected tasks of services with the same image.
 #[derive(Default)]
 struct ExpectedTasks {
     count: f64,
@@ -14,8 +14,9 @@
 }
 
 impl Controller {
-    /// Reserves capacity on machines with their images for as many tasks of services as came lately in the time that
-    /// capacity takes to fall free. A service that finds none waits for a fetch, and batch work takes whatever is free.
+    /// Reserves capacity for the tasks of services expected within the time of `reserve_ms`, on machines that have
+    /// their images. Otherwise batch work would take all free capacity, and a new service would wait for an image
+    /// fetch.
     pub(super) fn reserve_for_services(&self, shard: u32, machines: &mut [CandidateMachine]) {
         for (image, expected) in self.expected_services(shard) {
             let mut left = expected.count.round() as u32;
@@ -32,15 +33,16 @@
         }
     }
 
-    /// Services of a shard accepted within the window, scaled to the time that capacity takes to fall free, by image.
+    /// Returns the expected tasks of services by image: those accepted in the shard within `reserve_window_ms`, scaled
+    /// to `reserve_ms`, the time that capacity takes to become free.
     fn expected_services(&self, shard: u32) -> BTreeMap<&str, ExpectedTasks> {
         let window = Micros::from_millis(self.policy.reserve_window_ms);
-        let part = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
+        let scale = self.policy.reserve_ms as f64 / self.policy.reserve_window_ms as f64;
         let mut by_image: BTreeMap<&str, ExpectedTasks> = BTreeMap::new();
         let services = self.jobs.values().filter(|job| job.shard == shard && job.spec.kind == JobKind::Service);
         for job in services.filter(|job| self.clock.wall.since(job.accepted_at) < window) {
             let expected = by_image.entry(&job.spec.image).or_default();
-            expected.count += f64::from(job.spec.tasks) * part;
+            expected.count += f64::from(job.spec.tasks) * scale;
             expected.resources = job.resources;
         }
         by_image
--- a/src/coordination/scheduling/shard_view.rs
+++ b/src/coordination/scheduling/shard_view.rs
@@ -1,4 +1,4 @@
-//! The machines of a shard that take work, as one scheduling cycle sees them.
+//! The machines of a shard that take work, as seen by one scheduling cycle.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::Machine;
@@ -9,76 +9,77 @@
 use burlhatch_zones::fetches::FetchQueues;
 use std::collections::BTreeSet;
 
-/// A machine takes work only if it was seen within this multiple of the interval of heartbeats.
+/// Maximum age of the last heartbeat of a machine that is given work, as a multiple of the heartbeat interval.
 const RECENT_HEARTBEAT_FACTOR: f64 = 1.7;
 
-/// A machine that may take tasks.
+/// A machine to which tasks may be assigned.
 pub(crate) struct CandidateMachine {
     pub id: MachineId,
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     pub free: Resources,
-    /// Part of it that batch work leaves to the services that may come next.
+    /// Part of the free resources that batch work leaves to expected services.
     reserved: Resources,
     pub incarnation: u64,
-    /// Jobs whose tasks failed there a short while ago.
+    /// Jobs whose tasks recently failed on the machine.
     pub recently_failed_jobs: Vec<JobId>,
-    /// Whether its zone came back a short while ago and gets work step by step.
+    /// Whether the machine's zone is returning after its loss and gets work gradually.
     pub is_zone_returning: bool,
-    /// Images that wait to be fetched there; counted only while fetches are limited.
+    /// Number of images that the machine has still to fetch. Counted only while fetches are limited.
     pub pending_fetch_count: u32,
 }
 
 impl CandidateMachine {
-    /// What is kept free of batch work.
+    /// Returns the resources kept free of batch work.
     pub fn reserved(&self) -> Resources {
         self.reserved
     }
 
-    /// What is free and not reserved.
+    /// Returns the resources that are free and not reserved.
     pub fn unreserved(&self) -> Resources {
         self.free.minus(&self.reserved)
     }
 
-    /// Keeps resources free of batch work.
+    /// Reserves resources, which keeps them free of batch work.
     pub fn reserve(&mut self, resources: &Resources) {
         self.reserved = self.reserved.plus(resources);
     }
 
-    /// Gives back what was reserved.
+    /// Releases reserved resources.
     pub fn unreserve(&mut self, resources: &Resources) {
         self.reserved = self.reserved.minus(resources);
     }
 
-    /// Forgets all reservations.
+    /// Releases all reserved resources.
     pub fn clear_reserved(&mut self) {
         self.reserved = Resources::default();
     }
 
-    /// Whether a task of a job finds the resources that it needs there.
+    /// Returns whether the machine has the resources for a task of a job.
     pub fn has_capacity_for(&self, job: &Job) -> bool {
         let available = if job.spec.priority > Priority::Normal { self.free } else { self.unreserved() };
         job.resources.fits_in(&available)
     }
 }
 
-/// The machines of one shard that take work, as one scheduling cycle sees them.
+/// Machines of one shard that take work, as seen by one scheduling cycle.
 pub(crate) struct ShardView {
     pub machines: Vec<CandidateMachine>,
-    /// Fetches in each zone, while they are limited.
+    /// Number of pending fetches in each zone, while fetches are limited.
     pub fetch_queues: Option<FetchQueues>,
-    /// Zones that have failed too often lately.
+    /// Zones that recently failed too often.
     pub distrusted_zones: BTreeSet<String>,
 }
 
 impl ShardView {
-    /// The zones that have machines, in order.
+    /// Returns the zones of the machines, sorted by name.
     pub fn zones(&self) -> BTreeSet<String> {
         self.machines.iter().map(|machine| machine.zone.clone()).collect()
     }
 
-    /// Saves what placing a task changes, so that a gang that does not fit leaves nothing behind.
+    /// Saves the values that the placement of a task changes, so that the placements of a gang that does not fit can be
+    /// undone.
     pub fn snapshot(&self) -> ShardViewSnapshot {
         let machines = self
             .machines
@@ -87,7 +88,7 @@
         ShardViewSnapshot { machines: machines.collect(), fetch_queues: self.fetch_queues.clone() }
     }
 
-    /// Undoes what was placed since the snapshot.
+    /// Undoes the placements since the snapshot.
     pub fn restore(&mut self, snapshot: ShardViewSnapshot) {
         for (machine, saved) in self.machines.iter_mut().zip(snapshot.machines) {
             machine.free = saved.free;
@@ -97,7 +98,7 @@
     }
 }
 
-/// What placing a task changes of a [`ShardView`].
+/// Values of a [`ShardView`] that the placement of a task changes.
 pub(crate) struct ShardViewSnapshot {
     machines: Vec<MachineSnapshot>,
     fetch_queues: Option<FetchQueues>,
@@ -109,7 +110,7 @@
 }
 
 impl Controller {
-    /// Machines of a shard that take work now.
+    /// Returns the machines of a shard that take work now.
     pub(crate) fn schedulable_machines(&self, shard: u32) -> Vec<CandidateMachine> {
         let mut machines: Vec<CandidateMachine> = self
             .store
@@ -128,14 +129,14 @@
         machines
     }
 
-    /// Whether a machine was seen a short while ago and may be given new work.
+    /// Returns whether a machine sent a recent heartbeat and may be given new work.
     fn is_schedulable(&self, machine: &Machine) -> bool {
         let now = self.now();
-        let recent = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEAT_FACTOR);
-        let seen_recently = machine.contact.silence(now) <= recent
+        let max_silence = Micros::from_secs_f64(self.platform.deployment.agents.heartbeat_s * RECENT_HEARTBEAT_FACTOR);
+        let has_recent_heartbeats = machine.contact.silence(now) <= max_silence
             && !machine.contact.is_missing_heartbeats(now, self.missing_heartbeats_span());
         let is_excluded = !machine.ownership.is_token_confirmed() || machine.has_termination_notice;
-        !is_excluded && seen_recently && machine.is_responsive()
+        !is_excluded && has_recent_heartbeats && machine.is_responsive()
     }
 
     fn candidate_machine(&self, id: &MachineId, record: &MachineRecord, machine: &Machine) -> CandidateMachine {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// A shard as a new scheduling cycle sees it.
+    /// Returns the view of a shard for a scheduling cycle.
     pub(super) fn shard_view(&mut self, shard: u32) -> ShardView {
         let mut machines = self.schedulable_machines(shard);
         if !self.handles_zone_failures() {
--- a/src/coordination/scheduling/zone_rules.rs
+++ b/src/coordination/scheduling/zone_rules.rs
@@ -1,19 +1,19 @@
-//! A job's own rules on the zones of its tasks: all in one zone, or spread over several.
+//! A job's own rules for the zones of its tasks: all in one zone, or spread over several.
 
 use crate::protocol::user::JobSpec;
 use std::collections::BTreeMap;
 
-/// How many tasks of one job are in each zone.
+/// Number of tasks of one job in each zone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TasksByZone(BTreeMap<String, u64>);
 
 impl TasksByZone {
-    /// Adds tasks in a zone.
+    /// Adds tasks to the count of a zone.
     pub fn add(&mut self, zone: &str, task_count: u64) {
         *self.0.entry(zone.to_string()).or_default() += task_count;
     }
 
-    /// Takes away tasks that were added in a zone.
+    /// Subtracts tasks from the count of a zone.
     pub fn remove(&mut self, zone: &str, task_count: u64) {
         let Some(count) = self.0.get_mut(zone) else { return };
         *count = count.saturating_sub(task_count);
@@ -22,12 +22,12 @@
         }
     }
 
-    /// Forgets the tasks in all zones but these.
+    /// Removes the tasks in all zones for which `keep` returns false.
     pub fn retain_zones(&mut self, keep: impl Fn(&str) -> bool) {
         self.0.retain(|zone, _| keep(zone));
     }
 
-    /// How many more tasks the job's rules allow in a zone; `u64::MAX` if they set no bound.
+    /// Returns how many more tasks the job's rules allow in a zone; `u64::MAX` if they set no limit.
     pub fn remaining_in(&self, spec: &JobSpec, zone: &str) -> u64 {
         if spec.one_zone && self.0.keys().any(|other| other != zone) {
             return 0;
