--- a/src/coordination/autoscaling/leader.rs
+++ b/src/coordination/autoscaling/leader.rs
@@ -19,7 +19,8 @@
         self.autoscaling.plan.schedule_next(now);
     }
 
-    /// Does the leader's work that is due, if this controller is the leader and has a valid leadership lease.
+    /// Does the leader's work that is due, if this controller is the leader and has a valid leadership lease. Drops
+    /// pending retries if it is not the leader.
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now();
         if !self.is_leader() {
--- a/src/coordination/autoscaling/machine_types.rs
+++ b/src/coordination/autoscaling/machine_types.rs
@@ -61,7 +61,8 @@
         self.get(name).map(|info| info.resources).unwrap_or_default()
     }
 
-    /// Moves the types out of another catalog into this one. The next tick still lists them anew.
+    /// Moves the types out of another catalog into this one. The time of its last listing is not taken over, so that
+    /// the types are listed anew at once.
     pub fn replace_types_from(&mut self, other: &mut MachineTypeCatalog) {
         self.types = std::mem::take(&mut other.types);
     }
--- a/src/coordination/autoscaling/provisioning.rs
+++ b/src/coordination/autoscaling/provisioning.rs
@@ -116,7 +116,7 @@
         timed_out
     }
 
-    /// Returns whether an instance takes longer to start than expected from earlier instances of its type.
+    /// Returns whether an instance takes longer to start than expected for its type.
     fn is_overdue(&self, instance: &ProvisioningInstance, types: &MachineTypeCatalog, now: Micros) -> bool {
         let machine_type = &instance.offer.machine_type;
         let max_span = self.history.max_expected_span(machine_type, types.provisioning_s(machine_type));
--- a/src/coordination/autoscaling/provisioning_history.rs
+++ b/src/coordination/autoscaling/provisioning_history.rs
@@ -120,7 +120,7 @@
 /// Success rates: the fraction of each offer's instances that start in time.
 pub(super) struct Reliability {
     by_offer: BTreeMap<InstanceOffer, ProvisioningOutcomes>,
-    /// Success rates of all on-demand and of all spot instances, expected for an offer without samples.
+    /// Success rates of all on-demand and of all spot instances: the prior rates of their offers.
     expected_rates: [f64; 2],
 }
 
--- a/src/coordination/autoscaling/scale_out.rs
+++ b/src/coordination/autoscaling/scale_out.rs
@@ -14,7 +14,7 @@
 
 /// Maximum number of instances in one request.
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
-/// Factor by which costs are scaled before they are rounded to integers for comparison.
+/// Factor by which costs are scaled before they are truncated to integers for comparison.
 const COST_SCALE: f64 = 1e6;
 
 /// Inputs to the choice of an offer.
--- a/src/coordination/scheduling/cycle.rs
+++ b/src/coordination/scheduling/cycle.rs
@@ -103,7 +103,7 @@
         (filter, candidates)
     }
 
-    /// Marks a job as blocked if tasks of it wait, because its records have no space for another attempt now.
+    /// Marks a job as blocked if it has waiting tasks, none of which can be recorded at present.
     fn mark_blocked_by_full_chunks(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.scheduling.is_blocked_by_full_chunks = job.waiting_count() > 0;
@@ -130,7 +130,8 @@
         self.preempt_for(id, &view.machines);
     }
 
-    /// Starts all tasks of a gang, or none and restores the view. Returns whether they were started.
+    /// Starts all tasks of a gang. If one can't be placed, withdraws the others and restores the view. Returns whether
+    /// the gang was started.
     fn start_gang(&mut self, id: &JobId, view: &mut ShardView, filter: PlacementFilter) -> bool {
         let Some(task_count) = self.jobs.get(id).map(|job| job.spec.tasks) else { return false };
         let snapshot = view.snapshot();
