--- a/src/coordination/api/batches.rs
+++ b/src/coordination/api/batches.rs
@@ -1,5 +1,5 @@
-//! How accepted submissions get into the stored records: several in one batch, and a list of dependencies that is too
-//! long for one value in parts of its own first.
+//! Writes accepted submissions to the store, several in one batch. A dependency list that is too long for one value is
+//! written in parts under keys of its own before the batch.
 
 use crate::coordination::api::UNAVAILABLE;
 use crate::coordination::api::submissions::{DependencyListInProgress, QueuedSubmission, SubmittedJob};
@@ -8,15 +8,15 @@
 use crate::storage::schema::{DependencyListParts, JobBatchMember, Key, to_value};
 use crate::types::{JobId, Micros};
 
-/// Part of the allowed size that a value of several entries is filled to.
+/// Fraction of the maximum value size up to which a value with several entries is filled.
 pub(crate) const VALUE_FILL_RATIO: f64 = 0.9;
 
-/// What a dependency's name takes in a list besides itself: quotes and a comma.
+/// Bytes that a list entry takes besides the job id: quotes and a comma.
 const LIST_ENTRY_OVERHEAD_BYTES: usize = 3;
-/// What a list takes besides its entries: brackets.
+/// Bytes that a list takes besides its entries: brackets.
 const LIST_OVERHEAD_BYTES: usize = 2;
 
-/// Splits a list of dependencies into lists that each fit a value of so many bytes.
+/// Splits a dependency list into lists that each fit into a value of `max_bytes`.
 fn split_dependency_list(dependencies: Vec<JobId>, max_bytes: usize) -> Vec<Vec<JobId>> {
     let mut lists: Vec<Vec<JobId>> = Vec::new();
     let mut size = max_bytes;
@@ -40,8 +40,8 @@
         self.api.submissions.queue.push_back(QueuedSubmission { due_at, member });
     }
 
-    /// Writes a list that is too long for one value to keys of its own, under a name that nobody else uses; the job's
-    /// entry then says where it is.
+    /// Writes a dependency list that is too long for one value to keys of its own, under a unique name. The job's entry
+    /// in the batch refers to the list by that name.
     pub(super) fn write_dependency_list_parts(&mut self, mut member: JobBatchMember) {
         let limits = &self.platform.deployment.store;
         let (ops, bytes) = (limits.min_txn_ops(), limits.value_bytes());
@@ -64,8 +64,8 @@
         }
     }
 
-    /// A transaction that writes parts of a list has finished. Once all are committed the job goes into a batch; if one
-    /// is not, the job is not accepted.
+    /// Handles the result of a transaction that writes parts of a dependency list. Queues the job for a batch once all
+    /// these transactions are committed; rejects the submission if one of them fails.
     pub(crate) fn dependency_list_parts_txn_finished(&mut self, name: &str, is_committed: bool) {
         let lists = &mut self.api.submissions.dependency_lists;
         let Some(list) = lists.get_mut(name) else { return };
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Writes the queued submissions, as many as fit one batch.
+    /// Writes as many of the queued submissions as fit into one batch.
     pub(crate) fn write_submission_batch(&mut self) {
         self.api.submissions.last_batch_at = self.now();
         let members = self.next_batch();
@@ -108,7 +108,7 @@
         self.send_txn(proposal, TxnPurpose::Submit(members.into_iter().map(submitted).collect()));
     }
 
-    /// Takes from the queue as many submissions as one value and one transaction's preconditions have space for.
+    /// Takes as many submissions from the queue as fit into one value and into the preconditions of one transaction.
     fn next_batch(&mut self) -> Vec<JobBatchMember> {
         let limits = &self.platform.deployment.store;
         let max_bytes = (limits.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize;
@@ -120,7 +120,7 @@
             let mut member = member.clone();
             member.record.accepted_at = accepted;
             let more_bytes = serde_json::to_string(&member).map_or(max_bytes, |text| text.len() + 1);
-            // On its outcome, and perhaps on the first part of its list of dependencies.
+            // One precondition on the job's outcome, and one on the first part of its dependency list if that is split.
             let more_preconditions = 1 + usize::from(member.record.dependency_list_parts.is_some());
             let fits = bytes + more_bytes <= max_bytes && precondition_count + more_preconditions <= max_preconditions;
             if !members.is_empty() && !fits {
@@ -134,7 +134,7 @@
         members
     }
 
-    /// Clients whose submission waits for the write budget for too long are told to come back.
+    /// Rejects submissions that have waited too long for the write budget; their clients are asked to retry.
     pub(crate) fn reject_overdue_submissions(&mut self) {
         let max_delay = Micros::from_millis(self.policy.user_patience_ms);
         let max_wait = Micros::from_millis(self.policy.submission_wait_ms);
--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -1,9 +1,9 @@
-//! Requests of users: their answers, and the requests that wait for one.
+//! Client requests: how they are answered, and which are pending.
 //!
-//! Owns the pending requests, and the submissions that are being written. Reads the replica, and the outcomes of
-//! [`crate::coordination::jobs`]. Promises that a user is told nothing that is not final unless the replica is fresh
-//! enough for it (see [`crate::coordination::store_sync::evidence`]), and that each request is answered once. Requests
-//! are idempotent: one that repeats another has the same effect as the first alone.
+//! Owns the pending requests and the submissions that are being written. Reads the replica and the job outcomes of
+//! [`crate::coordination::jobs`]. Guarantees that a state that is not final is only reported once the replica is fresh
+//! enough (see [`crate::coordination::store_sync::evidence`]), and that each request is answered once. Requests are
+//! idempotent: repeating a request has the same effect as sending it once.
 
 pub(crate) mod batches;
 pub(crate) mod requests;
@@ -16,35 +16,35 @@
 use std::collections::HashMap;
 use submissions::Submissions;
 
-/// The answer to whoever should ask again shortly.
+/// The answer that asks the client to retry after one second.
 pub(crate) const UNAVAILABLE: UserAnswer = UserAnswer::Unavailable { retry_after_s: 1 };
 
-/// A request that is to be answered, and when it came.
+/// A request that has yet to be answered, and the logical time at which it was received.
 #[derive(Clone, Copy)]
 pub(crate) struct ReceivedRequest {
     pub request_id: RequestId,
     pub received_at: LogicalTime,
 }
 
-/// What a request asks for once the replica is fresh.
+/// The part of a request that is processed once the replica is fresh.
 pub(crate) enum Query {
-    /// How a job stands.
+    /// Asks for the status of a job.
     Status(JobId),
-    /// Whether a submitted job is known; if not, it is accepted or refused. Without a specification it can only be
-    /// refused.
+    /// Asks for the status of a submitted job if it is known; otherwise the job is accepted or refused. An unknown job
+    /// without a specification is always refused.
     Submission(JobId, Option<Box<JobSpec>>),
-    /// How a job stands whose submission was written, by this controller or another.
+    /// Asks for the status of a job whose submission was written, by this controller or a sibling.
     WrittenSubmission {
         id: JobId,
-        /// Whether this very request had it written.
+        /// Whether this request caused the write.
         is_first: bool,
     },
-    /// To have a job cancelled.
+    /// Asks for the cancellation of a job.
     Cancellation(JobId),
 }
 
 impl Query {
-    /// The job that it is about.
+    /// Returns the job that the query concerns.
     pub(crate) fn job(&self) -> &JobId {
         match self {
             Query::Status(id) | Query::Submission(id, _) | Query::Cancellation(id) => id,
@@ -53,20 +53,21 @@
     }
 }
 
-/// A request that waits for the replica.
+/// A request that waits until the replica is fresh.
 struct PendingRequest {
     request: ReceivedRequest,
     query: Query,
-    /// A revision that the stored records are known to have had after the request came.
-    known_revision: Option<Revision>,
+    /// The revision that the replica must reach before the request is answered: one that the stored records had after
+    /// the request was received. `None` until an answer of the store has named such a revision.
+    required_revision: Option<Revision>,
 }
 
-/// Requests that wait for an answer.
+/// Client requests that have yet to be answered.
 #[derive(Default)]
 pub(crate) struct Api {
     pending: Vec<PendingRequest>,
     submissions: Submissions,
-    /// Requests that wait for a transaction that cancels a job.
+    /// Requests that wait for the transaction that cancels their job.
     cancelling: HashMap<JobId, Vec<RequestId>>,
 }
 
@@ -76,36 +77,36 @@
         !self.pending.is_empty()
     }
 
-    /// Has a request wait until the replica is fresh. `known_revision` is one that the stored records had after the
-    /// request came, if there is evidence already.
+    /// Keeps a request pending until the replica is fresh. `required_revision` is a revision that the stored records
+    /// had after the request was received, if one is known already.
     pub(crate) fn wait_for_replica(
         &mut self,
         request: ReceivedRequest,
         query: Query,
-        known_revision: Option<Revision>,
+        required_revision: Option<Revision>,
     ) {
-        self.pending.push(PendingRequest { request, query, known_revision });
+        self.pending.push(PendingRequest { request, query, required_revision });
     }
 
-    /// A read was answered: notes the revision that it proves to each request that came before the read began.
+    /// Sets the required revision of each pending request that was received before an answered read was sent.
     pub(crate) fn note_read_evidence(&mut self, evidence: &Evidence) {
         for pending in &mut self.pending {
             let proven = evidence.revision_after(pending.request.received_at);
-            pending.known_revision = pending.known_revision.or(proven);
+            pending.required_revision = pending.required_revision.or(proven);
         }
     }
 
-    /// The submissions that are being written.
+    /// Returns the submissions that are being written.
     pub(crate) fn submissions(&self) -> &Submissions {
         &self.submissions
     }
 
-    /// The replica has reached a revision.
+    /// Updates the submissions after the replica has reached a revision.
     pub(crate) fn replica_reached(&mut self, applied: Revision) {
         self.submissions.replica_reached(applied);
     }
 
-    /// Takes out all requests that wait, for when this controller starts over.
+    /// Removes and returns all pending requests, before this controller restarts its initial sync.
     pub(crate) fn drain_pending(&mut self) -> Vec<RequestId> {
         let pending = self.pending.drain(..).map(|pending| pending.request.request_id);
         let submissions = self.submissions.drain_pending();
--- a/src/coordination/api/requests.rs
+++ b/src/coordination/api/requests.rs
@@ -1,7 +1,7 @@
-//! Status requests and cancellations, and the one place where users are answered.
+//! Status requests, cancellations, and the answers to clients.
 //!
-//! A final state is answered from memory. Anything else waits among the pending requests for evidence that the replica
-//! is fresh enough, see [`crate::coordination::store_sync::evidence`].
+//! A final state is answered from memory. Every other request stays pending until there is evidence that the replica is
+//! fresh enough, see [`crate::coordination::store_sync::evidence`].
 
 use crate::coordination::api::{PendingRequest, Query, ReceivedRequest, UNAVAILABLE};
 use crate::coordination::jobs::job::Job;
@@ -17,7 +17,7 @@
         self.out.push(Effect::AnswerUser(request_id, answer));
     }
 
-    /// Answers how a job stands; that it is cancelled only once that is confirmed.
+    /// Answers with the status of a job. A cancelled job's status is sent only once the cancellation is confirmed.
     pub(crate) fn answer_status(&mut self, request_id: RequestId, status: JobStatus) {
         match status.state {
             JobState::Cancelled => self.answer_when_cancellation_confirmed(request_id, status.id),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The final state of a job that is over. It needs no evidence: it never changes.
+    /// Returns the status of a job that has ended. This needs no evidence of freshness, as a final state never changes.
     pub(crate) fn final_status(&self, id: &JobId) -> Option<JobStatus> {
         let state = match self.outcome(id)? {
             Outcome::Done => JobState::Done,
@@ -36,7 +36,7 @@
         Some(JobStatus { id: id.clone(), state, done: None, running: None })
     }
 
-    /// How a job stands, whether or not it is over; nothing if it was never accepted.
+    /// Returns the status of a job, whether or not it has ended; `None` if the job was never accepted.
     fn status(&self, id: &JobId, _: &FreshnessProof) -> Option<JobStatus> {
         if let Some(status) = self.final_status(id) {
             return Some(status);
@@ -51,7 +51,7 @@
         Some(JobStatus { id: id.clone(), state, done: Some(done), running: Some(running) })
     }
 
-    /// A user's request has come.
+    /// Handles a client's request.
     pub(crate) fn user_request(&mut self, request_id: RequestId, request: UserRequest) {
         let received = ReceivedRequest { request_id, received_at: self.store.next_logical_time() };
         if !self.store.is_synced() {
@@ -64,8 +64,8 @@
         if let Some(status) = job.and_then(|id| self.final_status(id)) {
             return self.answer_status(request_id, status);
         }
-        // Without the store only final states can be answered. Any other client is told at once to come back, instead
-        // of waiting for a call that will fail.
+        // Without the store only final states can be answered. All other requests are answered as unavailable at once,
+        // instead of waiting for a call that will fail.
         if !self.reaches_store() {
             return self.answer(request_id, UNAVAILABLE);
         }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Has a job's cancellation written, once for all who ask for it meanwhile.
+    /// Writes a job's cancellation, once for all requests that ask for it until the write has finished.
     fn cancel(&mut self, request_id: RequestId, id: JobId) {
         let cancelling = self.api.cancelling.entry(id.clone()).or_default();
         cancelling.push(request_id);
@@ -93,7 +93,7 @@
         self.submit_txn(proposal, TxnPurpose::Cancel(id));
     }
 
-    /// The transaction that would cancel a job has finished, whatever its result.
+    /// Answers the requests that wait for the transaction that cancels a job, whether or not it was committed.
     pub(crate) fn cancellation_txn_finished(&mut self, id: &JobId) {
         for request_id in self.api.cancelling.remove(id).unwrap_or_default() {
             match self.final_status(id) {
@@ -103,29 +103,29 @@
         }
     }
 
-    /// A read that began then has ended without an answer: requests that waited for it are to be repeated.
+    /// Handles a read that began at `begun_at` and failed: the requests that waited for it are answered as unavailable.
     pub(crate) fn read_failed(&mut self, begun_at: LogicalTime) {
-        let waited_for_it = |pending: &PendingRequest| pending.request.received_at < begun_at;
+        let waited_for_read = |pending: &PendingRequest| pending.request.received_at < begun_at;
         let (failed, still_pending) =
-            std::mem::take(&mut self.api.pending).into_iter().partition::<Vec<_>, _>(waited_for_it);
+            std::mem::take(&mut self.api.pending).into_iter().partition::<Vec<_>, _>(waited_for_read);
         self.api.pending = still_pending;
         for PendingRequest { request, .. } in failed {
             self.answer(request.request_id, UNAVAILABLE);
         }
     }
 
-    /// Answers every pending request that the replica is fresh enough for.
+    /// Answers every pending request for which the replica is fresh enough.
     pub(crate) fn answer_pending_requests(&mut self) {
         let applied = self.store.replica.applied_revision;
         for pending in std::mem::take(&mut self.api.pending) {
-            match proof_once_reached(pending.known_revision, applied) {
+            match proof_once_reached(pending.required_revision, applied) {
                 Some(fresh) => self.answer_query(pending.request, pending.query, &fresh),
                 None => self.api.pending.push(pending),
             }
         }
     }
 
-    /// The one place where a user is told something that is not final.
+    /// Answers a query from the fresh replica. Only here are states reported that are not final.
     pub(crate) fn answer_query(&mut self, request: ReceivedRequest, query: Query, fresh: &FreshnessProof) {
         let request_id = request.request_id;
         match self.status(query.job(), fresh) {
@@ -146,12 +146,12 @@
         }
     }
 
-    /// No controller has accepted the job.
+    /// Accepts or refuses a job that no controller has accepted before.
     fn accept_or_refuse(&mut self, request: ReceivedRequest, id: JobId, spec: JobSpec, _: &FreshnessProof) {
         if let Some(answer) = self.refusal(&spec) {
             return self.answer(request.request_id, answer);
         }
-        // Whoever accepted a dependency would have it in the stored records.
+        // An accepted dependency would be in the stored records.
         if !self.dependencies_exist(&spec) {
             let answer = UserAnswer::CanNeverRun("awaits a job that was never accepted");
             return self.answer(request.request_id, answer);
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -1,11 +1,11 @@
-//! Submissions: whether a job can be accepted, and who waits for it to be written.
+//! Submissions: whether a job can be accepted, and which requests wait for it to be written.
 //!
-//! Submissions are idempotent: whoever repeats one waits with those who sent it before. The batch's commit answers
-//! whoever asked before the batch was sent; whoever came later needs evidence of their own.
+//! Submissions are idempotent: a repeated submission waits together with the earlier ones. The batch's commit answers
+//! the requests that were received before the batch was sent; later requests need evidence of their own.
 //!
-//! A job comes into the replica in the order of the records, with our own commit only where that is the next revision:
-//! another controller may have accepted the same submission, perhaps with another specification, in an earlier batch
-//! that was not read yet. The earlier counts.
+//! Jobs enter the replica in the order of the store's revisions. Our own commit is applied directly only if it is the
+//! next revision: a sibling may have accepted the same submission, perhaps with another specification, in an earlier
+//! batch that was not read yet. The earlier batch takes precedence.
 
 use crate::coordination::api::{Query, ReceivedRequest, UNAVAILABLE};
 use crate::coordination::scheduling::quota::TeamQuota;
@@ -17,11 +17,11 @@
 use crate::types::{JobId, Micros, Revision};
 use std::collections::{HashMap, VecDeque};
 
-/// How a submission can be written.
+/// The form in which a submission is written to the store.
 pub(crate) enum StoredForm {
-    /// As an entry of a batch.
+    /// An entry of a batch.
     Entry(JobBatchMember),
-    /// Its list of dependencies under keys of its own, the rest as an entry.
+    /// An entry of a batch whose dependency list is written in parts under keys of its own.
     WithDependencyListParts(JobBatchMember),
 }
 
@@ -33,20 +33,20 @@
     }
 }
 
-/// No value of the store has space for the submission.
+/// The error that a submission exceeds the size limit of the store's values.
 #[derive(Debug, thiserror::Error)]
 #[error("the submission is larger than a value of the store may be")]
 pub(crate) struct SubmissionTooLarge;
 
-/// A job in a batch on its way.
+/// A job in a batch whose transaction has been sent.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct SubmittedJob {
     pub id: JobId,
-    /// Whether its outcome may follow from other jobs'.
+    /// Whether its outcome may follow from the outcomes of other jobs.
     pub has_dependencies: bool,
 }
 
-/// A submission whose list of dependencies is being written.
+/// A submission whose dependency list is being written.
 pub(super) struct DependencyListInProgress {
     pub(super) txns_left_count: usize,
     pub(super) member: JobBatchMember,
@@ -54,7 +54,7 @@
 
 /// A submission that waits for the next batch.
 pub(super) struct QueuedSubmission {
-    /// By when it should be written.
+    /// The time by which it should be written.
     pub(super) due_at: Micros,
     pub(super) member: JobBatchMember,
 }
@@ -64,20 +64,22 @@
 pub(crate) struct Submissions {
     waiting: HashMap<JobId, Vec<ReceivedRequest>>,
     pub(super) queue: VecDeque<QueuedSubmission>,
-    /// By the name that the parts of the list are written under.
+    /// Keyed by the name under which the parts of the list are written.
     pub(super) dependency_lists: HashMap<String, DependencyListInProgress>,
-    /// Jobs of our own batches that the replica has not reached yet, with the revision at which it has.
+    /// Jobs of this controller's committed batches that the replica does not contain yet, with the revisions of the
+    /// commits.
     committed: HashMap<JobId, Revision>,
     pub(super) last_batch_at: Micros,
 }
 
 impl Submissions {
-    /// Whether a batch of submissions should be written now. More may join it until a gap since the last one is over.
+    /// Whether a batch of submissions should be written now: at least `gap` after the last one, so that further
+    /// submissions can join it.
     pub(crate) fn is_batch_due(&self, now: Micros, gap: Micros) -> bool {
         !self.queue.is_empty() && now.since(self.last_batch_at) >= gap
     }
 
-    /// Whether a batch of ours holds the job, though the replica does not show it yet.
+    /// Whether a committed batch of this controller contains the job, though the replica does not show it yet.
     pub(crate) fn is_committed(&self, id: &JobId) -> bool {
         self.committed.contains_key(id)
     }
@@ -90,7 +92,8 @@
         self.committed.insert(id.clone(), revision);
     }
 
-    /// Has a request wait for a job to be written; returns whether it is the first, which has it written.
+    /// Registers a request that waits for a job to be written. Returns whether it is the first, in which case the
+    /// caller has to start the write.
     fn wait_for(&mut self, id: &JobId, request: ReceivedRequest) -> bool {
         let waiting = self.waiting.entry(id.clone()).or_default();
         waiting.push(request);
@@ -107,8 +110,8 @@
     }
 }
 
-/// Evidence that a batch's commit gives about one of its jobs: the job was not over then. Whether it is cancelled with a
-/// dependency follows from the dependency's records, of which the commit tells nothing.
+/// Returns the proof, given by a batch's commit, that one of its jobs had not ended at that revision. A job with
+/// dependencies gets none: it may be cancelled with a dependency, whose records the commit does not cover.
 fn evidence_of_commit(job: &SubmittedJob, request: ReceivedRequest, end: &TxnEnd) -> Option<FreshnessProof> {
     match end {
         TxnEnd::Committed(evidence) if !job.has_dependencies => evidence.of_accepted_job(request.received_at),
@@ -117,7 +120,7 @@
 }
 
 impl Controller {
-    /// A submission that is not known to be over has come.
+    /// Handles the submission of a job that is not known to have ended.
     pub(crate) fn submit(&mut self, request: ReceivedRequest, submission: Submission) {
         let Some(id) = submission.id else {
             return self.answer(request.request_id, UserAnswer::Malformed);
@@ -127,7 +130,7 @@
         };
         let is_acceptable = self.refusal(&spec).is_none() && self.dependencies_exist(&spec);
         if self.is_job_accepted(&id) || !is_acceptable {
-            // Accepted before, or to be refused unless it turns out to have been accepted.
+            // The job was accepted before, or is refused unless a fresh replica shows that it was accepted.
             return self.api.wait_for_replica(request, Query::Submission(id, Some(Box::new(spec))), None);
         }
         match self.stored_form(id.clone(), spec) {
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Whether the replica shows the job, or a batch of ours holds it.
+    /// Whether the replica or a committed batch of this controller contains the job.
     fn is_job_accepted(&self, id: &JobId) -> bool {
         self.store.replica.jobs.contains_key(id) || self.api.submissions.is_committed(id)
     }
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Has a job written, once for all who submit it meanwhile.
+    /// Writes a job, once for all requests that submit it until the write has finished.
     pub(super) fn accept(&mut self, request: ReceivedRequest, form: StoredForm) {
         if !self.api.submissions.wait_for(form.job(), request) {
             return;
@@ -167,7 +170,7 @@
         }
     }
 
-    /// The batch that would accept a job has finished, whatever its result.
+    /// Handles the end of the transaction whose batch contains the job, whether or not it was committed.
     pub(crate) fn submission_txn_finished(&mut self, job: &SubmittedJob, end: &TxnEnd) {
         let id = &job.id;
         if let TxnEnd::Committed(evidence) = end
@@ -185,7 +188,7 @@
             let query = Query::WrittenSubmission { id: id.clone(), is_first };
             match evidence_of_commit(job, request, end) {
                 Some(fresh) => self.answer_query(request, query, &fresh),
-                // The batch was refused on another job's account, or its result is unknown.
+                // The batch was refused because of another job, or its result is unknown.
                 None if !is_accepted => self.answer(request.request_id, UNAVAILABLE),
                 None => {
                     let revision = end.evidence().and_then(|evidence| evidence.revision_after(request.received_at));
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Why a job that is not known can't be accepted now, or ever.
+    /// Returns the answer that refuses a job, for now or for good; `None` if the job can be accepted.
     pub(super) fn refusal(&self, spec: &JobSpec) -> Option<UserAnswer> {
         if let Err(reason) = self.check_quota(spec) {
             return Some(UserAnswer::CanNeverRun(reason));
@@ -209,7 +212,8 @@
         }
     }
 
-    /// Whether the job by itself stays within its team's quota, as the resources that run at the same time for sure.
+    /// Checks that the team's quota admits the resources that the job always uses concurrently: those of one task of an
+    /// array, or of all tasks of a gang or service.
     fn check_quota(&self, spec: &JobSpec) -> Result<(), &'static str> {
         let Some(name) = &spec.team else { return Ok(()) };
         let team = self.platform.deployment.team(name).ok_or("unknown team")?;
