--- a/src/coordination/jobs/attempt.rs
+++ b/src/coordination/jobs/attempt.rs
@@ -1,12 +1,12 @@
-//! One attempt at running a task: its state machine, and what was told to its machine's agent about it.
+//! One attempt at running a task: its state, and the commands that were sent to its machine's agent for it.
 
 use crate::protocol::agent::ExitCause;
 use crate::types::{MachineId, Micros};
 
-/// How far an attempt has come.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Placed on a machine, not yet in the stored records; no command may leave.
+    /// Placed on a machine, not yet in the stored records; no command for it may be sent.
     Decided,
     /// In the stored records; not yet seen on the machine.
     Recorded,
@@ -16,9 +16,9 @@
     Waiting,
     /// On the machine, running.
     Running,
-    /// On the machine, was told to stop and writes a checkpoint.
+    /// On the machine, writing a checkpoint after a stop command.
     Checkpointing,
-    /// Seen ended on the machine; to be removed from the stored records.
+    /// Reported as ended by the machine's agent; to be removed from the stored records.
     Ended(ExitCause),
     /// Proven not to be on the machine; to be removed from the stored records.
     ProvenAbsent,
@@ -30,7 +30,7 @@
         !matches!(self, AttemptState::Ended(_) | AttemptState::ProvenAbsent)
     }
 
-    /// Whether a heartbeat has shown it on its machine, not ended.
+    /// Whether a heartbeat has shown it on its machine, and none that it has ended.
     pub fn is_on_machine(self) -> bool {
         matches!(
             self,
@@ -39,7 +39,7 @@
     }
 }
 
-/// One attempt at running a task. It exists until it is proven to be off its machine and removed from the stored
+/// One attempt at running a task. It exists until it has ended or is proven absent, and is removed from the stored
 /// records.
 #[derive(Clone, Debug)]
 pub struct TaskAttempt {
@@ -49,19 +49,19 @@
     /// Incarnation of the machine's agent when the attempt was placed.
     pub incarnation: u64,
     state: AttemptState,
-    /// Time to write a checkpoint in, once it is to stop; nothing while it may go on.
+    /// Time that it gets to write a checkpoint once it has to stop; `None` while it may keep running.
     pub stop_grace_s: Option<f64>,
-    /// A start command may have been sent, so only a proof of absence ends the attempt.
+    /// Whether a start command may have been sent, so that the attempt counts as absent only with a proof.
     pub may_have_been_sent: bool,
     /// Sequence number of the newest heartbeat that may predate the agent's handling of the start command. Only a
     /// later heartbeat that lacks the task proves that it is absent.
     pub last_inconclusive_seq: u64,
-    /// When a heartbeat first showed it running.
+    /// The time of the first heartbeat that showed it running.
     pub first_running_at: Option<Micros>,
 }
 
 impl TaskAttempt {
-    /// An attempt that no command was sent for and no heartbeat has shown.
+    /// Creates an attempt for which no command was sent and that no heartbeat has shown.
     pub fn new(number: u64, machine: MachineId, incarnation: u64, state: AttemptState) -> TaskAttempt {
         TaskAttempt {
             number,
@@ -75,12 +75,12 @@
         }
     }
 
-    /// How far it has come.
+    /// Returns the attempt's state.
     pub fn state(&self) -> AttemptState {
         self.state
     }
 
-    /// The machine that it was placed on.
+    /// Returns the machine on which it was placed.
     pub fn machine(&self) -> &MachineId {
         &self.machine
     }
@@ -90,24 +90,24 @@
         self.state.occupies_resources()
     }
 
-    /// Whether it runs and is not told to stop.
+    /// Whether it is running and does not have to stop.
     pub fn keeps_running(&self) -> bool {
         self.state == AttemptState::Running && self.stop_grace_s.is_none()
     }
 
-    /// Whether it may be on its machine, or get there by a command that has left: only a proof of absence or its end
-    /// says otherwise.
+    /// Whether it may be on its machine, or may still be started there by a command in flight. This holds from its
+    /// recording until it has ended or is proven absent.
     pub fn may_be_on_machine(&self) -> bool {
         self.occupies_resources() && self.state != AttemptState::Decided
     }
 
     /// Sets the state and returns the earlier one. Only [`JobAttempts`](super::job_attempts::JobAttempts) may call
-    /// this: it keeps the sums that depend on the state.
+    /// this, as it maintains the sums that depend on the state.
     pub(super) fn replace_state(&mut self, state: AttemptState) -> AttemptState {
         std::mem::replace(&mut self.state, state)
     }
 
-    /// Has it stop at once, unless it was told to stop before.
+    /// Makes it stop without time for a checkpoint, unless it has to stop already.
     pub(crate) fn stop_without_grace(&mut self) {
         self.stop_grace_s.get_or_insert(0.0);
     }
--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -1,5 +1,5 @@
-//! What is seen of attempts and decided for good: that one has ended, that one is absent from its machine, that a
-//! transaction on a job's records has finished.
+//! Events that change attempts for good: an attempt has ended, an attempt was proven absent, or a transaction on a
+//! job's records has finished.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::AttemptState;
@@ -11,11 +11,12 @@
 use crate::protocol::user::JobKind;
 use crate::types::{JobId, MachineId, Micros, TaskId};
 
-/// An attempt that an agent refused is repeated after this.
+/// The time after which a task is tried again whose attempt an agent refused.
 const REFUSED_RETRY_DELAY: Micros = Micros::from_millis(500);
 
 impl Job {
-    /// Notes what an attempt's end says about its task, and returns from when on the task may be tried again.
+    /// Updates the task's progress and failures after its attempt has ended. Returns the time before which the task may
+    /// not be tried again, if it has to wait.
     fn note_exit(
         &mut self,
         task: u32,
@@ -43,7 +44,7 @@
 }
 
 impl Controller {
-    /// A heartbeat shows that an attempt has ended.
+    /// Handles the end of an attempt that a heartbeat has shown.
     pub(crate) fn attempt_ended(&mut self, task: &TaskId, exit_cause: ExitCause) {
         let now = self.now();
         let max_retry_delay = Micros::from_millis(self.policy.retry_max_ms);
@@ -60,7 +61,7 @@
         }
         job.recording.mark_changed(now);
         if job.spec.kind == JobKind::Gang && exit_cause != ExitCause::Completed {
-            // The gang's attempt is lost; the next begins when all of this one has ended.
+            // The gang can't complete without this task: it restarts once all its current attempts have ended.
             job.stop_attempts();
         }
         if exit_cause == ExitCause::Completed && was_never_seen_running {
@@ -70,8 +71,8 @@
         self.scheduling.request_cycle();
     }
 
-    /// An attempt was proven not to be on its machine. One that is only decided is not touched: no command has left
-    /// for it, so a proof says nothing about it.
+    /// Handles the proof that an attempt is absent from its machine. An attempt that is only decided is not changed: no
+    /// command was sent for it, so the proof does not concern it.
     pub(crate) fn attempt_proven_absent(&mut self, task: &TaskId, proof: AbsenceProof) {
         let now = self.now();
         let attempt = self.jobs.attempt(task);
@@ -97,13 +98,13 @@
         self.scheduling.request_cycle();
     }
 
-    /// A transaction on the job's chunks has finished, whatever its result.
+    /// Handles the end of a transaction on the job's chunks, whether or not it was committed.
     pub(crate) fn job_txn_finished(&mut self, id: &JobId) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.recording.is_txn_in_flight = false;
         }
         self.reconcile_job(id);
-        // What a refused transaction was to remove from the records still has to go.
+        // Attempts that a refused transaction should have removed from the records still have to be removed.
         let now = self.now();
         if let Some(job) = self.jobs.get_mut(id)
             && job.attempts.settled_count() > 0
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -1,8 +1,8 @@
-//! What is logged of cancellations: from the confirmation to the client to the proof that the last attempt is absent.
+//! Logs cancellations, from the confirmation to the client until the last attempt is proven absent.
 //!
-//! Each line names the revision of the stored records that the decision rests on. The rate of lines is bounded, so that
-//! a wave of cancellations does not cost more than the work itself; a summary every few seconds counts the cancellations
-//! that are open, and the lines left out.
+//! Each line names the revision of the stored records on which the decision is based. The rate of lines is limited, so
+//! that logging many cancellations does not cost more than carrying them out. A periodic summary counts the open
+//! cancellations and the suppressed lines.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
@@ -10,10 +10,10 @@
 use crate::storage::schema::Outcome;
 use crate::types::{JobId, MachineId, Micros, TaskId};
 
-/// How often open cancellations are summed up, while there are any.
+/// Interval between summaries, while there are open cancellations.
 const SUMMARY_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// A limit on log lines about cancellations, and counts for their summary.
+/// The rate limit of the log lines about cancellations, and the counters for their summary.
 #[derive(Debug, Default)]
 pub(crate) struct CancellationLog {
     limit: LogLimit,
@@ -23,19 +23,19 @@
 }
 
 impl CancellationLog {
-    /// Counts deletions of machines that were asked for so late that not even a confirmation within one retry comes in
-    /// time.
+    /// Counts deletions of machines that were requested so late that even a confirmation within one retry interval
+    /// would miss the cancellation's deadline.
     pub(crate) fn note_late_deletions(&mut self, count: usize) {
         self.late_deletion_count += count as u64;
     }
 
-    /// Counts a stop that a response to a heartbeat would have lacked without a last look at the cancelled jobs.
+    /// Counts a stop command that only the final check of the cancelled jobs added to the response to a heartbeat.
     pub(crate) fn note_added_stop(&mut self) {
         self.added_stop_count += 1;
     }
 
-    /// Whether the next summary is due; if so, it counts as written.
-    fn takes_summary(&mut self, now: Micros) -> bool {
+    /// Returns whether a summary is due, and if so starts the next interval.
+    fn start_summary_if_due(&mut self, now: Micros) -> bool {
         let is_due = now.since(self.summarized_at) >= SUMMARY_INTERVAL;
         if is_due {
             self.summarized_at = now;
@@ -44,37 +44,37 @@
     }
 }
 
-/// What proves that an attempt is not on its machine any more.
+/// The proof that an attempt is no longer on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AbsenceProof {
-    /// The agent has begun a later incarnation, which runs nothing of an earlier one.
+    /// The agent has started a later incarnation, which runs no tasks of earlier ones.
     LaterIncarnation,
-    /// A heartbeat lacks it, and no command is in flight that could still start it.
+    /// A heartbeat does not list it, and no command is in flight that could still start it.
     Heartbeat,
-    /// The machine's lease has expired, with which the agent ends all its tasks.
+    /// The machine's lease has expired, whereupon the agent stops all its tasks.
     LeaseExpired,
-    /// It was recorded, and its start command never sent.
+    /// It was recorded, but its start command was never sent.
     NeverSent,
     /// The cloud confirmed that the machine is deleted.
     MachineDeleted,
-    /// The machine's record is gone, which only a confirmed deletion leads to.
+    /// The machine's record was removed, which happens only after a confirmed deletion.
     MachineRecordDeleted,
 }
 
-/// What allows a client to be told that a job is cancelled.
+/// The grounds on which a cancellation is confirmed to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConfirmationBasis {
-    /// It depends on a cancelled job, so nothing of it was ever started.
+    /// The job depends on a cancelled job, so none of its tasks was ever started.
     CancelledDependency,
-    /// The holder of its shard acknowledged the cancellation.
+    /// The holder of the job's shard acknowledged the cancellation.
     ShardHolder,
-    /// The stored records name no attempt of it.
+    /// The stored records contain no attempt of the job.
     NoAttempts,
-    /// The shard is held here, and all machines with attempts obey this holder.
+    /// This controller holds the shard, and all machines with attempts accept commands under its fencing token.
     OwnShard,
 }
 
-/// Cancelled jobs of which attempts are not proven absent yet.
+/// Totals over the cancelled jobs with attempts that are not proven absent yet.
 #[derive(Default)]
 struct OpenCancellations {
     task_count: u32,
@@ -84,10 +84,10 @@
 }
 
 impl Controller {
-    /// A client is about to be told that a job is cancelled.
+    /// Logs the confirmation of a cancellation that is about to be sent to a client.
     pub(crate) fn log_cancellation_confirmed(&mut self, job: &JobId, basis: ConfirmationBasis) {
         let now = self.now();
-        // Clients ask about old jobs again and again.
+        // Jobs that are no longer known are not logged: clients query old jobs repeatedly.
         let Some(remaining_tasks) = self.jobs.get(job).map(|job| job.attempts.occupying_count()) else { return };
         if !self.jobs.cancellation_log.limit.admits_line(now) {
             return;
@@ -105,7 +105,7 @@
         );
     }
 
-    /// An attempt was proven absent; logged if its job was cancelled.
+    /// Logs that an attempt was proven absent, if its job was cancelled.
     pub(crate) fn log_cancelled_attempt_absent(&mut self, task: &TaskId, machine: &MachineId, proof: AbsenceProof) {
         let now = self.now();
         if self.outcome(&task.job) != Some(Outcome::Cancelled) || !self.jobs.cancellation_log.limit.admits_line(now) {
@@ -116,10 +116,10 @@
         tracing::info!(%job, task, %machine, ?proof, revision, "cancelled task attempt proven absent");
     }
 
-    /// Sums up cancellations of which attempts may be left.
+    /// Logs a summary of the cancelled jobs that may have attempts left.
     pub(crate) fn log_open_cancellations(&mut self) {
         let now = self.now();
-        if !self.jobs.cancellation_log.takes_summary(now) {
+        if !self.jobs.cancellation_log.start_summary_if_due(now) {
             return;
         }
         let open = self.open_cancellations();
--- a/src/coordination/jobs/cancellations.rs
+++ b/src/coordination/jobs/cancellations.rs
@@ -1,11 +1,12 @@
-//! From a user's cancellation to its confirmation.
+//! Confirms cancellations to clients.
 //!
-//! Once any client was told that a job is cancelled, all its tasks have to be gone in a bounded time, whatever fails
-//! next. So it is confirmed only once the controller that commands the job's tasks knows of it, as of a moment at or
-//! after the cancellation, and once the machines with tasks of the job obey that controller: until then a deposed holder
-//! of the shard that knows nothing of it could go on renewing their leases. From here on every answer that renews a
-//! lease carries the stops (see [`crate::coordination::fleet::lease_renewal`]). If nothing proves in time that the tasks
-//! are gone, their machines are deleted (see [`crate::coordination::fleet::cancellation_enforcement`]).
+//! Once a cancellation is confirmed to any client, all tasks of the job have to be stopped within a bounded time,
+//! whatever fails afterwards. A cancellation is therefore confirmed only once the shard's holder, as of a revision at
+//! or after the cancellation, knows of it, and the machines with tasks of the job accept commands under that holder's
+//! fencing token. Before that, a deposed holder that does not know of the cancellation could keep renewing their
+//! leases. From then on every answer that renews a lease contains the stop commands (see
+//! [`crate::coordination::fleet::lease_renewal`]). Machines whose tasks are not proven absent in time are deleted (see
+//! [`crate::coordination::fleet::cancellation_enforcement`]).
 
 use crate::coordination::api::UNAVAILABLE;
 use crate::coordination::jobs::cancellation_log::ConfirmationBasis;
@@ -16,30 +17,29 @@
 use crate::types::{FencingToken, JobId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Acknowledged jobs are dropped once the stored records no longer need them; looked at whenever there are more than
-/// this.
+/// Number of acknowledged jobs above which those without recorded attempts are removed.
 const PRUNE_ABOVE: usize = 64;
 
-/// Clients that wait for cancellations to be confirmed, and the calls to other controllers on their behalf.
+/// Clients that wait for cancellations to be confirmed, and the notices sent to siblings on their behalf.
 #[derive(Default)]
 pub(crate) struct Cancellations {
     waiting: BTreeMap<JobId, Vec<WaitingClient>>,
     /// Jobs whose cancellation the holder of their shard has acknowledged.
     acknowledged: BTreeSet<JobId>,
-    /// The jobs that each call in flight to another controller tells of.
+    /// The jobs that each notice in flight to a sibling contains.
     calls_in_flight: BTreeMap<u64, Vec<JobId>>,
     last_call: u64,
-    /// Jobs that a holder did not acknowledge together with others: each is asked about alone.
-    ask_alone: BTreeSet<JobId>,
+    /// Jobs whose holder did not acknowledge a notice with several jobs: each is sent in a notice of its own.
+    to_notify_individually: BTreeSet<JobId>,
 }
 
 /// A client that waits for a cancellation to be confirmed.
 struct WaitingClient {
     request_id: RequestId,
-    waiting_since_at: Micros,
+    waiting_since: Micros,
 }
 
-/// The holder of a shard, as far as the stored records say.
+/// The holder of a shard according to the replica.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct ShardHolder {
     shard: u32,
@@ -47,34 +47,36 @@
     fencing_token: FencingToken,
 }
 
-/// Whether the controller that commands a cancelled job's tasks knows of the cancellation, and is obeyed.
+/// Whether the holder of a cancelled job's shard knows of the cancellation, and the job's machines reject commands of
+/// earlier holders.
 enum ConfirmationState {
-    /// It does: the client may be told.
+    /// Both hold, so the cancellation may be confirmed.
     Confirmed(ConfirmationBasis),
-    /// The shard is held here, but a machine with a task of the job may still obey an earlier holder.
-    MachinesNotObeying,
+    /// This controller holds the shard, but a machine with a task of the job may still accept commands of an earlier
+    /// holder.
+    HolderNotConfirmed,
     /// The replica is older than the cancellation.
     ReplicaTooOld,
-    /// No controller holds the shard now.
+    /// No controller holds the shard.
     NoHolder,
-    /// Another controller holds the shard and has to be asked.
+    /// A sibling holds the shard and has to acknowledge the cancellation.
     HeldElsewhere(ShardHolder),
 }
 
 impl Cancellations {
-    /// Takes out all clients that wait, for when this controller starts over.
+    /// Removes all waiting clients and returns their requests, before this controller restarts its initial sync.
     pub(crate) fn drain_pending(&mut self) -> Vec<RequestId> {
         let clients = std::mem::take(&mut self.waiting).into_values().flatten();
         clients.map(|client| client.request_id).collect()
     }
 
-    /// Numbers calls on from where an earlier state left off, so that late answers to its calls match none of ours.
+    /// Continues the call numbers of an earlier state, so that late answers to its calls match no new call.
     pub(crate) fn continue_call_numbers(&mut self, earlier: &Cancellations) {
         self.last_call = earlier.last_call;
     }
 
-    fn is_being_asked_about(&self, id: &JobId) -> bool {
-        self.calls_in_flight.values().flatten().any(|asked| asked == id)
+    fn has_notice_in_flight(&self, id: &JobId) -> bool {
+        self.calls_in_flight.values().flatten().any(|notified| notified == id)
     }
 
     fn begin_call(&mut self, ids: Vec<JobId>) -> u64 {
@@ -83,17 +85,20 @@
         self.last_call
     }
 
-    /// Parts jobs with the same holder by message: one for each that has to be asked about alone, and one for the rest.
+    /// Splits jobs with the same holder into messages: one for each job that needs a notice of its own, and one for the
+    /// others.
     fn split_into_messages(&mut self, ids: Vec<JobId>) -> Vec<Vec<JobId>> {
-        let (alone, together): (Vec<_>, Vec<_>) = ids.into_iter().partition(|id| self.ask_alone.remove(id));
+        let (alone, together): (Vec<_>, Vec<_>) =
+            ids.into_iter().partition(|id| self.to_notify_individually.remove(id));
         let messages = alone.into_iter().map(|id| vec![id]).chain([together]);
         messages.filter(|ids| !ids.is_empty()).collect()
     }
 
-    /// The holder did not acknowledge several jobs together, perhaps on account of a single one.
-    fn ask_about_each_alone(&mut self, ids: Vec<JobId>) {
-        self.ask_alone.extend(ids);
-        self.ask_alone.retain(|id| self.waiting.contains_key(id));
+    /// Schedules a notice of its own for each job of a notice that was not acknowledged, as a single job may have been
+    /// the reason.
+    fn notify_individually(&mut self, ids: Vec<JobId>) {
+        self.to_notify_individually.extend(ids);
+        self.to_notify_individually.retain(|id| self.waiting.contains_key(id));
     }
 }
 
@@ -108,13 +113,14 @@
         if self.jobs.cancellations.acknowledged.contains(id) {
             return ConfirmationState::Confirmed(ConfirmationBasis::ShardHolder);
         }
-        // Who holds the shard is only known as of what was read. A holder from before the cancellation may have a
-        // successor by now, and the stored records may name an attempt that is not seen here yet.
+        // The replica may be older than the cancellation: then its shard holder may have been replaced since, and the
+        // stored records may contain attempts that the replica does not show.
         if self.store.replica.applied_revision.0 < end.version {
             return ConfirmationState::ReplicaTooOld;
         }
-        // Attempts are recorded on the precondition that the job isn't over, and leave the stored records only when
-        // proven absent: without any, nothing of the job runs or ever will.
+        // Attempts are recorded on the precondition that the job has no outcome, and are removed from the stored
+        // records only when they have ended or are proven absent. Without a recorded attempt no task of the job runs or
+        // ever will.
         if !self.store.replica.has_recorded_attempts(id) {
             return ConfirmationState::Confirmed(ConfirmationBasis::NoAttempts);
         }
@@ -122,14 +128,14 @@
         self.confirmation_by_holder(id, job.shard)
     }
 
-    /// The same for a job with recorded attempts, which takes the word of its shard's holder.
+    /// Returns the confirmation state of a job with recorded attempts, which depends on the holder of its shard.
     fn confirmation_by_holder(&self, id: &JobId, shard: u32) -> ConfirmationState {
         let role = Role::Shard(shard);
-        // Held here, and the replica shows no later holder.
+        // This controller holds the shard, and the replica shows no later holder.
         if self.holds(role) {
-            return match self.is_obeyed_by_machines_of(id) {
+            return match self.is_holder_confirmed_for_job(id) {
                 true => ConfirmationState::Confirmed(ConfirmationBasis::OwnShard),
-                false => ConfirmationState::MachinesNotObeying,
+                false => ConfirmationState::HolderNotConfirmed,
             };
         }
         match self.store.replica.roles.get(&role) {
@@ -142,9 +148,9 @@
         }
     }
 
-    /// Whether all machines with a recorded attempt of the job have shown a fencing token of this holder's: from then on
-    /// no earlier holder can renew their leases, nor have an attempt started there.
-    fn is_obeyed_by_machines_of(&self, id: &JobId) -> bool {
+    /// Whether all machines with a recorded attempt of the job are deleted or have reported a fencing token of this
+    /// holder. From then on no earlier holder can renew their leases or start an attempt there.
+    fn is_holder_confirmed_for_job(&self, id: &JobId) -> bool {
         let Some(job) = self.jobs.get(id) else { return true };
         job.attempts.values().filter(|attempt| attempt.may_be_on_machine()).all(|attempt| {
             let machine = attempt.machine();
@@ -153,16 +159,16 @@
         })
     }
 
-    /// Has a client told that a job is cancelled, as soon as that can be confirmed.
+    /// Registers a client that is answered as soon as the job's cancellation can be confirmed.
     pub(crate) fn answer_when_cancellation_confirmed(&mut self, request_id: RequestId, id: JobId) {
-        let client = WaitingClient { request_id, waiting_since_at: self.now() };
+        let client = WaitingClient { request_id, waiting_since: self.now() };
         self.jobs.cancellations.waiting.entry(id).or_default().push(client);
     }
 
-    /// Answers all clients whose cancellations can be confirmed or that have waited for too long, and asks the holders
+    /// Answers all clients whose cancellations can be confirmed or that have waited too long, and notifies the holders
     /// of the other jobs' shards.
     pub(crate) fn confirm_cancellations(&mut self) {
-        let mut to_ask: BTreeMap<ShardHolder, Vec<JobId>> = BTreeMap::new();
+        let mut to_notify: BTreeMap<ShardHolder, Vec<JobId>> = BTreeMap::new();
         for (id, clients) in std::mem::take(&mut self.jobs.cancellations.waiting) {
             match self.confirmation_state(&id) {
                 ConfirmationState::Confirmed(basis) => self.confirm_to_clients(&id, basis, clients),
@@ -174,16 +180,16 @@
                     self.store.request_fresh_read();
                     self.keep_waiting(id, clients);
                 }
-                ConfirmationState::MachinesNotObeying => self.keep_waiting(id, clients),
+                ConfirmationState::HolderNotConfirmed => self.keep_waiting(id, clients),
                 ConfirmationState::HeldElsewhere(holder) => {
-                    if !self.jobs.cancellations.is_being_asked_about(&id) {
-                        to_ask.entry(holder).or_default().push(id.clone());
+                    if !self.jobs.cancellations.has_notice_in_flight(&id) {
+                        to_notify.entry(holder).or_default().push(id.clone());
                     }
                     self.keep_waiting(id, clients);
                 }
             }
         }
-        for (holder, ids) in to_ask {
+        for (holder, ids) in to_notify {
             for ids in self.jobs.cancellations.split_into_messages(ids) {
                 self.notify_holder(holder.clone(), ids);
             }
@@ -202,11 +208,12 @@
         }
     }
 
-    /// No client waits for long: one that asks again learns more.
+    /// Keeps clients waiting until `confirm_patience_ms` has passed; after that they are answered as unavailable and
+    /// can retry.
     fn keep_waiting(&mut self, id: JobId, clients: Vec<WaitingClient>) {
         let now = self.now();
         let max_wait = Micros::from_millis(self.policy.confirm_patience_ms);
-        let has_timed_out = |client: &WaitingClient| now.since(client.waiting_since_at) >= max_wait;
+        let has_timed_out = |client: &WaitingClient| now.since(client.waiting_since) >= max_wait;
         let (timed_out, waiting): (Vec<_>, Vec<_>) = clients.into_iter().partition(has_timed_out);
         self.answer_clients(timed_out, &UNAVAILABLE);
         if !waiting.is_empty() {
@@ -225,7 +232,7 @@
         self.out.push(Effect::Peer { call, to: holder.label, message });
     }
 
-    /// Another controller has answered our call about cancelled jobs, or the call has failed.
+    /// Handles a sibling's answer to a notice of cancelled jobs, or the failure of that call.
     pub(crate) fn cancellation_acknowledged(&mut self, call: u64, answer: Option<CancellationAck>) {
         let cancellations = &mut self.jobs.cancellations;
         let Some(ids) = cancellations.calls_in_flight.remove(&call) else { return };
@@ -237,7 +244,7 @@
             return;
         }
         if ids.len() > 1 {
-            return cancellations.ask_about_each_alone(ids);
+            return cancellations.notify_individually(ids);
         }
         for id in ids {
             let clients = self.jobs.cancellations.waiting.remove(&id).unwrap_or_default();
@@ -245,8 +252,9 @@
         }
     }
 
-    /// Another controller tells of cancelled jobs and asks whether we enforce that. What it says counts at once as
-    /// if the watch had brought it, which may be cut off: stopping is always safe, and no outcome changes.
+    /// Handles a sibling's notice of cancelled jobs and answers whether this controller enforces the cancellations. The
+    /// notice is applied to the replica at once, as the watch may be interrupted. That is safe: an outcome never
+    /// changes, and stopping the tasks of a cancelled job is always right.
     pub(crate) fn cancellation_notified(&mut self, request_id: RequestId, message: &CancellationNotice) {
         let holds = self.store.is_synced() && {
             self.apply_cancellations(message);
@@ -267,10 +275,11 @@
         self.apply_replica_changes(changes);
     }
 
-    /// Whether we hold the shard under the token that the sender has seen, or a later one, and the machines obey.
+    /// Whether this controller holds the shard under the fencing token that the sender knows or a later one, and the
+    /// jobs' machines reject commands of earlier holders.
     fn enforces_cancellations(&self, message: &CancellationNotice) -> bool {
         let mut jobs = message.jobs.iter().filter(|job| is_valid_job_id(&job.id));
-        jobs.all(|job| self.is_obeyed_by_machines_of(&JobId::new(&job.id)))
+        jobs.all(|job| self.is_holder_confirmed_for_job(&JobId::new(&job.id)))
             && self
                 .role_token(Role::Shard(message.shard))
                 .is_some_and(|fencing_token| fencing_token.0 >= message.fencing_token)
--- a/src/coordination/jobs/chunk_space.rs
+++ b/src/coordination/jobs/chunk_space.rs
@@ -1,27 +1,27 @@
-//! Whether a chunk of a job's stored records has space for one more attempt within the store's limit on a value's size.
+//! Estimates whether a chunk of a job's stored records has space for one more attempt within the store's value size
+//! limit.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::TaskAttempt;
 use crate::coordination::jobs::job::Job;
 use crate::types::JobId;
 
-/// Bytes of a chunk besides its attempts and ranges of done tasks: field names, count of attempts, and the write's
-/// number.
+/// Bytes of a chunk besides its attempts and ranges of done tasks: field names, last attempt number and write id.
 const CHUNK_OVERHEAD_BYTES: usize = 60;
-/// Bytes of an attempt besides its numbers and its machine's name.
+/// Bytes of an attempt besides its numbers and the name of its machine.
 const ATTEMPT_OVERHEAD_BYTES: usize = 8;
 /// Bytes of a range of done tasks besides its two numbers.
 const RANGE_OVERHEAD_BYTES: usize = 4;
-/// Bytes of a machine's name and incarnation, as long as the machine of the next attempt isn't known.
+/// Bytes assumed for the name and incarnation of the next attempt's machine, which is not known yet.
 const UNKNOWN_MACHINE_BYTES: usize = 12;
 
 impl Controller {
-    /// Whether a chunk of a job's records can name one more attempt. An attempt that ends is replaced by a range at
-    /// most, which is shorter.
+    /// Whether a chunk of a job's records has space for one more attempt. An attempt that ends needs no further space:
+    /// it is replaced by at most one range of done tasks, which is shorter.
     pub(crate) fn chunk_has_space(&self, id: &JobId, job: &Job, chunk: u32) -> bool {
         let tasks = chunk * self.store.tasks_per_chunk()..(chunk + 1).saturating_mul(self.store.tasks_per_chunk());
         let stored = self.store.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
-        // One that is decided gets one of the next attempt numbers.
+        // A decided attempt is given one of the next attempt numbers when it is recorded.
         let max_attempt =
             stored.map_or(0, |stored| stored.value.last_attempt) + u64::from(self.store.tasks_per_chunk());
         let (mut total_bytes, mut longest_attempt) = (0, 0);
