--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -1,9 +1,9 @@
-//! Jobs that depend on others: when they are ready, and what becomes of them when a dependency is cancelled.
+//! Readiness of jobs with dependencies, and cascading cancellation.
 //!
-//! A job whose dependency is cancelled is cancelled as well. That follows from the stored records alone: the
-//! dependency's outcome is written once, and nothing of a job starts before all its dependencies are done. So every
-//! controller derives it for itself and may answer it at once, and there are no attempts to stop. The job's own outcome
-//! is written when the write budget has room for it, so that its batch can be garbage-collected.
+//! A job whose dependency is cancelled is cancelled as well. This follows from the stored records alone: the
+//! dependency's outcome is written once, and no task of a job starts before all its dependencies are done. So every
+//! controller derives the cancellation by itself and may report it at once, and there are no attempts to stop. The
+//! job's own outcome is written when the write budget permits, so that its batch can be garbage-collected.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::dependency_graph::Urgency;
@@ -12,35 +12,36 @@
 use crate::storage::schema::{JobRecord, Key, Outcome, OutcomeRecord, Role, to_value};
 use crate::types::{JobId, Micros};
 
-/// How the dependencies of a job stand when it becomes known.
+/// The result of linking a job to its dependencies.
 struct LinkedDependencies {
-    /// One of them was cancelled, so the job is over.
+    /// Whether a dependency was cancelled, so that the job is cancelled too.
     is_any_cancelled: bool,
-    /// Jobs that became more urgent.
+    /// Jobs whose urgency was raised.
     raised: Vec<JobId>,
 }
 
 impl Controller {
-    /// The outcome of a job, whether its own records say so or those of a dependency.
+    /// Returns the outcome of a job, which follows from its own records or those of a dependency.
     pub(crate) fn outcome(&self, id: &JobId) -> Option<Outcome> {
         let recorded = self.store.replica.outcomes.get(id).map(|end| end.value.outcome);
         recorded.or_else(|| self.jobs.is_cascaded(id).then_some(Outcome::Cancelled))
     }
 
-    /// Whether all jobs that it depends on are known to have been accepted.
+    /// Whether all dependencies of a job are known to have been accepted.
     pub(crate) fn dependencies_exist(&self, spec: &JobSpec) -> bool {
         let replica = &self.store.replica;
         spec.depends_on.iter().all(|id| replica.jobs.contains_key(id) || replica.outcomes.contains_key(id))
     }
 
-    /// Estimate of how long a job takes once it is ready, which its dependencies have to be done ahead of its due time.
-    /// Users' estimates are often wrong by half, and tasks don't all start at once.
+    /// Estimates how long a job takes once it is ready. Its dependencies have to be done that long before its due time.
+    /// The policy's factor and overhead allow for users' estimates, which are often wrong by half, and for tasks that
+    /// don't all start at once.
     fn estimated_duration(&self, record: &JobRecord) -> Micros {
         let estimated_runtime_s = record.spec.estimated_runtime_s * self.policy.stage_estimate_factor;
         Micros::from_secs_f64(estimated_runtime_s) + Micros::from_millis(self.policy.stage_overhead_ms)
     }
 
-    /// Adds a job that has just become known to the graph, if it has dependencies or dependents.
+    /// Adds a new job to the dependency graph if it has dependencies or dependents.
     pub(crate) fn add_to_dependency_graph(&mut self, id: &JobId) {
         let Some(known) = self.store.replica.jobs.get(id) else { return };
         let depends_on = known.record.spec.depends_on.clone();
@@ -76,7 +77,7 @@
                 }
             }
         }
-        // The job may have been a node before, as a dependency of others, and have got its urgency from them.
+        // The job may have been a node before, as a dependency of other jobs, with an urgency raised by them.
         linked.raised.extend(self.jobs.dependency_graph.propagate_urgency(id));
         linked
     }
@@ -84,7 +85,7 @@
     fn note_dependency(&mut self, dependency: &JobId) {
         let (own_urgency, duration) = match self.store.replica.jobs.get(dependency) {
             Some(known) => (known.record.urgency(), self.estimated_duration(&known.record)),
-            // It was accepted, as a job names it, but its record was not read yet.
+            // Another job depends on it, so it was accepted, but its record was not read yet.
             None => (Urgency { priority: Priority::Low, due_at: None }, Micros::ZERO),
         };
         self.jobs.dependency_graph.note(dependency, own_urgency, duration);
@@ -97,7 +98,7 @@
         }
     }
 
-    /// A job whose dependency was cancelled is over.
+    /// Cancels a job because a dependency was cancelled.
     fn cascade_cancellation(&mut self, id: &JobId) {
         if self.store.replica.outcomes.contains_key(id) {
             return;
@@ -108,7 +109,8 @@
         }
     }
 
-    /// A job is over: its dependents are ready if it is done, and cancelled with their own dependents if not.
+    /// Propagates the outcome of an ended job. If it is done, dependents without further dependencies become ready; if
+    /// it was cancelled, its direct and indirect dependents are cancelled.
     pub(crate) fn propagate_outcome(&mut self, id: &JobId) {
         let mut to_visit = vec![id.clone()];
         while let Some(id) = to_visit.pop() {
@@ -140,7 +142,8 @@
         tracing::debug!(job = %id, "job ready: all dependencies done");
     }
 
-    /// Writes, for the shards held here, the outcome of jobs that were cancelled with a dependency. Nobody waits for it.
+    /// Writes the outcomes of jobs that were cancelled with a dependency, for the shards that this controller holds. No
+    /// request waits for these writes.
     pub(crate) fn write_cascaded_cancellations(&mut self) {
         if self.jobs.cascaded.is_empty() || self.store.is_cascade_pending() {
             return;
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -1,25 +1,25 @@
 //! The DAG of job dependencies, across shards and teams.
 //!
-//! A job names only jobs that were accepted before it, so there are no cycles. Only jobs that are not over are nodes:
-//! each knows the dependencies that it still waits for and the jobs that depend on it, so no operation visits all jobs.
-//! Urgency propagates from dependents to dependencies: a job is as urgent as the most urgent one that depends on it, and
-//! has to be done early enough for it.
+//! A job depends only on jobs that were accepted before it, so there are no cycles. Only jobs that have not ended are
+//! nodes. Each node holds the dependencies that it still waits for and the jobs that depend on it, so no operation
+//! visits all jobs. Urgency propagates from dependents to dependencies: a job is at least as urgent as the most urgent
+//! job that depends on it, and has to be done early enough for that job.
 
 use crate::protocol::user::Priority;
 use crate::types::{JobId, Micros};
 use std::collections::{BTreeSet, HashMap};
 
-/// How urgent a job is, by itself or for those that depend on it.
+/// The urgency of a job, by itself or for the jobs that depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Urgency {
-    /// The highest of its own and that of its dependents.
+    /// The highest of its own priority and those of its dependents.
     pub priority: Priority,
     /// Time of day by which it should be done.
     pub due_at: Option<Micros>,
 }
 
 impl Urgency {
-    /// The higher priority and the earlier due time of both.
+    /// Returns the higher priority and the earlier due time of both.
     pub fn max(self, other: Urgency) -> Urgency {
         let due_at = match (self.due_at, other.due_at) {
             (Some(a), Some(b)) => Some(a.min(b)),
@@ -31,32 +31,32 @@
 
 #[derive(Debug)]
 struct Node {
-    /// Dependencies that are not over.
+    /// Dependencies that have not ended.
     dependencies: BTreeSet<JobId>,
     dependents: BTreeSet<JobId>,
     urgency: Urgency,
-    /// Estimate of how long the job takes once its dependencies are done.
+    /// Estimated time that the job takes once its dependencies are done.
     duration: Micros,
 }
 
-/// Jobs that are not over and depend on others, or have dependents.
+/// The jobs that have not ended and have dependencies or dependents.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     nodes: HashMap<JobId, Node>,
 }
 
 impl DependencyGraph {
-    /// Whether the job has a dependency that is not over.
+    /// Whether the job has a dependency that has not ended.
     pub fn waits(&self, id: &JobId) -> bool {
         self.nodes.get(id).is_some_and(|node| !node.dependencies.is_empty())
     }
 
-    /// The job's urgency, if it is a node.
+    /// Returns the job's urgency, if it is a node.
     pub fn urgency(&self, id: &JobId) -> Option<Urgency> {
         self.nodes.get(id).map(|node| node.urgency)
     }
 
-    /// Adds a job, or updates one that is a node already because others depend on it.
+    /// Adds a job, or updates it if it is a node already because other jobs depend on it.
     pub fn note(&mut self, id: &JobId, own_urgency: Urgency, duration: Micros) {
         let new =
             || Node { dependencies: BTreeSet::new(), dependents: BTreeSet::new(), urgency: own_urgency, duration };
@@ -65,7 +65,7 @@
         node.duration = duration;
     }
 
-    /// Makes `id` depend on `dependency`, both of which were noted. Returns the jobs that became more urgent by it.
+    /// Makes `id` depend on `dependency`, both of which must be nodes. Returns the jobs whose urgency was raised.
     pub fn link(&mut self, id: &JobId, dependency: &JobId) -> Vec<JobId> {
         if !self.nodes.contains_key(dependency) {
             return Vec::new();
@@ -79,7 +79,7 @@
         self.propagate_urgency(id)
     }
 
-    /// Propagates a job's urgency to all its dependencies; returns those that became more urgent.
+    /// Propagates a job's urgency to its direct and indirect dependencies; returns those whose urgency was raised.
     pub fn propagate_urgency(&mut self, id: &JobId) -> Vec<JobId> {
         let mut raised = Vec::new();
         let mut to_visit = vec![id.clone()];
@@ -100,8 +100,8 @@
         raised
     }
 
-    /// A job is over: removes it. If it is done, returns the dependents that have nothing left to wait for; if not, all
-    /// its dependents, which can never start.
+    /// Removes a job that has ended. If it is done, returns the dependents without further open dependencies; if not,
+    /// returns all its dependents, which can never start.
     pub fn ended(&mut self, id: &JobId, is_done: bool) -> Vec<JobId> {
         let Some(ended) = self.nodes.remove(id) else { return Vec::new() };
         for dependency in &ended.dependencies {
--- a/src/coordination/jobs/job.rs
+++ b/src/coordination/jobs/job.rs
@@ -1,4 +1,4 @@
-//! What this controller knows of one job, of whichever shard: its specification, its attempts, and how far it has come.
+//! The state of one job of any shard: its specification, its attempts and its progress.
 
 use crate::coordination::jobs::dependency_graph::Urgency;
 use crate::coordination::jobs::failures::FailureHistory;
@@ -9,10 +9,10 @@
 use crate::types::{JobId, Micros, Resources};
 use std::sync::Arc;
 
-/// A job that has a record, or had one until all of it was settled.
+/// A job that has a record, or had one and still has attempts or chunks to be removed.
 pub(crate) struct Job {
     pub spec: Arc<JobSpec>,
-    /// Time of day.
+    /// Time of day at which the job was accepted.
     pub accepted_at: Micros,
     /// Resources that one task takes.
     pub resources: Resources,
@@ -23,26 +23,26 @@
     pub failures: FailureHistory,
     pub recording: RecordingState,
     pub scheduling: SchedulingState,
-    /// Set once the job is over; it never changes then.
+    /// The outcome once the job has ended; it never changes afterwards.
     pub outcome: Option<Outcome>,
-    /// Time of day from which it could start: when it was accepted, or when the last of its dependencies was done.
+    /// Time of day at which it became ready to start: when it was accepted, or when its last dependency was done.
     pub ready_at: Micros,
-    /// Its own urgency, or that of the jobs that depend on it.
+    /// The maximum of its own urgency and that of the jobs that depend on it.
     pub urgency: Urgency,
 }
 
-/// How the stored records of a job stand.
+/// The state of a job's stored records.
 pub(crate) struct RecordingState {
-    /// The job's record still exists. Nothing may start without it.
+    /// Whether the job's record still exists. No attempt may start without it.
     pub has_record: bool,
-    /// A transaction on its chunks is on its way. Until its result is known no other may leave, as both would be
-    /// written on the same preconditions.
+    /// Whether a transaction on its chunks is in flight. No other may be sent until its result is known, as both would
+    /// have the same preconditions.
     pub is_txn_in_flight: bool,
-    /// Since when attempts wait to be removed from the records; zero if that can't wait any longer.
+    /// The time since which changes of the attempts wait to be recorded; zero if they can't wait any longer.
     pub first_unrecorded_change_at: Option<Micros>,
-    /// Since when the records lack that some tasks are done.
+    /// The time since which completed tasks wait to be recorded.
     pub first_unrecorded_completion_at: Option<Micros>,
-    /// Its chunks are larger than may be written; they are tried again from then on.
+    /// The time after which chunks that exceeded the size limit of a value are written again.
     pub retry_too_large_at: Micros,
 }
 
@@ -57,20 +57,20 @@
         }
     }
 
-    /// Notes that the records lack something, unless that is known already.
+    /// Marks a change that is not in the records yet; keeps the time of an earlier unrecorded change.
     pub fn mark_changed(&mut self, now: Micros) {
         self.first_unrecorded_change_at.get_or_insert(now);
     }
 }
 
-/// What the scheduler remembers of a job between its cycles.
+/// The scheduler's state of a job between scheduling cycles.
 #[derive(Default)]
 pub(crate) struct SchedulingState {
-    /// It depends on a job that is not done: none of its tasks may start.
+    /// Whether it depends on a job that is not done, so that none of its tasks may start.
     pub waits_for_dependencies: bool,
-    /// No other attempts are preempted for it before then.
+    /// The time before which no other attempts are preempted for it.
     pub next_preemption_at: Micros,
-    /// Tasks wait although there may be resources for them, as its chunks can name no more attempts.
+    /// Whether tasks wait, although resources may be available, because its chunks have no space for more attempts.
     pub is_blocked_by_full_chunks: bool,
 }
 
@@ -92,22 +92,22 @@
         }
     }
 
-    /// How long a task of it may take to stop: as long as the policy allows if it writes checkpoints, else no time.
+    /// Returns how long a task may take to stop: the policy's maximum if the job writes checkpoints, otherwise zero.
     pub(crate) fn stop_grace_s(&self, max_grace_s: f64) -> f64 {
         if self.spec.checkpoint_interval_s > 0.0 { max_grace_s } else { 0.0 }
     }
 
-    /// How many tasks are done, as far as it is recorded.
+    /// Returns the number of tasks that are recorded as done.
     pub fn done_count(&self) -> u32 {
         self.progress.done_count
     }
 
-    /// How many tasks have a recorded attempt that takes resources.
+    /// Returns the number of tasks with a recorded attempt that takes resources.
     pub fn running_count(&self) -> u32 {
         self.attempts.occupying_count() - self.attempts.decided_count()
     }
 
-    /// How many tasks wait for an attempt.
+    /// Returns the number of tasks that wait for an attempt.
     pub fn waiting_count(&self) -> u32 {
         if self.outcome.is_some() || self.scheduling.waits_for_dependencies {
             0
@@ -116,7 +116,8 @@
         }
     }
 
-    /// Whether it fails wherever it runs, as far as is known: nothing is done for it at others' cost.
+    /// Whether no task of the job is recorded as done and the job itself is considered at fault. Nothing is done for
+    /// such a job at the expense of others.
     pub fn is_failing(&self) -> bool {
         self.progress.done_count == 0 && self.failures.is_failing()
     }
@@ -131,7 +132,7 @@
         self.progress.unrecorded_done.contains(&task) || chunk.is_some_and(|chunk| chunk.is_done(task))
     }
 
-    /// The next task that may start now, see [`TaskProgress::next_task`].
+    /// Returns the next task that may start now, see [`TaskProgress::next_task`].
     pub fn next_task(&self, now: Micros, chunk_tasks: u32, has_space: impl Fn(u32) -> bool) -> Option<u32> {
         if self.scheduling.waits_for_dependencies {
             return None;
@@ -139,18 +140,18 @@
         self.progress.next_task(self.spec.tasks, &self.failures, now, chunk_tasks, has_space)
     }
 
-    /// A gang completes as a whole: one task done means that all are, also those whose machine was lost before its
-    /// agent could report it.
+    /// Whether the gang is done. A gang completes as a whole: one task done means that all tasks are done, including
+    /// those whose machine was lost before its agent could report the completion.
     pub fn is_gang_done(&self) -> bool {
         self.spec.kind == JobKind::Gang && self.progress.has_completions()
     }
 
-    /// Whether it is urgent by itself, or because an urgent job depends on it.
+    /// Whether the job is urgent by itself, or because an urgent job depends on it.
     pub fn is_urgent(&self) -> bool {
         self.spec.kind == JobKind::Service || self.urgency.priority > Priority::Normal
     }
 
-    /// Has all attempts that take resources stop at once.
+    /// Makes all attempts that take resources stop without time for a checkpoint.
     pub(super) fn stop_attempts(&mut self) {
         for attempt in self.attempts.values_mut().filter(|attempt| attempt.occupies_resources()) {
             attempt.stop_without_grace();
--- a/src/coordination/jobs/job_attempts.rs
+++ b/src/coordination/jobs/job_attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one job, by task, with their counts. An attempt's state changes only here, so that neither these
-//! counts nor the sums in [`Usage`] miss a change.
+//! The attempts of one job, by task, with their counts. An attempt's state is changed only here, so that these counts
+//! and the sums in [`Usage`] include every change.
 
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use crate::coordination::jobs::usage::Usage;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-/// What all attempts of a job have in common for the sums in [`Usage`].
+/// The properties shared by all attempts of a job that determine the sums in [`Usage`].
 #[derive(Debug)]
 pub(super) struct AttemptClass {
     /// Resources that one attempt takes.
@@ -29,7 +29,7 @@
 }
 
 impl JobAttempts {
-    /// A job without attempts.
+    /// Creates the empty set of attempts of a job.
     pub fn new(job: JobId, spec: &JobSpec) -> JobAttempts {
         let class = AttemptClass {
             resources: spec.resources(),
@@ -40,7 +40,7 @@
         JobAttempts { job, class, by_task: BTreeMap::new(), occupying_count: 0, decided_count: 0 }
     }
 
-    /// The job.
+    /// Returns the job's id.
     pub fn job(&self) -> &JobId {
         &self.job
     }
@@ -49,57 +49,57 @@
         TaskId { job: self.job.clone(), index }
     }
 
-    /// The attempt at a task.
+    /// Returns the attempt at a task.
     pub fn get(&self, task: u32) -> Option<&TaskAttempt> {
         self.by_task.get(&task)
     }
 
-    /// The attempt at a task, to be changed in what no sum depends on.
+    /// Returns the attempt at a task, for changes that affect no count or sum.
     pub fn get_mut(&mut self, task: u32) -> Option<&mut TaskAttempt> {
         self.by_task.get_mut(&task)
     }
 
-    /// All attempts, by task.
+    /// Iterates over all attempts with their tasks.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &TaskAttempt)> {
         self.by_task.iter().map(|(task, attempt)| (*task, attempt))
     }
 
-    /// The attempts at some of the tasks.
+    /// Iterates over the attempts at a range of tasks.
     pub fn range(&self, tasks: Range<u32>) -> impl Iterator<Item = (u32, &TaskAttempt)> {
         self.by_task.range(tasks).map(|(task, attempt)| (*task, attempt))
     }
 
-    /// All attempts, in the order of their tasks.
+    /// Iterates over all attempts, in the order of their tasks.
     pub fn values(&self) -> impl Iterator<Item = &TaskAttempt> {
         self.by_task.values()
     }
 
-    /// All attempts, to be changed in what no sum depends on.
+    /// Iterates over all attempts, for changes that affect no count or sum.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut TaskAttempt> {
         self.by_task.values_mut()
     }
 
-    /// Whether there are none.
+    /// Whether the job has no attempts.
     pub fn is_empty(&self) -> bool {
         self.by_task.is_empty()
     }
 
-    /// How many attempts take resources.
+    /// Returns the number of attempts that take resources.
     pub fn occupying_count(&self) -> u32 {
         self.occupying_count
     }
 
-    /// How many attempts are decided and not yet in the stored records.
+    /// Returns the number of attempts that are decided but not yet in the stored records.
     pub fn decided_count(&self) -> u32 {
         self.decided_count
     }
 
-    /// How many attempts only wait to be removed from the stored records.
+    /// Returns the number of attempts that have ended or are absent, and wait to be removed from the stored records.
     pub fn settled_count(&self) -> u32 {
         self.by_task.len() as u32 - self.occupying_count
     }
 
-    /// Adds an attempt at a task, in place of one that there may be.
+    /// Adds an attempt at a task, replacing an existing one.
     pub fn insert(&mut self, task: u32, attempt: TaskAttempt, usage: &mut Usage) {
         self.remove(task, usage);
         usage.mark_changed(&self.job);
@@ -112,7 +112,7 @@
         self.by_task.insert(task, attempt);
     }
 
-    /// Removes the attempt at a task.
+    /// Removes and returns the attempt at a task.
     pub fn remove(&mut self, task: u32, usage: &mut Usage) -> Option<TaskAttempt> {
         let attempt = self.by_task.remove(&task)?;
         usage.mark_changed(&self.job);
@@ -125,7 +125,7 @@
         Some(attempt)
     }
 
-    /// Moves an attempt to another state.
+    /// Changes the state of an attempt.
     pub fn set_state(&mut self, task: u32, state: AttemptState, usage: &mut Usage) {
         let Some(attempt) = self.by_task.get_mut(&task) else { return };
         let before = attempt.replace_state(state);
