--- a/src/coordination/jobs/progress.rs
+++ b/src/coordination/jobs/progress.rs
@@ -1,8 +1,8 @@
-//! Which tasks of a job are done, which wait for an attempt, and which of these is next.
+//! Progress of a job's tasks: which are done, which wait for an attempt, and which starts next.
 //!
-//! Tasks start in the order of their numbers, so one number tells those that were never started; only those before it
-//! that need another attempt are listed one by one. A job of a hundred thousand tasks takes no more memory than one of
-//! ten.
+//! Tasks start in the order of their numbers, so a single number separates those that were never started from the
+//! others. Only earlier tasks that need another attempt are listed individually. A job of a hundred thousand tasks
+//! takes no more memory than one of ten.
 
 use crate::coordination::jobs::failures::FailureHistory;
 use crate::storage::schema::RunChunk;
@@ -13,20 +13,20 @@
 /// Progress of a job's tasks, apart from their attempts.
 #[derive(Default)]
 pub(crate) struct TaskProgress {
-    /// How many are recorded as done.
+    /// Number of tasks that are recorded as done.
     pub done_count: u32,
-    /// Seen done, not yet in the stored records.
+    /// Tasks that heartbeats showed as done and that are not recorded as done yet.
     pub unrecorded_done: BTreeSet<u32>,
-    /// Tasks from here on never had an attempt.
+    /// The number from which on no task has had an attempt.
     pub first_unstarted: u32,
-    /// Tasks before that which need another attempt.
+    /// Tasks before `first_unstarted` that need an attempt.
     pub to_restart: BTreeSet<u32>,
-    /// Tasks that may not start before some time.
+    /// The time before which a task may not start, for tasks with a retry delay.
     pub retry_at: BTreeMap<u32, Micros>,
 }
 
 impl TaskProgress {
-    /// How many of the job's tasks wait for an attempt.
+    /// Returns the number of the job's tasks that wait for an attempt.
     pub fn unstarted_count(&self, tasks: u32) -> u32 {
         tasks - self.first_unstarted.min(tasks) + self.to_restart.len() as u32
     }
@@ -36,8 +36,8 @@
         self.done_count > 0 || !self.unrecorded_done.is_empty()
     }
 
-    /// The next task that may start now; those that failed come after all others. `has_space` says whether a chunk of
-    /// the stored records can name one more attempt.
+    /// Returns the next task that may start now; tasks that have failed come after all others. `has_space` returns
+    /// whether a chunk of the stored records has space for one more attempt.
     pub fn next_task(
         &self,
         tasks: u32,
@@ -46,7 +46,7 @@
         chunk_tasks: u32,
         has_space: impl Fn(u32) -> bool,
     ) -> Option<u32> {
-        // The last chunk found full; its other tasks need no second look.
+        // The last chunk that was found full, so that it is not checked again for each of its tasks.
         let mut full_chunk = None;
         let mut fits = |task: u32| {
             let chunk = task / chunk_tasks;
@@ -67,8 +67,8 @@
             .or_else(|| next_restart(true))
     }
 
-    /// The next task that never had an attempt. Where a chunk is full the next one's tasks go first; those left out are
-    /// listed as to be restarted.
+    /// Returns the next task that never had an attempt. Tasks of full chunks are skipped; [`Self::mark_task_started`]
+    /// adds them to `to_restart`.
     fn next_unstarted(&self, tasks: u32, chunk_tasks: u32, has_space: impl Fn(u32) -> bool) -> Option<u32> {
         if self.first_unstarted >= tasks {
             return None;
@@ -78,7 +78,7 @@
         Some(self.first_unstarted.max(chunk * chunk_tasks))
     }
 
-    /// Notes that a task has an attempt.
+    /// Marks a task that has an attempt now.
     pub fn mark_task_started(&mut self, task: u32) {
         if task >= self.first_unstarted {
             self.to_restart.extend(self.first_unstarted..task);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Brings the tasks of one chunk in line with its stored record. `is_recorded`: whether any chunk names a task.
+    /// Updates the tasks of one chunk from its stored record. `is_recorded` returns whether any chunk mentions a task.
     pub(super) fn reconcile(&mut self, chunk: &RunChunk, tasks: Range<u32>, is_recorded: impl Fn(u32) -> bool) {
         self.unrecorded_done.retain(|task| !tasks.contains(task) || !chunk.is_done(*task));
         let first_unstarted = self.first_unstarted.max(chunk.first_unstarted_task());
--- a/src/coordination/jobs/reconciliation.rs
+++ b/src/coordination/jobs/reconciliation.rs
@@ -1,7 +1,7 @@
-//! Brings the jobs in line with the stored records: after each change of the replica, and after failover of a shard.
+//! Reconciles the jobs with the stored records, after each change of the replica and after failover of a shard.
 //!
-//! The records are the truth about what may run where. An attempt that they name and that is unknown here appears; one
-//! that they no longer name, and that no transaction of ours is about to add, vanishes.
+//! The records are authoritative for which task may run where. An attempt that is recorded but unknown here is added.
+//! An attempt that is no longer recorded, and that no transaction in flight is about to record, is removed.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::{AttemptState, TaskAttempt};
@@ -14,8 +14,8 @@
 use std::ops::Range;
 
 impl Job {
-    /// Brings the tasks of one chunk in line with its stored record; returns the machines that an attempt vanished from
-    /// or was recorded on. `is_recorded`: whether any chunk names a task.
+    /// Reconciles the tasks of one chunk with its stored record. Returns the machines of attempts that were removed or
+    /// became recorded. `is_recorded` returns whether any chunk mentions a task.
     fn reconcile_chunk(
         &mut self,
         chunk: &RunChunk,
@@ -23,26 +23,26 @@
         is_recorded: impl Fn(u32) -> bool,
         usage: &mut Usage,
     ) -> Vec<MachineId> {
-        let mut machines = self.remove_vanished_attempts(chunk, tasks.clone(), usage);
+        let mut machines = self.remove_unrecorded_attempts(chunk, tasks.clone(), usage);
         self.progress.reconcile(chunk, tasks, is_recorded);
         machines.extend(self.add_recorded_attempts(chunk, usage));
         machines
     }
 
-    /// Removes attempts that are gone from their chunk, or never got into it; returns their machines.
-    fn remove_vanished_attempts(&mut self, chunk: &RunChunk, tasks: Range<u32>, usage: &mut Usage) -> Vec<MachineId> {
+    /// Removes attempts that are no longer in their chunk, or were never recorded; returns their machines.
+    fn remove_unrecorded_attempts(&mut self, chunk: &RunChunk, tasks: Range<u32>, usage: &mut Usage) -> Vec<MachineId> {
         let recorded = chunk.attempts_by_task();
         let is_being_recorded =
             |attempt: &TaskAttempt| self.recording.is_txn_in_flight && attempt.state() == AttemptState::Decided;
-        let has_vanished = |task: u32, attempt: &TaskAttempt| match recorded.get(&task) {
+        let is_unrecorded = |task: u32, attempt: &TaskAttempt| match recorded.get(&task) {
             Some(start) => start.attempt != attempt.number || start.machine != *attempt.machine(),
             None => !is_being_recorded(attempt),
         };
         let attempts = self.attempts.range(tasks);
-        let vanished: Vec<u32> =
-            attempts.filter(|(task, attempt)| has_vanished(*task, attempt)).map(|(task, _)| task).collect();
+        let unrecorded: Vec<u32> =
+            attempts.filter(|(task, attempt)| is_unrecorded(*task, attempt)).map(|(task, _)| task).collect();
         let mut machines = Vec::new();
-        for task in vanished {
+        for task in unrecorded {
             machines.extend(self.attempts.remove(task, usage).map(|attempt| attempt.machine().clone()));
             let is_settled = recorded.contains_key(&task) || self.is_task_done(task, Some(chunk));
             if !is_settled {
@@ -52,7 +52,8 @@
         machines
     }
 
-    /// The attempts that a chunk names are recorded; returns the machines where that is news.
+    /// Adds the attempts of a chunk that are unknown here and marks decided ones as recorded. Returns the machines of
+    /// both.
     fn add_recorded_attempts(&mut self, chunk: &RunChunk, usage: &mut Usage) -> Vec<MachineId> {
         let mut machines = Vec::new();
         for start in &chunk.task_attempts {
@@ -63,7 +64,7 @@
                     let (machine, incarnation) = (start.machine.clone(), start.incarnation);
                     let mut attempt = TaskAttempt::new(start.attempt, machine, incarnation, AttemptState::Recorded);
                     attempt.stop_grace_s = self.outcome.map(|_| 0.0);
-                    // Whoever recorded it may have sent the command.
+                    // The controller that recorded it may have sent the start command.
                     attempt.may_have_been_sent = true;
                     self.attempts.insert(start.task, attempt, usage);
                 }
@@ -73,7 +74,7 @@
         machines
     }
 
-    /// A machine without a record was deleted: nothing is on it.
+    /// Marks attempts on deleted machines as absent. A machine without a record was deleted.
     fn end_attempts_on_deleted_machines(
         &mut self,
         tasks: Range<u32>,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Forgets what was seen of the attempts: another controller commanded them meanwhile. Each recorded attempt may
-    /// be anywhere between not sent and ended.
+    /// Resets the attempts to what is recorded, as a sibling may have sent commands for them meanwhile. The start
+    /// command of a recorded attempt may not have been sent yet, and the attempt may have ended already.
     fn reset_attempts(&mut self, usage: &mut Usage) {
         self.progress.unrecorded_done.clear();
         self.progress.retry_at.clear();
@@ -111,8 +112,9 @@
 }
 
 impl Controller {
-    /// The shard whose holder schedules a job; the same on every controller. A team's jobs stay together, so that its
-    /// quota can be kept; a team without any quota has its jobs spread by id where most shards would be idle otherwise.
+    /// Returns the shard whose holder schedules a job. Every controller computes the same shard. A team's jobs are in
+    /// one shard, so that its quota can be enforced; the jobs of a team without a quota are spread by id if most shards
+    /// would be idle otherwise.
     fn shard_of(&self, team: Option<&str>, id: &JobId) -> u32 {
         let shards = self.shard_count();
         let teams = &self.platform.deployment.teams;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Brings a job in line with the replica.
+    /// Reconciles a job with the replica.
     pub(crate) fn reconcile_job(&mut self, id: &JobId) {
         if !self.reconcile_job_record(id) {
             return;
@@ -144,18 +146,18 @@
         for chunk in chunks {
             self.reconcile_tasks_of_chunk(id, chunk);
         }
-        self.forget_if_settled(id);
+        self.remove_if_settled(id);
     }
 
-    /// Brings a job in line with one chunk of its records that has changed.
+    /// Reconciles a job with one chunk of its records that has changed.
     pub(crate) fn reconcile_chunk(&mut self, id: &JobId, chunk: u32) {
         if self.reconcile_job_record(id) {
             self.reconcile_tasks_of_chunk(id, chunk);
-            self.forget_if_settled(id);
+            self.remove_if_settled(id);
         }
     }
 
-    /// Adds a job that is new, and notes its outcome. Returns whether the job is known now.
+    /// Adds a job that is new, and ends it if it has an outcome. Returns whether the job is known afterwards.
     fn reconcile_job_record(&mut self, id: &JobId) -> bool {
         let outcome = self.store.replica.outcomes.get(id).map(|end| end.value.outcome);
         if !self.jobs.contains_key(id) && !self.add_job(id, outcome) {
@@ -172,8 +174,8 @@
         true
     }
 
-    /// Adds a job from its record. One that is over with nothing left of it is named only by its batch, and is not
-    /// added.
+    /// Adds a job from its record. A job that has ended and has no chunks left is not added: only its batch still
+    /// contains it. Returns whether the job was added.
     fn add_job(&mut self, id: &JobId, outcome: Option<Outcome>) -> bool {
         if outcome.is_some() && !self.store.replica.run_chunks.contains_key(id) {
             return false;
@@ -191,8 +193,8 @@
         true
     }
 
-    /// The records say that a job is over: no attempt that was only decided may start any more, and what may run has
-    /// to stop.
+    /// Sets the outcome of a job that has ended according to the records. Decided attempts may no longer start, and
+    /// attempts that may be running have to stop.
     fn end_job(&mut self, id: &JobId, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.outcome = Some(outcome);
@@ -205,12 +207,12 @@
         self.note_cancellation_deadline(id);
     }
 
-    fn forget_if_settled(&mut self, id: &JobId) {
+    fn remove_if_settled(&mut self, id: &JobId) {
         let has_chunks = self.store.replica.run_chunks.contains_key(id);
-        // One that is over because another was cancelled is known by its entry here until that is written down.
-        let is_ended = self.store.replica.outcomes.contains_key(id);
+        // A job that was cancelled with a dependency has to stay known until its own outcome is in the stored records.
+        let has_recorded_outcome = self.store.replica.outcomes.contains_key(id);
         let is_settled = |job: &Job| {
-            let needs_no_more_records = is_ended && job.outcome.is_some() || !job.recording.has_record;
+            let needs_no_more_records = has_recorded_outcome && job.outcome.is_some() || !job.recording.has_record;
             needs_no_more_records && !has_chunks && job.attempts.is_empty() && !job.recording.is_txn_in_flight
         };
         if self.jobs.get(id).is_some_and(is_settled) {
@@ -243,7 +245,7 @@
         }
     }
 
-    /// The shard was taken or lost: what was seen of its jobs' attempts no longer holds.
+    /// Resets the jobs of a shard that was acquired or lost, as the states of their attempts are no longer valid.
     pub(crate) fn reset_shard_jobs(&mut self, shard: u32) {
         for job in self.jobs.by_id.values_mut().filter(|job| job.shard == shard) {
             job.reset_attempts(&mut self.jobs.usage);
--- a/src/coordination/jobs/usage.rs
+++ b/src/coordination/jobs/usage.rs
@@ -1,13 +1,13 @@
 //! Resources in use: the sums over all attempts for each machine and each team.
 //!
-//! Only [`JobAttempts`](super::job_attempts::JobAttempts) changes them, with each attempt that it adds, removes or
-//! moves to another state, so that no sum drifts from the attempts.
+//! Only [`JobAttempts`](super::job_attempts::JobAttempts) changes the sums, whenever it adds or removes an attempt or
+//! changes its state, so that the sums always match the attempts.
 
 use crate::coordination::jobs::job_attempts::AttemptClass;
 use crate::types::{JobId, MachineId, Resources, TaskId};
 use std::collections::{BTreeSet, HashMap};
 
-/// What the stored records and the decisions since place on one machine.
+/// The recorded and decided attempts on one machine, and the resources that they take.
 #[derive(Debug, Default, PartialEq)]
 pub struct MachineUsage {
     attempts: BTreeSet<TaskId>,
@@ -18,7 +18,7 @@
 }
 
 impl MachineUsage {
-    /// All attempts placed there, by job and task.
+    /// Iterates over the attempts on the machine, ordered by job and task.
     pub fn attempts(&self) -> impl Iterator<Item = &TaskId> {
         self.attempts.iter()
     }
@@ -38,22 +38,22 @@
 }
 
 impl Usage {
-    /// What is placed on a machine; nothing if no attempt is.
+    /// Returns the usage of a machine; `None` if it has no attempts.
     pub fn on_machine(&self, machine: &MachineId) -> Option<&MachineUsage> {
         self.machines.get(machine)
     }
 
-    /// The attempts on a machine, by job and task.
+    /// Iterates over the attempts on a machine, ordered by job and task.
     pub fn iter_attempts_on(&self, machine: &MachineId) -> impl Iterator<Item = &TaskId> {
         self.machines.get(machine).into_iter().flat_map(MachineUsage::attempts)
     }
 
-    /// A copy of the attempts on a machine, for use while they change.
+    /// Returns a copy of the list of attempts on a machine, for loops that change the attempts.
     pub fn attempts_on(&self, machine: &MachineId) -> Vec<TaskId> {
         self.machines.get(machine).map(|usage| usage.attempts.iter().cloned().collect()).unwrap_or_default()
     }
 
-    /// Whether no attempt is placed on the machine.
+    /// Whether the machine has no attempts.
     pub fn is_empty(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_none_or(|usage| usage.attempts.is_empty())
     }
@@ -68,27 +68,27 @@
         self.machines.get(machine).is_some_and(|usage| usage.service_count > 0)
     }
 
-    /// Whether any attempt takes resources on the machine, and all that do are of array jobs of the lowest priority.
+    /// Whether any attempt takes resources on the machine, and all that do belong to array jobs of the lowest priority.
     pub fn has_only_low_priority_arrays(&self, machine: &MachineId) -> bool {
         self.machines.get(machine).is_some_and(MachineUsage::has_only_low_priority_arrays)
     }
 
-    /// Resources in use on a machine.
+    /// Returns the resources in use on a machine.
     pub fn used_on(&self, machine: &MachineId) -> Resources {
         self.machines.get(machine).map(|usage| usage.resources).unwrap_or_default()
     }
 
-    /// Resources that a team uses, counted against its quota.
+    /// Returns the resources that a team uses, which count against its quota.
     pub fn used_by(&self, team: &str) -> Resources {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// How many attempts of array jobs of the lowest priority take resources, on all machines together.
+    /// Returns the number of attempts of low-priority array jobs that take resources, over all machines.
     pub fn low_priority_array_count(&self) -> u32 {
         self.low_priority_array_count
     }
 
-    /// Jobs whose attempts changed since their records were last found to be up to date.
+    /// Returns the jobs whose attempts changed since their records were last found up to date.
     pub(super) fn changed_jobs(&self) -> &BTreeSet<JobId> {
         &self.changed_jobs
     }
@@ -113,7 +113,7 @@
         }
     }
 
-    /// An attempt of that class takes resources on the machine from now on.
+    /// Adds an attempt of the class that takes resources to the sums of the machine and the team.
     pub(super) fn occupy(&mut self, class: &AttemptClass, machine: &MachineId) {
         let usage = self.machines.entry(machine.clone()).or_default();
         usage.resources = usage.resources.plus(&class.resources);
@@ -126,7 +126,7 @@
         }
     }
 
-    /// An attempt of that class no longer takes resources on the machine.
+    /// Subtracts an attempt of the class that no longer takes resources from the sums of the machine and the team.
     pub(super) fn release(&mut self, class: &AttemptClass, machine: &MachineId) {
         let usage = self.machines.entry(machine.clone()).or_default();
         usage.resources = usage.resources.minus(&class.resources);
--- a/src/coordination/log_limit.rs
+++ b/src/coordination/log_limit.rs
@@ -1,13 +1,13 @@
-//! A bound on the rate of log lines about one subject, so that a wave of events does not cost more than the work itself.
+//! Rate limit for log lines on one subject, so that logging many events does not cost more than handling them.
 
 use crate::types::Micros;
 
-/// Lines in a second, in the long run.
+/// Sustained rate of lines.
 const LINES_PER_S: f64 = 10.0;
-/// Lines at once after a quiet time.
+/// Maximum burst of lines after a period without any.
 const MAX_BURST_LINES: f64 = 100.0;
 
-/// A token bucket for log lines, which counts those that it left out.
+/// A token bucket for log lines that counts the lines it suppressed.
 #[derive(Debug)]
 pub(crate) struct LogLimit {
     lines_left: f64,
@@ -22,7 +22,7 @@
 }
 
 impl LogLimit {
-    /// Whether one more line may be written now.
+    /// Returns whether one more line may be written now, and counts it as written or suppressed.
     pub(crate) fn admits_line(&mut self, now: Micros) -> bool {
         let refill = now.since(self.refilled_at).secs() * LINES_PER_S;
         self.lines_left = (self.lines_left + refill).min(MAX_BURST_LINES);
@@ -36,7 +36,7 @@
         is_admitted
     }
 
-    /// Lines left out since this was last asked.
+    /// Returns the number of suppressed lines since the last call, and resets it.
     pub(crate) fn take_left_out_count(&mut self) -> u64 {
         std::mem::take(&mut self.left_out_count)
     }
