--- a/src/coordination/messages/store.rs
+++ b/src/coordination/messages/store.rs
@@ -15,7 +15,7 @@
     /// The store rejected the request as malformed.
     Invalid,
     /// The store refused the request, as its rate limit was reached.
-    Limited,
+    RateLimited,
     /// The call got no valid answer.
     Failed(CallFailure),
 }
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -40,7 +40,7 @@
                 tracing::error!(purpose = ?pending.purpose, "transaction rejected by the store as malformed");
                 self.txn_ended(&pending.purpose, &TxnEnd::Unknown);
             }
-            TxnOutcome::Limited => self.txn_limited(ticket),
+            TxnOutcome::RateLimited => self.txn_limited(ticket),
             TxnOutcome::Failed(failure) => self.txn_failed(ticket, failure),
         }
     }
--- a/src/transport/calls/store.rs
+++ b/src/transport/calls/store.rs
@@ -134,7 +134,7 @@
             }
             None => TxnOutcome::Failed(CallFailure::Indeterminate),
         },
-        StatusCode::TOO_MANY_REQUESTS => TxnOutcome::Limited,
+        StatusCode::TOO_MANY_REQUESTS => TxnOutcome::RateLimited,
         StatusCode::SERVICE_UNAVAILABLE => TxnOutcome::Failed(CallFailure::NotExecuted),
         StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::NoLease,
         StatusCode::BAD_REQUEST => TxnOutcome::Invalid,
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -244,7 +244,7 @@
     pub fn answer(&mut self, now: u64, request: &StoreCall) -> Input {
         match request {
             StoreCall::Txn { ticket, txn, .. } => {
-                let outcome = if self.admits(now, txn.writes.len()) { self.txn(txn) } else { TxnOutcome::Limited };
+                let outcome = if self.admits(now, txn.writes.len()) { self.txn(txn) } else { TxnOutcome::RateLimited };
                 Input::Txn { ticket: *ticket, outcome }
             }
             StoreCall::Changes { ticket, after, .. } => {
@@ -287,7 +287,7 @@
         }
         if !self.store.admits_request(now) {
             let input = match &request {
-                StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
+                StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::RateLimited },
                 other => failed(other, CallFailure::NotExecuted),
             };
             return self.reply(Place::Store, node, life, call, input);
