--- a/src/coordination/messages/store.rs
+++ b/src/coordination/messages/store.rs
@@ -11,7 +11,7 @@
     /// A precondition did not hold at this revision.
     Conflict(u64),
     /// The session that the transaction refers to has expired.
-    NoLease,
+    SessionExpired,
     /// The store rejected the request as malformed.
     Invalid,
     /// The store refused the request, as its rate limit was reached.
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -30,7 +30,7 @@
         match outcome {
             TxnOutcome::Committed(revision) => self.txn_committed(ticket, Revision(revision)),
             TxnOutcome::Conflict(revision) => self.txn_conflicted(ticket, Revision(revision)),
-            TxnOutcome::NoLease => {
+            TxnOutcome::SessionExpired => {
                 let Some(pending) = self.store.txns.remove(ticket) else { return };
                 self.session_expired();
                 self.txn_ended(&pending.purpose, &TxnEnd::Unknown);
--- a/src/transport/calls/store.rs
+++ b/src/transport/calls/store.rs
@@ -136,7 +136,7 @@
         },
         StatusCode::TOO_MANY_REQUESTS => TxnOutcome::RateLimited,
         StatusCode::SERVICE_UNAVAILABLE => TxnOutcome::Failed(CallFailure::NotExecuted),
-        StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::NoLease,
+        StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::SessionExpired,
         StatusCode::BAD_REQUEST => TxnOutcome::Invalid,
         _ => TxnOutcome::Failed(CallFailure::Indeterminate),
     }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -213,7 +213,7 @@
             .iter()
             .any(|w| matches!(w, Write::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease)));
         if lost {
-            return TxnOutcome::NoLease;
+            return TxnOutcome::SessionExpired;
         }
         let holds = txn.preconditions.iter().all(|c| self.keys.get(&c.key).map_or(0, |(_, v, _)| *v) == c.version);
         if !holds {
