--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -15,7 +15,7 @@
 /// The result of linking a job to its dependencies.
 struct LinkedDependencies {
     /// Whether a dependency was cancelled, so that the job is cancelled too.
-    is_any_cancelled: bool,
+    has_cancelled_dependency: bool,
     /// Jobs whose urgency was raised.
     raised: Vec<JobId>,
 }
@@ -49,30 +49,30 @@
             return;
         }
         let (own_urgency, duration) = (known.record.urgency(), self.estimated_duration(&known.record));
-        self.jobs.dependency_graph.note(id, own_urgency, duration);
+        self.jobs.dependency_graph.upsert(id, own_urgency, duration);
         let linked = self.link_dependencies(id, &depends_on);
-        self.adopt_urgency(id);
+        self.copy_urgency_from_graph(id);
         for raised in &linked.raised {
-            self.adopt_urgency(raised);
+            self.copy_urgency_from_graph(raised);
         }
         let waits = self.jobs.dependency_graph.waits(id);
         if let Some(job) = self.jobs.get_mut(id) {
-            job.scheduling.waits_for_dependencies = waits || linked.is_any_cancelled;
+            job.scheduling.waits_for_dependencies = waits || linked.has_cancelled_dependency;
         }
-        if linked.is_any_cancelled {
+        if linked.has_cancelled_dependency {
             self.cascade_cancellation(id);
             self.propagate_outcome(id);
         }
     }
 
     fn link_dependencies(&mut self, id: &JobId, depends_on: &[JobId]) -> LinkedDependencies {
-        let mut linked = LinkedDependencies { is_any_cancelled: false, raised: Vec::new() };
+        let mut linked = LinkedDependencies { has_cancelled_dependency: false, raised: Vec::new() };
         for dependency in depends_on {
             match self.outcome(dependency) {
                 Some(Outcome::Done) => {}
-                Some(Outcome::Cancelled) => linked.is_any_cancelled = true,
+                Some(Outcome::Cancelled) => linked.has_cancelled_dependency = true,
                 None => {
-                    self.note_dependency(dependency);
+                    self.upsert_dependency(dependency);
                     linked.raised.extend(self.jobs.dependency_graph.link(id, dependency));
                 }
             }
@@ -82,16 +82,16 @@
         linked
     }
 
-    fn note_dependency(&mut self, dependency: &JobId) {
+    fn upsert_dependency(&mut self, dependency: &JobId) {
         let (own_urgency, duration) = match self.store.replica.jobs.get(dependency) {
             Some(known) => (known.record.urgency(), self.estimated_duration(&known.record)),
             // Another job depends on it, so it was accepted, but its record was not read yet.
             None => (Urgency { priority: Priority::Low, due_at: None }, Micros::ZERO),
         };
-        self.jobs.dependency_graph.note(dependency, own_urgency, duration);
+        self.jobs.dependency_graph.upsert(dependency, own_urgency, duration);
     }
 
-    fn adopt_urgency(&mut self, id: &JobId) {
+    fn copy_urgency_from_graph(&mut self, id: &JobId) {
         let urgency = self.jobs.dependency_graph.urgency(id);
         if let (Some(job), Some(urgency)) = (self.jobs.get_mut(id), urgency) {
             job.urgency = urgency;
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -57,7 +57,7 @@
     }
 
     /// Adds a job, or updates it if it is a node already because other jobs depend on it.
-    pub fn note(&mut self, id: &JobId, own_urgency: Urgency, duration: Micros) {
+    pub fn upsert(&mut self, id: &JobId, own_urgency: Urgency, duration: Micros) {
         let new =
             || Node { dependencies: BTreeSet::new(), dependents: BTreeSet::new(), urgency: own_urgency, duration };
         let node = self.nodes.entry(id.clone()).or_insert_with(new);
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -409,9 +409,9 @@
                     if plain_over(&plain, count).is_some() {
                         continue;
                     }
-                    kept.note(&id(count), own, span);
+                    kept.upsert(&id(count), own, span);
                     for before in depends_on.iter().filter(|b| plain_over(&plain, **b).is_none()) {
-                        kept.note(&id(*before), plain[*before].own, plain[*before].span);
+                        kept.upsert(&id(*before), plain[*before].own, plain[*before].span);
                         kept.link(&id(count), &id(*before));
                     }
                 }
