--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -55,7 +55,7 @@
         for raised in &linked.raised {
             self.copy_urgency_from_graph(raised);
         }
-        let waits = self.jobs.dependency_graph.waits(id);
+        let waits = self.jobs.dependency_graph.has_open_dependencies(id);
         if let Some(job) = self.jobs.get_mut(id) {
             job.scheduling.waits_for_dependencies = waits || linked.has_cancelled_dependency;
         }
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -47,7 +47,7 @@
 
 impl DependencyGraph {
     /// Whether the job has a dependency that has not ended.
-    pub fn waits(&self, id: &JobId) -> bool {
+    pub fn has_open_dependencies(&self, id: &JobId) -> bool {
         self.nodes.get(id).is_some_and(|node| !node.dependencies.is_empty())
     }
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -451,7 +451,7 @@
                 }
             }
             for n in (0..plain.len()).filter(|n| plain_over(&plain, *n).is_none()) {
-                prop_assert_eq!(kept.waits(&id(n)), plain_waits(&plain, n));
+                prop_assert_eq!(kept.has_open_dependencies(&id(n)), plain_waits(&plain, n));
                 if let (true, Some(urgency)) = (nothing_over, kept.urgency(&id(n))) {
                     prop_assert_eq!(urgency, plain_urgency(&plain, n));
                 }
