--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -119,7 +119,7 @@
             }
             let Some(outcome) = self.outcome(&id) else { continue };
             let is_done = outcome == Outcome::Done;
-            for dependent in self.jobs.dependency_graph.ended(&id, is_done) {
+            for dependent in self.jobs.dependency_graph.remove_ended(&id, is_done) {
                 if is_done {
                     self.mark_ready(&dependent);
                 } else {
--- a/src/coordination/jobs/dependency_graph.rs
+++ b/src/coordination/jobs/dependency_graph.rs
@@ -102,7 +102,7 @@
 
     /// Removes a job that has ended. If it is done, returns the dependents without further open dependencies; if not,
     /// returns all its dependents, which can never start.
-    pub fn ended(&mut self, id: &JobId, is_done: bool) -> Vec<JobId> {
+    pub fn remove_ended(&mut self, id: &JobId, is_done: bool) -> Vec<JobId> {
         let Some(ended) = self.nodes.remove(id) else { return Vec::new() };
         for dependency in &ended.dependencies {
             if let Some(node) = self.nodes.get_mut(dependency) {
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -427,7 +427,7 @@
                     let mut lost = BTreeSet::new();
                     let mut ended = vec![(n, done)];
                     while let Some((n, done)) = ended.pop() {
-                        for follower in kept.ended(&id(n), done) {
+                        for follower in kept.remove_ended(&id(n), done) {
                             let follower = number(&follower);
                             if done {
                                 ready.insert(follower);
