--- a/src/coordination/api/mod.rs
+++ b/src/coordination/api/mod.rs
@@ -88,7 +88,8 @@
         self.pending.push(PendingRequest { request, query, required_revision });
     }
 
-    /// Sets the required revision of each pending request that was received before an answered read was sent.
+    /// Sets the required revision, where it is not known yet, of the pending requests that were received before an
+    /// answered read was sent.
     pub(crate) fn note_read_evidence(&mut self, evidence: &Evidence) {
         for pending in &mut self.pending {
             let proven = evidence.revision_after(pending.request.received_at);
--- a/src/coordination/api/submissions.rs
+++ b/src/coordination/api/submissions.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// The error that a submission exceeds the size limit of the store's values.
+/// The error for a submission that exceeds the store's maximum value size.
 #[derive(Debug, thiserror::Error)]
 #[error("the submission is larger than a value of the store may be")]
 pub(crate) struct SubmissionTooLarge;
--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -11,7 +11,7 @@
 use crate::protocol::user::JobKind;
 use crate::types::{JobId, MachineId, Micros, TaskId};
 
-/// The time after which a task is tried again whose attempt an agent refused.
+/// The time after which a task is tried again if an agent refused its attempt.
 const REFUSED_RETRY_DELAY: Micros = Micros::from_millis(500);
 
 impl Job {
@@ -52,7 +52,14 @@
         let Some(attempt) = job.attempts.get(task.index).filter(|attempt| attempt.occupies_resources()) else { return };
         let machine = attempt.machine().clone();
         if exit_cause != ExitCause::Completed {
-            tracing::debug!(job = %task.job, task = task.index, %machine, state = ?attempt.state(), ?exit_cause, "task attempt ended early");
+            tracing::debug!(
+                job = %task.job,
+                task = task.index,
+                %machine,
+                state = ?attempt.state(),
+                ?exit_cause,
+                "task attempt ended early"
+            );
         }
         let was_never_seen_running = attempt.first_running_at.is_none();
         job.attempts.set_state(task.index, AttemptState::Ended(exit_cause), &mut self.jobs.usage);
@@ -61,7 +68,7 @@
         }
         job.recording.mark_changed(now);
         if job.spec.kind == JobKind::Gang && exit_cause != ExitCause::Completed {
-            // The gang can't complete without this task: it restarts once all its current attempts have ended.
+            // The gang's current attempts are lost: they are stopped, and the gang restarts once all of them have ended.
             job.stop_attempts();
         }
         if exit_cause == ExitCause::Completed && was_never_seen_running {
--- a/src/coordination/jobs/cancellation_log.rs
+++ b/src/coordination/jobs/cancellation_log.rs
@@ -70,7 +70,7 @@
     ShardHolder,
     /// The stored records contain no attempt of the job.
     NoAttempts,
-    /// This controller holds the shard, and all machines with attempts accept commands under its fencing token.
+    /// This controller holds the shard, and all machines with attempts reject commands of earlier holders.
     OwnShard,
 }
 
--- a/src/coordination/jobs/dependencies.rs
+++ b/src/coordination/jobs/dependencies.rs
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Propagates the outcome of an ended job. If it is done, dependents without further dependencies become ready; if
-    /// it was cancelled, its direct and indirect dependents are cancelled.
+    /// Propagates the outcome of an ended job. If it is done, dependents without other open dependencies become
+    /// ready; if it was cancelled, its direct and indirect dependents are cancelled.
     pub(crate) fn propagate_outcome(&mut self, id: &JobId) {
         let mut to_visit = vec![id.clone()];
         while let Some(id) = to_visit.pop() {
