--- a/src/coordination/jobs/attempt_events.rs
+++ b/src/coordination/jobs/attempt_events.rs
@@ -68,7 +68,8 @@
         }
         job.recording.mark_changed(now);
         if job.spec.kind == JobKind::Gang && exit_cause != ExitCause::Completed {
-            // The gang's current attempts are lost: they are stopped, and the gang restarts once all of them have ended.
+            // The gang's current attempts are lost: they are stopped, and the gang restarts once all of them have
+            // ended.
             job.stop_attempts();
         }
         if exit_cause == ExitCause::Completed && was_never_seen_running {
