--- a/src/coordination/store_sync/reads.rs
+++ b/src/coordination/store_sync/reads.rs
@@ -139,12 +139,12 @@
     fn watch_outcome(&mut self, outcome: ReadOutcome<Changes>) {
         let Some(read) = self.store.reads.watch.take() else { return };
         match outcome {
-            ReadOutcome::Got(changes) => {
+            ReadOutcome::Fetched(changes) => {
                 self.apply_changes(read.sent_at, &changes);
                 self.store.reads.next_watch_at = self.now() + self.min_read_interval(WATCH_LIMIT_FRACTION);
                 self.start_watch_if_due();
             }
-            ReadOutcome::TooOld => self.resync(),
+            ReadOutcome::Compacted => self.resync(),
             ReadOutcome::Failed => self.store.reads.next_watch_at = self.now() + PAUSE_AFTER_FAILURE,
         }
     }
@@ -152,8 +152,8 @@
     fn fresh_read_outcome(&mut self, outcome: ReadOutcome<Changes>) {
         let Some(read) = self.store.reads.fresh.take() else { return };
         match outcome {
-            ReadOutcome::Got(changes) => self.apply_changes(read.sent_at, &changes),
-            ReadOutcome::TooOld => self.resync(),
+            ReadOutcome::Fetched(changes) => self.apply_changes(read.sent_at, &changes),
+            ReadOutcome::Compacted => self.resync(),
             ReadOutcome::Failed => {
                 self.store.fresh_read_failed(self.clock.steady);
                 self.read_failed(read.sent_at);
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -31,7 +31,7 @@
         match outcome {
             TxnOutcome::Committed(revision) => self.txn_committed(ticket, Revision(revision)),
             TxnOutcome::Conflict(revision) => self.txn_conflicted(ticket, Revision(revision)),
-            TxnOutcome::NoLease => {
+            TxnOutcome::SessionExpired => {
                 let Some(pending) = self.store.txns.remove(ticket) else { return };
                 self.session_expired();
                 self.txn_ended(&pending.purpose, &TxnEnd::Unknown);
@@ -41,7 +41,7 @@
                 tracing::error!(purpose = ?pending.purpose, "transaction rejected by the store as malformed");
                 self.txn_ended(&pending.purpose, &TxnEnd::Unknown);
             }
-            TxnOutcome::Limited => self.txn_limited(ticket),
+            TxnOutcome::RateLimited => self.txn_limited(ticket),
             TxnOutcome::Failed(failure) => self.txn_failed(ticket, failure),
         }
     }
