--- a/src/main.rs
+++ b/src/main.rs
@@ -43,7 +43,7 @@
     Schema,
     /// Print the operators' settings with their default values
     Defaults,
-    /// See how zones stand, hold a zone or release it
+    /// Show the condition of the zones, put a zone on hold or release it
     Zones {
         /// The platform's settings file (TOML)
         #[arg(long, value_name = "FILE")]
@@ -55,14 +55,14 @@
 
 #[derive(Subcommand)]
 enum ZonesCommand {
-    /// How all zones stand
+    /// Show the condition of all zones
     List,
-    /// Start nothing new in a zone, and let its services leave it
+    /// Start nothing new in a zone and move its services to other zones
     Hold {
         /// Name of the zone
         zone: String,
     },
-    /// Let a zone take work again
+    /// Remove the hold, so that new work may start in the zone again
     Release {
         /// Name of the zone
         zone: String,
@@ -118,7 +118,7 @@
 }
 
 fn administer_zones(platform: &Platform, action: &ZoneAction) -> ExitCode {
-    let runtime = match runtime() {
+    let runtime = match build_runtime() {
         Ok(runtime) => runtime,
         Err(error) => return invalid_input(&error),
     };
@@ -149,7 +149,7 @@
         Err(error) => return invalid_input(&error),
     };
     tracing_subscriber::fmt().with_max_level(level).with_ansi(false).with_writer(std::io::stderr).init();
-    let runtime = match runtime() {
+    let runtime = match build_runtime() {
         Ok(runtime) => runtime,
         Err(error) => return invalid_input(&error),
     };
@@ -177,7 +177,7 @@
     }
 }
 
-/// One thread: a controller has a quarter of a CPU.
-fn runtime() -> std::io::Result<Runtime> {
+/// Builds a single-threaded runtime: a controller has a quarter of a CPU.
+fn build_runtime() -> std::io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! Settings: the platform's file (TOML) and the operators' policy (JSON), read once when the process starts.
 //!
-//! Owns: defaults, bounds and validation. Promises: settings that were loaded are valid, and an error names the field
-//! as it is called in the file.
+//! Owns: defaults, bounds and validation. Guarantees: loaded settings are valid, and an error names the field as it is
+//! called in the file.
 
 mod platform;
 mod policy;
@@ -15,7 +15,7 @@
 
 use std::path::Path;
 
-/// Why settings were refused.
+/// Error in the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A file can't be read.
@@ -23,7 +23,7 @@
     Read {
         /// Path of the file.
         path: String,
-        /// Cause.
+        /// Error of the file system.
         source: std::io::Error,
     },
     /// A file is not well-formed, or a field is missing, unknown or of another type.
@@ -39,7 +39,7 @@
     Invalid {
         /// Name of the field.
         field: String,
-        /// What is wrong with its value.
+        /// Requirement that the value violates.
         message: String,
     },
 }
--- a/src/settings/platform/deployment.rs
+++ b/src/settings/platform/deployment.rs
@@ -1,22 +1,22 @@
-//! What the controllers of a deployment serve together.
+//! Settings that all controllers of a deployment share.
 
 use super::{CloudLimits, Quota, StoreLimits};
 use crate::types::Resources;
 use serde::Deserialize;
 
-/// Each of several controllers uses at most this part of a service's limit.
+/// Fraction of a service's limit that a single controller uses at most.
 const MAX_PART_OF_LIMIT: f64 = 0.9;
 
 /// A deployment: zones, teams, timing of the agents, and limits.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Deployment {
-    /// Number of controllers, which is the number of shards, too.
+    /// Number of controllers, which equals the number of shards.
     #[serde(rename = "nodes")]
     pub controller_count: u32,
     /// All zones.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Bound of the error of the time of day.
+    /// Maximum error of the controllers' wall clocks.
     #[serde(default)]
     pub time_bound_ms: f64,
     /// Teams with their quotas.
@@ -37,7 +37,7 @@
     pub quota: Quota,
 }
 
-/// A team with its quota; amounts of 0 mean none.
+/// A team with its quota. An amount of 0 means that there is no guarantee or no limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     /// Name of the team.
@@ -45,13 +45,13 @@
     /// Guaranteed CPUs.
     #[serde(rename = "cpus", default)]
     pub guaranteed_cpus: f64,
-    /// Most CPUs at a time.
+    /// Maximum number of CPUs in use at a time; 0 means no limit.
     #[serde(rename = "cpus_max", default)]
     pub max_cpus: f64,
     /// Guaranteed GPUs.
     #[serde(rename = "gpus", default)]
     pub guaranteed_gpus: f64,
-    /// Most GPUs at a time.
+    /// Maximum number of GPUs in use at a time; 0 means no limit.
     #[serde(rename = "gpus_max", default)]
     pub max_gpus: f64,
 }
@@ -59,13 +59,13 @@
 /// A service-level objective, as users state it.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is measured.
+    /// Quantity that is measured.
     pub kind: String,
-    /// Class of the jobs.
+    /// Class of the jobs that it applies to.
     pub class: Option<String>,
-    /// Within which time.
+    /// Maximum time that meets the objective.
     pub within_s: Option<f64>,
-    /// For which part of the jobs.
+    /// Fraction of the jobs that must meet it.
     #[serde(rename = "share")]
     pub fraction: Option<f64>,
 }
@@ -76,46 +76,47 @@
     /// Time between two heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// Lease of an agent: without an answered heartbeat for so long it ends its tasks.
+    /// Duration of an agent's lease: the time without an answered heartbeat after which an agent ends its tasks.
     pub lease_s: f64,
-    /// How long a gang's task waits for the others.
+    /// Maximum time that a gang's task waits for the others.
     pub gang_wait_s: f64,
-    /// How soon tasks of a gang detect that one of them is gone.
+    /// Time within which the tasks of a gang detect that one of them is gone.
     pub gang_peer_s: f64,
-    /// How soon all tasks of a cancelled job must be gone.
+    /// Time after a cancellation within which all tasks of the job must be gone.
     pub cancel_s: f64,
 }
 
 impl Team {
-    /// Whether it has a limit or a guarantee, which only a single shard can enforce.
+    /// Whether the team has a limit or a guarantee. Only a single shard can enforce these.
     pub fn has_quota(&self) -> bool {
         [self.guaranteed_cpus, self.max_cpus, self.guaranteed_gpus, self.max_gpus].iter().any(|amount| *amount > 0.0)
     }
 
-    /// Resources that the team is guaranteed.
+    /// Returns the resources that the team is guaranteed.
     pub fn guaranteed_resources(&self) -> Resources {
         Resources::new(self.guaranteed_cpus, self.guaranteed_gpus, 0.0)
     }
 
-    /// Resources that the team may use at a time; 0 means no limit.
+    /// Returns the resources that the team may use at a time; 0 means no limit.
     pub fn resource_limit(&self) -> Resources {
         Resources::new(self.max_cpus, self.max_gpus, 0.0)
     }
 }
 
 impl Deployment {
-    /// Whether jobs of teams without quota are spread over the shards one by one. Where the teams make use of most
-    /// shards they stay whole: the more parts, the more fragmented the free resources.
+    /// Whether the jobs of a team without quota are distributed individually over the shards. If there are enough teams
+    /// to use most shards, each team stays in one shard, because splitting teams fragments the free resources.
     pub fn shards_jobs_individually(&self) -> bool {
         self.teams.len() * 2 <= self.controller_count as usize
     }
 
-    /// The part of a service's limit that one controller uses, when all together use so much of it.
-    pub fn part_of_limit(&self, together: f64) -> f64 {
-        (together / f64::from(self.controller_count.max(1))).min(MAX_PART_OF_LIMIT)
+    /// Returns the fraction of a service's limit that one controller uses, given the multiple of the limit that all
+    /// controllers use together.
+    pub fn part_of_limit(&self, combined: f64) -> f64 {
+        (combined / f64::from(self.controller_count.max(1))).min(MAX_PART_OF_LIMIT)
     }
 
-    /// A team by its name.
+    /// Returns the team with a name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == name)
     }
--- a/src/settings/platform/limits.rs
+++ b/src/settings/platform/limits.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-/// Part of the allowed size that a value is filled to.
+/// Fraction of the allowed size up to which a value is filled.
 const VALUE_FILL_RATIO: f64 = 0.97;
 
 /// Limits of the store.
@@ -12,25 +12,25 @@
     pub rps: f64,
     /// Writes per second.
     pub write_rps: f64,
-    /// Size of a value.
+    /// Maximum size of a value in KiB.
     pub value_kb: f64,
-    /// Writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Limits that replace these at a moment that is not announced.
+    /// Limits that replace these at an unannounced time.
     #[serde(default)]
     pub next: Option<UpcomingLimits>,
 }
 
-/// Limits that replace others later; those that are not given stay.
+/// Limits that replace the current ones later. A limit that is not given stays as it is.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct UpcomingLimits {
     /// Requests per second.
     pub rps: Option<f64>,
     /// Writes per second.
     pub write_rps: Option<f64>,
-    /// Size of a value.
+    /// Maximum size of a value in KiB.
     pub value_kb: Option<f64>,
-    /// Writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
@@ -39,20 +39,20 @@
 pub struct CloudLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Time by which its list of machines may be out of date.
+    /// Maximum time by which its list of machines may be out of date.
     pub list_lag_s: f64,
 }
 
 /// Resources of one controller's process.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Quota {
-    /// Part of a CPU.
+    /// CPUs; may be a fraction of one.
     #[serde(default)]
     pub cpu: f64,
-    /// Memory.
+    /// Memory in MB.
     #[serde(default)]
     pub mem_mb: f64,
-    /// Open files and sockets.
+    /// Maximum number of open files and sockets.
     pub fd_limit: usize,
 }
 
@@ -61,36 +61,36 @@
         self.next.as_ref().and_then(limit)
     }
 
-    /// Writes in a transaction that are allowed now and later.
+    /// Returns the number of writes in a transaction that both the current and the upcoming limits allow.
     pub fn min_txn_ops(&self) -> usize {
         self.upcoming(|next| next.txn_ops).map_or(self.txn_ops, |next| next.min(self.txn_ops))
     }
 
-    /// Size of a value in KiB that is allowed now and later.
+    /// Returns the size of a value in KiB that both the current and the upcoming limits allow.
     pub fn min_value_kb(&self) -> f64 {
         self.upcoming(|next| next.value_kb).map_or(self.value_kb, |next| next.min(self.value_kb))
     }
 
-    /// Bytes that a value may have, with some to spare.
+    /// Returns the size in bytes up to which values are filled, which is a little less than allowed.
     pub fn value_bytes(&self) -> usize {
         (self.min_value_kb() * 1024.0 * VALUE_FILL_RATIO) as usize
     }
 
-    /// Requests per second that are allowed now and later.
+    /// Returns the requests per second that both the current and the upcoming limits allow.
     pub fn min_rps(&self) -> f64 {
         self.upcoming(|next| next.rps).map_or(self.rps, |next| next.min(self.rps))
     }
 
-    /// Writes per second that are allowed now and later.
+    /// Returns the writes per second that both the current and the upcoming limits allow.
     pub fn min_write_rps(&self) -> f64 {
         self.upcoming(|next| next.write_rps).map_or(self.write_rps, |next| next.min(self.write_rps))
     }
 }
 
 impl Quota {
-    /// Number of sockets in a part of the limit, at least a few.
-    pub fn part_of_sockets(&self, part: f64) -> usize {
+    /// Returns the number of sockets that a fraction of the limit amounts to, at least `MIN_SOCKETS`.
+    pub fn part_of_sockets(&self, fraction: f64) -> usize {
         const MIN_SOCKETS: usize = 8;
-        ((self.fd_limit as f64 * part) as usize).max(MIN_SOCKETS)
+        ((self.fd_limit as f64 * fraction) as usize).max(MIN_SOCKETS)
     }
 }
--- a/src/settings/platform/mod.rs
+++ b/src/settings/platform/mod.rs
@@ -1,4 +1,5 @@
-//! The platform's settings file (TOML): who this controller is, what it serves, and within which limits.
+//! The platform's settings file (TOML): the controller's identity and addresses, the services that it calls, and the
+//! deployment with its limits.
 //!
 //! Fields whose names differ from those in the file are mapped by `serde(rename)`; error messages name the file's
 //! fields.
@@ -20,7 +21,7 @@
 pub struct Platform {
     /// Label of this controller, unique in the deployment.
     pub label: String,
-    /// Zone of this controller.
+    /// Zone in which this controller runs.
     #[serde(rename = "site", default)]
     pub zone: String,
     /// Address at which it listens for users, agents and health checks.
@@ -33,16 +34,16 @@
     pub siblings: Vec<Sibling>,
     /// Services that it calls.
     pub external: ExternalServices,
-    /// What the controllers serve together.
+    /// Settings that all controllers share.
     pub deployment: Deployment,
 }
 
 /// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Sibling {
-    /// Its label.
+    /// Label of the sibling.
     pub label: String,
-    /// Its zone.
+    /// Zone in which the sibling runs.
     #[serde(rename = "site", default)]
     pub zone: String,
     /// Address at which it listens for siblings.
--- a/src/settings/platform/validation.rs
+++ b/src/settings/platform/validation.rs
@@ -5,11 +5,12 @@
 
 const MAX_LABEL_BYTES: usize = 64;
 const MAX_CONTROLLERS: u32 = 64;
-/// Writes that a transaction must allow: a role and its fencing token, and a task's start with its outcome.
+/// Smallest accepted limit of writes in a transaction: a role and its fencing token, and a task's start with its
+/// outcome.
 const MIN_TXN_OPS: usize = 4;
-/// Size that a value must allow.
+/// Smallest accepted limit of a value's size in KiB.
 const MIN_VALUE_KB: f64 = 2.0;
-/// Sockets that a controller must have.
+/// Smallest accepted limit of a controller's open files and sockets.
 const MIN_SOCKETS: usize = 64;
 
 impl Platform {
