--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,6 +1,6 @@
 //! Types shared by all packages: times, ids, fencing tokens, revisions and amounts of resources.
 //!
-//! Everything here is plain data without I/O. Their serialised forms are part of the stored records and of the wire.
+//! All types are plain data without I/O. Their serialised forms are part of the stored records and of the wire formats.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -12,30 +12,30 @@
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// No time at all.
+    /// The zero duration.
     pub const ZERO: Micros = Micros(0);
 
-    /// From milliseconds.
+    /// Converts from milliseconds.
     pub const fn from_millis(ms: u64) -> Micros {
         Micros(ms * 1_000)
     }
 
-    /// From seconds as they come in messages and settings: what is not finite or negative counts as zero.
+    /// Converts from seconds in messages and settings. A value that is negative or not finite counts as zero.
     pub fn from_secs_f64(s: f64) -> Micros {
         if s.is_finite() && s > 0.0 { Micros((s * 1e6).min(1e18) as u64) } else { Micros(0) }
     }
 
-    /// As seconds.
+    /// Converts to seconds.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
 
-    /// As whole milliseconds, rounded down.
+    /// Converts to whole milliseconds, rounded down.
     pub fn millis(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Duration since an earlier time; zero if that is later.
+    /// Returns the duration since an earlier time, or zero if that time is later.
     pub fn since(self, earlier: Micros) -> Micros {
         Micros(self.0.saturating_sub(earlier.0))
     }
@@ -55,8 +55,8 @@
     }
 }
 
-/// A fencing token: agents and the store reject what comes under a lower one than they have seen. Drawn from a
-/// counter in the store.
+/// A fencing token: agents and the store reject messages and writes under a lower token than the highest they have
+/// seen. Tokens are drawn from a counter in the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken(pub u64);
 
@@ -72,11 +72,11 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// An id with this text.
+            /// Creates an id from its text.
             pub fn new(text: &str) -> $name {
                 $name(Arc::from(text))
             }
-            /// The id's text.
+            /// Returns the id's text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -111,17 +111,17 @@
     MachineId
 );
 
-/// Id of a task: one of a job's tasks.
+/// Id of a task: the job's id and the task's index.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
-    /// The job.
+    /// Job that the task belongs to.
     pub job: JobId,
     /// Index of the task in the job.
     pub index: u32,
 }
 
 impl TaskId {
-    /// Parses an id as it comes in messages: the job's id, a slash, and the index.
+    /// Parses an id as written in messages: the job's id, a slash, and the index.
     pub fn parse(text: &str) -> Option<TaskId> {
         let (job, index) = text.rsplit_once('/')?;
         Some(TaskId { job: JobId::new(job), index: index.parse().ok()? })
@@ -134,7 +134,7 @@
     }
 }
 
-/// Resources of a task or a machine, in whole millionths, so that sums are exact.
+/// Resources of a task or a machine, in whole millionths of their units, so that sums are exact.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Resources {
     /// Millionths of a CPU.
@@ -146,22 +146,22 @@
 }
 
 impl Resources {
-    /// From amounts as they come in messages: what is not finite or negative counts as zero.
+    /// Converts from amounts in messages. An amount that is negative or not finite counts as zero.
     pub fn new(cpus: f64, gpus: f64, memory_gb: f64) -> Resources {
         Resources { cpus: millionths(cpus), gpus: millionths(gpus), memory: millionths(memory_gb) }
     }
 
-    /// Whether another amount has at least as much of every resource.
+    /// Whether `other` has at least as much of every resource.
     pub fn fits_in(&self, other: &Resources) -> bool {
         self.cpus <= other.cpus && self.gpus <= other.gpus && self.memory <= other.memory
     }
 
-    /// The sum of both.
+    /// Returns the sum of both.
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus, memory: self.memory + other.memory }
     }
 
-    /// What is left when another amount is taken; zero at the least.
+    /// Returns the difference of both; each resource is at least zero.
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.saturating_sub(other.cpus),
@@ -170,7 +170,7 @@
         }
     }
 
-    /// A multiple.
+    /// Returns a multiple.
     pub fn times(&self, factor: u64) -> Resources {
         Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory: self.memory * factor }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,14 @@
-//! burlhatch: a cluster scheduler run by a few equal controllers.
+//! burlhatch: a cluster scheduler run by several controllers of equal rank.
 //!
 //! The layers, from the outside in:
 //!
 //! * [`transport`]: sockets, HTTP, calls to services and siblings, and the main loop;
-//! * [`protocol`]: the messages as they look on the wire and what makes them valid;
-//! * [`coordination`]: the controller's state machine, which decides who owns what and what runs where; pure, without
-//!   I/O or clock;
-//! * [`storage`]: the schema of the stored records and the replica of them.
+//! * [`protocol`]: the wire formats of messages and their validation;
+//! * [`coordination`]: the controller's state machine, which decides on ownership of shards and machines and on the
+//!   placement of tasks; it performs no I/O and reads no clock;
+//! * [`storage`]: the schema of the stored records and a replica of them.
 //!
-//! [`settings`] are read once, at the start. [`types`] is a package of its own, shared by all.
+//! [`settings`] are read once at startup. [`types`] is a separate package that all packages share.
 
 pub mod coordination;
 pub mod protocol;
--- a/src/protocol/agent.rs
+++ b/src/protocol/agent.rs
@@ -1,12 +1,13 @@
-//! Messages between controllers and agents: heartbeats, and the commands that answer them or are sent directly.
+//! Messages between controllers and agents: heartbeats, and commands, which are sent in responses to heartbeats or
+//! directly.
 
 use super::{list_or_null, optional_number};
 use crate::types::{FencingToken, MachineId};
 use serde::{Deserialize, Serialize};
 
-/// Path of heartbeats, at a controller.
+/// Path at which a controller receives heartbeats.
 pub const HEARTBEAT_PATH: &str = "/checkin";
-/// Path of direct commands, at an agent.
+/// Path at which an agent receives direct commands.
 pub const DIRECT_COMMANDS_PATH: &str = "/orders";
 
 /// State of a task on its machine.
@@ -21,7 +22,7 @@
     /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// It was told to stop and writes a checkpoint.
+    /// It was commanded to stop and writes a checkpoint.
     #[serde(rename = "saving")]
     Checkpointing,
     /// It has ended.
@@ -29,7 +30,7 @@
     Exited,
 }
 
-/// Why a task ended.
+/// Reason why a task ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitCause {
     /// It ran to completion.
@@ -47,13 +48,13 @@
     /// It failed.
     #[serde(rename = "error")]
     Failed,
-    /// It was rejected: the machine has not enough free resources.
+    /// It was rejected: the machine doesn't have enough free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
     /// It was rejected: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     Busy,
-    /// It was rejected, or ended for a cause not known here.
+    /// It was rejected or ended for a cause that this release doesn't know.
     #[serde(rename = "unknown", other)]
     Unknown,
 }
@@ -70,7 +71,7 @@
     /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended, if it has.
+    /// Reason why it ended, if it has ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_cause: Option<ExitCause>,
     /// Whether a checkpoint was written before it ended.
@@ -84,7 +85,7 @@
     /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: MachineId,
-    /// Address at which the agent takes direct commands.
+    /// Address at which the agent receives direct commands.
     #[serde(default)]
     pub addr: Option<String>,
     /// Type of the machine.
@@ -155,7 +156,7 @@
 /// The response to a heartbeat, which renews the agent's lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Fencing token of the machine's shard: an agent ignores responses with a lower one than it has seen.
+    /// Fencing token of the machine's shard. An agent ignores responses with a lower token than it has seen.
     #[serde(rename = "helm")]
     pub fencing_token: FencingToken,
     /// Commands, to be executed in this order.
@@ -166,10 +167,10 @@
 /// Commands sent directly to an agent, between its heartbeats.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Fencing token of the machine's shard: an agent rejects messages with a lower one than it has seen.
+    /// Fencing token of the machine's shard. An agent rejects messages with a lower token than it has seen.
     #[serde(rename = "helm")]
     pub fencing_token: FencingToken,
-    /// Incarnation that the commands are meant for; another one rejects them.
+    /// Incarnation that the commands are meant for. An agent in another incarnation rejects them.
     #[serde(rename = "watch")]
     pub incarnation: u64,
     /// Commands, to be executed in this order.
@@ -177,7 +178,7 @@
     pub commands: Vec<AgentCommand>,
 }
 
-/// Redirects an agent to another controller.
+/// Response that redirects an agent to another controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Redirect {
     /// Label of the controller that owns the machine, if it is known.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -4,16 +4,16 @@
 use crate::types::MachineId;
 use serde::{Deserialize, Serialize};
 
-/// Text in the body of a refusal because no machine of the requested kind is to be had.
+/// Text in the body of a refusal that says that no machine of the requested kind is available.
 pub const NO_CAPACITY: &str = "no capacity";
 /// Path of the list of machine types.
 pub const TYPES_PATH: &str = "/flavors";
-/// Path of requests for machines, and of the list of machines.
+/// Path of requests for instances and of the list of instances.
 pub const RENT_PATH: &str = "/rentals";
 /// Path of requests to delete machines.
 pub const DELETE_PATH: &str = "/rentals/delete";
 
-/// Path of one page of the list of machines, which begins after the given one.
+/// Returns the path of one page of the list of machines, which begins after the given machine.
 pub fn list_path(after: Option<&MachineId>) -> String {
     match after {
         Some(id) => format!("{RENT_PATH}?after={id}&most=500"),
@@ -36,7 +36,7 @@
     /// Memory.
     #[serde(deserialize_with = "number")]
     pub memory_gb: f64,
-    /// Capacity of the cache of images.
+    /// Capacity of the image cache.
     #[serde(deserialize_with = "number")]
     pub cache_gb: f64,
     /// Rate at which a machine fetches images.
@@ -45,7 +45,7 @@
     /// Price per hour.
     #[serde(rename = "hourly", deserialize_with = "number")]
     pub price: f64,
-    /// Price per hour of a spot instance, if there are any of this type.
+    /// Price per hour of a spot instance, if the type is offered as spot instances.
     #[serde(rename = "market_price", default, deserialize_with = "optional_number")]
     pub spot_price: Option<f64>,
     /// Typical time from the request until the machine runs.
@@ -64,10 +64,10 @@
     pub types: Vec<MachineType>,
 }
 
-/// A request for machines. It is idempotent: the same request id gets the same machines.
+/// A request for machines. It is idempotent: requests with the same id return the same machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct InstanceRequest {
-    /// Id of the request, never used again.
+    /// Id of the request, which no other request uses.
     #[serde(rename = "charter")]
     pub request: String,
     /// Name of the machine type.
@@ -79,15 +79,15 @@
     /// Whether to request spot instances, which the cloud may interrupt at any moment.
     #[serde(rename = "driftwood")]
     pub spot: bool,
-    /// How many machines at most.
+    /// Maximum number of machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// Machines by name: those provisioned for a request, or those to delete.
+/// Names of machines: those provisioned for a request, or those to delete.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MachineNames {
-    /// Their names.
+    /// Names of the machines.
     #[serde(rename = "hosts")]
     pub machines: Vec<MachineId>,
 }
@@ -101,7 +101,7 @@
     /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// It failed, or is in a state not known here.
+    /// It failed, or is in a state that this release doesn't know.
     #[serde(rename = "failed", other)]
     Failed,
 }
@@ -111,7 +111,7 @@
 pub struct ListedMachine {
     /// Name of the machine.
     pub id: MachineId,
-    /// Address of its agent, once it has one.
+    /// Address of its agent, as soon as it is known.
     #[serde(default)]
     pub addr: Option<String>,
     /// Name of its type.
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! Messages as they look on the wire, and what makes them valid.
+//! Wire formats of messages and their validation.
 //!
-//! Owns: the names that only the wire knows (fields by `serde(rename)`, paths and texts by constants) and the bounds
-//! that messages must keep. Promises: decoding any bytes gives a message or a [`WireError`], never a panic.
+//! Owns: the names that are used only on the wire (fields by `serde(rename)`, paths and texts by constants) and the
+//! bounds of values in messages. Guarantees: decoding any bytes returns a message or a [`WireError`] and never panics.
 //!
 //! * [`user`]: submissions, status and cancellation of jobs;
 //! * [`agent`]: heartbeats of agents and commands to them;
@@ -19,20 +19,20 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use std::{fmt, io};
 
-/// Content type of all bodies but those between controllers.
+/// Content type of all bodies except those between controllers.
 pub const CONTENT_TYPE_CBOR: &str = "application/cbor";
 /// Path of the load balancer's health check.
 pub const HEALTH_PATH: &str = "/healthz";
 /// Limit of request bodies and of responses to users and agents, in bytes.
 pub const BODY_LIMIT: usize = 64 * 1024;
 
-/// Why a body is not a valid message.
+/// Error in a body that is not a valid message.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// It is not CBOR, or a field is missing or of another type.
+    /// The body is not CBOR, or a field is missing or has another type.
     #[error("not a valid message: {0}")]
     Malformed(#[source] ciborium::de::Error<io::Error>),
-    /// Something follows the message.
+    /// Further bytes follow the message.
     #[error("not a valid message: trailing bytes")]
     TrailingBytes,
     /// A value is out of its bounds.
@@ -40,7 +40,7 @@
     OutOfBounds(&'static str),
 }
 
-/// Decodes one CBOR item that must fill the whole body.
+/// Decodes a body that must consist of exactly one CBOR item.
 pub fn decode<T: DeserializeOwned>(mut body: &[u8]) -> Result<T, WireError> {
     let value = ciborium::from_reader(&mut body).map_err(WireError::Malformed)?;
     if body.is_empty() { Ok(value) } else { Err(WireError::TrailingBytes) }
@@ -72,7 +72,7 @@
     }
 }
 
-/// Reads a finite number. Amounts come as decimal numbers or, where whole, perhaps as integers.
+/// Reads a finite number. Senders may encode a whole amount as an integer.
 pub(crate) fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let value = deserializer.deserialize_any(NumberVisitor)?;
     if value.is_finite() { Ok(value) } else { Err(D::Error::custom("not finite")) }
@@ -86,7 +86,7 @@
     Ok(value.map(|number| number.0))
 }
 
-/// Reads a list that may be null, which counts as empty.
+/// Reads a list that may be null; null counts as an empty list.
 pub(crate) fn list_or_null<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<Vec<T>, D::Error> {
--- a/src/protocol/store.rs
+++ b/src/protocol/store.rs
@@ -1,22 +1,22 @@
-//! Messages of the store: a key-value store with transactions on preconditions, leases, and a log of changes.
+//! Messages of the store: a key-value store with conditional transactions, leases, and a log of changes.
 
 use super::list_or_null;
 use ciborium::Value;
 use serde::{Deserialize, Serialize};
 
-/// Text in the body of a refusal because the lease named in a transaction has expired.
+/// Text in the body of a refusal that says that the lease named in a transaction has expired.
 pub const NO_SUCH_LEASE: &str = "no such lease";
 /// Path of transactions.
 pub const TXN_PATH: &str = "/txn";
 /// Path of requests for a lease.
 pub const LEASES_PATH: &str = "/leases";
 
-/// Path at which a lease is renewed.
+/// Returns the path at which a lease is renewed.
 pub fn keep_alive_path(lease: u64) -> String {
     format!("{LEASES_PATH}/{lease}/touch")
 }
 
-/// Path of one page of the keys with a prefix, which begins after the given key.
+/// Returns the path of one page of the keys with a prefix, which begins after the given key.
 pub fn page_path(prefix: &str, after: Option<&str>) -> String {
     match after {
         Some(key) => format!("/store?starts={prefix}&after={key}&most=1000"),
@@ -24,18 +24,19 @@
     }
 }
 
-/// Path of the changes of keys with a prefix after a revision; the store waits so long for one if there is none yet.
+/// Returns the path of the changes of keys with a prefix after a revision. If there is no change yet, the store waits
+/// for one, at most `wait_ms`.
 pub fn changes_path(prefix: &str, after: u64, wait_ms: u64) -> String {
     format!("/changes?starts={prefix}&after={after}&block_ms={wait_ms}")
 }
 
-/// A condition on which a transaction is committed.
+/// A condition that must hold for a transaction to be committed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Precondition {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// Revision that its latest change must have; 0 if the key must not exist.
+    /// Revision that the key's latest change must have; 0 if the key must not exist.
     #[serde(rename = "mark")]
     pub version: u64,
 }
@@ -52,7 +53,7 @@
         /// The value.
         #[serde(rename = "v")]
         value: Value,
-        /// The lease with whose expiry the key is deleted, if any.
+        /// Lease on whose expiry the store deletes the key, if any.
         #[serde(rename = "tether", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -64,13 +65,13 @@
     },
 }
 
-/// A transaction: all writes are made if all preconditions hold, none otherwise.
+/// A transaction: all writes are applied if all preconditions hold, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// What must hold.
+    /// Conditions that must all hold.
     #[serde(rename = "if")]
     pub preconditions: Vec<Precondition>,
-    /// What is written.
+    /// Writes to apply.
     #[serde(rename = "writes")]
     pub writes: Vec<Write>,
 }
@@ -78,7 +79,7 @@
 /// The response to a transaction, whether committed or not.
 #[derive(Clone, Debug, Deserialize)]
 pub struct TxnResponse {
-    /// Revision of the commit, or the store's revision at the conflict.
+    /// Revision of the commit, or in case of a conflict the store's current revision.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// Keys whose preconditions did not hold.
@@ -145,7 +146,7 @@
 /// A request for a lease.
 #[derive(Clone, Debug, Serialize)]
 pub struct GrantLease {
-    /// How long it lasts without renewal.
+    /// Time after which the lease expires if it is not renewed.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -153,7 +154,7 @@
 /// A granted lease.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Lease {
-    /// Its number.
+    /// Number of the lease.
     #[serde(rename = "tether")]
     pub lease: u64,
 }
--- a/src/protocol/user.rs
+++ b/src/protocol/user.rs
@@ -1,6 +1,6 @@
 //! Messages of users: submissions, and the status of jobs.
 //!
-//! A job's description is stored as it came, so that the names on the wire are those of the stored records, too.
+//! A job's description is stored as received, so its field names on the wire are also those in the stored records.
 
 use super::{WireError, decode, number, optional_number};
 use crate::types::{JobId, Micros, Resources};
@@ -9,27 +9,27 @@
 
 /// Path of submissions.
 pub const JOBS_PATH: &str = "/api/jobs";
-/// What precedes a job's id in the path of its status.
+/// Path prefix that precedes a job's id.
 pub const JOB_PATH_PREFIX: &str = "/api/jobs/";
-/// What follows a job's id in the path of its cancellation.
+/// Path suffix that follows a job's id in the path of its cancellation.
 pub const ABORT_SUFFIX: &str = "/abort";
 
 const MAX_TASKS: u64 = 100_000;
 const MAX_TEXT_BYTES: usize = 200;
-/// Bound of all amounts and times in a job's description.
+/// Upper bound of all amounts and times in a job's description.
 const MAX_AMOUNT: f64 = 1e9;
 const MAX_MACHINE_TYPES: usize = 32;
 const MAX_MACHINE_TYPE_BYTES: usize = 64;
 const JOB_ID_PREFIX: &str = "wk-";
 const MAX_JOB_ID_BYTES: usize = 64;
 
-/// How a job's tasks run together.
+/// Kind of a job, which defines how its tasks run together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// A job array: independent tasks that run to completion.
     #[serde(rename = "array")]
     Array,
-    /// Gang-scheduled: all tasks run at the same time or none does.
+    /// A gang: all tasks run at the same time or none does.
     #[serde(rename = "ensemble")]
     Gang,
     /// A service: tasks run until the job is cancelled.
@@ -40,7 +40,7 @@
 /// Priority of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs on resources that nothing else needs, and is preempted for others.
+    /// Runs on resources that no other work needs, and is preempted for other work.
     #[serde(rename = "low")]
     Low,
     /// The usual priority.
@@ -63,7 +63,7 @@
     /// Team whose quota applies.
     #[serde(rename = "crew", default, skip_serializing_if = "Option::is_none")]
     pub team: Option<String>,
-    /// How its tasks run together.
+    /// Kind of the job.
     #[serde(rename = "shape")]
     pub kind: JobKind,
     /// Its priority.
@@ -78,26 +78,26 @@
     /// GPUs of each task.
     #[serde(deserialize_with = "number")]
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory of each task in GB.
     #[serde(deserialize_with = "number")]
     pub memory_gb: f64,
     /// Image that a machine fetches before it starts a task.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// Size of the image.
+    /// Size of the image in GB.
     #[serde(rename = "pull_gb", deserialize_with = "number")]
     pub image_gb: f64,
-    /// Allowed types of machines; any if there is no list.
+    /// Allowed machine types; without a list, any type is allowed.
     #[serde(rename = "hulls", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone; any if there is none.
+    /// The only allowed zone; if none is given, any zone is allowed.
     #[serde(rename = "berth", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks must be in one zone.
     pub one_zone: bool,
     /// Whether at most half of the tasks may be in one zone.
     pub spread: bool,
-    /// Whether it may run on spot instances.
+    /// Whether the job may run on spot instances.
     #[serde(rename = "driftwood")]
     pub spot: bool,
     /// The user's estimate of a task's run time.
@@ -109,10 +109,10 @@
     /// Time to write a checkpoint when the task is stopped.
     #[serde(rename = "stow_s", deserialize_with = "number")]
     pub checkpoint_duration_s: f64,
-    /// Deadline, as a time from its submission.
+    /// Deadline, in seconds after the job's submission.
     #[serde(rename = "due_s", default, deserialize_with = "optional_number", skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any of its tasks starts: sorted, each once.
+    /// Jobs that must be done before any of this job's tasks starts, sorted and without duplicates.
     #[serde(rename = "awaits", default, deserialize_with = "job_ids", skip_serializing_if = "Vec::is_empty")]
     pub depends_on: Vec<JobId>,
 }
@@ -129,7 +129,7 @@
 }
 
 impl JobSpec {
-    /// Resources of each task.
+    /// Returns the resources of each task.
     pub fn resources(&self) -> Resources {
         Resources::new(self.cpus, self.gpus, self.memory_gb)
     }
@@ -139,14 +139,15 @@
         self.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
     }
 
-    /// Whether tasks may run on a machine of that type in that zone, wherever the job's other tasks are.
+    /// Whether tasks may run on a machine with these properties, without regard to the machines of the job's other
+    /// tasks.
     pub fn allows(&self, machine_type: &str, zone: &str, spot: bool) -> bool {
         self.allows_machine_type(machine_type)
             && self.zone.as_ref().is_none_or(|allowed| allowed == zone)
             && (self.spot || !spot)
     }
 
-    /// The user's estimate of a task's run time.
+    /// Returns the user's estimate of a task's run time.
     pub fn estimate(&self) -> Micros {
         Micros::from_secs_f64(self.estimated_runtime_s)
     }
@@ -190,7 +191,7 @@
     (1..=max_bytes).contains(&text.len())
 }
 
-/// Whether a text has the form of a job's id. Others were never given to a job.
+/// Whether a text has the form of a job's id. No job has an id of another form.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.len() > JOB_ID_PREFIX.len()
         && id.len() <= MAX_JOB_ID_BYTES
@@ -198,11 +199,11 @@
         && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.'))
 }
 
-/// A submission as far as it could be decoded: a repeated submission of a known job is answered whatever the rest
-/// of the message holds.
+/// A submission as far as it could be decoded. Id and description are decoded independently, because a repeated
+/// submission of a known job is answered even if the rest of the message is invalid.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Id of the job, if it is a valid one.
+    /// Id of the job, if it is valid.
     pub id: Option<JobId>,
     /// Description of the job, if it is complete and valid.
     pub spec: Option<JobSpec>,
@@ -248,7 +249,7 @@
     /// Number of tasks that are done.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of tasks that run.
+    /// Number of tasks that are running.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
@@ -263,6 +264,6 @@
 /// Body of a response that refuses a request.
 #[derive(Serialize)]
 pub struct ErrorBody<'a> {
-    /// Reason of the refusal.
+    /// Reason for the refusal.
     pub error: &'a str,
 }
