--- a/src/transport/zone_admin.rs
+++ b/src/transport/zone_admin.rs
@@ -1,6 +1,6 @@
 //! The command `burlhatch zones`: shows the recorded condition of zones, and sets or removes operators' holds.
 //!
-//! Reads and writes the store's records directly, so that it works while no controller answers.
+//! It reads and writes the store's records directly, so that it also works while no controller responds.
 
 use super::client::{CallError, Client, HttpResponse};
 use crate::protocol::store::{Page, Precondition, TXN_PATH, Txn, TxnResponse, Write, page_path};
@@ -15,66 +15,66 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long one call to the store may take.
+/// Timeout of one call to the store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an operator asks for.
+/// Action that an operator requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneAction {
-    /// To show the condition of all zones.
+    /// Shows the condition of all zones.
     List,
-    /// To start nothing new in a zone, and move its services elsewhere.
+    /// Cordons a zone: nothing new starts in it, and its services move to other zones.
     Hold(String),
-    /// To let a zone take work again.
+    /// Removes the hold of a zone, so that new work may start in it again.
     Release(String),
 }
 
-/// Why a zone action failed.
+/// Error of a zone action.
 #[derive(Debug, thiserror::Error)]
 pub enum ZoneAdminError {
     /// The deployment has no such zone.
     #[error("zone: unknown zone '{zone}', known are {known}")]
     UnknownZone {
-        /// The name that was given.
+        /// Name given by the operator.
         zone: String,
-        /// The deployment's zones.
+        /// Zones of the deployment, separated by commas.
         known: String,
     },
-    /// The store did not answer, or refused.
+    /// A call to the store failed.
     #[error("the state service at {address} {source}")]
     Store {
         /// The store's address.
         address: SocketAddr,
-        /// What went wrong.
+        /// Error of the call.
         source: StoreError,
     },
 }
 
-/// What went wrong in a call to the store.
+/// Error of a call to the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// No response.
+    /// No response was received.
     #[error("did not answer")]
     NoResponse(#[source] CallError),
-    /// A refusal.
+    /// The store refused the call.
     #[error("answered {}", .0.as_u16())]
     Refused(StatusCode),
     /// The response to a read can't be decoded.
-    #[error("gave no page: {0}")]
+    #[error("returned an invalid page: {0}")]
     MalformedPage(#[source] WireError),
     /// The response to a transaction can't be decoded.
-    #[error("gave no answer: {0}")]
+    #[error("returned an invalid transaction response: {0}")]
     MalformedOutcome(#[source] WireError),
 }
 
 impl ZoneAdminError {
-    /// Whether the error is in the operator's input.
+    /// Whether the operator's input caused the error.
     pub fn is_bad_input(&self) -> bool {
         matches!(self, ZoneAdminError::UnknownZone { .. })
     }
 }
 
-/// Carries out an action; returns what is to be printed.
+/// Executes an action and returns the text to print.
 pub async fn administer(platform: &Platform, action: &ZoneAction, now: Micros) -> Result<String, ZoneAdminError> {
     let admin = ZoneAdmin { platform, client: Client::default() };
     match action {
@@ -102,7 +102,7 @@
                 .map(|((_, shard), stored)| describe_view(*shard, stored.value.as_ref()))
                 .collect();
             let views = if views.is_empty() { "nothing against it".to_string() } else { views.join("; ") };
-            // Writing to a text never fails.
+            // Writing to a string never fails.
             let _ = writeln!(text, "{zone}\t{hold}\t{views}");
         }
         Ok(text)
@@ -113,7 +113,7 @@
         let key = Key::ZoneCordon(zone.to_string()).to_string();
         let record = to_value(&ZoneCordonRecord { at: now });
         let write = Write::Put { key: key.clone(), value: record, lease: None };
-        // Version 0: an earlier hold keeps its time.
+        // Version 0 requires that the key does not exist, so that an earlier hold keeps its time.
         let txn = Txn { preconditions: vec![Precondition { key, version: 0 }], writes: vec![write] };
         let done = if self.commit(&txn).await? { "is on hold" } else { "was on hold already" };
         Ok(format!("{zone} {done}\n"))
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Whether the transaction was committed; false if a precondition failed.
+    /// Commits a transaction. Returns false if a precondition failed.
     async fn commit(&self, txn: &Txn) -> Result<bool, ZoneAdminError> {
         let response = self.call(Method::POST, TXN_PATH, encode(txn)).await?;
         response.decode::<TxnResponse>().map_err(|error| self.error(StoreError::MalformedOutcome(error)))?;
