--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -3,7 +3,7 @@
 use crate::agent::{AgentFault, Connectivity, Environment, Machine, RunningMachine, ZoneNetwork};
 use crate::http::{ReceivedRequest, Reply, serve};
 use crate::listener::Server;
-use burlhatch::protocol::cloud::{DELETE_PATH, InstanceRequest, MachineNames, NO_CAPACITY, RENT_PATH, TYPES_PATH};
+use burlhatch::protocol::cloud::{DELETE_PATH, INSTANCES_PATH, InstanceRequest, MachineNames, NO_CAPACITY, TYPES_PATH};
 use burlhatch::protocol::decode;
 use burlhatch::types::MachineId;
 use hyper::Method;
@@ -179,8 +179,8 @@
         }
         let reply = match (&request.method, request.path.as_str()) {
             (&Method::GET, TYPES_PATH) => (200, self.types()),
-            (&Method::GET, RENT_PATH) => (200, self.list(request.query.get("after").map_or("", String::as_str))),
-            (&Method::POST, RENT_PATH) => match decode::<InstanceRequest>(&request.body) {
+            (&Method::GET, INSTANCES_PATH) => (200, self.list(request.query.get("after").map_or("", String::as_str))),
+            (&Method::POST, INSTANCES_PATH) => match decode::<InstanceRequest>(&request.body) {
                 Ok(instance_request) => self.answer_instance_request(instance_request),
                 Err(_) => (400, Value::Null),
             },
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -9,15 +9,15 @@
 /// Path of the list of machine types.
 pub const TYPES_PATH: &str = "/flavors";
 /// Path of requests for instances and of the list of instances.
-pub const RENT_PATH: &str = "/rentals";
+pub const INSTANCES_PATH: &str = "/rentals";
 /// Path of requests to delete machines.
 pub const DELETE_PATH: &str = "/rentals/delete";
 
 /// Returns the path of one page of the list of machines, which begins after the given machine.
 pub fn list_path(after: Option<&MachineId>) -> String {
     match after {
-        Some(id) => format!("{RENT_PATH}?after={id}&most=500"),
-        None => format!("{RENT_PATH}?most=500"),
+        Some(id) => format!("{INSTANCES_PATH}?after={id}&most=500"),
+        None => format!("{INSTANCES_PATH}?most=500"),
     }
 }
 
--- a/src/transport/calls/cloud.rs
+++ b/src/transport/calls/cloud.rs
@@ -65,7 +65,7 @@
         match call {
             CloudCall::Types => get(cloud::TYPES_PATH.to_string()),
             CloudCall::List { after } => get(cloud::list_path(after.as_ref())),
-            CloudCall::CreateInstances(request) => post(cloud::RENT_PATH, encode(request)),
+            CloudCall::CreateInstances(request) => post(cloud::INSTANCES_PATH, encode(request)),
             CloudCall::Delete(machines) => {
                 post(cloud::DELETE_PATH, encode(&cloud::MachineNames { machines: machines.clone() }))
             }
