--- a/src/main.rs
+++ b/src/main.rs
@@ -13,8 +13,8 @@
 
 /// A controller of the burlhatch cluster scheduler.
 ///
-/// LOG_LEVEL sets what is written to standard error: error, warn, info (the default), debug or
-/// trace.
+/// The environment variable LOG_LEVEL sets the level of the log on standard error: error, warn,
+/// info (the default), debug or trace.
 #[derive(Parser)]
 #[command(version, about, args_conflicts_with_subcommands = true, arg_required_else_help = true)]
 struct Arguments {
--- a/src/settings/policy.rs
+++ b/src/settings/policy.rs
@@ -56,7 +56,7 @@
     /// Time after reading the stored records in which a controller takes over only shards for which it comes first in
     /// the order of preference.
     settle_ms: u64 = 1500, 0, 60000;
-    /// Time after which a controller that holds several shards releases one to a sibling that is back and holds none.
+    /// Uptime of a sibling without a shard after which a controller that holds several shards releases one to it.
     hand_back_after_ms: u64 = 8000, 0, 600000;
     /// Minimum time between two reads of the store on behalf of waiting users.
     read_gap_ms: u64 = 15, 0, 1000;
@@ -169,7 +169,7 @@
     /// Number of failed tasks of different jobs, without a success in between, after which a machine is quarantined.
     faulty_after: u32 = 2, 1, 1000;
     /// Mean number of exited tasks in the heartbeats of a shard's machines above which the shard gets a new fencing
-    /// token, under which the agents may be told to forget these tasks.
+    /// token, under which the agents may be commanded to forget these tasks.
     exited_mean: f64 = 6.0, 1.0, 1000.0;
     /// Minimum time between new fencing tokens of one controller's shards, for any reason.
     exited_every_ms: u64 = 2000, 0, 600000;
--- a/src/transport/daemon/pending_responses.rs
+++ b/src/transport/daemon/pending_responses.rs
@@ -63,7 +63,7 @@
 
 fn send<Answer>(reply_to: Option<oneshot::Sender<Answer>>, answer: Answer) {
     if let Some(reply_to) = reply_to {
-        // Fails if the request timed out or the client has disconnected; then the answer is dropped.
+        // Fails if the request has timed out or the client has disconnected; the answer is then dropped.
         let _ = reply_to.send(answer);
     }
 }
