--- a/src/coordination/fleet/failure_detection/silent_machines.rs
+++ b/src/coordination/fleet/failure_detection/silent_machines.rs
@@ -207,7 +207,7 @@
             } else if in_zone.at_present(moment).is_zone_cut_off(self.policy.zone_max_part) {
                 Verdict::ZoneCutOff(zone.to_string())
             } else if self.fleet.may_recover(zone, in_shard, now.since(last_seen_at), now, after)
-                || self.is_zone_being_judged(zone)
+                || self.is_zone_newly_suspected(zone)
             {
                 Verdict::Undecided
             } else {
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -95,11 +95,11 @@
         self.handles_zone_failures() && self.zones.tracker.in_condition(Condition::Lost).next().is_some()
     }
 
-    /// Whether a zone was suspected so lately that it may yet turn out to be lost: none of its machines is judged alone
-    /// meanwhile, as its neighbours may only not have been probed yet
-    /// (`zone_cuts::no_machine_is_judged_alone_while_its_zone_is_being_judged`). Bounded in time, as one blind controller
-    /// can suspect a zone for ever.
-    pub(crate) fn is_zone_being_judged(&self, zone: &str) -> bool {
+    /// Whether a zone became suspected so recently that it may still be found lost. Its machines are not evaluated
+    /// individually meanwhile: others in the zone may be unresponsive too but not probed yet
+    /// (`zone_cuts::no_machine_is_judged_alone_while_its_zone_is_being_judged`). The time is limited, as a single
+    /// controller that is cut off can suspect a zone indefinitely.
+    pub(crate) fn is_zone_newly_suspected(&self, zone: &str) -> bool {
         let settings = &self.policy.zones;
         let max_span = Micros::from_millis(settings.silent_after_ms + settings.confirm_ms);
         let is_newly_suspected = |state: &ZoneState| {
