--- a/crates/zones/src/condition.rs
+++ b/crates/zones/src/condition.rs
@@ -24,31 +24,31 @@
     Returning,
 }
 
-/// The votes for and against a zone at a moment, weighted by machines.
+/// The votes for and against a zone at one time, weighted by machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
     /// Machines in the zone, of all shards.
     pub machine_count: u32,
-    /// Of these those of shards whose holders vote against the zone.
+    /// Machines in the zone that belong to shards whose holders vote against it.
     pub against_count: u32,
 }
 
 impl Evidence {
-    /// Whether enough votes are against the zone to take it for lost. One holder's vote is not enough unless the zone's
-    /// machines are mostly its own: a single controller may be cut off from a zone that others reach.
+    /// Whether enough votes are against the zone to consider it lost. The vote of a single holder is enough only if
+    /// most of the zone's machines belong to its shards: one controller may be cut off from a zone that others reach.
     fn shows_loss(&self, settings: &ZoneSettings) -> bool {
         let is_majority = f64::from(self.against_count) > f64::from(self.machine_count) * settings.agree_part;
         self.machine_count >= settings.least_machines && is_majority
     }
 
-    /// Whether so few votes are against the zone that it responds again.
+    /// Whether the votes against the zone are few enough to consider it responsive again.
     fn shows_recovery(&self, settings: &ZoneSettings) -> bool {
         let max_against = f64::from(self.machine_count) * settings.return_part;
         self.machine_count > 0 && f64::from(self.against_count) <= max_against
     }
 }
 
-/// A change of a zone's condition, with what it rests on.
+/// A change of a zone's condition, with the evidence for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
     /// The zone.
@@ -68,19 +68,19 @@
 pub struct ZoneState {
     condition: Condition,
     entered_at: Micros,
-    /// Since when the evidence has called for the next condition without a break.
+    /// Start of the current uninterrupted period in which the evidence supports the next condition.
     pending_since: Option<Micros>,
     last_lost_at: Option<Micros>,
-    /// Whether its condition has changed at least once here.
+    /// Whether its condition has changed at least once in this process.
     has_transitioned: bool,
     /// Penalty for past losses.
     pub penalty: Penalty,
-    /// Allowance of starts while it returns.
+    /// Limit on task starts while the zone returns.
     pub ramp: Ramp,
 }
 
 impl ZoneState {
-    /// A zone that is up, with no loss known.
+    /// Creates the state of a zone that is up and has no known losses.
     pub fn new(now: Micros, settings: &ZoneSettings) -> ZoneState {
         ZoneState {
             condition: Condition::Up,
@@ -93,23 +93,24 @@
         }
     }
 
-    /// Its condition.
+    /// Returns the zone's condition.
     pub fn condition(&self) -> Condition {
         self.condition
     }
 
-    /// Since when it has been in this condition.
+    /// Returns the time at which the zone entered its condition.
     pub fn entered_at(&self) -> Micros {
         self.entered_at
     }
 
-    /// When it was last lost, if this is known.
+    /// Returns the time of the zone's last loss, if known.
     pub fn last_lost_at(&self) -> Option<Micros> {
         self.last_lost_at
     }
 
-    /// Merges the view of another controller, or of the process before this one. A process that has not seen the zone's
-    /// condition change yet goes on from there: the loss was counted by the other.
+    /// Merges the view of another controller, or of this controller's previous process. If the zone's condition has not
+    /// changed in this process yet, adopts that view's penalty, and its condition if the zone is lost or returning. The
+    /// loss is not added to the penalty again, as the writer of the view has counted it.
     pub fn merge_remote(&mut self, condition: Condition, penalty: f64, now: Micros, settings: &ZoneSettings) {
         if self.has_transitioned {
             self.penalty.merge_remote(penalty, now, settings);
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Takes in the evidence of this moment. Returns the condition before, if it has changed.
+    /// Applies the current evidence. Returns the previous condition if the condition has changed.
     pub fn observe(&mut self, evidence: Evidence, now: Micros, settings: &ZoneSettings) -> Option<Condition> {
         let distrusted = self.penalty.is_distrusted(now, settings);
         if self.condition == Condition::Returning {
@@ -169,7 +170,8 @@
         }
     }
 
-    /// Whether something has held without a break for so long.
+    /// Records whether the requirement for the next condition is met, and returns whether it has been met without
+    /// interruption for at least `span`.
     fn has_held_for(&mut self, holds: bool, now: Micros, span: Micros) -> bool {
         if !holds {
             self.pending_since = None;
--- a/crates/zones/src/disruption.rs
+++ b/crates/zones/src/disruption.rs
@@ -1,4 +1,4 @@
-//! Disruption budget: how many replicas may be stopped without need, for each job and in total.
+//! Disruption budget: limits on the voluntary moves of service replicas, for each job and in total.
 
 use crate::settings::ZoneSettings;
 use burlhatch_types::{JobId, Micros};
@@ -6,7 +6,7 @@
 
 const MINUTE_S: f64 = 60.0;
 
-/// A token bucket for all moves of one controller, and when each job last had a replica moved.
+/// A token bucket for all moves by one controller, and the time of each job's last move.
 #[derive(Clone, Debug, Default)]
 pub struct DisruptionBudget {
     tokens: f64,
@@ -22,7 +22,7 @@
         self.tokens >= 1.0 && self.last_moved_at.get(job).is_none_or(|at| now.since(*at) >= pause)
     }
 
-    /// A replica of the job is stopped.
+    /// Records that a replica of the job is stopped.
     pub fn spend(&mut self, job: &JobId, now: Micros, settings: &ZoneSettings) {
         self.refill(now, settings);
         self.tokens -= 1.0;
@@ -31,7 +31,7 @@
 
     fn refill(&mut self, now: Micros, settings: &ZoneSettings) {
         let earned = now.since(self.refilled_at).secs() * settings.moves_per_minute / MINUTE_S;
-        // Bursts of one move: what was not used is not saved up.
+        // The bucket holds one token, so unused tokens never add up to a burst of moves.
         self.tokens = (self.tokens + earned).min(1.0);
         self.refilled_at = now;
         let pause = Micros::from_millis(settings.move_pause_ms);
--- a/crates/zones/src/fetches.rs
+++ b/crates/zones/src/fetches.rs
@@ -1,17 +1,17 @@
-//! Limits on image fetches while much is restored at once. Without them the starts of a burst go to machines without
-//! the image, all fetches share the same links, and every one of them is late.
+//! Limits on image fetches while many tasks are restored at once. Without them a burst of starts goes to machines that
+//! lack the image, all fetches share the same links, and all of them are slow.
 
 use crate::settings::ZoneSettings;
 use std::collections::HashMap;
 
-/// Images waiting to be fetched in each zone, as one scheduling cycle sees them.
+/// Numbers of images waiting to be fetched in each zone, as one scheduling cycle sees them.
 #[derive(Clone, Debug, Default)]
 pub struct FetchQueues {
     count_by_zone: HashMap<String, u32>,
 }
 
 impl FetchQueues {
-    /// Adds images that wait to be fetched on some machine of a zone.
+    /// Adds images that wait to be fetched on a machine of a zone.
     pub fn add(&mut self, zone: &str, image_count: u32) {
         if image_count == 0 {
             return;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Images waiting to be fetched in a zone.
+    /// Returns the number of images waiting to be fetched in a zone.
     pub fn in_zone(&self, zone: &str) -> u32 {
         self.count_by_zone.get(zone).copied().unwrap_or(0)
     }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,14 +1,14 @@
-//! Zones that fail and come back.
+//! Failure and recovery of zones.
 //!
-//! A zone groups machines that may be lost together. This package decides in which [`Condition`] each zone is, and what
-//! follows from it: which work is restored first ([`restoration_order`]), how many image fetches run at once
-//! ([`fetches`]), how fast a zone that came back gets work again ([`ramp`]), how long one that fails again and again is
-//! not trusted ([`damping`]), and which replicas move to another zone without need ([`rebalance`], within a
-//! [`disruption`] budget).
+//! A zone is a failure domain: a group of machines that may be lost together. This crate determines the [`Condition`]
+//! of each zone and makes the decisions that depend on it: the order in which waiting jobs are restored
+//! ([`restoration_order`]), the number of concurrent image fetches ([`fetches`]), the rate at which a recovered zone
+//! gets work again ([`ramp`]), the time for which a zone that fails repeatedly is not trusted ([`damping`]), and
+//! voluntary moves of replicas to another zone ([`rebalance`], within a [`disruption`] budget).
 //!
-//! Pure: time and observations come in, decisions go out. There is no I/O, no clock and no randomness, so that equal
-//! inputs give equal decisions. [`ZoneTracker`] is the entry point; it keeps its counts by single changes, and an
-//! evaluation costs work by the number of zones and shards, not of machines.
+//! The crate is deterministic: callers pass in the time and all observations, and equal inputs give equal decisions.
+//! It does no I/O, reads no clock and uses no randomness. [`ZoneTracker`] is the entry point. It updates its counts
+//! incrementally, so the cost of an evaluation grows with the number of zones and shards, not of machines.
 
 pub mod condition;
 pub mod damping;
--- a/crates/zones/src/machine_counts.rs
+++ b/crates/zones/src/machine_counts.rs
@@ -1,41 +1,41 @@
-//! How many machines each zone and shard has, and how many of them are unresponsive. Kept by single changes: with
-//! thousands of machines a walk over all of them for each question would take most of a round.
+//! Numbers of machines, and of unresponsive ones, by zone and shard. They are updated incrementally: with thousands of
+//! machines, iterating over all of them for each query would take most of a controller's round.
 
 use burlhatch_types::MachineId;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Whether a machine answers the holder of its shard.
+/// Whether a machine responds to the holder of its shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Liveness {
-    /// It was seen a short while ago.
+    /// It was seen recently.
     #[default]
     Responsive,
-    /// It was not seen for a while, but not probed either.
+    /// It was not seen recently, and no probe of it has failed yet.
     Unknown,
-    /// It was not seen for a while and failed to answer a probe.
+    /// It was not seen recently and failed to answer a probe.
     Unresponsive,
 }
 
 /// Machines of one shard in one zone, by liveness.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LivenessCounts {
-    /// All of them.
+    /// All machines.
     pub total: u32,
-    /// Those that are unresponsive.
+    /// Machines that are unresponsive.
     pub unresponsive: u32,
-    /// Those that were not probed since they were last seen: nothing is known of them.
+    /// Machines that were not seen recently and have not failed a probe since, so that their liveness is unknown.
     pub unknown: u32,
 }
 
 impl LivenessCounts {
-    /// Whether more than that part of the machines of which anything is known is unresponsive. With thousands of machines
-    /// lost at once it takes long to probe each of them.
+    /// Whether more than the fraction `part` of the machines with known liveness is unresponsive. Machines with unknown
+    /// liveness are excluded because probing each of them takes long when thousands are lost at once.
     pub fn is_unresponsive(&self, part: f64) -> bool {
         f64::from(self.unresponsive) > f64::from(self.total - self.unknown) * part
     }
 
-    /// The counts of two groups of machines together.
+    /// Returns the sums of the counts of two groups of machines.
     pub fn plus(self, other: LivenessCounts) -> LivenessCounts {
         LivenessCounts {
             total: self.total + other.total,
@@ -76,7 +76,7 @@
 }
 
 impl MachineCounts {
-    /// A machine is in that zone and belongs to that shard. A new or moved one counts as responsive.
+    /// Adds a machine, or moves it to another zone or shard. A new or moved machine counts as responsive.
     pub fn insert(&mut self, id: &MachineId, zone: &str, shard: u32) {
         if let Some(entry) = self.entries.get(id) {
             if &*entry.zone == zone && entry.shard == shard {
@@ -91,7 +91,7 @@
         self.entries.insert(id.clone(), MachineEntry { zone, shard, liveness: Liveness::Responsive });
     }
 
-    /// One copy of a zone's name serves all of its machines.
+    /// Returns a zone's name as a string that all machines of the zone share.
     fn interned_name(&self, zone: &str) -> Arc<str> {
         match self.zones.get_key_value(zone) {
             Some((name, _)) => name.clone(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A machine is gone.
+    /// Removes a machine.
     pub fn remove(&mut self, id: &MachineId) {
         let Some(entry) = self.entries.remove(id) else { return };
         let Some(in_zone) = self.zones.get_mut(&entry.zone) else { return };
@@ -127,23 +127,23 @@
         }
     }
 
-    /// The liveness of a machine; an unknown one counts as responsive.
+    /// Returns the liveness of a machine. A machine that is not tracked counts as responsive.
     pub fn liveness(&self, id: &MachineId) -> Liveness {
         self.entries.get(id).map(|entry| entry.liveness).unwrap_or_default()
     }
 
-    /// Names of the zones that have machines.
+    /// Returns the names of the zones that have machines.
     pub fn zones(&self) -> impl Iterator<Item = &Arc<str>> {
         self.zones.keys()
     }
 
-    /// Each shard's machines in a zone.
+    /// Returns the counts of each shard's machines in a zone.
     pub fn shards(&self, zone: &str) -> impl Iterator<Item = (u32, LivenessCounts)> {
         let shards = self.zones.get(zone).into_iter().flat_map(|in_zone| &in_zone.shards);
         shards.map(|(shard, counts)| (*shard, *counts))
     }
 
-    /// The machines of a zone.
+    /// Returns the machines of a zone.
     pub fn machines(&self, zone: &str) -> impl Iterator<Item = &MachineId> {
         self.zones.get(zone).into_iter().flat_map(|in_zone| &in_zone.machines)
     }
--- a/crates/zones/src/ramp.rs
+++ b/crates/zones/src/ramp.rs
@@ -1,21 +1,21 @@
-//! Gradual return: how many task attempts a zone gets in each step after it came back.
+//! Gradual return: limits on the task attempts that a zone gets in each step after it has recovered.
 //!
-//! Slow start and additive increase with multiplicative decrease, as in TCP's congestion control, counted in attempts a
-//! step instead of packets in flight. A step that used most of its allowance, with most of its attempts running, doubles
-//! the allowance up to a threshold and adds to it beyond; a step with little demand adds to it; losses halve it at
-//! once.
+//! The allowance follows slow start and additive increase with multiplicative decrease, as in TCP's congestion control,
+//! counted in attempts per step instead of packets in flight. After a step that used at least half of its allowance,
+//! with at least half of its attempts running, the allowance doubles up to a threshold and grows by a constant above
+//! it. After a step with less demand it grows by the constant. Losses halve it at once.
 
 use crate::settings::ZoneSettings;
 use burlhatch_types::Micros;
 
-/// Part of a step's allowance that must have been used, and part of the attempts that must run by then, for the
-/// allowance to double.
-const PROVEN_PART: f64 = 0.5;
+/// Fraction of a step's allowance that must have been used, and fraction of the step's attempts that must be running at
+/// its end, for the allowance to double.
+const DOUBLING_MIN_PART: f64 = 0.5;
 
-/// Starts lost in one step, as a part of its allowance, above which the allowance halves.
-const LOST_PART: f64 = 0.25;
+/// Attempts lost in one step, as a fraction of its allowance, above which the allowance halves.
+const MAX_LOST_PART: f64 = 0.25;
 
-/// The return of one zone, as far as one controller makes starts there.
+/// The gradual return of one zone, for the task attempts that one controller starts there.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ramp {
     allowance: f64,
@@ -28,7 +28,7 @@
 }
 
 impl Ramp {
-    /// At the beginning of the return.
+    /// Creates the state at the beginning of the return.
     pub fn new(now: Micros, settings: &ZoneSettings) -> Ramp {
         Ramp {
             allowance: f64::from(settings.ramp_initial),
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Starts that one step may make at present.
+    /// Returns the number of starts currently allowed in one step.
     pub fn allowance(&self) -> u32 {
         self.allowance as u32
     }
@@ -51,26 +51,27 @@
         self.is_complete(settings) || self.started_count < self.allowance()
     }
 
-    /// A task attempt was decided.
+    /// Records that a task attempt was decided.
     pub fn started(&mut self) {
         self.started_count += 1;
     }
 
-    /// A task attempt that was decided is not made after all.
+    /// Records that a decided task attempt was withdrawn.
     pub fn withdrawn(&mut self) {
         self.started_count = self.started_count.saturating_sub(1);
     }
 
-    /// A task attempt has come to run.
+    /// Records that a task attempt is running.
     pub fn succeeded(&mut self) {
         self.succeeded_count += 1;
     }
 
-    /// A task attempt made since the return was lost. With too many of them in a step the allowance halves, once: they have
-    /// one cause. Single machines that fail are ordinary in a large zone.
+    /// Records the loss of a task attempt that ran since the zone's return. Halves the allowance, at most once per
+    /// step, if the losses of the step exceed `MAX_LOST_PART`: they are assumed to have one cause, whereas failures of
+    /// single machines are normal in a large zone.
     pub fn lost(&mut self, settings: &ZoneSettings) {
         self.lost_count += 1;
-        if self.has_backed_off || f64::from(self.lost_count) <= self.allowance * LOST_PART {
+        if self.has_backed_off || f64::from(self.lost_count) <= self.allowance * MAX_LOST_PART {
             return;
         }
         self.has_backed_off = true;
@@ -79,7 +80,7 @@
         self.allowance = self.threshold;
     }
 
-    /// Goes on to the next step if this one is over. `may_double`: not while the zone is distrusted.
+    /// Starts the next step if the current one has ended. `may_double` is false while the zone is distrusted.
     pub fn advance(&mut self, now: Micros, may_double: bool, settings: &ZoneSettings) {
         if now.since(self.step_started_at) < settings.ramp_step() {
             return;
@@ -94,12 +95,13 @@
         self.has_backed_off = false;
     }
 
-    /// Never more than double, so that what comes back at once is bounded by what has proved to work.
+    /// Returns the allowance of the next step: at most double, so that the number of concurrent starts is bounded by
+    /// the number that has succeeded before.
     fn next_allowance(&self, may_double: bool, settings: &ZoneSettings) -> f64 {
-        let is_used = f64::from(self.started_count) >= self.allowance * PROVEN_PART;
-        let is_proven = f64::from(self.succeeded_count) >= f64::from(self.started_count) * PROVEN_PART;
-        if is_used && !is_proven {
-            // Attempts that do not run yet prove nothing: neither growth nor a step back.
+        let is_used = f64::from(self.started_count) >= self.allowance * DOUBLING_MIN_PART;
+        let is_successful = f64::from(self.succeeded_count) >= f64::from(self.started_count) * DOUBLING_MIN_PART;
+        if is_used && !is_successful {
+            // Attempts that are not running yet have neither succeeded nor failed, so the allowance stays.
             return self.allowance;
         }
         let double = self.allowance * 2.0;
@@ -108,7 +110,7 @@
         next.min(double)
     }
 
-    /// Whether the zone takes all work again.
+    /// Whether the return is complete and starts in the zone are no longer limited.
     pub fn is_complete(&self, settings: &ZoneSettings) -> bool {
         self.allowance >= f64::from(settings.ramp_full)
     }
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -1,4 +1,4 @@
-//! All zones as one controller sees them.
+//! The state of all zones as one controller sees them.
 
 use crate::condition::{Condition, Evidence, Transition, ZoneState};
 use crate::damping::decay;
@@ -8,10 +8,10 @@
 use burlhatch_types::{MachineId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A moment on both clocks of a process.
+/// One point in time on both clocks of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Moment {
-    /// Steady time since the process began.
+    /// Monotonic time since the process started.
     pub steady: Micros,
     /// Time of day.
     pub wall: Micros,
@@ -24,11 +24,11 @@
     pub zone: String,
     /// The shard whose view it is.
     pub shard: u32,
-    /// What should be stored; nothing if the key should be removed.
+    /// The record to store; `None` to delete the key.
     pub record: Option<ZoneRecord>,
 }
 
-/// A stored view, with whether it counts as a vote: it does while the process that wrote it holds the shard.
+/// A stored view, and whether it counts as a vote, which it does while the process that wrote it holds the shard.
 #[derive(Clone, Debug)]
 struct StoredView {
     record: ZoneRecord,
@@ -41,10 +41,10 @@
     held_since: Micros,
 }
 
-/// A new holder votes by its own machines only after this multiple of the time that silence takes to show; until then the
-/// view of the holder before counts.
-const FIRST_VOTE_FACTOR: u64 = 2;
-/// Views older than this say nothing about the present.
+/// Time for which a new holder keeps a vote against a zone that its predecessor stored, as a multiple of
+/// `silent_after_ms`: it cannot find its own machines silent earlier.
+const INHERITED_VOTE_FACTOR: u64 = 2;
+/// Age from which a stored view no longer affects the condition and penalty of its zone, as it is outdated.
 const MAX_VIEW_AGE: Micros = Micros::from_millis(600_000);
 
 /// The zones of a deployment: machines, views, conditions and cordons.
@@ -59,13 +59,13 @@
 }
 
 impl ZoneTracker {
-    /// A machine is in that zone and belongs to that shard.
+    /// Adds a machine, or moves it to another zone or shard.
     pub fn insert_machine(&mut self, id: &MachineId, zone: &str, shard: u32) {
         self.operation_count += 1;
         self.machine_counts.insert(id, zone, shard);
     }
 
-    /// A machine is gone.
+    /// Removes a machine.
     pub fn remove_machine(&mut self, id: &MachineId) {
         self.operation_count += 1;
         self.machine_counts.remove(id);
@@ -79,17 +79,17 @@
         }
     }
 
-    /// The liveness of a machine.
+    /// Returns the liveness of a machine.
     pub fn liveness(&self, id: &MachineId) -> Liveness {
         self.machine_counts.liveness(id)
     }
 
-    /// The machines of a zone, of all shards.
+    /// Returns the machines of a zone, of all shards.
     pub fn machines(&self, zone: &str) -> impl Iterator<Item = &MachineId> {
         self.machine_counts.machines(zone)
     }
 
-    /// Which shards this controller holds at this moment.
+    /// Sets the shards that this controller holds.
     pub fn set_held_shards(&mut self, shards: &BTreeSet<u32>, now: Micros) {
         if self.held_shards.keys().eq(shards.iter()) {
             return;
@@ -100,8 +100,9 @@
         }
     }
 
-    /// A shard's view of a zone was stored or removed. It comes with whether it is a vote: whether the process that wrote
-    /// it holds the shard. Goes on from it if nothing is known here yet: the zone was lost before this process began.
+    /// Sets or removes a shard's stored view of a zone. The flag tells whether the view counts as a vote, that is,
+    /// whether the process that wrote it holds the shard. The view is merged into the zone's state, so that a new
+    /// process continues from a loss that happened before it started.
     pub fn set_view(
         &mut self,
         zone: &str,
@@ -125,7 +126,8 @@
         self.views.insert(key, StoredView { record: record.clone(), is_vote });
     }
 
-    /// Operators have cordoned a zone, or lifted the cordon: nothing new goes to a cordoned one, and services leave it.
+    /// Sets whether operators have cordoned a zone. A cordoned zone gets no new tasks, and services are moved out of
+    /// it.
     pub fn set_cordoned(&mut self, zone: &str, is_cordoned: bool) {
         if is_cordoned {
             self.cordoned.insert(zone.to_string());
@@ -144,37 +146,38 @@
         !self.cordoned.is_empty()
     }
 
-    /// The condition of a zone.
+    /// Returns the condition of a zone.
     pub fn condition(&self, zone: &str) -> Condition {
         self.states.get(zone).map_or(Condition::Up, ZoneState::condition)
     }
 
-    /// The state of a zone, if anything was ever known against it.
+    /// Returns the state of a zone, if the zone was ever evaluated or a recent view of it was stored.
     pub fn state(&self, zone: &str) -> Option<&ZoneState> {
         self.states.get(zone)
     }
 
-    /// The state of a zone, to note task attempts there.
+    /// Returns the state of a zone for recording task attempts there.
     pub fn state_mut(&mut self, zone: &str) -> Option<&mut ZoneState> {
         self.states.get_mut(zone)
     }
 
-    /// Names of the zones in a condition.
+    /// Returns the names of the zones in a condition.
     pub fn in_condition(&self, condition: Condition) -> impl Iterator<Item = &str> {
         self.states.iter().filter(move |(_, state)| state.condition() == condition).map(|(zone, _)| zone.as_str())
     }
 
-    /// Whether a zone has failed too often lately to be trusted with all replicas of a service.
+    /// Whether a zone has failed too often recently to be trusted with all replicas of a service.
     pub fn is_distrusted(&mut self, zone: &str, now: Micros, settings: &ZoneSettings) -> bool {
         self.states.get_mut(zone).is_some_and(|state| state.penalty.is_distrusted(now, settings))
     }
 
-    /// Whether work is being restored: a zone was lost a short while ago and is not up again.
+    /// Whether work is being restored: a zone was lost less than `restore_for_ms` ago and is not up again.
     pub fn is_restoring(&self, now: Micros, settings: &ZoneSettings) -> bool {
         let span = Micros::from_millis(settings.restore_for_ms);
-        let is_not_up = |state: &ZoneState| matches!(state.condition(), Condition::Lost | Condition::Returning);
+        let is_lost_or_returning =
+            |state: &ZoneState| matches!(state.condition(), Condition::Lost | Condition::Returning);
         let is_recent = |state: &ZoneState| state.last_lost_at().is_some_and(|at| now.since(at) < span);
-        self.states.values().any(|state| is_not_up(state) && is_recent(state))
+        self.states.values().any(|state| is_lost_or_returning(state) && is_recent(state))
     }
 
     /// Whether a shard's holder votes against a zone.
@@ -189,8 +192,8 @@
         let stored = self.views.get(&(zone.to_string(), shard));
         match self.held_shards.get(&shard) {
             Some(held) => {
-                let first_vote_after = Micros::from_millis(settings.silent_after_ms * FIRST_VOTE_FACTOR);
-                let is_new_holder = now.since(held.held_since) < first_vote_after;
+                let inherited_vote_span = Micros::from_millis(settings.silent_after_ms * INHERITED_VOTE_FACTOR);
+                let is_new_holder = now.since(held.held_since) < inherited_vote_span;
                 let is_inherited = is_new_holder && stored.is_some_and(|view| view.record.is_unresponsive);
                 let is_unresponsive = counts.is_unresponsive(settings.silent_part);
                 is_inherited || (is_unresponsive && self.reaches_another_zone(zone, settings))
@@ -199,7 +202,8 @@
         }
     }
 
-    /// Whether most of this controller's machines in any other zone respond. If not, it may be the one that is cut off.
+    /// Whether there is another zone in which most of this controller's machines respond. If not, the controller itself
+    /// may be cut off.
     fn reaches_another_zone(&self, zone: &str, settings: &ZoneSettings) -> bool {
         self.machine_counts.zones().filter(|other| ***other != *zone).any(|other| {
             let own = self.machine_counts.shards(other).filter(|(shard, _)| self.held_shards.contains_key(shard));
@@ -221,7 +225,7 @@
         evidence
     }
 
-    /// Evaluates all zones. Returns the changes of conditions.
+    /// Evaluates all zones and returns the changes of their conditions.
     pub fn evaluate(&mut self, now: Micros, settings: &ZoneSettings) -> Vec<Transition> {
         let with_machines = self.machine_counts.zones().map(ToString::to_string);
         let names: BTreeSet<String> = with_machines.chain(self.states.keys().cloned()).collect();
@@ -238,7 +242,8 @@
         transitions
     }
 
-    /// Views of held shards that the stored records lack or have otherwise. `incarnation` is this process's.
+    /// Returns the views of held shards whose stored records are missing or differ. `incarnation` is that of this
+    /// process.
     pub fn outdated_records(&self, incarnation: u64, now: Moment, settings: &ZoneSettings) -> Vec<OutdatedRecord> {
         let mut outdated = Vec::new();
         let zones: BTreeSet<&str> =
@@ -260,7 +265,8 @@
         outdated
     }
 
-    /// The record of a held shard's view of a zone. None once the zone is up and its penalty has decayed.
+    /// Returns the record of a held shard's view of a zone; `None` if the zone is up or suspected, the shard does not
+    /// vote against it and its penalty has decayed.
     fn current_record(
         &self,
         zone: &str,
@@ -275,12 +281,12 @@
             counts.is_some_and(|counts| self.votes_against(zone, shard, counts, now.steady, settings));
         let condition = state.condition();
         let penalty = state.penalty.value(now.steady, settings).round() as u32;
-        let is_forgotten = f64::from(penalty) < settings.trust_below.min(settings.penalty_per_loss / 2.0);
-        let is_unremarkable =
-            matches!(condition, Condition::Up | Condition::Suspected) && !is_unresponsive && is_forgotten;
-        // That a zone is suspected is no news to others; the vote itself is.
+        let has_decayed = f64::from(penalty) < settings.trust_below.min(settings.penalty_per_loss / 2.0);
+        let is_default_view =
+            matches!(condition, Condition::Up | Condition::Suspected) && !is_unresponsive && has_decayed;
+        // Other controllers need only the vote: they derive from it themselves that a zone is suspected.
         let condition = if condition == Condition::Suspected { Condition::Up } else { condition };
-        (!is_unremarkable).then_some(ZoneRecord {
+        (!is_default_view).then_some(ZoneRecord {
             incarnation,
             is_unresponsive,
             condition,
@@ -289,7 +295,7 @@
         })
     }
 
-    /// Steps of work done so far, for tests of what an evaluation costs.
+    /// Returns the number of elementary operations done so far, for tests of the cost of an evaluation.
     pub fn operation_count(&self) -> u64 {
         self.operation_count
     }
