--- a/crates/zones/src/settings.rs
+++ b/crates/zones/src/settings.rs
@@ -14,73 +14,76 @@
     pub message: String,
 }
 
-/// How failures of whole zones are handled. Off unless `enabled` is set.
+/// Handling of failures of whole zones. Disabled unless `enabled` is set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct ZoneSettings {
-    /// Whether zones are judged and handled as a whole at all.
+    /// Whether the conditions of zones are evaluated and failures of whole zones are handled.
     pub enabled: bool,
-    /// Silence after which a machine counts as silent for its zone, if it failed to answer probes meanwhile.
+    /// Time without contact after which a machine counts as silent, if it has failed to answer a probe meanwhile.
     pub silent_after_ms: u64,
-    /// A shard's holder speaks against a zone while more than this part of its machines there is silent.
+    /// Fraction of silent machines above which a shard's holder votes against their zone.
     pub silent_part: f64,
-    /// A zone with fewer machines of all shards is never judged as a whole.
+    /// Minimum number of machines, of all shards, with which a zone can be considered lost.
     pub least_machines: u32,
-    /// A zone is lost when shards with more than this part of its machines speak against it.
+    /// Fraction of a zone's machines, in shards that vote against it, above which the zone is considered lost.
     pub agree_part: f64,
-    /// For so long they must do so without a break.
+    /// Time for which a zone must exceed `agree_part` without interruption before it is considered lost.
     pub confirm_ms: u64,
-    /// A lost zone returns when shards with no more than this part of its machines speak against it.
+    /// Fraction of a lost zone's machines, in shards that vote against it, up to which the zone returns.
     pub return_part: f64,
-    /// For so long it must have been heard again.
+    /// Time for which a lost zone must stay within `return_part` without interruption before it returns.
     pub return_after_ms: u64,
-    /// A lost zone in which no machine is left gets machines again after this, a few at a time.
+    /// Time after which a lost zone without machines returns, so that it gets machines again, a few at a time.
     pub empty_return_ms: u64,
-    /// Whether machines of a lost zone that run services are deleted, which proves their tasks gone before their leases
-    /// run out.
+    /// Whether machines of a lost zone that run services are deleted, so that their tasks are proven absent before
+    /// their leases expire.
     pub evacuate: bool,
-    /// A zone must have been lost for so long before.
+    /// Time for which a zone must have been lost before its machines are deleted.
     pub evacuate_after_ms: u64,
-    /// For so long after a loss services go before all other work, and fetches of images are limited.
+    /// Duration of the restoration after a loss, in which services precede all other work and image fetches are
+    /// limited.
     pub restore_for_ms: u64,
-    /// Batch work of which nothing has begun for so long gets a turn among the services meanwhile, with one task.
+    /// Waiting time after which a batch job that has not started any task gets a turn among the services during
+    /// restoration, with one task.
     pub starved_after_ms: u64,
-    /// After so many services one such job has its turn.
+    /// Number of services after which one starved batch job gets its turn during restoration.
     pub services_per_starved: u32,
     /// Images that a machine may have waiting to be fetched during restoration; 0 for no limit.
     pub fetches_per_machine: u32,
-    /// The same for all machines of one shard in a zone; 0 for no limit.
+    /// Images that all machines of one shard in a zone may have waiting to be fetched during restoration; 0 for no
+    /// limit.
     pub fetches_per_zone: u32,
-    /// Length of one step of the return.
+    /// Length of one step of a zone's gradual return.
     pub ramp_step_ms: u64,
-    /// Starts that each shard may make in the zone in the first step.
+    /// Allowance of the first step: task starts that each controller may make in the zone.
     pub ramp_initial: u32,
-    /// The allowance doubles with each step that went well, after a failure only up to half of what it was then.
-    /// Otherwise it grows by this.
+    /// Starts by which the allowance grows after a step in which it does not double. It doubles after each successful
+    /// step; after a failure only up to half of the allowance at that time.
     pub ramp_increase: u32,
-    /// With an allowance of so many starts a step the return is complete.
+    /// Allowance of starts per step at which the return is complete.
     pub ramp_full: u32,
-    /// Machines that may boot at a time in a zone that returns.
+    /// Machines that may boot at the same time in a returning zone.
     pub return_boots: u32,
-    /// Added to a zone's penalty each time it is lost.
+    /// Penalty added to a zone each time it is lost.
     pub penalty_per_loss: f64,
-    /// A zone's penalty halves in this time.
+    /// Time in which a zone's penalty halves.
     pub penalty_half_life_ms: u64,
-    /// Above this penalty a zone is not trusted with all replicas of a service, and its allowance never doubles.
+    /// Penalty above which a zone is not trusted with all replicas of a service, and its allowance never doubles.
     pub distrust_above: f64,
-    /// It is trusted again once its penalty is below this.
+    /// Penalty below which a zone is trusted again.
     pub trust_below: f64,
-    /// The penalty never exceeds this, which bounds how long a zone is not trusted.
+    /// Maximum of a zone's penalty, which limits the time for which the zone is not trusted.
     pub penalty_most: f64,
-    /// A replica that finds room only in zones that are not trusted takes it after it has waited so long.
+    /// Time after which a replica that finds capacity only in zones that are not trusted is placed there.
     pub distrust_wait_ms: u64,
-    /// Whether replicas move without need: when all of a service are in one zone though another has resources.
+    /// Whether a replica is moved when all replicas of its service run in one zone and another zone has capacity.
     pub rebalance: bool,
-    /// Replicas that may be moved without need in a minute, by each controller.
+    /// Replicas that each controller may move voluntarily per minute.
     pub moves_per_minute: f64,
-    /// A service has no second replica moved before this time.
+    /// Minimum time between voluntary moves of two replicas of the same service.
     pub move_pause_ms: u64,
-    /// A replica leaves a zone on hold for a machine without its image once the zone has been on hold for so long.
+    /// Time after which replicas in a zone on hold may also move to machines that lack their image.
     pub hold_wait_ms: u64,
 }
 
@@ -122,9 +125,9 @@
     }
 }
 
-/// The longest time that a setting may name.
+/// Upper bound of settings that are times.
 const MAX_TIME_MS: u64 = 86_400_000;
-/// The largest count that a setting may name.
+/// Upper bound of settings that are counts, penalties or rates.
 const MAX_COUNT: u32 = 1_000_000;
 
 fn invalid(field: &'static str, message: impl Into<String>) -> Result<(), SettingsError> {
@@ -132,12 +135,12 @@
 }
 
 impl ZoneSettings {
-    /// Whether all values are possible and agree with each other.
+    /// Checks that all values are within their bounds and consistent with each other.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_times()?;
         self.check_parts()?;
         self.check_counts()?;
-        self.check_agreement()
+        self.check_consistency()
     }
 
     fn check_times(&self) -> Result<(), SettingsError> {
@@ -205,8 +208,8 @@
         Ok(())
     }
 
-    /// Values that contradict each other.
-    fn check_agreement(&self) -> Result<(), SettingsError> {
+    /// Checks that no values contradict each other.
+    fn check_consistency(&self) -> Result<(), SettingsError> {
         if self.return_part > self.agree_part {
             return invalid(
                 "return_part",
@@ -225,7 +228,7 @@
         Ok(())
     }
 
-    /// Length of one step of the return.
+    /// Returns the length of one step of a zone's gradual return.
     pub fn ramp_step(&self) -> Micros {
         Micros::from_millis(self.ramp_step_ms)
     }
--- a/crates/zones/src/tracker.rs
+++ b/crates/zones/src/tracker.rs
@@ -42,7 +42,7 @@
 }
 
 /// Time for which a new holder keeps a vote against a zone that its predecessor stored, as a multiple of
-/// `silent_after_ms`: it cannot find its own machines silent earlier.
+/// `silent_after_ms`: the holder needs this time to find its own machines there silent.
 const INHERITED_VOTE_FACTOR: u64 = 2;
 /// Age from which a stored view no longer affects the condition and penalty of its zone, as it is outdated.
 const MAX_VIEW_AGE: Micros = Micros::from_millis(600_000);
