--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -1,4 +1,4 @@
-//! Evaluates the conditions of all zones, and answers what follows from them for new work.
+//! Evaluation of the conditions of all zones, and queries about them for the placement of new work.
 
 use crate::coordination::Controller;
 use crate::coordination::scheduling::shard_view::CandidateMachine;
@@ -16,12 +16,12 @@
         self.policy.zones.enabled
     }
 
-    /// The present on both clocks.
+    /// Returns the current time on both clocks.
     pub(super) fn moment(&self) -> Moment {
         Moment { steady: self.clock.steady, wall: self.clock.wall }
     }
 
-    /// A machine's record has changed.
+    /// Updates the zone tracker after a change of a machine's stored record.
     pub(crate) fn track_zone_of_machine(&mut self, id: &MachineId) {
         if !self.handles_zone_failures() {
             return;
@@ -32,8 +32,9 @@
         }
     }
 
-    /// Evaluates all zones when this is due, and acts on what follows. `ours`: the machines of the shards held here.
-    pub(crate) fn tick_zones(&mut self, ours: &[MachineId]) {
+    /// Evaluates all zones if an evaluation is due, and acts on the result. `own_machines` are those of the shards held
+    /// by this controller.
+    pub(crate) fn tick_zones(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         if !self.handles_zone_failures() || now < self.zones.next_evaluation_at {
             return;
@@ -41,23 +42,23 @@
         self.zones.next_evaluation_at = now + EVALUATION_INTERVAL;
         let held_shards: BTreeSet<u32> = self.control.held_shards().collect();
         self.zones.tracker.set_held_shards(&held_shards, now);
-        self.update_liveness(ours);
+        self.update_liveness(own_machines);
         for transition in self.zones.tracker.evaluate(now, &self.policy.zones) {
             self.zone_condition_changed(&transition);
         }
         self.write_zone_views();
-        self.find_displaced_replicas();
+        self.count_displaced_replicas();
         self.evacuate_lost_zones();
         self.move_replicas();
     }
 
-    fn update_liveness(&mut self, ours: &[MachineId]) {
+    fn update_liveness(&mut self, own_machines: &[MachineId]) {
         let now = self.now();
         let max_silence = Micros::from_millis(self.policy.zones.silent_after_ms);
-        for id in ours {
+        for id in own_machines {
             let Some(machine) = self.fleet.machine(id) else { continue };
-            let is_unresponsive = machine.contact.silence(now) >= max_silence;
-            let liveness = match (is_unresponsive, machine.contact.failed_probe_count()) {
+            let is_silent = machine.contact.silence(now) >= max_silence;
+            let liveness = match (is_silent, machine.contact.failed_probe_count()) {
                 (false, _) => Liveness::Responsive,
                 (true, 0) => Liveness::Unknown,
                 (true, _) => Liveness::Unresponsive,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether a zone takes any new work.
+    /// Whether a zone accepts new work.
     pub(crate) fn zone_takes_work(&self, zone: &str) -> bool {
         !self.handles_zone_failures() || self.zones.takes_work(zone)
     }
@@ -108,12 +109,12 @@
         settings.enabled && self.zones.tracker.state(zone).is_some_and(is_newly_suspected)
     }
 
-    /// Whether a zone gets its work back step by step at present.
+    /// Whether a zone is returning and gets its work back gradually.
     pub(crate) fn zone_is_returning(&self, zone: &str) -> bool {
         self.handles_zone_failures() && self.zones.is_returning(zone)
     }
 
-    /// Zones of these machines that have failed too often lately.
+    /// Returns the zones of these machines that have failed too often recently.
     pub(crate) fn distrusted_zones(&mut self, machines: &[CandidateMachine]) -> BTreeSet<String> {
         if !self.handles_zone_failures() {
             return BTreeSet::new();
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -1,8 +1,9 @@
-//! Evacuation of services from a lost zone: capacity is reserved for their replicas before these are proven gone, and
-//! their machines are deleted, which is proof sooner than the expiry of their leases, as soon as that capacity is there.
+//! Evacuation of services from a lost zone. Capacity for their replicas is reserved before the old attempts are proven
+//! absent. Once that capacity exists, their machines are deleted, which proves the absence before their leases expire.
 //!
-//! Nothing starts elsewhere before the old attempt is proven gone. Machines of a zone that is merely cut off work on, so
-//! none is deleted for batch work, nor before the controllers agree that the zone is lost.
+//! No task starts elsewhere before its old attempt is proven absent. Machines of a zone that is only cut off keep
+//! running their tasks, so no machine is deleted for the sake of batch work, or before the controllers agree that the
+//! zone is lost.
 
 use crate::coordination::Controller;
 use crate::coordination::autoscaling::bin_packing::tasks_that_fit;
@@ -18,8 +19,8 @@
 use burlhatch_zones::{Condition, Liveness};
 use std::collections::BTreeMap;
 
-/// Machines of one shard that are on their way to deletion at a time, at least. More follow from the rate of writes: the
-/// attempts that the deletions make way for need writes as well.
+/// Number of machines of one shard that may always be in deletion at the same time. The store's write rate may permit
+/// more; it is the limit because the attempts that replace those on deleted machines need writes as well.
 const MIN_EVACUATIONS_IN_FLIGHT: usize = 2;
 
 /// A machine of a lost zone that is to be deleted.
@@ -28,12 +29,13 @@
     replica_count: usize,
 }
 
-/// Capacity for replicas, counted in replicas of each job.
+/// Numbers of replicas, by job.
 type ReplicaCounts = BTreeMap<JobId, u32>;
 
 impl Controller {
-    /// Counts the replicas of services on machines of lost zones, of all shards: the leader plans for them all.
-    pub(super) fn find_displaced_replicas(&mut self) {
+    /// Counts the replicas of services on machines of lost zones, and those that are being moved. Covers all shards, as
+    /// the leader plans capacity for all of them.
+    pub(super) fn count_displaced_replicas(&mut self) {
         let mut displaced = ReplicaCounts::new();
         for zone in self.zones.tracker.in_condition(Condition::Lost) {
             for machine in self.zones.tracker.machines(zone) {
@@ -48,21 +50,22 @@
         self.zones.displaced_counts = displaced;
     }
 
-    /// The services with tasks on a machine that occupy resources and are to go on, each as often as it has tasks there.
+    /// Returns the unfinished services with tasks on a machine that occupy resources and are not being stopped. Each
+    /// service is listed once per task.
     fn services_on(&self, machine: &MachineId) -> Vec<JobId> {
         if !self.jobs.usage().runs_service_on(machine) {
             return Vec::new();
         }
         let attempts = self.jobs.usage().iter_attempts_on(machine);
-        let goes_on = |task: &&TaskId| {
+        let must_continue = |task: &&TaskId| {
             let job = self.jobs.get(&task.job).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
             let attempt = job.and_then(|job| job.attempts.get(task.index));
             attempt.is_some_and(|attempt| attempt.occupies_resources() && attempt.stop_grace_s.is_none())
         };
-        attempts.filter(goes_on).map(|task| task.job.clone()).collect()
+        attempts.filter(must_continue).map(|task| task.job.clone()).collect()
     }
 
-    /// Resources that a team's displaced replicas still take by the stored records.
+    /// Returns the resources that a team's displaced replicas still occupy according to the stored records.
     pub(crate) fn displaced_resources(&self, team: &str) -> Resources {
         let of_team = self.zones.displaced_counts.iter().filter_map(|(id, count)| {
             let job = self.jobs.get(id).filter(|job| job.spec.team.as_deref() == Some(team))?;
@@ -71,7 +74,7 @@
         of_team.fold(Resources::default(), |sum, resources| sum.plus(&resources))
     }
 
-    /// Reserves capacity for displaced replicas of a shard on machines that take work, those with their images first.
+    /// Reserves capacity for the displaced replicas of a shard on these machines, preferring those with their images.
     pub(crate) fn reserve_for_displaced(&self, shard: u32, machines: &mut [CandidateMachine]) {
         self.reserve_for_replicas(&self.zones.displaced_counts, shard, machines);
     }
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Has machines of lost zones deleted that run services, as far as there is capacity for these elsewhere.
+    /// Requests the deletion of machines in lost zones that run services, as far as other zones have capacity for
+    /// these.
     pub(super) fn evacuate_lost_zones(&mut self) {
         let mut blocked = BlockedMachines::new();
         if self.policy.zones.evacuate && !self.zones.displaced_counts.is_empty() {
@@ -128,9 +132,9 @@
         }
     }
 
-    /// Which of these machines can be evacuated now: each is given places for all of its services before the next one, so
-    /// that no place is kept for a replica whose machine stays because of another
-    /// (`zone_cuts::room_for_some_replicas_is_used_though_machines_run_several_services`).
+    /// Chooses the machines that can be evacuated now. Places are reserved for all services of one machine before the
+    /// next machine is considered, so that none is held for a replica whose machine can't be evacuated because another
+    /// replica on it finds no place (`zone_cuts::room_for_some_replicas_is_used_though_machines_run_several_services`).
     fn plan_evacuations(&self, shard: u32, due: Vec<MachineId>, blocked: &mut BlockedMachines) -> Vec<Evacuation> {
         if due.is_empty() {
             return Vec::new();
@@ -156,11 +160,12 @@
         evacuations
     }
 
-    /// Places of a shard for its displaced replicas that neither waiting services nor evacuations in flight need.
+    /// Returns the places in a shard for its displaced replicas, without those that waiting services and evacuations in
+    /// flight need.
     fn places_for_displaced(&self, shard: u32, in_flight: &[MachineId]) -> ReplicaPlaces<'_> {
         let mut machines = self.schedulable_machines(shard);
         machines.iter_mut().for_each(CandidateMachine::clear_reserved);
-        // What was proven gone a moment ago waits for its place, and takes it first.
+        // Replicas whose old attempts are already proven absent wait for capacity and take precedence.
         self.reserve_for_replicas(&self.waiting_services(shard), shard, &mut machines);
         let mut places = ReplicaPlaces::new(machines);
         for service in in_flight.iter().flat_map(|id| self.services_on(id)) {
@@ -169,7 +174,7 @@
         places
     }
 
-    /// Takes a place for each of these services; none at all if one finds none.
+    /// Takes a place for each of these services, or none at all if any of them finds no place.
     fn take_all_places<'a>(&'a self, places: &mut ReplicaPlaces<'a>, services: &[JobId]) -> bool {
         let mut taken = Vec::new();
         for id in services {
@@ -182,7 +187,7 @@
             match place {
                 Some(place) => taken.push(place),
                 None => {
-                    taken.into_iter().for_each(|place| places.give_back(place));
+                    taken.into_iter().for_each(|place| places.release(place));
                     return false;
                 }
             }
@@ -195,26 +200,26 @@
         self.jobs.values().filter(waits).map(|job| (job.attempts.job().clone(), job.waiting_count())).collect()
     }
 
-    /// Machines of a shard in lost zones with services that are to go on, not yet to be deleted.
+    /// Returns the machines of a shard in lost zones that run services and are not being deleted yet.
     fn machines_to_evacuate(&self, shard: u32) -> Vec<MachineId> {
         if !self.holds(Role::Shard(shard)) {
             return Vec::new();
         }
         let tracker = &self.zones.tracker;
-        let is_left = |id: &&MachineId| {
+        let needs_evacuation = |id: &&MachineId| {
             let is_in_shard = self.store.replica.machines.get(*id).is_some_and(|record| {
                 record.value.shard == shard
                     && !matches!(record.value.cordon, Some(CordonReason::ForceDelete | CordonReason::Deleted))
             });
-            // Cancelled services take resources until they are proven gone, and have nothing to be restored
+            // Cancelled services occupy resources until they are proven absent, but are not to be restored
             // (`zone_cuts::a_machine_whose_services_are_cancelled_is_not_evacuated`).
             is_in_shard && !self.services_on(id).is_empty()
         };
         let zones = tracker.in_condition(Condition::Lost);
-        zones.flat_map(|zone| tracker.machines(zone)).filter(is_left).cloned().collect()
+        zones.flat_map(|zone| tracker.machines(zone)).filter(needs_evacuation).cloned().collect()
     }
 
-    /// What of the machine itself or its zone speaks against deleting it now.
+    /// Returns the condition of the machine or its zone that prevents its deletion now, if any.
     fn evacuation_block(&self, id: &MachineId) -> Option<EvacuationBlock> {
         let min_span = Micros::from_millis(self.policy.zones.evacuate_after_ms);
         let zone = &self.store.replica.machines.get(id)?.value.zone;
--- a/src/coordination/zones/evacuation_log.rs
+++ b/src/coordination/zones/evacuation_log.rs
@@ -1,29 +1,29 @@
-//! What is logged of machines in lost zones that run services and are not evacuated yet: why each is held back.
+//! Logging of the machines in lost zones that run services and are not evacuated yet, with the reason for each.
 //!
-//! A line is written when a machine's reason changes, not in each evaluation; a summary every few seconds counts the
-//! machines by reason, and the lines that were left out.
+//! A line is written when a machine's reason changes, not in each evaluation. A periodic summary counts the machines by
+//! reason, and the lines that the rate limit left out.
 
 use crate::coordination::log_limit::LogLimit;
 use crate::types::{MachineId, Micros};
 use std::collections::BTreeMap;
 
-/// How often machines held back are summed up, while there are any.
+/// Interval between summaries while machines are held back.
 const SUMMARY_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// What holds back the deletion of a machine in a lost zone that runs services.
+/// Reason that holds back the deletion of a machine in a lost zone that runs services.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvacuationBlock {
     /// Its zone has not been lost for long enough.
     ZoneJustLost,
-    /// It was seen a short while ago.
+    /// It was seen recently.
     SeenLately,
-    /// It was not seen for a while, but no probe of it has failed since.
+    /// It was not seen recently, but no probe of it has failed since.
     NotProbed,
     /// A change of its stored record has no outcome yet.
     RecordChanging,
-    /// As many deletions as the store's write rate bears are on their way.
+    /// As many deletions as the store's write rate permits are in progress.
     TooManyInFlight,
-    /// The machines that take work have no capacity for one of its services.
+    /// The machines that accept work have no capacity for one of its services.
     NoCapacity,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl EvacuationLog {
-    /// Takes in the machines held back at this evaluation, and logs what has changed.
+    /// Records the machines held back at this evaluation, and logs the changes.
     pub(super) fn update(&mut self, blocked: BlockedMachines, now: Micros) {
         for (machine, reason) in &blocked {
             if self.blocked.get(machine) != Some(reason) && self.limit.admits_line(now) {
--- a/src/coordination/zones/gradual_return.rs
+++ b/src/coordination/zones/gradual_return.rs
@@ -1,4 +1,4 @@
-//! Gradual return of a zone: how many task attempts it takes in each step, and which zones get no new instances.
+//! Gradual return of a zone: limits on its task attempts in each step and on the creation of instances.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::attempt::TaskAttempt;
@@ -7,7 +7,7 @@
 use burlhatch_zones::condition::ZoneState;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What became of a task attempt in a zone that returns.
+/// Event of a task attempt in a returning zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ZoneAttemptEvent {
     Decided,
@@ -17,14 +17,14 @@
 }
 
 impl Controller {
-    /// Whether a zone takes one more task attempt in this step of its return.
+    /// Whether a zone may get one more task attempt; limited only while it returns.
     pub(crate) fn zone_admits_attempt(&self, zone: &str) -> bool {
         let state = self.zones.tracker.state(zone).filter(|_| self.zone_is_returning(zone));
         state.is_none_or(|state| state.ramp.admits(&self.policy.zones))
     }
 
-    /// Notes what became of a task attempt, if the zone of its machine returns.
-    pub(crate) fn note_zone_attempt(&mut self, machine: &MachineId, outcome: ZoneAttemptEvent) {
+    /// Records an event of a task attempt if the zone of its machine is returning.
+    pub(crate) fn note_zone_attempt(&mut self, machine: &MachineId, event: ZoneAttemptEvent) {
         if !self.handles_zone_failures() {
             return;
         }
@@ -34,7 +34,7 @@
             return;
         }
         let Some(state) = self.zones.tracker.state_mut(zone) else { return };
-        match outcome {
+        match event {
             ZoneAttemptEvent::Decided => state.ramp.started(),
             ZoneAttemptEvent::Withdrawn => state.ramp.withdrawn(),
             ZoneAttemptEvent::Running => state.ramp.succeeded(),
@@ -42,8 +42,8 @@
         }
     }
 
-    /// A task attempt is proven gone. If it came to run since its zone returned, and was not to be stopped, it counts as a
-    /// loss in the zone's return.
+    /// Records a task attempt that is proven absent as a loss in the return of its zone, if it first ran after the
+    /// return began and was not being stopped.
     pub(crate) fn note_zone_attempt_lost(&mut self, attempt: &TaskAttempt) {
         if !self.handles_zone_failures() || attempt.stop_grace_s.is_some() {
             return;
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Zones in which no instance may be created now. `planned_counts`: the instances planned so far in zones that return.
+    /// Returns the zones in which no instance may be created now. `planned_counts` holds the instances planned so far
+    /// in returning zones.
     pub(crate) fn zones_closed_to_scale_out(&self, planned_counts: &BTreeMap<String, u32>) -> BTreeSet<String> {
         let mut closed = BTreeSet::new();
         if !self.handles_zone_failures() {
--- a/src/coordination/zones/mod.rs
+++ b/src/coordination/zones/mod.rs
@@ -1,13 +1,14 @@
-//! Zones as a whole: their conditions, evacuation of lost ones, gradual return, and replicas that move between them.
+//! Handling of whole zones: their conditions, evacuation of lost zones, gradual return, and moves of replicas between
+//! zones.
 //!
-//! Takes the package `burlhatch_zones` into the controller. Each holder of a shard judges zones by its own machines and
-//! stores its view under its lease on the shard; from all views every controller derives the same conditions (see
-//! `docs/zones.md`). Owns the zone tracker, the views being written, the displaced replicas and those that move. Reads the
-//! replica of the store, the fleet, jobs and usage.
+//! Integrates the crate `burlhatch_zones` into the controller. Each holder of a shard evaluates zones by its own
+//! machines and stores its view on the precondition that it holds the shard; from all views every controller derives
+//! the same conditions (see `docs/zones.md`). Owns the zone tracker, the views being written, the displaced replicas
+//! and the replicas being moved. Reads the replica of the store, the fleet, jobs and usage.
 //!
-//! Promises that nothing starts elsewhere before the old attempt is proven gone, and that no machine is deleted for its
-//! zone before the controllers agree that the zone is lost. What else follows from a condition is decided where such work
-//! is decided already: [`crate::coordination::scheduling`] asks which zones take work, and
+//! Guarantees that no task starts elsewhere before its old attempt is proven absent, and that no machine is deleted
+//! because of its zone before the controllers agree that the zone is lost. Other modules apply the conditions in their
+//! own decisions: [`crate::coordination::scheduling`] asks which zones accept work, and
 //! [`crate::coordination::autoscaling`] plans around lost zones.
 
 pub(crate) mod conditions;
@@ -29,30 +30,30 @@
 struct MovingReplica {
     /// The zone that it leaves.
     from_zone: String,
-    /// When it was told to stop.
+    /// Time at which its stop was decided.
     stopped_at: Micros,
 }
 
-/// What the controller knows about zones.
+/// The controller's state of zone handling.
 #[derive(Default)]
 pub(crate) struct ZoneControl {
     tracker: ZoneTracker,
     next_evaluation_at: Micros,
-    /// Views on their way to the store, by zone and shard.
+    /// Views whose writes to the store are in flight, by zone and shard.
     views_being_written: BTreeSet<(String, u32)>,
-    /// Tasks of services on machines of lost zones, and replicas that move, by job.
+    /// Numbers of service tasks on machines of lost zones and of replicas being moved, by job.
     displaced_counts: BTreeMap<JobId, u32>,
     evacuation_log: EvacuationLog,
     disruption_budget: DisruptionBudget,
     moving_replicas: BTreeMap<JobId, MovingReplica>,
-    /// Since when services had capacity only in zones that they had better avoid.
+    /// Time since which a service has found capacity only in zones that it should avoid.
     avoiding_since: BTreeMap<JobId, Micros>,
-    /// The job at which the last search for replicas to move ended.
+    /// Job at which the last search for replicas to move ended.
     last_searched_job: Option<JobId>,
 }
 
 impl ZoneControl {
-    /// Whether a zone takes any new work: operators did not cordon it, and it is not lost.
+    /// Whether a zone accepts new work: it is neither cordoned by operators nor lost.
     fn takes_work(&self, zone: &str) -> bool {
         !self.tracker.is_cordoned(zone) && !self.is_lost(zone)
     }
@@ -65,17 +66,18 @@
         self.tracker.condition(zone) == Condition::Returning
     }
 
-    /// How many replicas of a job are displaced.
+    /// Returns the number of displaced replicas of a job.
     pub(crate) fn displaced_count(&self, id: &JobId) -> u32 {
         self.displaced_counts.get(id).copied().unwrap_or(0)
     }
 
-    /// Since when a service has had capacity only in zones that it avoids.
+    /// Returns the time since which a service has found capacity only in zones that it should avoid, starting at `now`
+    /// if none is recorded.
     fn avoiding_since(&mut self, id: &JobId, now: Micros) -> Micros {
         *self.avoiding_since.entry(id.clone()).or_insert(now)
     }
 
-    /// A task of a service has found a machine.
+    /// Clears that time after a task of the service was placed.
     pub(crate) fn stop_avoiding(&mut self, id: &JobId) {
         self.avoiding_since.remove(id);
     }
--- a/src/coordination/zones/replica_moves.rs
+++ b/src/coordination/zones/replica_moves.rs
@@ -1,9 +1,9 @@
-//! Replicas of services that move to another zone although nothing forces them to: out of a zone that operators cordoned,
-//! or out of the one zone in which all replicas of a service ended up.
+//! Voluntary moves of service replicas to another zone: out of a zone that operators cordoned, or out of the only zone
+//! in which all replicas of a service run.
 //!
-//! One of a service at a time, and only when a machine elsewhere has capacity and its image, so that the service misses it
-//! only for a moment. The stop and the new start are ordinary ones: the start is recorded after the old attempt is proven
-//! gone.
+//! One replica of a service moves at a time, and normally only if a machine elsewhere has capacity and the image, so
+//! that the service misses it only briefly. Stop and start use the usual paths: the start is recorded after the old
+//! attempt is proven absent.
 
 use crate::coordination::Controller;
 use crate::coordination::jobs::job::Job;
@@ -17,16 +17,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// Jobs that one search takes in; the next goes on from there.
+/// Jobs that one search covers; the next search continues after them.
 const JOBS_PER_SEARCH: usize = 64;
 
-/// A replica that does not run elsewhere after this is no longer kept out of the zone that it left.
-const MAX_MOVE_SPAN: Micros = Micros::from_millis(60_000);
+/// Time after which a replica that does not run elsewhere yet may return to the zone that it left.
+const MOVE_TIMEOUT: Micros = Micros::from_millis(60_000);
 
 impl Controller {
-    /// Looks at a few services and moves at most one replica.
+    /// Searches the next few jobs for a replica to move, and moves at most one.
     pub(super) fn move_replicas(&mut self) {
-        self.forget_finished_moves();
+        self.remove_finished_moves();
         let tracker = &self.zones.tracker;
         let may_move = tracker.has_cordoned_zones() || self.policy.zones.rebalance;
         if !may_move || self.is_any_zone_lost() {
@@ -40,26 +40,26 @@
         }
     }
 
-    /// Forgets moves whose replica runs elsewhere, or that came to nothing.
-    fn forget_finished_moves(&mut self) {
+    /// Removes moves that are complete or have timed out, and those of finished services.
+    fn remove_finished_moves(&mut self) {
         let now = self.now();
         let jobs = &self.jobs;
         self.zones.moving_replicas.retain(|id, moving| {
             let is_unfinished = jobs.get(id).is_some_and(|job| job.outcome.is_none() && !all_replicas_run(job));
-            is_unfinished && now.since(moving.stopped_at) < MAX_MOVE_SPAN
+            is_unfinished && now.since(moving.stopped_at) < MOVE_TIMEOUT
         });
     }
 
-    /// The services held here among the next few jobs.
+    /// Returns the unfinished services in shards held by this controller among the next `JOBS_PER_SEARCH` jobs.
     fn next_services_to_search(&mut self) -> Vec<JobId> {
         let after = self.zones.last_searched_job.take().map_or(Bound::Unbounded, Bound::Excluded);
         let searched: Vec<&JobId> = self.jobs.ids_from(after).take(JOBS_PER_SEARCH).collect();
         let last = searched.last().map(|id| (*id).clone());
-        let is_our_service = |id: &&JobId| {
+        let is_held_service = |id: &&JobId| {
             let job = self.jobs.get(id).filter(|job| job.spec.kind == JobKind::Service && job.outcome.is_none());
             job.is_some_and(|job| self.holds(Role::Shard(job.shard)))
         };
-        let services = searched.into_iter().filter(is_our_service).cloned().collect();
+        let services = searched.into_iter().filter(is_held_service).cloned().collect();
         self.zones.last_searched_job = last;
         services
     }
@@ -86,12 +86,12 @@
         wanted
     }
 
-    /// Whether searching for places is worth it at all.
+    /// Whether a service may need a move, which avoids the search for places otherwise.
     fn may_need_move(&self, replicas: &ServiceReplicas) -> bool {
         let in_cordoned_zone = replicas.running_by_zone.keys().any(|zone| self.zones.tracker.is_cordoned(zone));
         let replica_count = replicas.running_by_zone.values().map(Vec::len).sum::<usize>();
-        let is_gathered = replicas.running_by_zone.len() == 1 && replica_count > 1;
-        replicas.is_complete && (in_cordoned_zone || (self.policy.zones.rebalance && is_gathered))
+        let is_in_one_zone = replicas.running_by_zone.len() == 1 && replica_count > 1;
+        replicas.is_complete && (in_cordoned_zone || (self.policy.zones.rebalance && is_in_one_zone))
     }
 
     fn replicas_of(&self, id: &JobId, job: &Job) -> ServiceReplicas {
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Whether a replica that leaves a zone would run there at once; or, if operators have waited long enough for the
-    /// zone to be empty, after a fetch.
+    /// Whether a replica that leaves `from_zone` can start on a machine immediately, or after an image fetch if
+    /// `from_zone` has been cordoned for `hold_wait_ms`.
     fn is_ready_for(&self, job: &Job, candidate: &CandidateMachine, from_zone: &str) -> bool {
         let has_image = self.fleet.machine(&candidate.id).is_some_and(|machine| machine.has_image(&job.spec.image));
         let is_up = self.zones.tracker.condition(&candidate.zone) == Condition::Up;
@@ -134,8 +134,8 @@
         self.zones.moving_replicas.insert(id, MovingReplica { from_zone, stopped_at: now });
     }
 
-    /// Zones that a job's next task had better avoid: one that a replica of it is moving out of, and those that fail again
-    /// and again if all of its replicas would be there.
+    /// Returns the zones that the next task of a service should avoid: the zone that one of its replicas is moving out
+    /// of, and the distrusted zones if it has no replica in a trusted one.
     pub(crate) fn zones_to_avoid(&self, id: &JobId, job: &Job, distrusted: &BTreeSet<String>) -> BTreeSet<String> {
         let mut avoided = BTreeSet::new();
         if !self.handles_zone_failures() || job.spec.kind != JobKind::Service {
@@ -152,7 +152,7 @@
         avoided
     }
 
-    /// Whether a service that found no place outside the zones it avoids takes one there: it has waited long enough.
+    /// Whether a service that finds no place outside the zones it should avoid has waited long enough to use them.
     pub(crate) fn may_use_avoided_zones(&mut self, id: &JobId) -> bool {
         let now = self.now();
         let max_wait = Micros::from_millis(self.policy.zones.distrust_wait_ms);
--- a/src/coordination/zones/replica_places.rs
+++ b/src/coordination/zones/replica_places.rs
@@ -1,4 +1,4 @@
-//! Places on the machines of a shard, given to replicas one by one while it is planned which machines to evacuate.
+//! Provisional places for replicas on the machines of a shard, assigned one by one while evacuations are planned.
 
 use crate::coordination::jobs::job::Job;
 use crate::coordination::scheduling::placement_rules::PlacementRules;
@@ -6,27 +6,27 @@
 use crate::types::{JobId, MachineId, Resources};
 use std::collections::BTreeMap;
 
-/// A place that was taken for a replica of a job.
+/// A place on a machine that is provisionally assigned to a replica of a job.
 pub(super) struct ReplicaPlace {
     job: JobId,
     machine_index: usize,
     resources: Resources,
 }
 
-/// Machines that take work, with what the replicas planned so far leave of them.
+/// Machines that accept work, with the capacity left by the replicas planned so far.
 pub(super) struct ReplicaPlaces<'a> {
     machines: Vec<CandidateMachine>,
-    /// What each job's rules allow beside the replicas planned so far.
+    /// Placement rules of each job, which take the replicas planned so far into account.
     rules: BTreeMap<JobId, PlacementRules<'a>>,
 }
 
 impl<'a> ReplicaPlaces<'a> {
-    /// The places that these machines have beyond what is reserved there.
+    /// Creates the places that these machines offer in their unreserved capacity.
     pub(super) fn new(machines: Vec<CandidateMachine>) -> ReplicaPlaces<'a> {
         ReplicaPlaces { machines, rules: BTreeMap::new() }
     }
 
-    /// Takes a place for one more replica of a job, with its image if there is one.
+    /// Takes a place for one more replica of a job, preferably on a machine that has its image.
     pub(super) fn take(
         &mut self,
         id: &JobId,
@@ -46,8 +46,8 @@
         Some(ReplicaPlace { job: id.clone(), machine_index, resources: job.resources })
     }
 
-    /// A place is not needed after all.
-    pub(super) fn give_back(&mut self, place: ReplicaPlace) {
+    /// Releases a place that is not needed.
+    pub(super) fn release(&mut self, place: ReplicaPlace) {
         let machine = &mut self.machines[place.machine_index];
         machine.unreserve(&place.resources);
         if let Some(rules) = self.rules.get_mut(&place.job) {
--- a/src/coordination/zones/restoration.rs
+++ b/src/coordination/zones/restoration.rs
@@ -11,12 +11,12 @@
         self.handles_zone_failures() && self.zones.tracker.is_restoring(self.now(), &self.policy.zones)
     }
 
-    /// Whether batch work of which nothing has begun has its turn among the services, with one task.
+    /// Whether a job is a starved batch job that gets a turn among the services during restoration, with one task.
     pub(crate) fn is_starved_in_restoration(&self, id: &JobId) -> bool {
         self.is_restoring() && self.as_waiting_job(id).is_some_and(|job| job.is_starved(&self.policy.zones))
     }
 
-    /// Jobs in the order in which they are restored.
+    /// Returns the jobs in the order in which they are restored.
     pub(crate) fn in_restoration_order(&self, waiting: &[JobId]) -> Vec<JobId> {
         let jobs = waiting.iter().filter_map(|id| self.as_waiting_job(id)).collect();
         restoration_order(jobs, &self.policy.zones).into_iter().cloned().collect()
@@ -44,7 +44,7 @@
     }
 }
 
-/// The higher goes first.
+/// Returns the rank of a priority in the order of restoration; a higher rank comes first.
 fn rank(priority: Priority) -> u8 {
     match priority {
         Priority::Low => 0,
--- a/src/coordination/zones/stored_views.rs
+++ b/src/coordination/zones/stored_views.rs
@@ -1,5 +1,5 @@
-//! The stored views of zones, by zone and shard: read from the replica into the tracker, and written for the shards held
-//! here. Also the cordons that operators put on zones.
+//! Stored views of zones, by zone and shard: loaded from the replica of the store into the tracker, and written for the
+//! shards held by this controller. Also loads the cordons that operators put on zones.
 
 use crate::coordination::Controller;
 use crate::coordination::store_sync::{ProposedTxn, TxnPurpose};
@@ -7,7 +7,7 @@
 use burlhatch_zones::OutdatedRecord;
 
 impl Controller {
-    /// All views and cordons, once the stored records are read.
+    /// Loads all views and cordons after the stored records have been read.
     pub(crate) fn load_zones(&mut self) {
         let views: Vec<(String, u32)> = self.store.replica.zone_views.keys().cloned().collect();
         for (zone, shard) in views {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// A shard's view of a zone was stored or removed, or the shard has another holder.
+    /// Updates the tracker after a shard's view of a zone was stored or removed, or the shard's holder has changed.
     pub(crate) fn zone_view_changed(&mut self, zone: &str, shard: u32) {
         if !self.handles_zone_failures() {
             return;
@@ -35,7 +35,7 @@
         self.zones.tracker.set_view(zone, shard, view, now, &self.policy.zones);
     }
 
-    /// A shard has another holder: which views count as votes follows from that.
+    /// Updates the views of a shard after a change of its holder, which determines whether they count as votes.
     pub(crate) fn zone_views_of_role_changed(&mut self, role: Role) {
         let Role::Shard(shard) = role else { return };
         let views = self.store.replica.zone_views.keys().filter(|(_, of_shard)| *of_shard == shard);
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Operators have cordoned a zone, or lifted the cordon.
+    /// Updates the tracker after operators have cordoned a zone or lifted the cordon.
     pub(crate) fn zone_cordon_changed(&mut self, zone: &str) {
         let is_cordoned = self.store.replica.zone_cordons.contains_key(zone);
         if self.handles_zone_failures() && self.zones.tracker.is_cordoned(zone) != is_cordoned {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Stores what has changed in the views of the shards held here, each on the precondition that the shard is still
+    /// Writes the changed views of the shards held by this controller, each on the precondition that the shard is still
     /// held.
     pub(super) fn write_zone_views(&mut self) {
         let unreadable = self.unreadable_views();
@@ -77,14 +77,15 @@
         }
     }
 
-    /// Views of the shards held here that can't be read and that nothing else takes the place of.
+    /// Returns deletions of the unreadable views of the shards held by this controller. They apply only to views that
+    /// no outdated record replaces.
     fn unreadable_views(&self) -> Vec<OutdatedRecord> {
         let unreadable = self.store.replica.zone_views.iter().filter(|(_, stored)| stored.value.is_none());
         let ours = unreadable.filter(|((_, shard), _)| self.holds(Role::Shard(*shard)));
         ours.map(|((zone, shard), _)| OutdatedRecord { zone: zone.clone(), shard: *shard, record: None }).collect()
     }
 
-    /// The write of a view has succeeded or failed.
+    /// Records that the write of a view has succeeded or failed.
     pub(crate) fn zone_view_txn_finished(&mut self, name: &(String, u32)) {
         self.zones.views_being_written.remove(name);
     }
