--- a/crates/zones/src/condition.rs
+++ b/crates/zones/src/condition.rs
@@ -13,7 +13,7 @@
     #[default]
     #[serde(rename = "up")]
     Up,
-    /// Some holder finds most of its machines there unresponsive; nothing is concluded yet.
+    /// A holder finds most of its machines there unresponsive; the loss is not confirmed yet.
     #[serde(rename = "suspected")]
     Suspected,
     /// Most of its machines are unresponsive to their holders.
--- a/crates/zones/src/fetches.rs
+++ b/crates/zones/src/fetches.rs
@@ -27,12 +27,12 @@
         self.count_by_zone.get(zone).copied().unwrap_or(0)
     }
 
-    /// Whether a machine on which `pending_on_machine` images wait may be given one more to fetch.
+    /// Whether a machine with `pending_on_machine` images waiting to be fetched may be given one more.
     pub fn admits(&self, zone: &str, pending_on_machine: u32, settings: &ZoneSettings) -> bool {
         is_below_limit(settings.fetches_per_machine, pending_on_machine) && self.zone_admits(zone, settings)
     }
 
-    /// Whether any machine of a zone may be given one more to fetch.
+    /// Whether the machines of a zone may be given one more image to fetch.
     pub fn zone_admits(&self, zone: &str, settings: &ZoneSettings) -> bool {
         is_below_limit(settings.fetches_per_zone, self.in_zone(zone))
     }
--- a/src/coordination/zones/evacuation.rs
+++ b/src/coordination/zones/evacuation.rs
@@ -219,7 +219,7 @@
         zones.flat_map(|zone| tracker.machines(zone)).filter(needs_evacuation).cloned().collect()
     }
 
-    /// Returns the condition of the machine or its zone that prevents its deletion now, if any.
+    /// Returns the reason why the state of a machine or of its zone prevents its deletion now, if any.
     fn evacuation_block(&self, id: &MachineId) -> Option<EvacuationBlock> {
         let min_span = Micros::from_millis(self.policy.zones.evacuate_after_ms);
         let zone = &self.store.replica.machines.get(id)?.value.zone;
--- a/src/coordination/zones/mod.rs
+++ b/src/coordination/zones/mod.rs
@@ -77,7 +77,7 @@
         *self.avoiding_since.entry(id.clone()).or_insert(now)
     }
 
-    /// Clears that time after a task of the service was placed.
+    /// Clears the time returned by `avoiding_since` after a task of the service was placed.
     pub(crate) fn stop_avoiding(&mut self, id: &JobId) {
         self.avoiding_since.remove(id);
     }
--- a/src/coordination/zones/replica_places.rs
+++ b/src/coordination/zones/replica_places.rs
@@ -35,9 +35,9 @@
         has_image: impl Fn(&MachineId) -> bool,
     ) -> Option<ReplicaPlace> {
         let rules = self.rules.entry(id.clone()).or_insert_with(rules);
-        let is_place =
+        let is_suitable =
             |machine: &CandidateMachine| job.resources.fits_in(&machine.unreserved()) && rules.allow(machine);
-        let mut places = self.machines.iter().enumerate().filter(|(_, machine)| is_place(machine)).peekable();
+        let mut places = self.machines.iter().enumerate().filter(|(_, machine)| is_suitable(machine)).peekable();
         let first = places.peek().map(|(index, _)| *index)?;
         let machine_index = places.find(|(_, machine)| has_image(&machine.id)).map_or(first, |(index, _)| index);
         let machine = &mut self.machines[machine_index];
