--- a/crates/testbed/src/agent/faults.rs
+++ b/crates/testbed/src/agent/faults.rs
@@ -1,25 +1,26 @@
-//! Faults of one agent, each for a while.
+//! Faults injected into one agent, each for a limited time.
 
 use serde::{Deserialize, Serialize};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What goes wrong with one agent. The names in plans are mapped by `serde(rename)`.
+/// A fault of one agent. `serde(rename)` maps it to its name in plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AgentFault {
-    /// Its process is stalled, and goes on with what has come meanwhile if its lease lasts.
+    /// The agent's process is stalled. Afterwards it executes the commands that arrived meanwhile, unless its
+    /// lease has expired.
     #[serde(rename = "Hung")]
     Stalled,
-    /// Its heartbeats arrive; responses and direct commands don't.
+    /// The agent's heartbeats are delivered, but responses and direct commands don't reach it.
     #[serde(rename = "Deaf")]
     ReceivesNothing,
-    /// Its heartbeats reach nobody; direct commands arrive.
+    /// The agent's heartbeats are lost, but direct commands reach it.
     #[serde(rename = "Mute")]
     LosesHeartbeats,
-    /// Direct commands don't reach it; responses to its heartbeats do.
+    /// Direct commands are lost, but responses to heartbeats reach the agent.
     #[serde(rename = "Unreachable")]
     LosesCommands,
-    /// Direct commands are held up on their way, unanswered, and executed when the fault is over.
+    /// Direct commands get no response and are executed only when the fault ends.
     #[serde(rename = "LateCommands")]
     DelaysCommands,
 }
@@ -29,7 +30,7 @@
     ends_at: Instant,
 }
 
-/// The faults of one agent that are not over.
+/// The faults of one agent that have not ended. Ended ones may remain in the list, and are ignored.
 #[derive(Default)]
 pub(super) struct ActiveFaults(Mutex<Vec<ActiveFault>>);
 
@@ -42,13 +43,13 @@
         self.ends_at(fault).is_some()
     }
 
-    pub(super) async fn wait_until_over(&self, fault: AgentFault) {
+    pub(super) async fn wait_until_ended(&self, fault: AgentFault) {
         while let Some(ends_at) = self.ends_at(fault) {
             tokio::time::sleep_until(ends_at.into()).await;
         }
     }
 
-    /// When the last one of a kind is over; none if there is none now.
+    /// Returns the time at which the last active fault of this kind ends, or `None` if none is active.
     fn ends_at(&self, fault: AgentFault) -> Option<Instant> {
         let now = Instant::now();
         let active = self.locked();
--- a/crates/testbed/src/agent/heartbeats.rs
+++ b/crates/testbed/src/agent/heartbeats.rs
@@ -1,4 +1,4 @@
-//! An agent's heartbeats: to which controller they go, and what their responses bring.
+//! An agent's heartbeats: the choice of the controller that receives them, and the handling of its responses.
 
 use super::faults::AgentFault;
 use super::tasks::AgentState;
@@ -14,28 +14,28 @@
 use std::time::{Duration, Instant};
 
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
-/// Pause before a heartbeat to another controller after a failed one.
+/// Pause between a failed heartbeat and the next one, which goes to another controller.
 const RETRY_PAUSE: Duration = Duration::from_millis(1000);
-/// Pause before a heartbeat to the controller that a redirect names.
+/// Pause between a redirect and the heartbeat to the controller that it names.
 const REDIRECT_PAUSE: Duration = Duration::from_millis(50);
-/// Changes are sent at once, but no sooner after the last heartbeat than this.
+/// Minimum time between two heartbeats when a change makes the second one due early.
 const MIN_HEARTBEAT_PAUSE: Duration = Duration::from_millis(500);
 
-/// Sends heartbeats until it is dropped.
+/// Sends heartbeats until the task is dropped.
 pub(super) async fn heartbeat_loop(agent: Arc<Agent>, own_address: SocketAddr) {
     let client = Client::default();
     let mut target = TargetController::new(&agent);
     loop {
-        agent.faults.wait_until_over(AgentFault::Stalled).await;
+        agent.faults.wait_until_ended(AgentFault::Stalled).await;
         let sent_at = Instant::now();
         let heartbeat = agent.next_heartbeat(own_address);
         let response = agent.send(&client, target.address(&agent), &heartbeat).await;
-        agent.faults.wait_until_over(AgentFault::Stalled).await;
+        agent.faults.wait_until_ended(AgentFault::Stalled).await;
         let response = response.filter(|_| !agent.loses_response(sent_at));
         let pause = match response {
             Some(response) if response.status == StatusCode::OK => {
                 if let Ok(response) = response.decode() {
-                    agent.take_response(&response, sent_at, heartbeat.incarnation);
+                    agent.handle_response(&response, sent_at, heartbeat.incarnation);
                 }
                 agent.environment.heartbeat_interval
             }
@@ -68,7 +68,8 @@
         self.position += 1;
     }
 
-    /// Follows a redirect; the pause before the next heartbeat.
+    /// Switches to the controller that a redirect names, or to the next one if it names no other known controller.
+    /// Returns the pause before the next heartbeat.
     fn redirect(&mut self, response: &HttpResponse) -> Duration {
         let owner = response.decode::<Redirect>().ok().and_then(|redirect| redirect.controller);
         let named = owner.and_then(|owner| self.labels.iter().position(|label| *label == owner));
@@ -86,7 +87,8 @@
 }
 
 impl Agent {
-    /// Sends a heartbeat, unless a fault loses it.
+    /// Sends a heartbeat and returns the response. While the network or a fault loses heartbeats, waits for the timeout
+    /// instead.
     async fn send(&self, client: &Client, controller: SocketAddr, heartbeat: &Heartbeat) -> Option<HttpResponse> {
         if self.network.is_partitioned() || self.faults.has(AgentFault::LosesHeartbeats) {
             tokio::time::sleep(HEARTBEAT_TIMEOUT).await;
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Waits until the next heartbeat is due, sooner if something changes.
+    /// Waits until the next heartbeat is due: after `pause`, or earlier if there are unsent changes.
     async fn wait_for_change(&self, pause: Duration) {
         let started_at = Instant::now();
         while started_at.elapsed() < pause {
@@ -134,7 +136,7 @@
         }
     }
 
-    fn take_response(&self, response: &HeartbeatResponse, sent_at: Instant, incarnation: u64) {
+    fn handle_response(&self, response: &HeartbeatResponse, sent_at: Instant, incarnation: u64) {
         let mut state = self.locked();
         if response.fencing_token < state.fencing_token || incarnation != state.incarnation || state.has_terminated {
             return;
--- a/crates/testbed/src/agent/mod.rs
+++ b/crates/testbed/src/agent/mod.rs
@@ -1,9 +1,9 @@
-//! A stand-in for a machine with its agent: it sends heartbeats, keeps a lease, obeys the highest fencing token, and
-//! runs tasks that only wait.
+//! A stand-in for a machine with its agent: it sends heartbeats, holds a lease, accepts commands only under the highest
+//! fencing token that it has received, and runs simulated tasks, which only wait.
 //!
-//! * `faults`: what goes wrong with it;
-//! * `heartbeats`: its heartbeats and what their responses bring;
-//! * `tasks`: its tasks and the commands that start and stop them.
+//! * `faults`: faults injected into the agent;
+//! * `heartbeats`: heartbeats and the handling of their responses;
+//! * `tasks`: tasks and the commands that start and stop them.
 
 mod faults;
 mod heartbeats;
@@ -29,23 +29,23 @@
 
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How a zone's machines are connected.
+/// Whether the machines of a zone can communicate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connectivity {
-    /// They reach everybody.
+    /// The machines reach all controllers and are reached by them.
     Connected,
-    /// Nothing gets through; their tasks go on.
+    /// No message reaches or leaves the machines; their tasks continue to run.
     Partitioned,
 }
 
-/// The network of one zone's machines, changed by scenarios. Clones share it.
+/// The network of the machines in one zone, controlled by scenarios. Clones share its state.
 #[derive(Clone, Default)]
 pub struct ZoneNetwork {
     is_partitioned: Arc<AtomicBool>,
 }
 
 impl ZoneNetwork {
-    /// Partitions the zone off, or connects it again.
+    /// Partitions the zone's machines from the controllers, or reconnects them.
     pub fn set(&self, connectivity: Connectivity) {
         self.is_partitioned.store(connectivity == Connectivity::Partitioned, Ordering::SeqCst);
     }
@@ -55,33 +55,33 @@
     }
 }
 
-/// What all machines of a run share.
+/// Data and settings that all machines of a run share.
 #[derive(Clone)]
 pub struct Environment {
-    /// Addresses of the controllers, by label.
+    /// Addresses at which agents reach the controllers, by label.
     pub controllers: BTreeMap<String, SocketAddr>,
     /// Descriptions of the jobs that users have submitted.
     pub jobs: Arc<Mutex<BTreeMap<JobId, JobSpec>>>,
-    /// Record of what happens.
+    /// Record of events of the run.
     pub history: History,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Lease of an agent: without an answered heartbeat for so long it ends its tasks.
+    /// Duration of an agent's lease. The agent ends its tasks after this time without an answered heartbeat.
     pub lease: Duration,
 }
 
 /// A machine's properties.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its name.
+    /// Id of the machine.
     pub id: MachineId,
-    /// Name of its type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Its CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
 }
 
@@ -99,7 +99,7 @@
     }
 }
 
-/// A machine that runs; gone, with all its tasks, when this is dropped.
+/// A running machine. Dropping it terminates the machine with all its tasks.
 pub struct RunningMachine {
     agent: Arc<Agent>,
     _loops: JoinSet<()>,
@@ -107,7 +107,7 @@
 }
 
 impl RunningMachine {
-    /// Starts a machine.
+    /// Starts a machine with its agent.
     pub async fn start(machine: Machine, network: ZoneNetwork, environment: Environment) -> io::Result<RunningMachine> {
         let (faults, state) = (ActiveFaults::default(), Mutex::new(AgentState::new()));
         let agent = Arc::new(Agent { machine, network, faults, environment, state });
@@ -123,19 +123,19 @@
         Ok(RunningMachine { agent, _loops: loops, _server: server })
     }
 
-    /// Ids of the tasks that run there.
+    /// Returns the ids of the tasks that run on the machine.
     pub fn running_tasks(&self) -> Vec<String> {
         let state = self.agent.locked();
         let running = state.tasks.iter().filter(|(_, task)| task.state == TaskState::Running);
         running.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Lets its agent have a fault for a while.
+    /// Injects a fault into the machine's agent for the given time.
     pub fn inject_fault(&self, fault: AgentFault, duration: Duration) {
         self.agent.faults.add(fault, duration);
     }
 
-    /// Its zone.
+    /// Returns the zone of the machine.
     pub fn zone(&self) -> &str {
         &self.agent.machine.zone
     }
@@ -145,7 +145,7 @@
     fn drop(&mut self) {
         let mut state = self.agent.locked();
         self.agent.end_all_tasks(&mut state);
-        // Calls that are still running may not start anything any more.
+        // Requests that are still being handled must not start tasks after this.
         state.has_terminated = true;
     }
 }
--- a/crates/testbed/src/agent/tasks.rs
+++ b/crates/testbed/src/agent/tasks.rs
@@ -1,4 +1,4 @@
-//! An agent's tasks, and the commands that start and stop them.
+//! An agent's tasks and the commands that start and stop them.
 
 use super::Agent;
 use super::faults::AgentFault;
@@ -13,16 +13,17 @@
 use std::sync::PoisonError;
 use std::time::{Duration, Instant};
 
-/// Time to fetch any image.
+/// Time to fetch an image, whatever its size.
 const IMAGE_FETCH_TIME: Duration = Duration::from_millis(400);
-/// Error of sums of CPUs.
+/// Tolerance for rounding errors in sums of CPUs.
 const CPU_TOLERANCE: f64 = 1e-9;
 
 #[derive(Clone, Debug)]
 pub(super) struct Task {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
-    /// When its image is there, or when it is done; none if it runs until it is stopped.
+    /// The time at which the image is fetched or the running task completes; `None` for a task that runs until it is
+    /// stopped.
     next_step_at: Option<Instant>,
 }
 
@@ -32,14 +33,14 @@
     pub(super) fencing_token: FencingToken,
     pub(super) lease_renewed_at: Instant,
     pub(super) tasks: BTreeMap<String, Task>,
-    /// Exited tasks, by id and attempt, until a command removes them.
+    /// Causes of exited tasks, by task id and attempt, kept until a command removes them.
     pub(super) exited: BTreeMap<(String, u64), ExitCause>,
     images: BTreeSet<String>,
-    /// Whether the next heartbeat is due early.
+    /// Whether anything has changed since the last heartbeat, so that the next one is due early.
     pub(super) has_unsent_changes: bool,
-    /// When a higher fencing token last counted as a change.
+    /// The last time that a higher fencing token was treated as a change to report.
     token_changed_at: Option<Instant>,
-    /// The machine is gone.
+    /// Whether the machine has been deleted or lost.
     pub(super) has_terminated: bool,
 }
 
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Keeps the highest fencing token. A higher one is reported at once, though only once within half a lease.
+    /// Stores the highest fencing token received. A higher one makes the next heartbeat due early, but at most once in
+    /// half a lease.
     pub(super) fn update_fencing_token(&mut self, fencing_token: FencingToken, lease: Duration) {
         if fencing_token <= self.fencing_token {
             return;
@@ -73,14 +75,14 @@
 }
 
 impl Agent {
-    /// Executes direct commands as far as the agent's faults let them through.
+    /// Receives direct commands: drops or delays them if the agent's faults say so, and handles the others.
     pub(super) async fn receive_direct_commands(&self, request: &ReceivedRequest) -> Reply {
         if self.faults.has(AgentFault::ReceivesNothing) || self.faults.has(AgentFault::LosesCommands) {
             return None;
         }
         let is_delayed = self.faults.has(AgentFault::DelaysCommands);
-        self.faults.wait_until_over(AgentFault::DelaysCommands).await;
-        self.faults.wait_until_over(AgentFault::Stalled).await;
+        self.faults.wait_until_ended(AgentFault::DelaysCommands).await;
+        self.faults.wait_until_ended(AgentFault::Stalled).await;
         self.handle_direct_commands(request).filter(|_| !is_delayed)
     }
 
@@ -135,7 +137,7 @@
         state.tasks.insert(id.to_string(), task);
     }
 
-    /// Whether a task can be started here, or why not.
+    /// Checks whether a task can be started on this machine; the error is the cause with which it exits.
     fn admit(&self, state: &AgentState, id: &str) -> Result<(), ExitCause> {
         let spec = self.spec_of(id).ok_or(ExitCause::Unknown)?;
         if state.tasks.contains_key(id) {
@@ -153,7 +155,7 @@
         self.environment.jobs.lock().unwrap_or_else(PoisonError::into_inner).get(&job).cloned()
     }
 
-    /// Lets time pass: the lease may expire, and tasks go on.
+    /// Advances the agent to the current time: expires the lease if it is due, and moves due tasks to their next state.
     pub(super) fn step(&self) {
         let now = Instant::now();
         let mut state = self.locked();
@@ -166,7 +168,7 @@
             state.lease_renewed_at = now;
             state.has_unsent_changes = true;
         }
-        // Its lease expires while it is stalled, too; nothing else goes on.
+        // The lease expires even while the agent is stalled, but its tasks make no progress.
         if self.faults.has(AgentFault::Stalled) {
             return;
         }
--- a/crates/testbed/src/cloud.rs
+++ b/crates/testbed/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud: it provisions machines by zone, lists them, and deletes them with all that is on them.
+//! A stand-in for the cloud: it provisions machines by zone, lists them, and deletes them with their tasks.
 
 use crate::agent::{AgentFault, Connectivity, Environment, Machine, RunningMachine, ZoneNetwork};
 use crate::http::{ReceivedRequest, Reply, serve};
@@ -13,11 +13,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The only type of machine.
+/// The only machine type that the cloud offers.
 const MACHINE_TYPE: &str = "four";
 /// CPUs of each machine.
 const CPUS: f64 = 4.0;
-/// Time from a request until the machine runs.
+/// Time from the request for a machine until it runs.
 const STARTUP_TIME: Duration = Duration::from_millis(1500);
 
 struct ProvisionedMachine {
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct CloudState {
     machines: BTreeMap<MachineId, ProvisionedMachine>,
-    /// Machines of each request, so that a repeated one gets the same.
+    /// Machines provisioned for each request id, so that a repeated request gets the same machines.
     requests: BTreeMap<String, Vec<MachineId>>,
     last_number: u32,
     max_machines: usize,
@@ -43,14 +43,14 @@
         self.machines.values().filter_map(|provisioned| provisioned.running.as_ref())
     }
 
-    /// Whether a machine can start, or has failed or been deleted meanwhile.
+    /// Returns whether a machine may start: it is neither deleted nor failed, and its zone is not failed.
     fn can_start(&self, id: &MachineId) -> bool {
         let is_startable = |m: &ProvisionedMachine| !m.has_failed && !self.failed_zones.contains(&m.machine.zone);
         self.machines.get(id).is_some_and(is_startable)
     }
 }
 
-/// A task that runs, and the zone of its machine.
+/// A running task with the zone of its machine.
 pub struct RunningTask {
     /// Id of the task.
     pub task: String,
@@ -58,7 +58,7 @@
     pub zone: String,
 }
 
-/// The cloud, and a handle on it for scenarios.
+/// The cloud. Clones share its state; scenarios control it through them.
 #[derive(Clone)]
 pub struct Cloud {
     state: Arc<Mutex<CloudState>>,
@@ -67,7 +67,7 @@
 }
 
 impl Cloud {
-    /// A cloud with these zones that provisions at most so many machines at a time.
+    /// Creates a cloud with these zones in which at most `max_machines` exist at a time, failed ones not counted.
     pub fn new(zones: &[String], max_machines: usize, environment: Environment) -> Cloud {
         let networks = zones.iter().map(|zone| (zone.clone(), ZoneNetwork::default())).collect();
         let state = CloudState { max_machines, ..CloudState::default() };
@@ -78,18 +78,18 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Refuses everybody, or serves again.
+    /// Starts or stops refusing all requests.
     pub fn set_unavailable(&self, is_unavailable: bool) {
         self.locked().is_unavailable = is_unavailable;
     }
 
-    /// Lets the agents of one in so many running machines, beginning with the first, have a fault.
+    /// Injects a fault into the agents of every `one_in`th running machine, beginning with the first.
     pub fn inject_agent_fault(&self, one_in: usize, fault: AgentFault, duration: Duration) {
         let state = self.locked();
         state.running().step_by(one_in.max(1)).for_each(|machine| machine.inject_fault(fault, duration));
     }
 
-    /// Starts to serve.
+    /// Starts the HTTP server of the cloud.
     pub(crate) async fn start(&self) -> io::Result<Server> {
         let cloud = self.clone();
         serve(move |request| {
@@ -99,14 +99,14 @@
         .await
     }
 
-    /// Partitions a zone's machines off, or connects them again.
+    /// Partitions the machines of a zone from the controllers, or reconnects them.
     pub fn set_connectivity(&self, zone: &str, connectivity: Connectivity) {
         if let Some(network) = self.networks.get(zone) {
             network.set(connectivity);
         }
     }
 
-    /// All machines of a zone are gone at once, and none starts there until it is restored.
+    /// Terminates all machines of a zone at once. No machine starts there until the zone is restored.
     pub fn kill_zone(&self, zone: &str) {
         let mut state = self.locked();
         state.failed_zones.insert(zone.to_string());
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Machines start in a zone again.
+    /// Lets machines start in a zone again.
     pub fn restore_zone(&self, zone: &str) {
         self.locked().failed_zones.remove(zone);
     }
 
-    /// All tasks that run.
+    /// Returns all running tasks.
     pub fn running_tasks(&self) -> Vec<RunningTask> {
         let state = self.locked();
         let tasks_of = |machine: &RunningMachine| {
@@ -131,12 +131,13 @@
         state.running().flat_map(tasks_of).collect()
     }
 
-    /// Number of machines that run in a zone.
+    /// Returns the number of machines that run in a zone.
     pub fn machine_count(&self, zone: &str) -> usize {
         self.locked().running().filter(|machine| machine.zone() == zone).count()
     }
 
-    /// Provisions machines, as far as there is capacity; they run a while later.
+    /// Provisions up to `count` machines, limited by the free capacity, and returns their ids. The machines run after a
+    /// startup time.
     pub fn provision(&self, zone: &str, spot: bool, count: u32) -> Vec<MachineId> {
         let mut state = self.locked();
         let used = state.machines.values().filter(|provisioned| !provisioned.has_failed).count();
@@ -193,7 +194,7 @@
         Some(reply)
     }
 
-    /// A repeated request gets the machines of the first one.
+    /// Answers a request for machines. A repeated request gets the machines of the first one.
     fn answer_instance_request(&self, request: InstanceRequest) -> (u16, Value) {
         let earlier = self.locked().requests.get(&request.request).cloned();
         let names = earlier.unwrap_or_else(|| self.provision(&request.zone, request.spot, request.count));
