--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,6 +1,7 @@
-//! Controllers as real processes, with everything around them.
+//! A cluster on loopback: controllers as real processes, with stand-ins for all services that they call.
 //!
-//! Owns: the controllers' processes, the stand-ins, and the proxies between them (`network`). All end with it.
+//! A [`Cluster`] owns the controllers' processes, the stand-ins and the proxies between them (`network`). All of them
+//! end when it is dropped.
 
 mod network;
 mod settings;
@@ -32,26 +33,26 @@
 const HEALTHY_LIMIT: Duration = Duration::from_secs(20);
 const POLICY_FILE: &str = "policy.json";
 
-/// How a cluster is set up.
+/// Configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Path of the built program.
+    /// Path of the controller's executable.
     pub program: PathBuf,
-    /// Folder of settings and logs.
+    /// Directory for settings and logs.
     pub directory: PathBuf,
-    /// Zone of each controller.
+    /// Zone of each controller, in the order of their numbers.
     pub controller_zones: Vec<String>,
     /// All zones.
     pub zones: Vec<String>,
-    /// Machines that run in each zone at the start.
+    /// Number of machines that are provisioned in each zone at the start.
     pub machines_per_zone: u32,
-    /// Most machines at a time.
+    /// Maximum number of machines at a time.
     pub max_machines: usize,
-    /// The operators' policy, in JSON.
+    /// Operators' policy, in JSON.
     pub policy: String,
-    /// Lease of an agent.
+    /// Duration of an agent's lease.
     pub lease: Duration,
-    /// How soon tasks of a cancelled job must be gone.
+    /// Time within which all tasks of a cancelled job must have ended.
     pub cancel_limit: Duration,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
@@ -63,36 +64,37 @@
     network: ControllerNetwork,
     public: SocketAddr,
     settings: PathBuf,
+    /// `None` unless the controller has been started and not killed since.
     process: Option<Child>,
 }
 
-/// A running cluster. Its processes end with it.
+/// A running cluster. Dropping it kills its processes.
 pub struct Cluster {
     config: ClusterConfig,
     controllers: BTreeMap<String, Controller>,
-    /// The store.
+    /// The store that all controllers use.
     pub store: KeyValueStore,
-    /// The cloud with all machines.
+    /// The cloud, which runs all machines.
     pub cloud: Cloud,
-    /// What all machines share.
+    /// Data and settings that all machines share.
     pub environment: Environment,
     client: Client,
     _network: Network,
 }
 
-/// Why a scenario can't go on.
+/// An error that ends a scenario.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// An error of files, sockets or processes.
     #[error("{0}")]
     Io(#[from] io::Error),
     /// A condition did not hold in time.
-    #[error("{what} did not come about within {limit:?}")]
-    NotInTime {
-        /// What was waited for.
-        what: String,
-        /// For how long.
-        limit: Duration,
+    #[error("timed out after {timeout:?} waiting for {condition}")]
+    Timeout {
+        /// Description of the condition.
+        condition: String,
+        /// Time for which the condition was awaited.
+        timeout: Duration,
     },
 }
 
@@ -113,7 +115,7 @@
         Ok(cluster)
     }
 
-    /// Starts everything but machines and controllers, and writes the controllers' settings.
+    /// Starts the stand-ins and the proxies and writes the controllers' settings. Starts no machines or controllers.
     async fn prepare(config: ClusterConfig) -> Result<Cluster, ClusterError> {
         std::fs::create_dir_all(&config.directory)?;
         std::fs::write(config.directory.join(POLICY_FILE), &config.policy)?;
@@ -141,34 +143,34 @@
         Ok(Cluster { config, controllers, store, cloud, environment, client, _network: network })
     }
 
-    /// Settings file of one controller, for commands of the program.
-    pub fn settings_of(&self, label: &str) -> Option<&Path> {
+    /// Returns the settings file of one controller, which commands of the controller's executable need, too.
+    pub fn settings_path(&self, label: &str) -> Option<&Path> {
         self.controllers.get(label).map(|controller| controller.settings.as_path())
     }
 
-    /// Public addresses of the controllers that run.
+    /// Returns the public addresses of the running controllers.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         let running = self.controllers.values().filter(|controller| controller.process.is_some());
         running.map(|controller| controller.public).collect()
     }
 
-    /// Labels of all controllers.
+    /// Returns the labels of all controllers.
     pub fn labels(&self) -> Vec<String> {
         self.controllers.keys().cloned().collect()
     }
 
-    /// The network of one controller.
+    /// Returns the controls of one controller's network.
     pub fn network(&self, label: &str) -> ControllerNetwork {
         self.controllers.get(label).map(|controller| controller.network.clone()).unwrap_or_default()
     }
 
-    /// Starts a controller that does not run.
+    /// Starts a controller unless it is running.
     pub fn restart_controller(&mut self, label: &str) -> io::Result<()> {
         let is_running = self.controllers.get(label).is_none_or(|controller| controller.process.is_some());
         if is_running { Ok(()) } else { self.start_controller(label) }
     }
 
-    /// Controllers whose processes ended by themselves since they were started.
+    /// Returns the labels of the controllers whose processes have exited without having been killed by the testbed.
     pub fn crashed_controllers(&mut self) -> Vec<String> {
         let has_ended = |process: &mut Child| matches!(process.try_wait(), Ok(Some(_)));
         let crashed = self.controllers.iter_mut().filter_map(|(label, controller)| {
@@ -177,11 +179,11 @@
         crashed.collect()
     }
 
-    /// Stops a controller's process without ending it, or lets it go on.
+    /// Suspends the process of a controller, or resumes it.
     pub fn pause_controller(&self, label: &str, pause: bool) {
         if let Some(process) = self.controllers.get(label).and_then(|controller| controller.process.as_ref()) {
             let signal = if pause { "-STOP" } else { "-CONT" };
-            // A process that has ended gets none.
+            // Fails if the process has ended, which is reported by `crashed_controllers`.
             let _ = Command::new("kill").arg(signal).arg(process.id().to_string()).status();
         }
     }
@@ -212,19 +214,19 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(ClusterError::NotInTime { what: format!("{label} serving"), limit: HEALTHY_LIMIT })
+        Err(ClusterError::Timeout { condition: format!("{label} to become healthy"), timeout: HEALTHY_LIMIT })
     }
 
-    /// Kills one controller's process.
+    /// Kills the process of one controller.
     pub fn kill_controller(&mut self, label: &str) {
         if let Some(mut process) = self.controllers.get_mut(label).and_then(|controller| controller.process.take()) {
-            // Fails only for a process that has ended.
+            // Fails only if the process has already ended.
             let _ = process.kill();
             let _ = process.wait();
         }
     }
 
-    /// Loses a zone at once: its controllers, its machines and all connections to them.
+    /// Kills all controllers and terminates all machines of a zone at once.
     pub fn kill_zone(&mut self, zone: &str) {
         self.cloud.kill_zone(zone);
         for label in self.labels_in(zone) {
@@ -232,7 +234,7 @@
         }
     }
 
-    /// Brings a zone back: machines can be provisioned, and its controllers start.
+    /// Starts the controllers of a zone and lets machines start there again.
     pub fn restore_zone(&mut self, zone: &str) -> io::Result<()> {
         self.cloud.restore_zone(zone);
         for label in self.labels_in(zone) {
@@ -246,21 +248,22 @@
         in_zone.map(|(label, _)| label.clone()).collect()
     }
 
-    /// Waits until a condition holds; how long that took.
+    /// Waits until a condition holds and returns the time that this took. The error names the condition by its
+    /// `description`.
     pub async fn wait_for(
         &self,
-        what: &str,
-        limit: Duration,
+        description: &str,
+        timeout: Duration,
         mut condition: impl FnMut(&Cluster) -> bool,
     ) -> Result<Duration, ClusterError> {
         let started_at = Instant::now();
-        while started_at.elapsed() < limit {
+        while started_at.elapsed() < timeout {
             if condition(self) {
                 return Ok(started_at.elapsed());
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(ClusterError::NotInTime { what: what.to_string(), limit })
+        Err(ClusterError::Timeout { condition: description.to_string(), timeout })
     }
 }
 
--- a/crates/testbed/src/cluster/network.rs
+++ b/crates/testbed/src/cluster/network.rs
@@ -1,4 +1,5 @@
-//! The network around the controllers: every connection runs through a fault-injecting proxy.
+//! The network between controllers, agents, store and cloud. Connections to controllers and from them to the services
+//! run through fault-injecting proxies.
 
 use super::ClusterError;
 use super::settings::{ControllerAddresses, label};
@@ -11,29 +12,29 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// The network of one controller, to be cut piece by piece.
+/// Controls of one controller's network, one for each kind of connection. Clones share the controls.
 #[derive(Clone, Default)]
 pub struct ControllerNetwork {
-    /// Connections to the store.
+    /// Connections from the controller to the store.
     pub store: ProxyControl,
-    /// While set, the store refuses this controller.
+    /// Whether the store refuses all requests of this controller.
     pub is_refused_by_store: Arc<AtomicBool>,
-    /// Connections to the cloud.
+    /// Connections from the controller to the cloud.
     pub cloud: ProxyControl,
-    /// Connections from all agents.
+    /// Connections from all agents to the controller.
     pub agents: ProxyControl,
-    /// Connections to all siblings.
+    /// Connections from the controller to all siblings.
     pub siblings: ProxyControl,
 }
 
-/// Addresses at which one controller listens.
+/// Addresses on which one controller listens.
 #[derive(Clone, Copy)]
 pub(super) struct ListenAddresses {
     pub(super) public: SocketAddr,
     pub(super) peer: SocketAddr,
 }
 
-/// Proxies between the controllers and everything else. They end when this is dropped.
+/// Proxies for the connections of all controllers, and the servers behind them. They end when this is dropped.
 pub(super) struct Network {
     pub(super) controllers: Vec<ControllerNetwork>,
     pub(super) listen_addresses: Vec<ListenAddresses>,
@@ -41,23 +42,23 @@
 }
 
 impl Network {
-    /// Chooses addresses for so many controllers.
+    /// Chooses listen addresses for `controller_count` controllers.
     pub(super) fn new(controller_count: usize) -> io::Result<Network> {
         let free = |_| Ok(ListenAddresses { public: free_address()?, peer: free_address()? });
         let listen_addresses = (0..controller_count).map(free).collect::<io::Result<Vec<_>>>()?;
-        // Not `vec![..; n]`: clones share their controls.
+        // Not `vec![..; n]`: clones would share their controls.
         let controllers = (0..controller_count).map(|_| ControllerNetwork::default()).collect();
         Ok(Network { controllers, listen_addresses, servers: Vec::new() })
     }
 
-    /// Keeps a server for as long as the network.
+    /// Keeps a server running until the network is dropped. Returns its address.
     pub(super) fn add_server(&mut self, server: Server) -> SocketAddr {
         let address = server.address;
         self.servers.push(server);
         address
     }
 
-    /// Starts the proxies between agents and controllers; addresses of the controllers for agents, by label.
+    /// Starts the proxies from agents to controllers. Returns the proxies' addresses by the label of the controller.
     pub(super) async fn start_agent_proxies(&mut self) -> io::Result<BTreeMap<String, SocketAddr>> {
         let mut addresses = BTreeMap::new();
         for number in 0..self.controllers.len() {
@@ -68,7 +69,8 @@
         Ok(addresses)
     }
 
-    /// Starts a store endpoint and the proxies for what one controller calls.
+    /// Starts the store endpoint of one controller and the proxies to the services and siblings that it calls. Returns
+    /// the addresses for its settings.
     pub(super) async fn start_controller_proxies(
         &mut self,
         number: usize,
--- a/crates/testbed/src/cluster/settings.rs
+++ b/crates/testbed/src/cluster/settings.rs
@@ -1,25 +1,25 @@
-//! The settings file of a controller.
+//! Settings files of controllers.
 
 use super::ClusterConfig;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Addresses that one controller listens at and calls, the latter through proxies.
+/// Addresses on which one controller listens, and addresses of the proxies through which it calls others.
 pub(super) struct ControllerAddresses {
     pub(super) public: SocketAddr,
     pub(super) peer: SocketAddr,
     pub(super) store: SocketAddr,
     pub(super) cloud: SocketAddr,
-    /// Its siblings, by their number.
+    /// Proxies to the siblings, by the sibling's number.
     pub(super) siblings: BTreeMap<usize, SocketAddr>,
 }
 
-/// Label of a controller by its number.
+/// Returns the label of the controller with this number.
 pub(super) fn label(number: usize) -> String {
     format!("node-{number}")
 }
 
-/// The settings of one controller, in the platform's format.
+/// Renders the settings of one controller as TOML.
 pub(super) fn render_settings(config: &ClusterConfig, addresses: &ControllerAddresses, number: usize) -> String {
     let ControllerAddresses { public, peer, store, cloud, siblings } = addresses;
     let zones = &config.controller_zones;
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,6 +1,6 @@
-//! Plans of faults, drawn from a seed or read from a file, and how they are injected.
+//! Plans of faults, drawn from a seed or read from a file, and the injection of these faults.
 //!
-//! The JSON form of plans is older than the names here: `serde(rename)` maps it.
+//! `serde(rename)` maps the names in this file to those of the JSON form of plans.
 
 use crate::agent::AgentFault;
 use crate::cluster::Cluster;
@@ -12,51 +12,53 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// What goes wrong. A controller is named by its number, modulo their count.
+/// A fault. Controllers are given by their number, modulo the number of controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// A controller's process is killed, and started again at the end.
+    /// A controller's process is killed, and started again when the fault ends.
     ControllerDown(usize),
-    /// A controller's process is stalled.
+    /// A controller's process is suspended.
     ControllerPaused(usize),
-    /// The store refuses one controller.
+    /// The store refuses all requests of one controller.
     #[serde(rename = "state_refuses_one")]
     StoreRefusesOne(usize),
-    /// The network between a controller and the store holds everything back.
+    /// Traffic between a controller and the store is held back until the fault ends.
     #[serde(rename = "state_held")]
     StoreHeld(usize),
-    /// A controller is cut off from the store and its siblings, not from agents.
+    /// A controller's connections to the store and its siblings are reset; agents still reach it.
     #[serde(rename = "state_and_siblings_reset")]
     StoreAndSiblingsReset(usize),
-    /// The same, and agents' heartbeats reach only that controller: whoever takes over can't reach the machines.
+    /// A controller's connections to its siblings are reset, and its traffic with the store is held back. Agents'
+    /// heartbeats reach only this controller, and direct commands are lost, so that a sibling that takes over its roles
+    /// can't reach the machines.
     #[serde(rename = "workers_reach_only")]
     AgentsReachOnly(usize),
-    /// A controller is cut off from its siblings.
+    /// A controller's connections to its siblings are reset.
     SiblingsReset(usize),
-    /// No agent reaches a controller, and what was sent is held back.
+    /// Traffic from agents to a controller is held back until the fault ends.
     #[serde(rename = "workers_held")]
     AgentsHeld(usize),
-    /// The store refuses everybody.
+    /// The store refuses all requests.
     #[serde(rename = "state_down")]
     StoreDown,
-    /// Some transactions get no answer and are committed late.
+    /// Some transactions get no response and are committed late.
     LateWrites,
-    /// The cloud refuses everybody.
+    /// The cloud refuses all requests.
     CloudDown,
-    /// The agent of one in so many machines, beginning with the first, has a fault.
+    /// The agents of every nth running machine, beginning with the first, have a fault. Fields: n and the fault.
     #[serde(rename = "workers")]
     Agents(usize, AgentFault),
 }
 
-/// A fault with its time.
+/// A fault with the time and duration of its injection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// When it begins, counted from the start of the first tasks.
+    /// Time at which the fault begins, counted from the time when the first task runs.
     #[serde(rename = "at_ms")]
     pub begins_at_ms: u64,
-    /// How long it lasts.
+    /// Duration of the fault.
     #[serde(rename = "for_ms")]
     pub duration_ms: u64,
     /// The fault.
@@ -64,18 +66,19 @@
     pub fault: Fault,
 }
 
-/// One in so many transactions is late during [`Fault::LateWrites`].
+/// During [`Fault::LateWrites`], one in this many transactions is late.
 const LATE_TXN_INTERVAL: u64 = 4;
 const LATE_TXN_DELAY: Duration = Duration::from_secs(3);
-/// Faults of a group that overlap.
+/// Number of faults in a group, which overlap.
 const FAULTS_PER_GROUP: std::ops::RangeInclusive<usize> = 2..=3;
-/// Downtime of a controller that restarts at once, also during an election.
+/// Downtime of the first controller in a series of restarts; that of each further one is 300 ms longer. Restarts may
+/// fall into an election.
 const FAST_RESTART_MS: u64 = 200;
-/// Controllers that restart one after the other in a series.
+/// Number of controllers that restart one after the other in a series.
 const RESTART_SERIES_LENGTH: u64 = 4;
 const RESTART_SERIES_STEP_MS: u64 = 1500;
 
-/// Draws a plan: groups of two or three faults that overlap, some of them with a series of controllers that restart.
+/// Draws a plan: groups of two or three overlapping faults, some of them with a series of controller restarts.
 pub fn draw_plan(seed: u64, span: Duration, lease: Duration, cancel_limit: Duration) -> Vec<PlannedFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let [span_ms, lease_ms, cancel_ms] = [span, lease, cancel_limit].map(|duration| duration.as_millis() as u64);
@@ -96,7 +99,7 @@
     plan
 }
 
-/// Short, around a lease, or longer than a cancellation may take.
+/// Draws a duration that is short, close to a lease, or at least the time limit of a cancellation.
 fn draw_duration_ms(rng: &mut StdRng, lease_ms: u64, cancel_ms: u64) -> u64 {
     match rng.random_range(0..3) {
         0 => rng.random_range(500..3000),
@@ -136,13 +139,13 @@
 /// Whether a fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultPhase {
-    /// It begins.
+    /// The fault begins.
     Begin,
-    /// It ends.
+    /// The fault ends.
     End,
 }
 
-/// Begins or ends a fault. Agents' faults end by themselves.
+/// Begins or ends a fault. Faults of agents are injected with their duration, so ending them does nothing.
 pub fn apply_fault(cluster: &mut Cluster, planned: &PlannedFault, phase: FaultPhase) -> io::Result<()> {
     let begins = phase == FaultPhase::Begin;
     let duration = Duration::from_millis(planned.duration_ms);
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins: one handler for all requests, bodies in the protocol's encoding.
+//! A small HTTP server for stand-ins, with one handler for all requests and response bodies in the protocol's encoding.
 
 use crate::listener::{Server, listen};
 use burlhatch::protocol::encode;
@@ -14,29 +14,30 @@
 use std::io;
 use std::sync::Arc;
 
-/// A request as a handler sees it.
+/// A request as passed to a handler.
 pub struct ReceivedRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// Parameters of the query.
+    /// Query parameters, not percent-decoded.
     pub query: BTreeMap<String, String>,
-    /// Body.
+    /// Encoded body.
     pub body: Bytes,
 }
 
 impl ReceivedRequest {
-    /// A number in the query, 0 if it is missing.
+    /// Returns a numeric query parameter, or 0 if it is missing or not a number.
     pub fn number(&self, name: &str) -> u64 {
         self.query.get(name).and_then(|text| text.parse().ok()).unwrap_or(0)
     }
 }
 
-/// A reply: status and body. Without one the connection is dropped, as by a machine that is gone.
+/// Status code and body of a response. With `None` the connection is closed without a response, as if the server had
+/// vanished.
 pub type Reply = Option<(u16, Value)>;
 
-/// Serves requests at a free port.
+/// Serves requests on a free port.
 pub(crate) async fn serve<H, F>(handler: H) -> io::Result<Server>
 where
     H: Fn(ReceivedRequest) -> F + Send + Sync + 'static,
@@ -47,14 +48,14 @@
         let handler = handler.clone();
         let service = service_fn(move |request| answer(handler.clone(), request));
         async move {
-            // A client that breaks off is no event.
+            // Fails if the client closes the connection early or the handler gives no reply; neither is an error here.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         }
     })
     .await
 }
 
-/// The connection is dropped without a response.
+/// Makes the server close the connection without a response.
 #[derive(Debug, thiserror::Error)]
 #[error("no reply")]
 struct NoReply;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,8 @@
-//! Everything around the controllers, on loopback: stand-ins for the store, the cloud and machines with their agents,
-//! simulated users, injected faults, and a checker of what happened. The controllers are real processes of the built
-//! program.
+//! Runs controllers as real processes on loopback, among stand-ins for the store, the cloud and machines with their
+//! agents. Simulated users submit jobs, faults are injected, and the recorded history of the run is checked.
 //!
-//! The stand-ins implement the protocol as far as the scenarios need it. Each run has ports of its own, ends its own
-//! processes by their ids, and waits for conditions, never for fixed times.
+//! The stand-ins implement the protocol as far as the scenarios need it. Each run uses its own ports, kills only its
+//! own processes by their ids, and waits for conditions instead of fixed times.
 
 pub mod agent;
 pub mod cloud;
--- a/crates/testbed/src/listener.rs
+++ b/crates/testbed/src/listener.rs
@@ -1,4 +1,4 @@
-//! The accept loop that all servers of the testbed share, and free ports for processes that bind their own.
+//! The accept loop that all servers of the testbed share, and free addresses for processes that bind their own ports.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,14 +6,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinSet;
 
-/// First of the ports that no outgoing connection gets from the system: a port outside them that was free a moment ago
-/// could be taken as the local end of some connection before a process listens there.
+/// First port of a range that the system does not use as ephemeral ports. An ephemeral port that was free when it was
+/// chosen could become the local port of an outgoing connection before the process listens on it.
 const FIRST_PORT: u32 = 20_000;
 const PORT_COUNT: u32 = 10_000;
-/// Processes begin their search this far from each other, so that runs side by side don't meet.
+/// Distance between the ports at which two processes with consecutive ids begin their search, so that parallel runs
+/// rarely try the same ports.
 const PORTS_BETWEEN_PROCESSES: u32 = 97;
 
-/// An address on loopback at which nobody listens, another one each time.
+/// Returns a loopback address whose port is free. Successive calls return different addresses.
 pub fn free_address() -> io::Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(PORTS_BETWEEN_PROCESSES);
@@ -27,19 +28,20 @@
     Err(io::Error::from(io::ErrorKind::AddrInUse))
 }
 
-/// A server on loopback. It ends, with all its connections, when this is dropped.
+/// A server on loopback. Dropping it closes the listener and all connections.
 pub struct Server {
-    /// Address at which it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     _tasks: JoinSet<()>,
 }
 
-/// Listens at a free port and handles each connection in a task of its own.
+/// Listens on a free port and handles each connection in its own task.
 pub(crate) async fn listen<F>(handle: impl Fn(TcpStream) -> F + Send + 'static) -> io::Result<Server>
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    // Bound at once, so any free port will do: one that is looked for first may be another process's by then.
+    // The system chooses the port and binds it in one step. A port that is chosen first and bound later may be taken by
+    // another process in between.
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let mut tasks = JoinSet::new();
@@ -51,7 +53,7 @@
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    // Connections end with the server.
+    // Owned by this task, so that all connections end when the server is dropped.
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
--- a/crates/testbed/src/network_proxy.rs
+++ b/crates/testbed/src/network_proxy.rs
@@ -1,4 +1,4 @@
-//! A fault-injecting proxy on loopback: it forwards bytes, holds them back, or resets connections.
+//! A fault-injecting TCP proxy on loopback, which forwards data, holds it back, or resets connections.
 
 use crate::listener::{Server, listen};
 use std::io;
@@ -11,26 +11,28 @@
 use tokio::task::JoinSet;
 
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Held bytes are delivered if the proxy forwards again within this time, however long their sender has gone.
+/// Maximum time for which data is held back. If the proxy forwards again within it, the data is delivered even if the
+/// sender has closed the connection; otherwise it is dropped.
 const MAX_HOLD_TIME: Duration = Duration::from_secs(120);
 
-/// What a proxy does with what is sent through it.
+/// Treatment of connections and their data by a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Forwards it.
+    /// Data is forwarded.
     Forward,
-    /// Holds it back, and delivers it in order when the proxy forwards again, also if the sender has given up by then.
+    /// Data is held back, and delivered in order when the proxy forwards again, even if the sender has closed the
+    /// connection by then.
     Hold,
-    /// Resets connections.
+    /// Open and new connections are closed at once.
     Reset,
 }
 
-/// Sets the mode of proxies. Clones control the same ones.
+/// Controls the mode of one or more proxies. Clones control the same proxies.
 #[derive(Clone)]
 pub struct ProxyControl(watch::Sender<ProxyMode>);
 
 impl ProxyControl {
-    /// Sets the mode from now on.
+    /// Sets the mode, also for open connections.
     pub fn set(&self, mode: ProxyMode) {
         self.0.send_replace(mode);
     }
@@ -48,12 +50,12 @@
 }
 
 async fn forward_connection(client: TcpStream, target: SocketAddr, mut mode: watch::Receiver<ProxyMode>) {
-    // While the proxy holds, nothing reaches the target, not even a connection.
+    // In hold mode nothing reaches the target, not even a new connection.
     if *mode.borrow() == ProxyMode::Reset || wait_while_held(&mut mode).await.is_err() {
         return;
     }
     let Ok(server) = TcpStream::connect(target).await else { return };
-    // Only a matter of latency: the connections work without it.
+    // TCP_NODELAY only reduces latency; the connections work without it.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
@@ -67,8 +69,8 @@
     }
 }
 
-/// Forwards one direction: what was read is delivered as soon as the proxy forwards, even if its sender has closed
-/// since.
+/// Forwards the data of one direction. Data that has been read is delivered as soon as the proxy forwards, even if the
+/// sender has closed the connection in the meantime.
 async fn forward_direction(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut mode: watch::Receiver<ProxyMode>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(count) = from.read(&mut buffer).await {
@@ -80,9 +82,10 @@
     let _ = to.shutdown().await;
 }
 
-/// The proxy resets connections, or is gone.
+/// Error of a connection whose proxy resets connections or whose control has been dropped.
 struct ConnectionReset;
 
+/// Waits until the proxy leaves hold mode.
 async fn wait_while_held(mode: &mut watch::Receiver<ProxyMode>) -> Result<(), ConnectionReset> {
     let mode = mode.wait_for(|mode| *mode != ProxyMode::Hold).await.map_err(|_| ConnectionReset)?;
     if *mode == ProxyMode::Reset { Err(ConnectionReset) } else { Ok(()) }
