--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -1,35 +1,36 @@
-//! A record of what happened on machines and what users were told, and a checker of the rules that it must keep.
+//! A record of the tasks on machines and of the statuses that users received, and a checker of the rules that this
+//! record must satisfy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Something that happened.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A task has its image: from now on it is on its machine.
+    /// A task has fetched its image and starts to run. From then on it counts as present on its machine.
     TaskStarted {
         /// The machine.
         machine: String,
         /// The task.
         task: String,
     },
-    /// A task is not on its machine any more.
+    /// A task is no longer present on its machine.
     TaskLeft {
         /// The machine.
         machine: String,
         /// The task.
         task: String,
-        /// Whether it ran to completion.
+        /// Whether the task ran to completion.
         done: bool,
     },
     /// A user received the status of a job.
     StatusReceived {
         /// The job.
         job: String,
-        /// The status, `unknown` for 404.
+        /// The status; `unknown` for a response with code 404.
         status: String,
-        /// When the user asked, in microseconds since the history began.
+        /// Time at which the user sent the request, in microseconds since the history began.
         asked_us: u64,
     },
 }
@@ -55,25 +56,25 @@
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Microseconds since the history began.
+    /// Returns the microseconds since the history began.
     pub fn now_us(&self) -> u64 {
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// Adds an event that happens now.
+    /// Adds an event with the current time.
     pub fn add(&self, event: Event) {
         let mut events = self.locked();
         let at = self.now_us();
         events.push((at, event));
     }
 
-    /// All events so far.
+    /// Returns all events so far.
     pub fn events(&self) -> Vec<TimedEvent> {
         self.locked().clone()
     }
 }
 
-/// The violations of rules by a history; none if all is well.
+/// Checks the events of a run and returns the violations of rules. `task_counts` holds the number of tasks of each job.
 pub fn violations(events: &[TimedEvent], task_counts: &BTreeMap<String, u32>) -> Vec<String> {
     let mut checker = RuleChecker::default();
     for (at, event) in events {
@@ -82,20 +83,21 @@
     checker.violations
 }
 
-/// What became of the tasks of cancelled jobs.
+/// Summary of how the tasks of cancelled jobs ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CancellationSummary {
-    /// Number of jobs that a user was told to be cancelled.
+    /// Number of jobs of which a user received the status `withdrawn`, that is, cancelled.
     pub cancelled_jobs: usize,
-    /// Number of tasks that started after that.
+    /// Number of tasks of these jobs that started after a user had received that status.
     pub started_after: usize,
-    /// The longest time after that until a task left its machine.
+    /// The longest time from the receipt of that status until a task left its machine.
     pub longest_us: u64,
-    /// Tasks that were on a machine, or started there, after the time allowed.
+    /// Violations: tasks that were present on a machine, or started there, after the time allowed.
     pub late: Vec<String>,
 }
 
-/// Compares what was on machines with when any user was first told that its job is cancelled.
+/// Summarizes how the tasks of cancelled jobs ended. Tasks have the time `allowed` to end, counted from when the first
+/// user received the status of the cancelled job.
 pub fn summarize_cancellations(events: &[TimedEvent], allowed: Duration) -> CancellationSummary {
     let mut checker = CancellationChecker::new(events, allowed);
     for (at, event) in events {
@@ -106,9 +108,9 @@
 
 struct CancellationChecker<'a> {
     allowed_us: u64,
-    /// When any user was first told that a job is cancelled.
+    /// Time at which the first user received the status of a cancelled job, by job.
     cancelled_at: BTreeMap<&'a str, u64>,
-    /// Machines and tasks that are on them.
+    /// Pairs of a machine and a task that is present there.
     present: BTreeSet<(&'a str, &'a str)>,
     summary: CancellationSummary,
 }
@@ -128,7 +130,8 @@
         CancellationChecker { allowed_us, cancelled_at, present: BTreeSet::new(), summary }
     }
 
-    /// Time since a user was told that a task's job is cancelled, if one was.
+    /// Returns the time from when the first user received the status of a cancelled job until `at`, or `None` if the
+    /// task's job was not known as cancelled at that time.
     fn since_cancellation(&self, task: &str, at: u64) -> Option<u64> {
         let (job, _) = task.rsplit_once('/')?;
         at.checked_sub(*self.cancelled_at.get(job)?)
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Adds the tasks that never left.
+    /// Adds the tasks that were still present at the end of the history, and returns the summary.
     fn finish(mut self, end: u64) -> CancellationSummary {
         for (machine, task) in std::mem::take(&mut self.present) {
             if self.since_cancellation(task, end).is_some_and(|after| after > self.allowed_us) {
@@ -169,13 +172,13 @@
 
 #[derive(Default)]
 struct RuleChecker {
-    /// Machines on which each task is.
+    /// Machines on which each task is present.
     machines_of: BTreeMap<String, BTreeSet<String>>,
     /// Tasks that ran to completion.
     done: BTreeSet<String>,
-    /// The first final status of each job that a user received, and when.
+    /// The first final status that a user received for each job, with the time of receipt.
     final_status: BTreeMap<String, (u64, String)>,
-    /// Jobs whose status a user received.
+    /// Jobs for which a user received a status other than `unknown`.
     accepted: BTreeSet<String>,
     violations: Vec<String>,
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line of the testbed: long runs of scenarios on loopback, and reports of measurements.
+//! Command line of the testbed: runs of scenarios on loopback, and reports of measurements.
 
 use burlhatch_testbed::faults::{PlannedFault, draw_plan};
 use burlhatch_testbed::report::{html, read_samples};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Runs burlhatch's controllers among stand-ins on loopback, and makes reports of measurements.
+/// Runs burlhatch controllers on loopback, with stand-ins for their services, and renders reports of measurements.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -21,22 +21,22 @@
 
 #[derive(Subcommand)]
 enum Action {
-    /// Run the loss and return of a zone, once or several times
+    /// Run a scenario in which a zone is lost and returns, once or several times
     Zone {
         /// Path of the built controller
         #[arg(long, default_value = "target/release/burlhatch")]
         program: PathBuf,
-        /// What happens to the zone
+        /// Fault of the zone
         #[arg(long = "trouble")]
         fault: FaultName,
-        /// The operators' policy (JSON)
+        /// Operators' policy (JSON)
         #[arg(long, default_value = r#"{"zones": {"enabled": true}}"#)]
         policy: String,
         /// Number of runs
         #[arg(long = "times", default_value_t = 1)]
         run_count: u32,
     },
-    /// Let users submit and cancel jobs while overlapping faults are injected, which are drawn from seeds
+    /// Submit and cancel jobs while overlapping faults are injected, all drawn from seeds
     Soak {
         /// Path of the built controller
         #[arg(long, default_value = "target/release/burlhatch")]
@@ -47,25 +47,25 @@
         /// Number of seeds
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
         count: u64,
-        /// Number of seeds that run at a time
+        /// Maximum number of seeds that run in parallel
         #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=8))]
         at_once: u64,
-        /// Number of controllers, 3 or 5; by default one or the other, depending on the seed
-        #[arg(long, value_parser = controllers)]
+        /// Number of controllers, 3 or 5; by default it depends on the seed
+        #[arg(long, value_parser = parse_controller_count)]
         controllers: Option<usize>,
         /// Number of machines that run at the start
         #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u32).range(1..=400))]
         machines: u32,
-        /// For how many seconds faults are injected
+        /// Duration of the fault injection, in seconds
         #[arg(long, default_value_t = 45, value_parser = clap::value_parser!(u64).range(5..=3600))]
         seconds: u64,
-        /// File with a list of faults (JSON), instead of drawn ones
+        /// JSON file with a list of faults to inject, instead of faults drawn from the seed
         #[arg(long)]
         plan: Option<PathBuf>,
     },
-    /// Make an HTML report of samples
+    /// Render samples as an HTML report
     Report {
-        /// File with the samples, one JSON object a line
+        /// File with the samples, one JSON object per line
         samples: PathBuf,
         /// HTML file to write
         page: PathBuf,
@@ -75,14 +75,14 @@
     },
 }
 
-/// Parses the number of controllers.
-fn controllers(text: &str) -> Result<usize, String> {
+fn parse_controller_count(text: &str) -> Result<usize, String> {
     match text.parse() {
         Ok(count @ (3 | 5)) => Ok(count),
-        _ => Err("3 or 5".into()),
+        _ => Err("must be 3 or 5".into()),
     }
 }
 
+/// Values of `zone --trouble`.
 #[derive(Clone, Copy, ValueEnum)]
 enum FaultName {
     Killed,
@@ -111,18 +111,18 @@
     }
 }
 
-/// Whether no rule was broken.
+/// Executes a command. Returns false if a run failed or violated a rule.
 fn run(action: Action) -> Result<bool, Box<dyn Error>> {
     match action {
         Action::Zone { program, fault, policy, run_count } => {
-            play_zone_fault(&program, fault.into(), &policy, run_count)
+            run_zone_fault(&program, fault.into(), &policy, run_count)
         }
         Action::Soak { program, seed, count, at_once, controllers, machines, seconds, plan } => {
             let plan = plan.map(|path| read_plan(&path)).transpose()?;
             let options = SoakOptions { program, controllers, machines, span: Duration::from_secs(seconds), plan };
             let runs = (seed..seed.saturating_add(count)).map(|seed| options.run(seed)).collect();
             let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-            runtime.block_on(play_soak_runs(runs, at_once as usize))
+            runtime.block_on(run_soaks(runs, at_once as usize))
         }
         Action::Report { samples, page, title } => {
             let samples = read_samples(&std::fs::read_to_string(samples)?)?;
@@ -132,22 +132,22 @@
     }
 }
 
-/// Plays a zone's fault several times, one run after the other.
-fn play_zone_fault(program: &Path, fault: ZoneFault, policy: &str, run_count: u32) -> Result<bool, Box<dyn Error>> {
+/// Runs the scenario of a zone's fault several times in sequence. Returns whether no run violated a rule.
+fn run_zone_fault(program: &Path, fault: ZoneFault, policy: &str, run_count: u32) -> Result<bool, Box<dyn Error>> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
-    let mut is_clean = true;
+    let mut all_passed = true;
     for n in 0..run_count {
         let directory = std::env::temp_dir().join(format!("burlhatch-testbed-{}-{n}", std::process::id()));
         let config = cluster_config(program.to_path_buf(), directory.clone(), policy);
         let findings = runtime.block_on(play(config, fault))?;
         println!("{}", serde_json::to_string(&findings)?);
-        is_clean &= findings.violations.is_empty();
+        all_passed &= findings.violations.is_empty();
         std::fs::remove_dir_all(&directory)?;
     }
-    Ok(is_clean)
+    Ok(all_passed)
 }
 
-/// What all runs of a soak share.
+/// Options that all soak runs share.
 struct SoakOptions {
     program: PathBuf,
     controllers: Option<usize>,
@@ -157,7 +157,7 @@
 }
 
 impl SoakOptions {
-    /// The run of a seed. What is not given varies with the seed.
+    /// Returns the run of a seed. Options that are not given are derived from the seed.
     fn run(&self, seed: u64) -> SoakRun {
         let timing = TIMING_PROFILES[(seed / 2 % 2) as usize];
         let drawn = || draw_plan(seed, self.span, timing.lease, timing.cancel_limit);
@@ -174,19 +174,20 @@
     }
 }
 
-/// Plays runs, a few at a time; whether no rule was broken. The logs of a run that broke none are removed.
-async fn play_soak_runs(runs: Vec<SoakRun>, at_once: usize) -> Result<bool, Box<dyn Error>> {
+/// Executes soak runs, at most `at_once` in parallel. Returns whether all of them completed without a violation, and
+/// removes the logs of those that did.
+async fn run_soaks(runs: Vec<SoakRun>, at_once: usize) -> Result<bool, Box<dyn Error>> {
     let mut waiting = runs.into_iter();
-    let mut playing = JoinSet::new();
-    let mut is_clean = true;
+    let mut running = JoinSet::new();
+    let mut all_passed = true;
     loop {
-        while playing.len() < at_once
+        while running.len() < at_once
             && let Some(run) = waiting.next()
         {
-            playing.spawn(async move { (soak::play(&run).await, run) });
+            running.spawn(async move { (soak::play(&run).await, run) });
         }
-        let Some(played) = playing.join_next().await else { return Ok(is_clean) };
-        let (findings, run) = played?;
+        let Some(ended) = running.join_next().await else { return Ok(all_passed) };
+        let (findings, run) = ended?;
         match findings {
             Ok(findings) => {
                 println!("{}", serde_json::to_string(&findings)?);
@@ -197,7 +198,7 @@
             }
             Err(e) => println!("{}", serde_json::json!({"seed": run.seed, "failed": e.to_string()})),
         }
-        is_clean = false;
+        all_passed = false;
         println!("{}", serde_json::json!({"seed": run.seed, "plan": run.plan, "logs": run.directory}));
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! Reports of measurements: distributions as tables and SVG plots in one HTML page.
+//! Reports of measurements: an HTML page with the distributions of values as tables and SVG plots.
 
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
@@ -6,48 +6,48 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// Larger values count as this one.
+/// Larger values are recorded as this one.
 const MAX_VALUE: u64 = 100_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// Distance between two points of a line.
+/// Distance between two points of a plotted line on the axis of quantiles.
 const PLOT_STEP_PERCENT: usize = 5;
 const PLOT_SIZE: (u32, u32) = (640, 300);
 
 /// One measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// What was measured, with its unit.
+    /// Name of the measured quantity, with its unit.
     pub figure: String,
-    /// Setting: size of the fleet, fault.
+    /// Scenario, such as the size of the fleet and the fault.
     pub scenario: String,
-    /// Variant: which features were enabled.
+    /// Variant, such as the features that were enabled.
     pub variant: String,
     /// Seed of the run.
     pub seed: u64,
-    /// The value; none if it was not reached within the run.
+    /// The value; `None` if the awaited event did not occur within the run.
     pub value: Option<u64>,
 }
 
-/// Why a report failed.
+/// An error in making a report.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
-    /// A line is not a sample.
+    /// A line is not a valid sample.
     #[error("line {line}: {message}")]
     Line {
         /// Number of the line, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Description of the error.
         message: String,
     },
-    /// There is nothing to report.
+    /// There are no samples.
     #[error("no samples")]
     Empty,
-    /// A distribution or a plot could not be made.
+    /// A histogram or a plot could not be created.
     #[error("plot: {0}")]
     Plot(String),
 }
 
-/// Reads samples, one JSON object a line.
+/// Parses samples, one JSON object per line. Empty lines are skipped.
 pub fn read_samples(text: &str) -> Result<Vec<Sample>, ReportError> {
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     let samples = lines.map(|(i, line)| {
@@ -56,11 +56,12 @@
     samples.collect()
 }
 
-/// The values of one figure, scenario and variant.
+/// Distribution of the values of one figure, scenario and variant.
 #[derive(Debug)]
 pub struct Distribution {
     histogram: Histogram<u64>,
     runs: usize,
+    /// Number of runs without a value.
     missing: usize,
 }
 
@@ -79,12 +80,12 @@
         }
     }
 
-    /// The value at a quantile; none without values.
-    pub fn quantile(&self, part: f64) -> Option<u64> {
-        (!self.histogram.is_empty()).then(|| self.histogram.value_at_quantile(part))
+    /// Returns the value at a quantile, from 0 to 1, or `None` if there are no values.
+    pub fn quantile(&self, quantile: f64) -> Option<u64> {
+        (!self.histogram.is_empty()).then(|| self.histogram.value_at_quantile(quantile))
     }
 
-    /// The largest value.
+    /// Returns the largest value, or `None` if there are no values.
     pub fn worst(&self) -> Option<u64> {
         (!self.histogram.is_empty()).then(|| self.histogram.max())
     }
@@ -94,7 +95,7 @@
 /// Distributions by figure, scenario and variant.
 pub type ByFigure = BTreeMap<String, BTreeMap<String, ByVariant>>;
 
-/// Distributions by figure, scenario and variant.
+/// Computes the distributions of samples by figure, scenario and variant.
 pub fn distributions(samples: &[Sample]) -> Result<ByFigure, ReportError> {
     let mut figures = ByFigure::new();
     for sample in samples {
@@ -110,16 +111,16 @@
     Ok(figures)
 }
 
-/// Renders the whole page.
+/// Renders samples as an HTML page.
 pub fn html(title: &str, samples: &[Sample]) -> Result<String, ReportError> {
     if samples.is_empty() {
         return Err(ReportError::Empty);
     }
     let mut page = String::from("<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">");
     let title = escape(title);
-    // Writing to a text never fails.
+    // Writing to a `String` never fails.
     let _ = writeln!(page, "<title>{title}</title><style>{STYLE}</style></head><body><h1>{title}</h1>");
-    page += "<p>Simulated machines. Each row counts its runs; a run in which the value did not come about is missing, and in no quantile.</p>";
+    page += "<p>Machines are simulated. Runs without a value are counted as missing and left out of the quantiles.</p>";
     for (figure, scenarios) in distributions(samples)? {
         let _ = writeln!(page, "<h2>{}</h2>", escape(&figure));
         for (scenario, variants) in scenarios {
@@ -142,9 +143,10 @@
     let mut text = String::from(
         "<table><tr><th>variant</th><th>runs</th><th>missing</th><th>median</th><th>p99</th><th>worst</th></tr>",
     );
-    let shown = |value: Option<u64>| value.map_or("-".to_string(), |value| value.to_string());
+    let format_value = |value: Option<u64>| value.map_or("-".to_string(), |value| value.to_string());
     for (name, d) in variants {
-        let (median, p99, worst) = (shown(d.quantile(0.5)), shown(d.quantile(0.99)), shown(d.worst()));
+        let (median, p99, worst) =
+            (format_value(d.quantile(0.5)), format_value(d.quantile(0.99)), format_value(d.worst()));
         let _ = write!(
             text,
             "<tr><td>{}</td><td>{}</td><td>{}</td><td>{median}</td><td>{p99}</td><td>{worst}</td></tr>",
@@ -156,34 +158,34 @@
     text + "</table>"
 }
 
-/// Quantiles of all variants, one line each; nothing without values.
+/// Plots the quantiles of all variants, one line each. Returns an empty text if there are no values.
 fn plot(variants: &ByVariant) -> Result<String, ReportError> {
-    let failed = |e: &dyn std::fmt::Display| ReportError::Plot(e.to_string());
-    let Some(most) = variants.values().filter_map(Distribution::worst).max() else { return Ok(String::new()) };
-    let most = most.max(1);
+    let plot_error = |e: &dyn std::fmt::Display| ReportError::Plot(e.to_string());
+    let Some(max_value) = variants.values().filter_map(Distribution::worst).max() else { return Ok(String::new()) };
+    let max_value = max_value.max(1);
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, PLOT_SIZE).into_drawing_area();
-        area.fill(&WHITE).map_err(|e| failed(&e))?;
+        area.fill(&WHITE).map_err(|e| plot_error(&e))?;
         let mut chart = ChartBuilder::on(&area)
             .margin(10)
             .x_label_area_size(30)
             .y_label_area_size(60)
-            .build_cartesian_2d(0f64..100f64, 0f64..most as f64 * 1.05)
-            .map_err(|e| failed(&e))?;
-        chart.configure_mesh().max_light_lines(0).x_desc("quantile, %").draw().map_err(|e| failed(&e))?;
+            .build_cartesian_2d(0f64..100f64, 0f64..max_value as f64 * 1.05)
+            .map_err(|e| plot_error(&e))?;
+        chart.configure_mesh().max_light_lines(0).x_desc("quantile, %").draw().map_err(|e| plot_error(&e))?;
         for (i, (name, d)) in variants.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
             let points = (0..=100)
                 .step_by(PLOT_STEP_PERCENT)
                 .filter_map(|q| Some((f64::from(q), d.quantile(f64::from(q) / 100.0)? as f64)));
             let line = LineSeries::new(points, color.stroke_width(2));
-            let drawn = chart.draw_series(line).map_err(|e| failed(&e))?;
+            let drawn = chart.draw_series(line).map_err(|e| plot_error(&e))?;
             drawn.label(name).legend(move |(x, y)| PathElement::new(vec![(x, y), (x + 16, y)], color.stroke_width(2)));
         }
         let mut labels = chart.configure_series_labels();
-        labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(|e| failed(&e))?;
-        area.present().map_err(|e| failed(&e))?;
+        labels.background_style(WHITE.mix(0.8)).border_style(BLACK).draw().map_err(|e| plot_error(&e))?;
+        area.present().map_err(|e| plot_error(&e))?;
     }
     Ok(svg)
 }
