--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios on loopback: services and batch jobs in three zones, one of which is lost and comes back.
+//! Scenarios on loopback: services and batch jobs run in three zones, one of which is lost and returns.
 
 use crate::agent::Connectivity;
 use crate::cloud::RunningTask;
@@ -10,32 +10,33 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// What happens to a zone.
+/// A fault of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneFault {
-    /// It is lost with its controllers and machines, and comes back later, empty.
+    /// The zone's controllers and machines are killed. Later its controllers restart; its machines stay lost.
     Killed,
-    /// Its machines are partitioned off, and reachable again while work is moving away.
+    /// The zone's machines are partitioned, and reconnected as soon as the first of them has been deleted, while tasks
+    /// are still being moved to other zones.
     BackInMidMove,
-    /// Its machines are partitioned off twice within a minute.
+    /// The zone's machines are partitioned and reconnected twice in a row.
     FlapsTwice,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Findings {
-    /// Time from the fault until all tasks of all services ran elsewhere, or ran at all where the zone came back
-    /// meanwhile.
+    /// Time from the fault until the tasks of all services ran in other zones, or in any zone if the fault reconnects
+    /// the zone earlier; the longer time if there are two faults.
     pub restored_ms: u64,
-    /// Tasks that ran in the zone, counted twice a second from its return on.
+    /// Number of tasks that run in the zone, counted every 500 ms from its return on.
     pub in_zone: Vec<usize>,
-    /// Rules that were broken.
+    /// Violations of rules.
     pub violations: Vec<String>,
-    /// Number of writes to the store in the whole run.
+    /// Number of writes committed by the store in the whole run.
     pub changes: u64,
 }
 
-/// The zone that is lost; two of five controllers are in it.
+/// The zone that is lost; it contains two of the five controllers.
 const LOST_ZONE: &str = "quay";
 const SERVICE_COUNT: usize = 10;
 const TASKS_PER_SERVICE: u32 = 2;
@@ -45,16 +46,16 @@
 /// A job that may run only in the lost zone.
 const ZONE_BOUND_JOB: &str = "wk-invoice-quay";
 const SERVICE_ID_PREFIX: &str = "wk-bid-";
-/// Services must run again within this time.
+/// Time within which all services must run again after a fault.
 pub const RESTORE_LIMIT: Duration = Duration::from_secs(30);
 const START_LIMIT: Duration = Duration::from_secs(40);
 const END_LIMIT: Duration = Duration::from_secs(90);
 const RETURN_LIMIT: Duration = Duration::from_secs(40);
-/// Time between two counts of the tasks in the zone.
+/// Interval between two counts of the tasks in the zone.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Five controllers and four machines in each zone. The agents' lease is longer than services may be down, so that
-/// waiting for its expiry would not do.
+/// Returns the configuration of a cluster with five controllers and with four machines in each of three zones. Agents'
+/// leases are longer than [`RESTORE_LIMIT`], so a scheduler that waits for them to expire fails.
 pub fn cluster_config(program: PathBuf, directory: PathBuf, policy: &str) -> ClusterConfig {
     let names = |names: &[&str]| names.iter().map(std::string::ToString::to_string).collect();
     ClusterConfig {
@@ -71,8 +72,8 @@
     }
 }
 
-/// A small job of a team.
-pub(crate) fn spec(kind: JobKind, team: &str, tasks: u32) -> JobSpec {
+/// Returns the description of a small job.
+pub(crate) fn job_spec(kind: JobKind, team: &str, tasks: u32) -> JobSpec {
     JobSpec {
         class: team.into(),
         team: Some(team.into()),
@@ -105,18 +106,18 @@
     format!("wk-invoice-{n:03}")
 }
 
-/// Number of services' tasks that run in other zones than the given one.
+/// Returns the number of service tasks that run outside the given zone.
 fn service_tasks_outside(cluster: &Cluster, zone: &str) -> usize {
     let is_counted = |running: &RunningTask| running.task.starts_with(SERVICE_ID_PREFIX) && running.zone != zone;
     cluster.cloud.running_tasks().iter().filter(|running| is_counted(running)).count()
 }
 
-/// Number of services' tasks that run.
+/// Returns the number of service tasks that run in any zone.
 fn service_tasks(cluster: &Cluster) -> usize {
     service_tasks_outside(cluster, "")
 }
 
-/// Plays one fault and checks what happened.
+/// Runs the scenario of one fault and checks the history of the run.
 pub async fn play(config: ClusterConfig, fault: ZoneFault) -> Result<Findings, ClusterError> {
     let mut cluster = Cluster::start(config).await?;
     let mut users = SimulatedUsers::new(&cluster);
@@ -127,32 +128,32 @@
         users.cancel(&service_id(n)).await;
     }
     let ids = users.job_ids();
-    cluster.wait_for("all jobs over", END_LIMIT, |_| ids.iter().all(|id| users.is_over(id))).await?;
+    cluster.wait_for("all jobs to finish", END_LIMIT, |_| ids.iter().all(|id| users.is_finished(id))).await?;
     let is_idle = |cluster: &Cluster| cluster.cloud.running_tasks().is_empty();
-    cluster.wait_for("nothing at work", END_LIMIT, is_idle).await?;
+    cluster.wait_for("all tasks to end", END_LIMIT, is_idle).await?;
     let violations = violations(&cluster.environment.history.events(), users.task_counts());
     let changes = cluster.store.write_count();
     Ok(Findings { restored_ms: restored.as_millis() as u64, in_zone, violations, changes })
 }
 
-/// Submits services and batch jobs, and waits until the services run on recorded machines.
+/// Submits services, waits until they run and the store contains machine records, and then submits batch jobs.
 async fn start_load(cluster: &Cluster, users: &mut SimulatedUsers) -> Result<(), ClusterError> {
     for n in 0..SERVICE_COUNT {
-        users.submit(cluster, &service_id(n), spec(JobKind::Service, "auction", TASKS_PER_SERVICE)).await;
+        users.submit(cluster, &service_id(n), job_spec(JobKind::Service, "auction", TASKS_PER_SERVICE)).await;
     }
     let all_run = |cluster: &Cluster| service_tasks(cluster) == SERVICE_TASK_COUNT;
-    cluster.wait_for("all services at work", START_LIMIT, all_run).await?;
+    cluster.wait_for("all services to run", START_LIMIT, all_run).await?;
     let has_machine_records = |cluster: &Cluster| {
         cluster.store.keys("bh/").iter().any(|key| key.contains("fleet") || key.contains("machine"))
     };
-    cluster.wait_for("machines recorded", START_LIMIT, has_machine_records).await?;
+    cluster.wait_for("machine records in the store", START_LIMIT, has_machine_records).await?;
     for n in 0..BATCH_COUNT {
-        users.submit(cluster, &batch_id(n), spec(JobKind::Array, "invoices", TASKS_PER_BATCH)).await;
+        users.submit(cluster, &batch_id(n), job_spec(JobKind::Array, "invoices", TASKS_PER_BATCH)).await;
     }
     Ok(())
 }
 
-/// Causes the fault and waits until the services run again; how long that took.
+/// Causes the fault and waits until the services run again. Returns the time that this took.
 async fn cause_fault(
     cluster: &mut Cluster,
     users: &SimulatedUsers,
@@ -163,39 +164,41 @@
         ZoneFault::Killed => {
             cluster.kill_zone(LOST_ZONE);
             users.update_targets(cluster);
-            cluster.wait_for("services at work elsewhere", RESTORE_LIMIT, run_elsewhere).await
+            cluster.wait_for("services to run elsewhere", RESTORE_LIMIT, run_elsewhere).await
         }
         ZoneFault::BackInMidMove => {
             let machines_before = cluster.cloud.machine_count(LOST_ZONE);
             cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Partitioned);
             let is_moving = |cluster: &Cluster| cluster.cloud.machine_count(LOST_ZONE) < machines_before;
-            let until_first = cluster.wait_for("the first machine deleted", RESTORE_LIMIT, is_moving).await?;
+            let until_deletion = cluster.wait_for("a machine to be deleted", RESTORE_LIMIT, is_moving).await?;
             cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Connected);
             let all_run = |cluster: &Cluster| service_tasks(cluster) >= SERVICE_TASK_COUNT;
-            Ok(until_first + cluster.wait_for("services at work", RESTORE_LIMIT, all_run).await?)
+            Ok(until_deletion + cluster.wait_for("all services to run", RESTORE_LIMIT, all_run).await?)
         }
         ZoneFault::FlapsTwice => {
             let mut slowest = Duration::ZERO;
             for _ in 0..2 {
                 cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Partitioned);
-                slowest = slowest.max(cluster.wait_for("services elsewhere", RESTORE_LIMIT, run_elsewhere).await?);
+                slowest =
+                    slowest.max(cluster.wait_for("services to run elsewhere", RESTORE_LIMIT, run_elsewhere).await?);
                 cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Connected);
                 let is_returning = |cluster: &Cluster| is_in_condition(cluster, "returning");
-                cluster.wait_for("the zone to return", RETURN_LIMIT, is_returning).await?;
+                cluster.wait_for("the zone to be recorded as returning", RETURN_LIMIT, is_returning).await?;
             }
             Ok(slowest)
         }
     }
 }
 
-/// Whether the records of all shards name a condition of the lost zone.
+/// Returns whether the zone records of all shards state this condition for the lost zone.
 fn is_in_condition(cluster: &Cluster, condition: &str) -> bool {
     let keys = cluster.store.keys(&format!("bh/zone/{LOST_ZONE}/"));
     let records: Vec<_> = keys.iter().filter_map(|key| cluster.store.get(key)).collect();
     !records.is_empty() && records.iter().all(|record| record["c"] == condition)
 }
 
-/// Lets the zone return, with work waiting that may run only there; counts of tasks in the zone meanwhile.
+/// Restores the zone, submits a job that may run only there, and waits until it is done. Returns the numbers of tasks
+/// that ran in the zone meanwhile.
 async fn observe_return(
     cluster: &mut Cluster,
     users: &mut SimulatedUsers,
@@ -205,13 +208,13 @@
         cluster.restore_zone(LOST_ZONE)?;
         users.update_targets(cluster);
     }
-    let bound_to_zone =
-        JobSpec { zone: Some(LOST_ZONE.into()), estimated_runtime_s: 1.5, ..spec(JobKind::Array, "invoices", 16) };
-    users.submit(cluster, ZONE_BOUND_JOB, bound_to_zone).await;
+    let zone_bound_job =
+        JobSpec { zone: Some(LOST_ZONE.into()), estimated_runtime_s: 1.5, ..job_spec(JobKind::Array, "invoices", 16) };
+    users.submit(cluster, ZONE_BOUND_JOB, zone_bound_job).await;
     let mut in_zone = Vec::new();
     let mut next_sample_at = tokio::time::Instant::now();
     cluster
-        .wait_for("the work bound to the zone", END_LIMIT, |cluster| {
+        .wait_for("the job bound to the zone to finish", END_LIMIT, |cluster| {
             if tokio::time::Instant::now() >= next_sample_at {
                 next_sample_at += SAMPLE_INTERVAL;
                 let running = cluster.cloud.running_tasks();
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,10 +1,11 @@
-//! Soak runs: users submit, poll and cancel jobs at all controllers while faults overlap, drawn from a seed. What
-//! agents, users and the services saw is checked; a run that breaks a rule keeps its logs, and names its seed and plan.
+//! Soak runs: users submit, poll and cancel jobs at all controllers while overlapping faults are injected. Jobs and
+//! requests are drawn from a seed. The history of each run is checked; the logs of a run with violations are kept, with
+//! its plan and events in `timeline.txt`.
 
 use crate::cluster::{Cluster, ClusterConfig, ClusterError};
 use crate::faults::{FaultPhase, PlannedFault, apply_fault};
 use crate::history::{CancellationSummary, Event, TimedEvent, summarize_cancellations, violations};
-use crate::scenarios::spec;
+use crate::scenarios::job_spec;
 use crate::users::SimulatedUsers;
 use burlhatch::protocol::user::{JobKind, JobSpec};
 use rand::rngs::StdRng;
@@ -14,18 +15,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Timing of the agents' protocol in a run, in the proportions of a deployment.
+/// Timing of the agents' protocol in a run; the values have the same proportions as in a real deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct AgentTiming {
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
-    /// Lease of an agent.
+    /// Duration of an agent's lease.
     pub lease: Duration,
-    /// How soon tasks of a cancelled job must be gone.
+    /// Time within which all tasks of a cancelled job must have ended.
     pub cancel_limit: Duration,
 }
 
-/// Long leases with rare heartbeats, and short ones with little time for a cancellation; both shortened.
+/// Timings of two kinds of deployments, scaled down: long leases with infrequent heartbeats, and short leases with
+/// little time for a cancellation.
 pub const TIMING_PROFILES: [AgentTiming; 2] = [
     AgentTiming {
         heartbeat_interval: Duration::from_millis(2000),
@@ -39,55 +41,55 @@
     },
 ];
 
-/// One run.
+/// Configuration of one run.
 #[derive(Clone, Debug)]
 pub struct SoakRun {
-    /// Path of the built program.
+    /// Path of the controller's executable.
     pub program: PathBuf,
-    /// Folder of settings and logs.
+    /// Directory for settings and logs.
     pub directory: PathBuf,
-    /// Seed from which users' requests and their jobs are drawn.
+    /// Seed from which the users' requests and jobs are drawn.
     pub seed: u64,
     /// Number of controllers, 3 or 5.
     pub controllers: usize,
-    /// Machines that run at the start.
+    /// Number of machines that are provisioned at the start.
     pub machines: u32,
     /// Timing of the agents' protocol.
     pub timing: AgentTiming,
-    /// For how long faults are injected and jobs submitted.
+    /// Time during which jobs are submitted and cancelled. Faults of the plan may go on for longer.
     pub span: Duration,
     /// Faults to inject.
     pub plan: Vec<PlannedFault>,
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Findings {
     /// Seed of the run.
     pub seed: u64,
-    /// Rules that were broken.
+    /// Violations of rules.
     pub violations: Vec<String>,
-    /// Jobs that a user was told to be cancelled.
+    /// Number of jobs of which a user received the status of a cancelled job.
     pub cancelled: usize,
-    /// Tasks of such jobs that started after that.
+    /// Number of tasks of these jobs that started after a user had received that status.
     pub begun_after: usize,
-    /// The longest time after that until a task was gone.
+    /// The longest time from the receipt of that status until a task left its machine.
     pub longest_ms: u64,
-    /// Tasks that started at any time.
+    /// Number of all task starts.
     pub begun: usize,
-    /// How often controllers did not renew an agent's lease on account of cancelled tasks.
+    /// Number of log lines about agents' leases that controllers did not renew because of cancelled tasks.
     pub withheld: usize,
-    /// How often they requested the deletion of machines on their account.
+    /// Number of log lines about machines that controllers deleted because of cancelled tasks.
     pub deletions: usize,
-    /// Controllers whose processes ended by themselves.
+    /// Labels of controllers whose processes exited without having been killed by the testbed.
     pub ended: Vec<String>,
-    /// Duration of the run.
+    /// Duration of the run in seconds.
     pub seconds: u64,
 }
 
-/// Log line of a controller that does not renew an agent's lease.
+/// Text that controllers log when they don't renew an agent's lease because of a cancelled task.
 const LEASE_WITHHELD_LOG: &str = "lease renewal withheld";
-/// Log line of a controller that requests the deletion of machines.
+/// Text that controllers log when they delete machines because of cancelled tasks.
 const DELETION_LOG: &str = "machines deleted to enforce cancellation deadline";
 
 const INITIAL_JOBS: usize = 6;
@@ -96,10 +98,10 @@
 const FINAL_CANCEL_LIMIT: Duration = Duration::from_secs(30);
 const CANCEL_LIMIT: Duration = Duration::from_secs(60);
 const STEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Time beyond the cancellation limit until nothing may run any more.
+/// Time allowed beyond the cancellation limit until all tasks must have ended.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 
-/// Plays a run and checks what happened.
+/// Executes a run and checks its history.
 pub async fn play(run: &SoakRun) -> Result<Findings, ClusterError> {
     let started_at = Instant::now();
     let mut cluster = Cluster::start(cluster_config(run)).await?;
@@ -108,7 +110,7 @@
     for _ in 0..INITIAL_JOBS {
         load.submit(&cluster, &mut users).await;
     }
-    cluster.wait_for("work", START_LIMIT, |cluster| !cluster.cloud.running_tasks().is_empty()).await?;
+    cluster.wait_for("the first task to run", START_LIMIT, |cluster| !cluster.cloud.running_tasks().is_empty()).await?;
     let mut crashed = inject_faults(run, &mut cluster, &mut users, &mut load).await?;
     let mut violations = finish(run, &cluster, &mut users).await;
     crashed.extend(cluster.crashed_controllers());
@@ -133,7 +135,7 @@
     })
 }
 
-/// Cancels what is not done and waits until nothing is left; the rules that were broken.
+/// Cancels all jobs that are not done and waits until all tasks have ended. Returns the violations found meanwhile.
 async fn finish(run: &SoakRun, cluster: &Cluster, users: &mut SimulatedUsers) -> Vec<String> {
     let mut violations = Vec::new();
     let ids = users.job_ids();
@@ -142,15 +144,15 @@
             users.cancel_in_background(id, FINAL_CANCEL_LIMIT);
         }
     }
-    let all_over = |_: &Cluster| ids.iter().all(|id| users.is_over(id));
-    if cluster.wait_for("all jobs over", END_LIMIT, all_over).await.is_err() {
-        let open: Vec<_> = ids.iter().filter(|id| !users.is_over(id)).map(|id| (id, users.status(id))).collect();
-        violations.push(format!("not over when all was quiet: {open:?}"));
+    let all_finished = |_: &Cluster| ids.iter().all(|id| users.is_finished(id));
+    if cluster.wait_for("all jobs to finish", END_LIMIT, all_finished).await.is_err() {
+        let open: Vec<_> = ids.iter().filter(|id| !users.is_finished(id)).map(|id| (id, users.status(id))).collect();
+        violations.push(format!("jobs not finished after the end of all faults: {open:?}"));
     }
     let is_idle = |cluster: &Cluster| cluster.cloud.running_tasks().is_empty();
-    if cluster.wait_for("nothing at work", run.timing.cancel_limit + SETTLE_TIME, is_idle).await.is_err() {
+    if cluster.wait_for("all tasks to end", run.timing.cancel_limit + SETTLE_TIME, is_idle).await.is_err() {
         let running: Vec<String> = cluster.cloud.running_tasks().into_iter().map(|running| running.task).collect();
-        violations.push(format!("still at work: {running:?}"));
+        violations.push(format!("tasks still running after the cancellation limit: {running:?}"));
     }
     violations
 }
@@ -161,10 +163,10 @@
     cancellations: &CancellationSummary,
     crashed: &[String],
 ) -> Vec<String> {
-    let mut found = violations(events, users.task_counts());
-    found.extend(cancellations.late.iter().cloned());
-    found.extend(crashed.iter().map(|label| format!("{label} ended by itself")));
-    found
+    let mut all_violations = violations(events, users.task_counts());
+    all_violations.extend(cancellations.late.iter().cloned());
+    all_violations.extend(crashed.iter().map(|label| format!("{label} exited unexpectedly")));
+    all_violations
 }
 
 fn cluster_config(run: &SoakRun) -> ClusterConfig {
@@ -183,27 +185,27 @@
     }
 }
 
-/// A fault's begin or end.
-struct DueFault {
+/// The beginning or end of a fault.
+struct FaultTransition {
     at: Duration,
     phase: FaultPhase,
     planned: PlannedFault,
 }
 
-/// Begins and ends of all faults, in order.
-fn schedule(plan: &[PlannedFault]) -> Vec<DueFault> {
+/// Returns the beginnings and ends of all faults in the order of time.
+fn fault_transitions(plan: &[PlannedFault]) -> Vec<FaultTransition> {
     let mut due = Vec::new();
     for planned in plan {
         let begins_at = Duration::from_millis(planned.begins_at_ms);
         let ends_at = begins_at + Duration::from_millis(planned.duration_ms);
-        due.push(DueFault { at: begins_at, phase: FaultPhase::Begin, planned: *planned });
-        due.push(DueFault { at: ends_at, phase: FaultPhase::End, planned: *planned });
+        due.push(FaultTransition { at: begins_at, phase: FaultPhase::Begin, planned: *planned });
+        due.push(FaultTransition { at: ends_at, phase: FaultPhase::End, planned: *planned });
     }
     due.sort_by_key(|due| due.at);
     due
 }
 
-/// Injects the plan's faults while users go on; the controllers that crashed.
+/// Injects the faults of the plan while users submit and cancel jobs. Returns the controllers that crashed.
 async fn inject_faults(
     run: &SoakRun,
     cluster: &mut Cluster,
@@ -211,12 +213,12 @@
     load: &mut LoadGenerator,
 ) -> Result<Vec<String>, ClusterError> {
     let started_at = Instant::now();
-    let mut due = schedule(&run.plan).into_iter().peekable();
+    let mut due = fault_transitions(&run.plan).into_iter().peekable();
     let mut crashed = Vec::new();
     let mut next_request_at = Duration::ZERO;
     while due.peek().is_some() || started_at.elapsed() < run.span {
         let now = started_at.elapsed();
-        while let Some(DueFault { phase, planned, .. }) = due.next_if(|due| due.at <= now) {
+        while let Some(FaultTransition { phase, planned, .. }) = due.next_if(|due| due.at <= now) {
             crashed.extend(cluster.crashed_controllers());
             apply_fault(cluster, &planned, phase)?;
             users.update_targets(cluster);
@@ -227,7 +229,7 @@
         }
         tokio::time::sleep(STEP_INTERVAL).await;
     }
-    // Faults that overlapped may have ended one another early or late: now all are over.
+    // Faults that overlapped may have ended one another early or late, so all of them are ended once more.
     for planned in &run.plan {
         apply_fault(cluster, planned, FaultPhase::End)?;
     }
@@ -235,7 +237,7 @@
     Ok(crashed)
 }
 
-/// What users do, drawn from the seed.
+/// Generator of the users' requests, drawn from the seed.
 struct LoadGenerator {
     rng: StdRng,
     last_job: u32,
@@ -247,9 +249,9 @@
         let id = format!("wk-soak-{:04}", self.last_job);
         let tasks = self.rng.random_range(1..5);
         let spec = match self.rng.random_range(0..3) {
-            0 => JobSpec { spread: false, ..spec(JobKind::Service, "auction", tasks.min(2)) },
-            1 => JobSpec { estimated_runtime_s: 60.0, ..spec(JobKind::Array, "invoices", tasks) },
-            _ => JobSpec { estimated_runtime_s: 2.0, ..spec(JobKind::Array, "invoices", tasks) },
+            0 => JobSpec { spread: false, ..job_spec(JobKind::Service, "auction", tasks.min(2)) },
+            1 => JobSpec { estimated_runtime_s: 60.0, ..job_spec(JobKind::Array, "invoices", tasks) },
+            _ => JobSpec { estimated_runtime_s: 2.0, ..job_spec(JobKind::Array, "invoices", tasks) },
         };
         (id, spec)
     }
@@ -259,7 +261,7 @@
         users.submit(cluster, &id, spec).await;
     }
 
-    /// Submits a new job, or cancels one.
+    /// Submits a new job or cancels an open one.
     fn submit_or_cancel(&mut self, cluster: &Cluster, users: &mut SimulatedUsers) {
         if self.rng.random_range(0..2) == 0 {
             let (id, spec) = self.draw_job();
@@ -279,7 +281,7 @@
     paths.filter_map(|path| std::fs::read_to_string(path).ok()).collect()
 }
 
-/// Plan and events in one text.
+/// Renders the plan and all events as text.
 fn render_timeline(run: &SoakRun, events: &[TimedEvent]) -> String {
     let plan = serde_json::to_string(&run.plan).unwrap_or_default();
     let lines = events.iter().map(|(at, event)| format!("{:>10.3} {event:?}\n", *at as f64 / 1e6));
--- a/crates/testbed/src/store/data.rs
+++ b/crates/testbed/src/store/data.rs
@@ -1,4 +1,4 @@
-//! The data of the stand-in store: keys, leases and a log of changes. Time is the process's own.
+//! The data of the stand-in store: keys, leases and a log of changes. Leases expire by the clock of this process.
 
 use burlhatch::protocol::store::{NO_SUCH_LEASE, Txn, Write};
 use serde_json::{Value, json};
@@ -16,14 +16,14 @@
     expires_at: Instant,
 }
 
-/// A change; without a value the key was deleted.
+/// An entry of the change log. Its key was deleted if there is no value.
 struct LogEntry {
     revision: u64,
     key: String,
     value: Option<Value>,
 }
 
-/// Status code and body of a reply.
+/// Status code and body of a response.
 pub(super) type StatusAndBody = (u16, Value);
 
 #[derive(Default)]
@@ -39,7 +39,7 @@
 }
 
 impl StoreData {
-    /// Deletes leases whose time is over, with their keys.
+    /// Deletes expired leases and the keys attached to them.
     pub(super) fn expire_leases(&mut self) {
         let now = Instant::now();
         let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Gives every lease its full time again.
+    /// Renews all leases for their full duration.
     pub(super) fn renew_all_leases(&mut self) {
         let now = Instant::now();
         for lease in self.leases.values_mut() {
@@ -75,7 +75,7 @@
         (200, json!({"tether": id}))
     }
 
-    /// Commits a transaction if its leases exist and its preconditions hold.
+    /// Commits a transaction if the leases of its writes exist and its preconditions hold.
     pub(super) fn commit(&mut self, txn: &Txn) -> StatusAndBody {
         let has_lease = |write: &Write| match write {
             Write::Put { lease: Some(lease), .. } => self.leases.contains_key(lease),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Changes after a revision.
+    /// Returns the changes after a revision.
     pub(super) fn changes(&self, after: u64) -> Value {
         let first = self.log.partition_point(|entry| entry.revision <= after);
         let entry_json = |entry: &LogEntry| match &entry.value {
@@ -127,7 +127,7 @@
         json!({"ledger": self.revision, "log": log})
     }
 
-    /// A page of the keys with a prefix.
+    /// Returns up to `max_items` of the keys with a prefix, beginning with the first key greater than `after`.
     pub(super) fn page(&self, prefix: &str, after: &str, max_items: usize) -> Value {
         let mut rows = self.keys.iter().filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
         let row_json =
--- a/crates/testbed/src/store/mod.rs
+++ b/crates/testbed/src/store/mod.rs
@@ -17,15 +17,15 @@
 
 const DEFAULT_LEASE_MS: u64 = 1000;
 
-/// Which transactions get no answer and are committed late.
+/// Selection of transactions that get no response and are committed late.
 #[derive(Clone, Copy, Default)]
 struct LateTransactions {
-    /// One in so many; none if it is 0.
+    /// One in this many transactions is selected; none if it is 0.
     one_in: u64,
     delay: Duration,
 }
 
-/// The store, and a handle on it for scenarios.
+/// The store. Clones share its state; scenarios control it through them.
 #[derive(Clone, Default)]
 pub struct KeyValueStore {
     late_transactions: Arc<Mutex<LateTransactions>>,
@@ -35,7 +35,7 @@
 }
 
 impl KeyValueStore {
-    /// Starts an endpoint for one controller. While the flag is set, it refuses requests.
+    /// Starts an endpoint for one controller. It refuses all requests while `is_refusing` is set.
     pub(crate) async fn start(&self, is_refusing: Arc<AtomicBool>) -> io::Result<Server> {
         let store = self.clone();
         serve(move |request| {
@@ -45,12 +45,12 @@
         .await
     }
 
-    /// From now on one in so many transactions gets no answer and is committed after a delay; none if it is 0.
+    /// Lets one in `one_in` transactions get no response and be committed after a delay from now on; none if it is 0.
     pub fn delay_transactions(&self, one_in: u64, delay: Duration) {
         *self.late_transactions.lock().unwrap_or_else(PoisonError::into_inner) = LateTransactions { one_in, delay };
     }
 
-    /// The delay of the next transaction, if it is to be late.
+    /// Counts a transaction and returns its delay if it is to be committed late.
     fn delay_of_next_transaction(&self) -> Option<Duration> {
         let LateTransactions { one_in, delay } = *self.late_transactions.lock().unwrap_or_else(PoisonError::into_inner);
         let count = self.transaction_count.fetch_add(1, Ordering::SeqCst);
@@ -61,24 +61,25 @@
         self.data.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Refuses everybody, or serves again; then every lease has its full time.
+    /// Starts or stops refusing all requests. Renews all leases, so that each has its full time when the store serves
+    /// again.
     pub fn set_unavailable(&self, is_unavailable: bool) {
         let mut data = self.locked();
         data.is_unavailable = is_unavailable;
         data.renew_all_leases();
     }
 
-    /// The stored value of a key.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Value> {
         self.locked().get(key)
     }
 
-    /// All keys with a prefix.
+    /// Returns all keys with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         self.locked().keys(prefix)
     }
 
-    /// Number of writes committed so far.
+    /// Returns the number of writes committed so far.
     pub fn write_count(&self) -> u64 {
         self.locked().write_count
     }
@@ -97,12 +98,12 @@
                 let max_wait = Duration::from_millis(request.number("block_ms"));
                 Some((200, self.watch(request.number("after"), max_wait).await))
             }
-            (&Method::POST, path) if path.starts_with(LEASES_PATH) => Some(self.lease(path, &request)),
+            (&Method::POST, path) if path.starts_with(LEASES_PATH) => Some(self.renew_or_grant_lease(path, &request)),
             _ => Some((404, json!({"ledger": 0}))),
         }
     }
 
-    /// Expires leases and wakes watches; false if the store is unavailable, in which case nothing expires.
+    /// Expires leases and wakes watches. Returns false if the store is unavailable, in which case no lease expires.
     fn expire_leases(&self) -> bool {
         let mut data = self.locked();
         if data.is_unavailable {
@@ -131,7 +132,7 @@
         Some(reply)
     }
 
-    /// Commits a transaction whose client has given up.
+    /// Commits a delayed transaction, unless the store is unavailable. Its client has got no response.
     fn commit_late(&self, txn: &Txn) {
         let mut data = self.locked();
         if !data.is_unavailable {
@@ -141,10 +142,11 @@
         self.changed.notify_waiters();
     }
 
+    /// Returns the changes after a revision, waiting up to `max_wait` for the first one.
     async fn watch(&self, after: u64, max_wait: Duration) -> Value {
         let deadline = tokio::time::Instant::now() + max_wait;
         loop {
-            // Registered before the check, so that no change in between is missed.
+            // Created before the check, so that a change in between is not missed.
             let changed = self.changed.notified();
             let changes = {
                 let data = self.locked();
@@ -159,7 +161,8 @@
         }
     }
 
-    fn lease(&self, path: &str, request: &ReceivedRequest) -> StatusAndBody {
+    /// Renews the lease that the path names, or grants a new one.
+    fn renew_or_grant_lease(&self, path: &str, request: &ReceivedRequest) -> StatusAndBody {
         let lease = path.trim_start_matches(LEASES_PATH).trim_matches('/').trim_end_matches("/touch").parse::<u64>();
         if let Ok(lease) = lease {
             return self.locked().keep_alive(lease);
--- a/crates/testbed/src/users.rs
+++ b/crates/testbed/src/users.rs
@@ -1,4 +1,4 @@
-//! Simulated users: they submit jobs, poll their status at all controllers, and cancel some.
+//! Simulated users, who submit jobs, poll their status at all controllers, and cancel some of them.
 
 use crate::cluster::Cluster;
 use crate::history::{Event, History};
@@ -17,7 +17,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 const MAX_ATTEMPTS: usize = 200;
-/// For how long a submission in the background is retried.
+/// Time during which a submission in the background is retried.
 const SUBMISSION_LIMIT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -30,19 +30,19 @@
     background_tasks: JoinSet<()>,
 }
 
-/// What all users share.
+/// State that all users share.
 #[derive(Clone)]
 struct UserContext {
     client: Client,
-    /// The last status of each job that a user received.
+    /// The last status that a user received for each job.
     statuses: Arc<Mutex<BTreeMap<String, String>>>,
-    /// Public addresses of the controllers that run.
+    /// Public addresses of the running controllers.
     targets: Arc<Mutex<Vec<SocketAddr>>>,
     history: History,
 }
 
 impl SimulatedUsers {
-    /// Users who poll the status of every job that they have submitted.
+    /// Creates the users and starts to poll the status of every job for which they have received one.
     pub fn new(cluster: &Cluster) -> SimulatedUsers {
         let context = UserContext {
             client: Client::default(),
@@ -55,54 +55,55 @@
         SimulatedUsers { context, task_counts: BTreeMap::new(), background_tasks }
     }
 
-    /// Controllers have come or gone: users are sent to those that run.
+    /// Updates the controllers to which users send requests, after controllers have started or ended.
     pub fn update_targets(&self, cluster: &Cluster) {
         *self.context.targets.lock().unwrap_or_else(PoisonError::into_inner) = cluster.addresses();
     }
 
-    /// Submits a job, again and again until it is accepted; whether it was.
+    /// Submits a job, and retries until it is accepted. Returns false after [`MAX_ATTEMPTS`] failed attempts.
     pub async fn submit(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) -> bool {
         let body = self.register(cluster, id, spec);
         self.context.post_until_accepted(JOBS_PATH, &body, id).await
     }
 
-    /// Cancels a job, again and again until that is confirmed; whether it was.
+    /// Cancels a job, and retries until the cancellation is confirmed. Returns false after [`MAX_ATTEMPTS`] failed
+    /// attempts.
     pub async fn cancel(&self, id: &str) -> bool {
         self.context.post_until_accepted(&abort_path(id), &encode(&Value::Null), id).await
     }
 
-    /// Submits a job without waiting for the response.
+    /// Submits a job in the background, with retries for [`SUBMISSION_LIMIT`].
     pub fn submit_in_background(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) {
         let body = self.register(cluster, id, spec);
         self.post_in_background(JOBS_PATH.into(), body, id, SUBMISSION_LIMIT);
     }
 
-    /// Cancels a job without waiting for the response; retries for so long.
+    /// Cancels a job in the background, with retries for `limit`.
     pub fn cancel_in_background(&mut self, id: &str, limit: Duration) {
         self.post_in_background(abort_path(id), encode(&Value::Null), id, limit);
     }
 
-    /// The last status of a job that a user received.
+    /// Returns the last status that a user received for a job.
     pub fn status(&self, id: &str) -> Option<String> {
         self.context.statuses.lock().unwrap_or_else(PoisonError::into_inner).get(id).cloned()
     }
 
-    /// Whether a user was told that a job is done or cancelled.
-    pub fn is_over(&self, id: &str) -> bool {
+    /// Returns whether the last status that a user received says that the job is done or cancelled.
+    pub fn is_finished(&self, id: &str) -> bool {
         self.status(id).is_some_and(|status| status == "done" || status == "withdrawn")
     }
 
-    /// Number of tasks of each submitted job.
+    /// Returns the number of tasks of each submitted job.
     pub fn task_counts(&self) -> &BTreeMap<String, u32> {
         &self.task_counts
     }
 
-    /// Ids of all submitted jobs.
+    /// Returns the ids of all submitted jobs.
     pub fn job_ids(&self) -> Vec<String> {
         self.task_counts.keys().cloned().collect()
     }
 
-    /// Makes a job's description known to agents; the body of its submission.
+    /// Makes a job's description available to agents, and returns the body of its submission.
     fn register(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) -> Vec<u8> {
         let mut body = serde_json::to_value(&spec).unwrap_or(Value::Null);
         body["id"] = json!(id);
@@ -115,7 +116,7 @@
         let (context, id) = (self.context.clone(), id.to_string());
         while self.background_tasks.try_join_next().is_some() {}
         self.background_tasks.spawn(async move {
-            // A request that is not accepted in time is given up.
+            // A request that is not accepted in time is abandoned.
             let _ = tokio::time::timeout(limit, context.post_until_accepted(&path, &body, &id)).await;
         });
     }
@@ -130,7 +131,8 @@
         self.targets.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Sends a request to one controller after the other until it is accepted; whether it was.
+    /// Sends a request to one controller after the other until it is accepted, and records the status in the response.
+    /// Returns false after [`MAX_ATTEMPTS`] failed attempts.
     async fn post_until_accepted(&self, path: &str, body: &[u8], id: &str) -> bool {
         for attempt in 0..MAX_ATTEMPTS {
             let targets = self.targets();
@@ -148,7 +150,7 @@
         false
     }
 
-    /// Polls one job after the other at one controller after the other.
+    /// Polls the known jobs in turn, each time at the next controller.
     async fn poll_statuses(self) {
         let client = Client::default();
         for n in 0.. {
