--- a/crates/testbed/tests/checks.rs
+++ b/crates/testbed/tests/checks.rs
@@ -1,4 +1,4 @@
-//! The history checker finds each broken rule, and reports count what they were given.
+//! Checks of the history checker, of drawn fault plans and of reports.
 
 use burlhatch_testbed::faults::{PlannedFault, draw_plan};
 use burlhatch_testbed::history::{CancellationSummary, Event, TimedEvent, summarize_cancellations, violations};
@@ -6,93 +6,99 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-fn begun(machine: &str, task: &str) -> Event {
+fn task_started(machine: &str, task: &str) -> Event {
     Event::TaskStarted { machine: machine.into(), task: task.into() }
 }
 
-fn left(machine: &str, task: &str, done: bool) -> Event {
+fn task_left(machine: &str, task: &str, done: bool) -> Event {
     Event::TaskLeft { machine: machine.into(), task: task.into(), done }
 }
 
-fn told(status: &str, asked_us: u64) -> Event {
+fn status_received(status: &str, asked_us: u64) -> Event {
     Event::StatusReceived { job: "wk-1".into(), status: status.into(), asked_us }
 }
 
-fn found(events: Vec<Event>) -> Vec<String> {
+/// Returns the violations of events that are 10 us apart.
+fn violations_of(events: Vec<Event>) -> Vec<String> {
     let timed: Vec<TimedEvent> = events.into_iter().enumerate().map(|(i, event)| (i as u64 * 10, event)).collect();
     violations(&timed, &BTreeMap::from([("wk-1".to_string(), 1)]))
 }
 
 #[test]
-fn a_clean_history_has_no_violations() {
+fn a_history_that_satisfies_all_rules_has_no_violations() {
     let events = vec![
-        told("queued", 0),
-        begun("m-1", "wk-1/0"),
-        left("m-1", "wk-1/0", false),
-        begun("m-2", "wk-1/0"),
-        told("running", 35),
-        left("m-2", "wk-1/0", true),
-        told("done", 55),
-        // Asked before the outcome was told.
-        told("running", 40),
-        told("done", 75),
+        status_received("queued", 0),
+        task_started("m-1", "wk-1/0"),
+        task_left("m-1", "wk-1/0", false),
+        task_started("m-2", "wk-1/0"),
+        status_received("running", 35),
+        task_left("m-2", "wk-1/0", true),
+        status_received("done", 55),
+        // The request was sent before the final status was received.
+        status_received("running", 40),
+        status_received("done", 75),
     ];
-    assert_eq!(found(events), Vec::<String>::new());
+    assert_eq!(violations_of(events), Vec::<String>::new());
 }
 
 #[test]
-fn each_broken_rule_is_found() {
+fn each_violated_rule_is_found() {
     let cases = [
-        ("ran_twice", vec![begun("m-1", "wk-1/0"), begun("m-2", "wk-1/0")]),
-        ("not_done", vec![told("queued", 0), told("done", 10)]),
-        ("went_back", vec![left("m-1", "wk-1/0", true), told("done", 0), told("running", 20)]),
-        ("went_back", vec![told("withdrawn", 0), told("queued", 20)]),
-        ("forgotten", vec![told("queued", 0), told("unknown", 10)]),
+        ("ran_twice", vec![task_started("m-1", "wk-1/0"), task_started("m-2", "wk-1/0")]),
+        ("not_done", vec![status_received("queued", 0), status_received("done", 10)]),
+        (
+            "went_back",
+            vec![task_left("m-1", "wk-1/0", true), status_received("done", 0), status_received("running", 20)],
+        ),
+        ("went_back", vec![status_received("withdrawn", 0), status_received("queued", 20)]),
+        ("forgotten", vec![status_received("queued", 0), status_received("unknown", 10)]),
     ];
     for (rule, events) in cases {
-        let found = found(events);
+        let found = violations_of(events);
         assert!(found.len() == 1 && found[0].contains(rule), "{rule}: {found:?}");
     }
 }
 
-/// One task of a cancelled job: how long after the answer it came to its machine, and how long it stayed.
-fn cancelled_task(told_us: u64, begun_us: u64, left_us: Option<u64>, end_us: u64) -> CancellationSummary {
-    let mut events = vec![(told_us, told("withdrawn", 0)), (begun_us, begun("m-1", "wk-1/0"))];
-    events.extend(left_us.map(|at| (at, left("m-1", "wk-1/0", false))));
-    events.push((end_us, told("withdrawn", 0)));
+/// Returns the summary of a history with one task of a cancelled job. A user receives the status of the job at
+/// `cancelled_us`; the task starts at `started_us` and leaves its machine at `left_us`, if ever; the history ends at
+/// `end_us`. 100 us are allowed.
+fn cancelled_task(cancelled_us: u64, started_us: u64, left_us: Option<u64>, end_us: u64) -> CancellationSummary {
+    let mut events = vec![(cancelled_us, status_received("withdrawn", 0)), (started_us, task_started("m-1", "wk-1/0"))];
+    events.extend(left_us.map(|at| (at, task_left("m-1", "wk-1/0", false))));
+    events.push((end_us, status_received("withdrawn", 0)));
     events.sort_by_key(|(at, _)| *at);
     summarize_cancellations(&events, Duration::from_micros(100))
 }
 
 #[test]
-fn cancelled_tasks_that_run_on_or_begin_late_are_found() {
+fn cancelled_tasks_that_run_or_start_after_the_allowed_time_are_found() {
     let in_time = cancelled_task(50, 10, Some(150), 900);
     assert_eq!((in_time.late.len(), in_time.longest_us, in_time.started_after), (0, 100, 0), "{in_time:?}");
-    // Its command was on its way when the user was told.
+    // The start command was in flight when the user received the status.
     let in_flight = cancelled_task(50, 60, Some(120), 900);
     assert_eq!((in_flight.late.len(), in_flight.started_after), (0, 1), "{in_flight:?}");
-    assert_eq!(cancelled_task(50, 10, Some(151), 900).late.len(), 1, "it stays too long");
+    assert_eq!(cancelled_task(50, 10, Some(151), 900).late.len(), 1, "it leaves too late");
     assert_eq!(cancelled_task(50, 10, None, 900).late.len(), 1, "it never leaves");
-    assert_eq!(cancelled_task(50, 10, None, 140).late.len(), 0, "it has time left");
+    assert_eq!(cancelled_task(50, 10, None, 140).late.len(), 0, "the allowed time has not passed");
     let late = cancelled_task(50, 200, Some(210), 900);
-    assert_eq!((late.late.len(), late.started_after), (2, 1), "it begins too late, and is there too late");
+    assert_eq!((late.late.len(), late.started_after), (2, 1), "it starts and leaves too late");
 }
 
-/// The same seed draws the same troubles, which meet.
+/// The same seed draws the same plan, and some faults of each plan overlap. Unknown faults are refused.
 #[test]
-fn plans_of_troubles_repeat_and_overlap() {
+fn plans_of_faults_are_reproducible_and_overlap() {
     let plan_of = |seed| draw_plan(seed, Duration::from_secs(45), Duration::from_secs(5), Duration::from_secs(14));
     assert_eq!(plan_of(7), plan_of(7));
     for seed in 0..50 {
         let plan = plan_of(seed);
-        let meets = plan.iter().any(|one| {
+        let overlaps = plan.iter().any(|planned| {
             plan.iter().any(|other| {
-                let starts_within =
-                    other.begins_at_ms >= one.begins_at_ms && other.begins_at_ms < one.begins_at_ms + one.duration_ms;
-                one != other && starts_within
+                let starts_within = other.begins_at_ms >= planned.begins_at_ms
+                    && other.begins_at_ms < planned.begins_at_ms + planned.duration_ms;
+                planned != other && starts_within
             })
         });
-        assert!(meets, "{seed}: {plan:?}");
+        assert!(overlaps, "{seed}: {plan:?}");
     }
     assert!(
         serde_json::from_str::<Vec<PlannedFault>>(r#"[{"at_ms": 1, "for_ms": 2, "trouble": "unheard_of"}]"#).is_err()
@@ -108,11 +114,11 @@
     let mut samples: Vec<Sample> = (1..=100).map(|n| sample("on", n, Some(n * 10))).collect();
     samples.push(sample("on", 101, None));
     samples.push(sample("off", 1, None));
-    let page = html("A & B", &samples).expect("a page");
+    let page = html("A & B", &samples).expect("samples can be rendered");
     assert!(page.contains("A &amp; B") && page.contains("&lt;one&gt;") && page.contains("<svg"));
     assert!(page.contains("<td>on</td><td>101</td><td>1</td>"), "{page}");
     assert!(page.contains("<td>off</td><td>1</td><td>1</td><td>-</td>"), "{page}");
-    let figures = distributions(&samples).expect("distributions");
+    let figures = distributions(&samples).expect("samples have distributions");
     let on = &figures["time, ms"]["<one>"]["on"];
     assert!(on.quantile(0.5).is_some_and(|median| (490..=510).contains(&median)));
     assert_eq!((on.worst().map(|worst| worst / 10), on.quantile(1.0).map(|q| q / 10)), (Some(100), Some(100)));
@@ -120,10 +126,11 @@
 }
 
 #[test]
-fn lines_that_are_no_samples_are_named() {
-    let good = serde_json::to_string(&sample("on", 1, Some(3))).expect("plain data");
-    assert_eq!(read_samples(&format!("{good}\n\n{good}\n")).expect("two").len(), 2);
-    let refusal = read_samples(&format!("{good}\n{{\"figure\": 1}}\n")).expect_err("no sample").to_string();
-    assert!(refusal.starts_with("line 2:"), "{refusal}");
+fn an_invalid_sample_is_named_by_its_line_number() {
+    let good = serde_json::to_string(&sample("on", 1, Some(3))).expect("a sample can be serialized");
+    assert_eq!(read_samples(&format!("{good}\n\n{good}\n")).expect("two valid lines").len(), 2);
+    let error =
+        read_samples(&format!("{good}\n{{\"figure\": 1}}\n")).expect_err("the second line is invalid").to_string();
+    assert!(error.starts_with("line 2:"), "{error}");
     assert!(matches!(html("empty", &[]), Err(ReportError::Empty)));
 }
