--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -3,7 +3,7 @@
 use burlhatch_testbed::faults::{PlannedFault, draw_plan};
 use burlhatch_testbed::report::{html, read_samples};
 use burlhatch_testbed::scenarios::{ZoneFault, cluster_config, play};
-use burlhatch_testbed::soak::{self, SoakRun, TIMING_PROFILES};
+use burlhatch_testbed::soak::{SoakRun, TIMING_PROFILES, run_soak};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -184,7 +184,7 @@
         while running.len() < at_once
             && let Some(run) = waiting.next()
         {
-            running.spawn(async move { (soak::play(&run).await, run) });
+            running.spawn(async move { (run_soak(&run).await, run) });
         }
         let Some(ended) = running.join_next().await else { return Ok(all_passed) };
         let (findings, run) = ended?;
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -102,7 +102,7 @@
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 
 /// Executes a run and checks its history.
-pub async fn play(run: &SoakRun) -> Result<Findings, ClusterError> {
+pub async fn run_soak(run: &SoakRun) -> Result<Findings, ClusterError> {
     let started_at = Instant::now();
     let mut cluster = Cluster::start(cluster_config(run)).await?;
     let mut users = SimulatedUsers::new(&cluster);
--- a/tests/soak_loopback.rs
+++ b/tests/soak_loopback.rs
@@ -2,7 +2,7 @@
 //! Long runs by hand: `cargo run -p burlhatch-testbed -- soak --count 50 --at-once 4`.
 
 use burlhatch_testbed::faults::draw_plan;
-use burlhatch_testbed::soak::{SoakRun, TIMING_PROFILES, play};
+use burlhatch_testbed::soak::{SoakRun, TIMING_PROFILES, run_soak};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -24,7 +24,8 @@
             span: SPAN,
             plan: draw_plan(seed, SPAN, timing.lease, timing.cancel_limit),
         };
-        let findings = play(&soak).await.unwrap_or_else(|e| panic!("seed {seed}: {e}; {}", soak.directory.display()));
+        let findings =
+            run_soak(&soak).await.unwrap_or_else(|e| panic!("seed {seed}: {e}; {}", soak.directory.display()));
         assert!(findings.violations.is_empty(), "{findings:#?}\n{:?}\n{}", soak.plan, soak.directory.display());
         assert!(findings.begun > 0 && findings.cancelled > 0, "nothing was tested: {findings:?}");
         std::fs::remove_dir_all(&soak.directory).expect("cleaned up");
