--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -2,7 +2,7 @@
 
 use burlhatch_testbed::faults::{PlannedFault, draw_plan};
 use burlhatch_testbed::report::{html, read_samples};
-use burlhatch_testbed::scenarios::{ZoneFault, cluster_config, play};
+use burlhatch_testbed::scenarios::{ZoneFault, cluster_config, run_zone_scenario};
 use burlhatch_testbed::soak::{SoakRun, TIMING_PROFILES, run_soak};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::error::Error;
@@ -139,7 +139,7 @@
     for n in 0..run_count {
         let directory = std::env::temp_dir().join(format!("burlhatch-testbed-{}-{n}", std::process::id()));
         let config = cluster_config(program.to_path_buf(), directory.clone(), policy);
-        let findings = runtime.block_on(play(config, fault))?;
+        let findings = runtime.block_on(run_zone_scenario(config, fault))?;
         println!("{}", serde_json::to_string(&findings)?);
         all_passed &= findings.violations.is_empty();
         std::fs::remove_dir_all(&directory)?;
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -118,7 +118,7 @@
 }
 
 /// Runs the scenario of one fault and checks the history of the run.
-pub async fn play(config: ClusterConfig, fault: ZoneFault) -> Result<Findings, ClusterError> {
+pub async fn run_zone_scenario(config: ClusterConfig, fault: ZoneFault) -> Result<Findings, ClusterError> {
     let mut cluster = Cluster::start(config).await?;
     let mut users = SimulatedUsers::new(&cluster);
     start_load(&cluster, &mut users).await?;
--- a/tests/zones_loopback.rs
+++ b/tests/zones_loopback.rs
@@ -1,7 +1,7 @@
 //! Three zones on loopback with five controllers as real processes: a zone is lost in the morning's load and comes back.
 //! Longer runs by hand: `cargo run -p burlhatch-testbed -- zone --trouble killed --times 10`.
 
-use burlhatch_testbed::scenarios::{Findings, RESTORE_LIMIT, ZoneFault, cluster_config, play};
+use burlhatch_testbed::scenarios::{Findings, RESTORE_LIMIT, ZoneFault, cluster_config, run_zone_scenario};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
@@ -18,7 +18,7 @@
 
 async fn played(name: &str, fault: ZoneFault) -> Findings {
     let directory = directory(name);
-    let findings = play(cluster_config(program(), directory.clone(), JUDGING_ZONES), fault).await;
+    let findings = run_zone_scenario(cluster_config(program(), directory.clone(), JUDGING_ZONES), fault).await;
     let findings = findings.unwrap_or_else(|e| panic!("{name}: {e}; logs are in {}", directory.display()));
     assert!(findings.violations.is_empty(), "{name}: {:#?}", findings.violations);
     assert!(findings.restored_ms <= RESTORE_LIMIT.as_millis() as u64, "{name}: {} ms", findings.restored_ms);
