--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -94,7 +94,7 @@
     fn from(name: FaultName) -> ZoneFault {
         match name {
             FaultName::Killed => ZoneFault::Killed,
-            FaultName::BackInMidMove => ZoneFault::BackInMidMove,
+            FaultName::BackInMidMove => ZoneFault::ReconnectedDuringEvacuation,
             FaultName::FlapsTwice => ZoneFault::FlapsTwice,
         }
     }
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -17,7 +17,7 @@
     Killed,
     /// The zone's machines are partitioned, and reconnected as soon as the first of them has been deleted, while tasks
     /// are still being moved to other zones.
-    BackInMidMove,
+    ReconnectedDuringEvacuation,
     /// The zone's machines are partitioned and reconnected twice in a row.
     FlapsTwice,
 }
@@ -166,7 +166,7 @@
             users.update_targets(cluster);
             cluster.wait_for("services to run elsewhere", RESTORE_LIMIT, run_elsewhere).await
         }
-        ZoneFault::BackInMidMove => {
+        ZoneFault::ReconnectedDuringEvacuation => {
             let machines_before = cluster.cloud.machine_count(LOST_ZONE);
             cluster.cloud.set_connectivity(LOST_ZONE, Connectivity::Partitioned);
             let is_moving = |cluster: &Cluster| cluster.cloud.machine_count(LOST_ZONE) < machines_before;
--- a/tests/zones_loopback.rs
+++ b/tests/zones_loopback.rs
@@ -37,7 +37,7 @@
 /// The zone is heard again when the first of its machines have been deleted: nothing runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_that_is_back_in_the_middle_of_the_move_runs_nothing_twice() {
-    played("mid-move", ZoneFault::BackInMidMove).await;
+    played("mid-move", ZoneFault::ReconnectedDuringEvacuation).await;
 }
 
 /// The zone is cut off twice within a minute.
