--- a/crates/testbed/src/history.rs
+++ b/crates/testbed/src/history.rs
@@ -86,7 +86,7 @@
 /// Summary of how the tasks of cancelled jobs ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CancellationSummary {
-    /// Number of jobs of which a user received the status `withdrawn`, that is, cancelled.
+    /// Number of jobs for which a user received the status `withdrawn`, that is, cancelled.
     pub cancelled_jobs: usize,
     /// Number of tasks of these jobs that started after a user had received that status.
     pub started_after: usize,
--- a/crates/testbed/src/listener.rs
+++ b/crates/testbed/src/listener.rs
@@ -40,8 +40,8 @@
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    // The system chooses the port and binds it in one step. A port that is chosen first and bound later may be taken by
-    // another process in between.
+    // The system chooses a port and binds it in one step. A port chosen first and bound later could be taken by another
+    // process in between.
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let mut tasks = JoinSet::new();
--- a/crates/testbed/src/scenarios.rs
+++ b/crates/testbed/src/scenarios.rs
@@ -18,7 +18,7 @@
     /// The zone's machines are partitioned, and reconnected as soon as the first of them has been deleted, while tasks
     /// are still being moved to other zones.
     ReconnectedDuringEvacuation,
-    /// The zone's machines are partitioned and reconnected twice in a row.
+    /// The zone's machines are partitioned and reconnected twice within a minute.
     FlapsTwice,
 }
 
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -69,7 +69,7 @@
     pub seed: u64,
     /// Violations of rules.
     pub violations: Vec<String>,
-    /// Number of jobs of which a user received the status of a cancelled job.
+    /// Number of jobs for which a user received the status of a cancelled job.
     pub cancelled: usize,
     /// Number of tasks of these jobs that started after a user had received that status.
     pub begun_after: usize,
--- a/crates/testbed/src/users.rs
+++ b/crates/testbed/src/users.rs
@@ -60,19 +60,19 @@
         *self.context.targets.lock().unwrap_or_else(PoisonError::into_inner) = cluster.addresses();
     }
 
-    /// Submits a job, and retries until it is accepted. Returns false after [`MAX_ATTEMPTS`] failed attempts.
+    /// Submits a job, and retries until it is accepted. Returns false after `MAX_ATTEMPTS` failed attempts.
     pub async fn submit(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) -> bool {
         let body = self.register(cluster, id, spec);
         self.context.post_until_accepted(JOBS_PATH, &body, id).await
     }
 
-    /// Cancels a job, and retries until the cancellation is confirmed. Returns false after [`MAX_ATTEMPTS`] failed
+    /// Cancels a job, and retries until the cancellation is confirmed. Returns false after `MAX_ATTEMPTS` failed
     /// attempts.
     pub async fn cancel(&self, id: &str) -> bool {
         self.context.post_until_accepted(&abort_path(id), &encode(&Value::Null), id).await
     }
 
-    /// Submits a job in the background, with retries for [`SUBMISSION_LIMIT`].
+    /// Submits a job in the background, with retries for `SUBMISSION_LIMIT`.
     pub fn submit_in_background(&mut self, cluster: &Cluster, id: &str, spec: JobSpec) {
         let body = self.register(cluster, id, spec);
         self.post_in_background(JOBS_PATH.into(), body, id, SUBMISSION_LIMIT);
@@ -132,7 +132,7 @@
     }
 
     /// Sends a request to one controller after the other until it is accepted, and records the status in the response.
-    /// Returns false after [`MAX_ATTEMPTS`] failed attempts.
+    /// Returns false after `MAX_ATTEMPTS` failed attempts.
     async fn post_until_accepted(&self, path: &str, body: &[u8], id: &str) -> bool {
         for attempt in 0..MAX_ATTEMPTS {
             let targets = self.targets();
