--- a/crates/zones/tests/model.rs
+++ b/crates/zones/tests/model.rs
@@ -1,4 +1,4 @@
-//! The package against slow plain models, and its bounds, on random sequences.
+//! Compares the zones crate with simple reference models on random sequences, and checks its bounds.
 
 use burlhatch_types::{JobId, MachineId, Micros};
 use burlhatch_zones::condition::ZoneState;
@@ -34,17 +34,17 @@
 }
 
 proptest! {
-    /// Counts kept by single changes are those of a walk over all machines.
+    /// Guards against incremental counts that drift from the machines they count.
     #[test]
-    fn machine_counts_are_those_of_a_walk_over_all_machines(changes in prop::collection::vec(change(), 1..120)) {
+    fn incremental_machine_counts_equal_a_full_recount(changes in prop::collection::vec(change(), 1..120)) {
         let mut machine_counts = MachineCounts::default();
         let mut machines: BTreeMap<u32, (usize, u32, Liveness)> = BTreeMap::new();
         for change in changes {
             match change {
                 Change::Put(number, zone, shard) => {
                     machine_counts.insert(&id(number), ZONES[zone], shard);
-                    let same = machines.get(&number).is_some_and(|m| (m.0, m.1) == (zone, shard));
-                    if !same {
+                    let is_unchanged = machines.get(&number).is_some_and(|m| (m.0, m.1) == (zone, shard));
+                    if !is_unchanged {
                         machines.insert(number, (zone, shard, Liveness::Responsive));
                     }
                 }
@@ -60,77 +60,86 @@
                 }
             }
             for (zone, name) in ZONES.iter().enumerate() {
-                let mut plain: BTreeMap<u32, LivenessCounts> = BTreeMap::new();
+                let mut expected: BTreeMap<u32, LivenessCounts> = BTreeMap::new();
                 for (_, shard, liveness) in machines.values().filter(|m| m.0 == zone) {
-                    let count = plain.entry(*shard).or_default();
+                    let count = expected.entry(*shard).or_default();
                     count.total += 1;
                     count.unresponsive += u32::from(*liveness == Liveness::Unresponsive);
                     count.unknown += u32::from(*liveness == Liveness::Unknown);
                 }
-                prop_assert_eq!(machine_counts.shards(name).collect::<BTreeMap<_, _>>(), plain);
-                let there: BTreeSet<MachineId> = machine_counts.machines(name).cloned().collect();
-                let plain: BTreeSet<MachineId> = machines.iter().filter(|(_, m)| m.0 == zone).map(|(n, _)| id(*n)).collect();
-                prop_assert_eq!(there, plain);
+                prop_assert_eq!(machine_counts.shards(name).collect::<BTreeMap<_, _>>(), expected);
+                let actual: BTreeSet<MachineId> = machine_counts.machines(name).cloned().collect();
+                let expected: BTreeSet<MachineId> =
+                    machines.iter().filter(|(_, m)| m.0 == zone).map(|(n, _)| id(*n)).collect();
+                prop_assert_eq!(actual, expected);
             }
         }
     }
 
-    /// The state machine against one that keeps all that was observed and looks back. The ramp is taken to be complete
-    /// at once, so that only evidence and time decide.
+    /// Compares the zone's state machine with a model that keeps all observations since the last transition and
+    /// searches them. The settings complete the ramp at once, so the condition depends only on evidence and time.
     #[test]
-    fn conditions_follow_from_what_was_observed(steps in prop::collection::vec((50..2500u64, 0..12u32, 0..12u32), 1..150)) {
+    fn zone_conditions_match_a_model_that_keeps_all_observations(
+        steps in prop::collection::vec((50..2500u64, 0..12u32, 0..12u32), 1..150)
+    ) {
         let settings = ZoneSettings { ramp_initial: 64, penalty_per_loss: 0.0, ..ZoneSettings::default() };
         let mut state = ZoneState::new(Micros::ZERO, &settings);
-        let mut plain = PlainCondition { condition: Condition::Up, entered: 0, seen: Vec::new() };
+        let mut model = ConditionModel { condition: Condition::Up, entered: 0, observations: Vec::new() };
         let mut now = 0;
         for (pause, machines, against_count) in steps {
             now += pause;
             let evidence = Evidence { machine_count: machines, against_count: against_count.min(machines) };
             state.observe(evidence, Micros::from_millis(now), &settings);
-            plain.observe(now, evidence, &settings);
-            prop_assert_eq!(state.condition(), plain.condition, "at {} with {:?}", now, evidence);
+            model.observe(now, evidence, &settings);
+            prop_assert_eq!(state.condition(), model.condition, "at {} with {:?}", now, evidence);
         }
     }
 
-    /// No step makes more starts than its allowance; the allowance at most doubles from step to step and stays within its
-    /// bounds, whatever happens.
+    /// Guards against overloading a zone that returns: no step makes more starts than its allowance, and the allowance
+    /// at most doubles between two steps, doesn't grow within one, and stays within its bounds.
     #[test]
-    fn a_return_never_exceeds_its_steps(events in prop::collection::vec((0..6u8, 0..1500u64), 1..300)) {
+    fn ramp_starts_never_exceed_the_allowance_of_the_step(
+        events in prop::collection::vec((0..6u8, 0..1500u64), 1..300)
+    ) {
         let settings = ZoneSettings::default();
         let mut ramp = Ramp::new(Micros::ZERO, &settings);
-        let (mut now, mut in_step, mut step_began, mut last) = (0, 0, 0, ramp.allowance());
-        for (what, pause) in events {
+        let (mut now, mut start_count, mut step_started_at, mut step_allowance) = (0, 0, 0, ramp.allowance());
+        for (event, pause) in events {
             now += pause;
             let before = ramp.allowance();
-            ramp.advance(Micros::from_millis(now), what % 2 == 0, &settings);
-            if now - step_began >= settings.ramp_step_ms {
-                (step_began, in_step) = (now, 0);
+            ramp.advance(Micros::from_millis(now), event % 2 == 0, &settings);
+            if now - step_started_at >= settings.ramp_step_ms {
+                (step_started_at, start_count) = (now, 0);
                 prop_assert!(ramp.allowance() <= before * 2);
-                last = ramp.allowance();
+                step_allowance = ramp.allowance();
             }
-            match what {
+            match event {
                 0..=2 if ramp.admits(&settings) => {
                     ramp.started();
-                    in_step += 1;
+                    start_count += 1;
                 }
                 3 => ramp.succeeded(),
                 4 => ramp.lost(&settings),
                 _ => {}
             }
-            prop_assert!(ramp.allowance() <= last, "it grew within a step");
+            prop_assert!(ramp.allowance() <= step_allowance, "the allowance grew within a step");
             prop_assert!((settings.ramp_initial..=settings.ramp_full).contains(&ramp.allowance()));
-            prop_assert!(in_step <= last || ramp.is_complete(&settings), "{} starts of {}", in_step, last);
+            prop_assert!(
+                start_count <= step_allowance || ramp.is_complete(&settings),
+                "{} starts in a step with an allowance of {}", start_count, step_allowance
+            );
         }
     }
 
-    /// The budget holds in every minute, and a job's pause between any two of its moves.
+    /// Guards against stopping too many replicas at once: the moves of every minute stay within the budget, and two
+    /// moves of the same job are at least the pause apart.
     #[test]
-    fn disruptions_keep_within_their_budget(asks in prop::collection::vec((0..8u32, 0..20_000u64), 1..200)) {
+    fn moves_stay_within_the_disruption_budget(requests in prop::collection::vec((0..8u32, 0..20_000u64), 1..200)) {
         let settings = ZoneSettings { moves_per_minute: 5.0, move_pause_ms: 90_000, ..ZoneSettings::default() };
         let mut budget = DisruptionBudget::default();
         let mut moves: Vec<(u64, u32)> = Vec::new();
         let mut now = 120_000;
-        for (job, pause) in asks {
+        for (job, pause) in requests {
             now += pause;
             let (name, at) = (JobId::new(&format!("wk-{job}")), Micros::from_millis(now));
             if budget.allows(&name, at, &settings) {
@@ -140,17 +149,17 @@
         }
         for (i, (at, job)) in moves.iter().enumerate() {
             let in_minute = moves[..=i].iter().filter(|(other, _)| at - other < 60_000).count();
-            // One more than the rate, as one may have been saved up.
+            // One more than the rate: the bucket may have been full when the minute began.
             prop_assert!(in_minute <= 6, "{} moves in a minute", in_minute);
-            let again = moves[..i].iter().any(|(other, same)| same == job && at - other < 90_000);
-            prop_assert!(!again, "a job moved twice within its pause");
+            let is_within_pause = moves[..i].iter().any(|(other, other_job)| other_job == job && at - other < 90_000);
+            prop_assert!(!is_within_pause, "a job was moved twice within its pause");
         }
     }
 
-    /// Every job has its place in the order once; services stay in their order; at most one batch job goes before each
-    /// few of them, and only one that is starved, the oldest of its class.
+    /// Every job occurs in the order exactly once, and services are sorted by urgency. A batch job precedes a service
+    /// only if it is the oldest starved job of its class, and only after `services_per_starved` services.
     #[test]
-    fn restoration_keeps_services_first_and_starves_nobody(
+    fn restoration_order_puts_only_starved_batch_jobs_before_services(
         jobs in prop::collection::vec((0..3u8, 0..4u8, any::<bool>(), 0..3usize, 0..120u64, any::<bool>()), 0..60)
     ) {
         let settings = ZoneSettings { services_per_starved: 4, ..ZoneSettings::default() };
@@ -178,11 +187,13 @@
                 continue;
             }
             let job = &waiting[*key];
-            prop_assert!(job.is_starved(&settings), "batch work before a service");
-            prop_assert!(services_since >= 4, "after {} services", services_since);
-            prop_assert!(classes_served.insert(job.class), "two of one class before the last service");
-            let older = |other: &WaitingJob<usize>| other.class == job.class && other.is_starved(&settings) && other.waited > job.waited;
-            prop_assert!(!waiting.iter().any(older), "not the oldest of its class");
+            prop_assert!(job.is_starved(&settings), "a batch job that is not starved precedes a service");
+            prop_assert!(services_since >= 4, "a batch job follows only {} services", services_since);
+            prop_assert!(classes_served.insert(job.class), "two jobs of one class precede the last service");
+            let is_older = |other: &WaitingJob<usize>| {
+                other.class == job.class && other.is_starved(&settings) && other.waited > job.waited
+            };
+            prop_assert!(!waiting.iter().any(is_older), "not the oldest starved job of its class");
             services_since = 0;
         }
         let services: Vec<&usize> = order.iter().filter(|key| is_service(key)).collect();
@@ -191,51 +202,52 @@
     }
 }
 
-/// All that was observed since the condition was entered.
-struct PlainCondition {
+/// Reference model of a zone's condition: keeps all observations since the last transition.
+struct ConditionModel {
     condition: Condition,
     entered: u64,
-    seen: Vec<(u64, Evidence)>,
+    observations: Vec<(u64, Evidence)>,
 }
 
-impl PlainCondition {
+impl ConditionModel {
     fn observe(&mut self, now: u64, evidence: Evidence, settings: &ZoneSettings) {
-        self.seen.push((now, evidence));
-        let part = |e: &Evidence| f64::from(e.against_count) / f64::from(e.machine_count.max(1));
-        let loss = |e: &Evidence| e.machine_count >= settings.least_machines && part(e) > settings.agree_part;
-        let over = |e: &Evidence| e.machine_count == 0 || part(e) <= settings.return_part;
-        // Since when something held at each observation up to the last.
+        self.observations.push((now, evidence));
+        let against_part = |e: &Evidence| f64::from(e.against_count) / f64::from(e.machine_count.max(1));
+        let shows_loss =
+            |e: &Evidence| e.machine_count >= settings.least_machines && against_part(e) > settings.agree_part;
+        let shows_recovery = |e: &Evidence| e.machine_count == 0 || against_part(e) <= settings.return_part;
+        // How long the predicate has held without a break; `None` if it doesn't hold at the last observation.
         let held_for = |holds: &dyn Fn(&Evidence) -> bool| {
-            let since = self.seen.iter().rev().take_while(|(_, e)| holds(e)).last();
+            let since = self.observations.iter().rev().take_while(|(_, e)| holds(e)).last();
             since.map(|(at, _)| now - at)
         };
         let next = match self.condition {
             Condition::Up if evidence.against_count > 0 => Some(Condition::Suspected),
             Condition::Suspected if evidence.against_count == 0 => Some(Condition::Up),
             Condition::Suspected | Condition::Returning
-                if held_for(&loss).is_some_and(|t| t >= settings.confirm_ms) =>
+                if held_for(&shows_loss).is_some_and(|t| t >= settings.confirm_ms) =>
             {
                 Some(Condition::Lost)
             }
             Condition::Lost => {
                 let span =
                     if evidence.machine_count == 0 { settings.empty_return_ms } else { settings.return_after_ms };
-                held_for(&over).is_some_and(|t| t >= span).then_some(Condition::Returning)
+                held_for(&shows_recovery).is_some_and(|t| t >= span).then_some(Condition::Returning)
             }
             Condition::Returning if evidence.against_count == 0 => Some(Condition::Up),
             _ => None,
         };
         if let Some(next) = next {
             (self.condition, self.entered) = (next, now);
-            self.seen.clear();
+            self.observations.clear();
         }
     }
 }
 
-/// When all goes well the return is over in a bounded time, distrusted or not: no task may wait for 90 s beside a machine
-/// with room.
+/// Guards against tasks that wait for 90 s although a machine of the zone has room: if no attempt is lost, the ramp
+/// completes within 60 s, whether or not the zone is distrusted (`may_double`) and whether or not there is demand.
 #[test]
-fn a_return_that_goes_well_is_over_in_a_bounded_time() {
+fn ramp_without_losses_completes_within_60_seconds() {
     for (may_double, demand) in [(true, true), (false, true), (true, false), (false, false)] {
         let settings = ZoneSettings::default();
         let mut ramp = Ramp::new(Micros::ZERO, &settings);
@@ -247,15 +259,15 @@
             }
             now += settings.ramp_step_ms;
             ramp.advance(Micros::from_millis(now), may_double, &settings);
-            assert!(now <= 60_000, "not over after {now} ms, doubling {may_double}, demand {demand}");
+            assert!(now <= 60_000, "not complete after {now} ms, may_double {may_double}, demand {demand}");
         }
     }
 }
 
-/// All controllers count the same loss. What each hears of the others must not add up to five losses: seen in the world
-/// of five controllers, where one loss made a zone distrusted.
+/// Guards against adding up the penalties that controllers report for the same loss: with five controllers, a single
+/// loss made the zone distrusted.
 #[test]
-fn one_loss_counted_by_five_controllers_is_one_loss() {
+fn a_loss_counted_by_five_controllers_is_penalized_once() {
     let settings = ZoneSettings::default();
     let now = Micros::from_millis(1000);
     let mut penalties = [Penalty::default(); 5];
@@ -271,15 +283,16 @@
         assert!(penalty.is_distrusted(now, &settings));
     }
     let half_life = settings.penalty_half_life_ms;
-    let later = |halves: u64| Micros::from_millis(1000 + half_life * halves);
+    let later = |half_lives: u64| Micros::from_millis(1000 + half_life * half_lives);
     assert!(penalties[0].is_distrusted(later(1), &settings), "trusted again too early");
     assert!(!penalties[0].is_distrusted(later(2), &settings), "never trusted again");
     assert!(penalties[0].value(later(1), &settings) <= settings.penalty_most);
 }
 
-/// With 4,000 machines a round costs steps by zones and shards, and a machine that falls silent a constant number.
+/// Guards against a cost that grows with the fleet: with 4,000 machines, an evaluation takes a number of steps that
+/// depends only on zones and shards, and a machine that becomes unresponsive adds a constant number.
 #[test]
-fn a_round_costs_nothing_for_machines_that_did_not_change() {
+fn evaluation_cost_does_not_grow_with_unchanged_machines() {
     let settings = ZoneSettings { enabled: true, ..ZoneSettings::default() };
     let mut zones = ZoneTracker::default();
     let shards: BTreeSet<u32> = (0..5).collect();
@@ -287,32 +300,33 @@
     for number in 0..4000 {
         zones.insert_machine(&id(number), ["a", "b", "c", "d"][number as usize % 4], number / 4 % 5);
     }
-    let most_a_round = 4 * (5 + 1);
+    let max_evaluation_cost = 4 * (5 + 1);
     let cost = |zones: &mut ZoneTracker, work: &mut dyn FnMut(&mut ZoneTracker)| {
         let before = zones.operation_count();
         work(zones);
         zones.operation_count() - before
     };
-    let quiet = cost(&mut zones, &mut |zones| drop(zones.evaluate(Micros::from_millis(20_000), &settings)));
-    assert!(quiet <= most_a_round, "{quiet} steps");
-    let falling = cost(&mut zones, &mut |zones| {
+    let evaluation_cost = cost(&mut zones, &mut |zones| drop(zones.evaluate(Micros::from_millis(20_000), &settings)));
+    assert!(evaluation_cost <= max_evaluation_cost, "{evaluation_cost} steps");
+    let update_cost = cost(&mut zones, &mut |zones| {
         (0..4000).step_by(4).for_each(|n| zones.set_liveness(&id(n), Liveness::Unresponsive));
     });
-    assert!(falling <= 1000, "{falling} steps for 1,000 machines");
-    let mut lost = Vec::new();
+    assert!(update_cost <= 1000, "{update_cost} steps for 1,000 machines");
+    let mut transitions = Vec::new();
     for ms in [21_000, 21_500, 22_500] {
         let at = Micros::from_millis(ms);
-        let steps = cost(&mut zones, &mut |zones| lost.extend(zones.evaluate(at, &settings)));
-        assert!(steps <= most_a_round, "{steps} steps");
+        let steps = cost(&mut zones, &mut |zones| transitions.extend(zones.evaluate(at, &settings)));
+        assert!(steps <= max_evaluation_cost, "{steps} steps");
     }
-    assert_eq!(zones.condition("a"), Condition::Lost, "{lost:?}");
+    assert_eq!(zones.condition("a"), Condition::Lost, "{transitions:?}");
     let moment = Moment { steady: Micros::from_millis(22_500), wall: Micros::from_millis(9_000_000) };
     assert_eq!(zones.outdated_records(7, moment, &settings).len(), 5);
 }
 
-/// A controller that hears no other zone either may be the one that is cut off: it has no view.
+/// Guards against a controller that is itself cut off and takes all zones for lost: if no zone responds, it changes no
+/// zone's condition.
 #[test]
-fn who_hears_nobody_has_no_view() {
+fn a_controller_that_reaches_no_zone_changes_no_condition() {
     let settings = ZoneSettings { enabled: true, ..ZoneSettings::default() };
     let mut zones = ZoneTracker::default();
     zones.set_held_shards(&BTreeSet::from([0]), Micros::ZERO);
@@ -326,23 +340,22 @@
     assert_eq!(zones.condition("a"), Condition::Up);
 }
 
-/// Refusals name the field.
 #[test]
-fn impossible_settings_are_refused_by_name() {
-    let good = ZoneSettings::default;
+fn invalid_settings_are_rejected_with_the_field_name() {
+    let valid = ZoneSettings::default;
     let cases: [(ZoneSettings, &str); 10] = [
-        (ZoneSettings { silent_after_ms: 0, ..good() }, "silent_after_ms"),
-        (ZoneSettings { agree_part: 1.0, ..good() }, "agree_part"),
-        (ZoneSettings { silent_part: f64::NAN, ..good() }, "silent_part"),
-        (ZoneSettings { return_part: 0.6, ..good() }, "return_part"),
-        (ZoneSettings { trust_below: 2000.0, ..good() }, "trust_below"),
-        (ZoneSettings { penalty_most: 100.0, ..good() }, "penalty_most"),
-        (ZoneSettings { ramp_initial: 0, ..good() }, "ramp_initial"),
-        (ZoneSettings { ramp_initial: 65, ..good() }, "ramp_initial"),
-        (ZoneSettings { moves_per_minute: -1.0, ..good() }, "moves_per_minute"),
-        (ZoneSettings { empty_return_ms: 1, ..good() }, "empty_return_ms"),
+        (ZoneSettings { silent_after_ms: 0, ..valid() }, "silent_after_ms"),
+        (ZoneSettings { agree_part: 1.0, ..valid() }, "agree_part"),
+        (ZoneSettings { silent_part: f64::NAN, ..valid() }, "silent_part"),
+        (ZoneSettings { return_part: 0.6, ..valid() }, "return_part"),
+        (ZoneSettings { trust_below: 2000.0, ..valid() }, "trust_below"),
+        (ZoneSettings { penalty_most: 100.0, ..valid() }, "penalty_most"),
+        (ZoneSettings { ramp_initial: 0, ..valid() }, "ramp_initial"),
+        (ZoneSettings { ramp_initial: 65, ..valid() }, "ramp_initial"),
+        (ZoneSettings { moves_per_minute: -1.0, ..valid() }, "moves_per_minute"),
+        (ZoneSettings { empty_return_ms: 1, ..valid() }, "empty_return_ms"),
     ];
-    assert_eq!(good().check(), Ok(()));
+    assert_eq!(valid().check(), Ok(()));
     for (settings, field) in cases {
         assert_eq!(settings.check().expect_err(field).field, field);
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,11 +1,11 @@
-//! Settings: what is taken, what is refused and how the refusal reads.
+//! Settings that are accepted, settings that are rejected, and the error messages.
 
 use burlhatch::settings::{Platform, Policy};
 
 const SETTINGS: &str = include_str!("settings_files/two-controllers.toml");
 
 #[test]
-fn the_platforms_file_is_read_and_unknown_fields_are_ignored() {
+fn the_platform_settings_are_parsed_and_unknown_fields_ignored() {
     let platform = Platform::parse(SETTINGS).expect("valid");
     assert_eq!(platform.label, "node-a");
     assert_eq!(platform.siblings[0].address.port(), 9081);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn refusals_name_the_field() {
+fn errors_in_platform_settings_name_the_field() {
     let cases = [
         ("report_s = 3.0", "report_s = -3.0", "deployment.workers.report_s"),
         ("nodes = 2", "nodes = 0", "deployment.nodes"),
@@ -27,13 +27,13 @@
     ];
     for (from, to, field) in cases {
         assert!(SETTINGS.contains(from));
-        let refusal = Platform::parse(&SETTINGS.replacen(from, to, 1)).expect_err(to).to_string();
-        assert!(refusal.contains(field), "{refusal} should name {field}");
+        let error = Platform::parse(&SETTINGS.replacen(from, to, 1)).expect_err(to).to_string();
+        assert!(error.contains(field), "{error} should name {field}");
     }
 }
 
 #[test]
-fn the_policy_has_defaults_and_refuses_what_it_does_not_know() {
+fn the_policy_has_defaults_and_rejects_unknown_fields_and_values_out_of_range() {
     let dir = std::env::temp_dir().join(format!("burlhatch-policy-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("temporary directory");
     let path = dir.join("policy.json");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn the_schema_in_the_docs_is_the_programs() {
-    let written = include_str!("../docs/policy.schema.json");
-    assert_eq!(written, Policy::schema(), "run `burlhatch schema > docs/policy.schema.json`");
+fn the_schema_in_the_docs_equals_the_generated_one() {
+    let documented = include_str!("../docs/policy.schema.json");
+    assert_eq!(documented, Policy::schema(), "run `burlhatch schema > docs/policy.schema.json`");
 }
--- a/tests/soak_loopback.rs
+++ b/tests/soak_loopback.rs
@@ -1,5 +1,5 @@
-//! Cancellations under troubles that meet, with controllers as real processes on loopback; a short form.
-//! Long runs by hand: `cargo run -p burlhatch-testbed -- soak --count 50 --at-once 4`.
+//! A short soak test of cancellations under overlapping faults, with controllers as real processes on loopback.
+//! For long runs: `cargo run -p burlhatch-testbed -- soak --count 50 --at-once 4`.
 
 use burlhatch_testbed::faults::draw_plan;
 use burlhatch_testbed::soak::{SoakRun, TIMING_PROFILES, play};
@@ -8,10 +8,10 @@
 
 const SPAN: Duration = Duration::from_secs(20);
 
-/// Whatever fails, nothing of a cancelled job is left in time, nothing runs twice, no state goes back, and all is served
-/// or known in the end. One seed with three controllers and short leases, one with five and longer ones.
+/// Under overlapping faults, the tasks of a cancelled job end in time, no task runs twice, no job's state goes
+/// backwards, and no accepted job is lost. One seed has five controllers and long leases, the other three and short leases.
 #[tokio::test(flavor = "multi_thread")]
-async fn cancelled_tasks_end_while_troubles_meet() {
+async fn cancelled_tasks_end_in_time_under_overlapping_faults() {
     for (seed, controllers, timing) in [(11, 5, TIMING_PROFILES[0]), (12, 3, TIMING_PROFILES[1])] {
         let name = format!("soak-{seed}-{}", std::process::id());
         let soak = SoakRun {
@@ -26,7 +26,7 @@
         };
         let findings = play(&soak).await.unwrap_or_else(|e| panic!("seed {seed}: {e}; {}", soak.directory.display()));
         assert!(findings.violations.is_empty(), "{findings:#?}\n{:?}\n{}", soak.plan, soak.directory.display());
-        assert!(findings.begun > 0 && findings.cancelled > 0, "nothing was tested: {findings:?}");
+        assert!(findings.begun > 0 && findings.cancelled > 0, "no task began or no job was cancelled: {findings:?}");
         std::fs::remove_dir_all(&soak.directory).expect("cleaned up");
     }
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,4 +1,4 @@
-//! Who moves machines out of a shard, by what the roles in the replica announce.
+//! Which controller moves machines out of a shard, depending on the record versions in the roles of the replica.
 
 use burlhatch::coordination::control::versions::{Mover, leader_delegates_moves, mover};
 use burlhatch::storage::Replica;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_leader_moves_machines_next_to_a_controller_of_the_first_version() {
+fn the_leader_moves_machines_if_either_controller_follows_the_first_version() {
     assert_eq!(mover(&replica(Some(FIRST), Some(FIRST)), 2), Mover::Leader);
     assert_eq!(mover(&replica(Some(FIRST), Some(LATER)), 2), Mover::Leader);
     assert_eq!(mover(&replica(Some(FIRST), None), 2), Mover::Leader);
@@ -29,14 +29,14 @@
 }
 
 #[test]
-fn the_holder_moves_them_where_both_are_later() {
+fn the_holder_moves_machines_if_no_role_has_the_first_version() {
     assert_eq!(mover(&replica(Some(LATER), Some(LATER)), 2), Mover::Holder);
     assert_eq!(mover(&replica(None, Some(LATER)), 2), Mover::Holder);
     assert_eq!(mover(&replica(Some(LATER), None), 2), Mover::Nobody);
 }
 
 #[test]
-fn starts_rely_on_the_leader_only_where_it_is_later() {
+fn moves_are_not_delegated_if_the_leader_or_this_controller_follows_the_first_version() {
     assert!(leader_delegates_moves(&replica(Some(LATER), None), LATER));
     assert!(leader_delegates_moves(&replica(None, None), LATER));
     assert!(!leader_delegates_moves(&replica(Some(FIRST), None), LATER));
