--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -1,7 +1,7 @@
 //! The initial sync: reads all records page by page, then the changes since the first page. Only after that does the
 //! replica match a single revision of the store, and only then are decisions and answers based on it: before, it may
 //! contain a job without the list of its dependencies. Test:
-//! `nothing_is_known_before_the_changes_since_the_first_page_are_read`.
+//! `the_controller_is_not_ready_before_it_has_read_the_changes_since_the_first_page`.
 
 use crate::coordination::store_sync::StoreSync;
 use crate::coordination::{Controller, Effect, ReadKind, ReadOutcome, StoreCall};
--- a/src/storage/replica/mod.rs
+++ b/src/storage/replica/mod.rs
@@ -91,7 +91,7 @@
     /// Zones that operators have cordoned. A zone is cordoned if its key exists, whatever the value.
     pub zone_cordons: BTreeMap<String, Versioned<Option<ZoneCordonRecord>>>,
     /// Own deletions later than `applied_revision`, so that older puts don't restore the keys. Test:
-    /// `a_late_commit_brings_no_deleted_record_back`.
+    /// `a_late_commit_does_not_restore_a_deleted_record`.
     deleted_ahead: HashMap<Key, u64>,
 }
 
--- a/tests/linearizable/controller.rs
+++ b/tests/linearizable/controller.rs
@@ -1,4 +1,5 @@
-//! One controller's state machine, driven by hand: its calls to the store wait until the test answers them.
+//! Test harness for the state machine of one controller: its calls to the store stay pending until the test answers
+//! them.
 
 use burlhatch::coordination::{
     Clock, CloudCall, CloudOutcome, Controller, Effect, Input, ReadOutcome, RequestId, SessionOutcome, StoreCall,
@@ -41,48 +42,54 @@
 fd_limit = 1000
 "#;
 
-/// Revision of the first page that a controller reads.
-pub const FIRST: u64 = 10;
+/// Revision of the pages that [`ControllerHarness::answer_page`] returns.
+pub const FIRST_PAGE_REVISION: u64 = 10;
 
-/// One controller, and the calls of its that are not answered yet.
+/// A controller, its pending calls to the store, and the answers it has given.
 pub struct ControllerHarness {
     pub controller: Controller,
     now: u64,
     pub calls: Vec<StoreCall>,
     answers: Vec<(RequestId, UserAnswer)>,
-    waiters: RequestId,
+    last_request_id: RequestId,
 }
 
 impl ControllerHarness {
-    /// One that has read nothing yet.
+    /// Creates a controller that has read nothing yet.
     pub fn new() -> ControllerHarness {
         let platform = Platform::parse(SETTINGS).expect("valid settings");
         let controller = Controller::new(Arc::new(platform), Arc::new(Policy::default()), 7);
-        let mut controller =
-            ControllerHarness { controller, now: 1_000_000, calls: Vec::new(), answers: Vec::new(), waiters: 0 };
+        let mut controller = ControllerHarness {
+            controller,
+            now: 1_000_000,
+            calls: Vec::new(),
+            answers: Vec::new(),
+            last_request_id: 0,
+        };
         controller.feed(Input::Tick);
         controller
     }
 
-    /// One that has read these records, and what has changed since the first page.
+    /// Creates a controller that has finished its initial sync with these records.
     pub fn started(items: Vec<Item>) -> ControllerHarness {
         let mut controller = ControllerHarness::new();
         controller.answer_page(items, false);
-        controller.answer_changes(|_| true, FIRST, Vec::new());
+        controller.answer_changes(|_| true, FIRST_PAGE_REVISION, Vec::new());
         controller.settle();
         controller
     }
 
-    /// Lets it get its session and send its watch.
+    /// Grants the controller its session and gives it time to send its watch.
     pub fn settle(&mut self) {
         if let Some(StoreCall::GrantSession { ticket, .. }) =
-            self.take(|call| matches!(call, StoreCall::GrantSession { .. }))
+            self.take_call(|call| matches!(call, StoreCall::GrantSession { .. }))
         {
             self.feed(Input::Session { ticket, outcome: SessionOutcome::Granted(1) });
         }
-        self.pass(1000);
+        self.advance_time(1000);
     }
 
+    /// Passes an input to the controller and collects its calls and answers.
     pub fn feed(&mut self, input: Input) {
         self.now += 10;
         let clock = Clock { steady: Micros(self.now), wall: Micros(1_700_000_000_000_000 + self.now) };
@@ -100,58 +107,62 @@
         }
     }
 
-    /// Lets time pass, in ticks.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the clock in ticks of 100 ms.
+    pub fn advance_time(&mut self, ms: u64) {
         for _ in 0..ms / 100 {
             self.now += 100_000;
             self.feed(Input::Tick);
         }
     }
 
-    pub fn ask(&mut self, request: UserRequest) -> RequestId {
-        self.waiters += 1;
-        let request_id = self.waiters;
+    pub fn request(&mut self, request: UserRequest) -> RequestId {
+        self.last_request_id += 1;
+        let request_id = self.last_request_id;
         self.feed(Input::User(request_id, request));
         request_id
     }
 
     pub fn submit(&mut self, id: &JobId, spec: JobSpec) -> RequestId {
-        self.ask(UserRequest::Submit(Box::new(Submission { id: Some(id.clone()), spec: Some(spec) })))
+        self.request(UserRequest::Submit(Box::new(Submission { id: Some(id.clone()), spec: Some(spec) })))
     }
 
-    pub fn told(&self, request_id: RequestId) -> Option<&UserAnswer> {
+    /// Returns the answer to a request, if there is one.
+    pub fn answer(&self, request_id: RequestId) -> Option<&UserAnswer> {
         self.answers.iter().find(|(to, _)| *to == request_id).map(|(_, answer)| answer)
     }
 
-    pub fn state_told(&self, request_id: RequestId) -> Option<JobState> {
-        match self.told(request_id) {
+    /// Returns the job's state according to the answer to a request.
+    pub fn answered_state(&self, request_id: RequestId) -> Option<JobState> {
+        match self.answer(request_id) {
             Some(UserAnswer::Status(status)) => Some(status.state),
             Some(UserAnswer::Accepted(_)) => Some(JobState::Queued),
             _ => None,
         }
     }
 
-    pub fn take(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<StoreCall> {
-        let at = self.calls.iter().position(wanted)?;
-        Some(self.calls.remove(at))
+    /// Removes and returns the first pending call that matches.
+    pub fn take_call(&mut self, wanted: impl Fn(&StoreCall) -> bool) -> Option<StoreCall> {
+        let index = self.calls.iter().position(wanted)?;
+        Some(self.calls.remove(index))
     }
 
-    /// The transaction that takes in submissions.
+    /// Waits for a transaction that writes a batch of jobs, and takes it.
     pub fn take_batch(&mut self) -> (u64, Txn) {
         self.take_txn("/batch/")
     }
 
-    /// A transaction that writes a key like that.
-    pub fn take_txn(&mut self, part: &str) -> (u64, Txn) {
-        let writes = |txn: &Txn| txn.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key.contains(part)));
+    /// Waits for a transaction that writes a key that contains `key_part`, and takes it.
+    pub fn take_txn(&mut self, key_part: &str) -> (u64, Txn) {
+        let writes =
+            |txn: &Txn| txn.writes.iter().any(|w| matches!(w, Write::Put { key, .. } if key.contains(key_part)));
         for _ in 0..20 {
-            let found = self.take(|call| matches!(call, StoreCall::Txn { txn, .. } if writes(txn)));
+            let found = self.take_call(|call| matches!(call, StoreCall::Txn { txn, .. } if writes(txn)));
             if let Some(StoreCall::Txn { ticket, txn, .. }) = found {
                 return (ticket, txn);
             }
-            self.pass(100);
+            self.advance_time(100);
         }
-        panic!("no transaction writes {part}");
+        panic!("no transaction writes a key that contains {key_part}");
     }
 
     pub fn commit(&mut self, ticket: u64, revision: u64) {
@@ -159,25 +170,31 @@
     }
 
     pub fn answer_page(&mut self, items: Vec<Item>, more: bool) {
-        let Some(StoreCall::Page { ticket, .. }) = self.take(|call| matches!(call, StoreCall::Page { .. })) else {
-            panic!("no page was asked for");
+        let Some(StoreCall::Page { ticket, .. }) = self.take_call(|call| matches!(call, StoreCall::Page { .. })) else {
+            panic!("no page was requested");
         };
-        self.feed(Input::Page { ticket, outcome: ReadOutcome::Got(Page { items, more, revision: FIRST }) });
+        self.feed(Input::Page {
+            ticket,
+            outcome: ReadOutcome::Got(Page { items, more, revision: FIRST_PAGE_REVISION }),
+        });
     }
 
-    /// Answers the first read of changes that `wanted` says: whether it is a fresh one.
+    /// Answers the first read of changes for which `wanted` returns true; see [`Self::take_changes`].
     pub fn answer_changes(&mut self, wanted: impl Fn(bool) -> bool, revision: u64, events: Vec<Event>) {
         let ticket = self.take_changes(wanted);
         self.feed(Input::Changes { ticket, outcome: ReadOutcome::Got(Changes { revision, events }) });
     }
 
+    /// Waits for a read of changes for which `wanted` returns true, and takes it. The argument of `wanted` tells
+    /// whether the read is a fresh read, not a watch.
     pub fn take_changes(&mut self, wanted: impl Fn(bool) -> bool) -> u64 {
         for _ in 0..30 {
-            let found = self.take(|call| matches!(call, StoreCall::Changes { wait_ms, .. } if wanted(*wait_ms == 0)));
+            let found =
+                self.take_call(|call| matches!(call, StoreCall::Changes { wait_ms, .. } if wanted(*wait_ms == 0)));
             if let Some(StoreCall::Changes { ticket, .. }) = found {
                 return ticket;
             }
-            self.pass(100);
+            self.advance_time(100);
         }
         panic!("no read of changes was sent");
     }
@@ -230,16 +247,18 @@
     Item { key: key.to_string(), value, version }
 }
 
-pub fn put(key: Key, value: Value, version: u64) -> Event {
+pub fn put_event(key: Key, value: Value, version: u64) -> Event {
     Event { put: Some(key.to_string()), delete: None, value: Some(value), version }
 }
 
-pub fn cancelled(id: &JobId, version: u64) -> Event {
-    put(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(Micros(1))), version)
+pub fn cancellation_event(id: &JobId, version: u64) -> Event {
+    put_event(Key::Outcome(id.clone()), to_value(&OutcomeRecord::cancelled(Micros(1))), version)
 }
 
-/// The first put of a transaction, as reads show it once it is carried out.
-pub fn written(txn: &Txn, version: u64) -> Event {
-    let Some(Write::Put { key, value, .. }) = txn.writes.first().cloned() else { panic!("nothing is put") };
+/// Returns the first put of a transaction as the event that reads return after the commit.
+pub fn first_put_event(txn: &Txn, version: u64) -> Event {
+    let Some(Write::Put { key, value, .. }) = txn.writes.first().cloned() else {
+        panic!("the first write is not a put")
+    };
     Event { put: Some(key), delete: None, value: Some(value), version }
 }
--- a/tests/linearizable/histories.rs
+++ b/tests/linearizable/histories.rs
@@ -1,9 +1,10 @@
-//! Random histories of the stored records against a plain model of what may be answered.
+//! Random histories of the stored records: compares a controller's answers with a reference model.
 //!
-//! A history takes jobs in, some of them twice and some that await others, ends them and clears batches away. A
-//! controller reads it in pieces: by its watch, by fresh reads, in pages of different times after it fell too far
-//! behind, and hears of cancellations from siblings before it reads of them. After each piece it is asked about every
-//! job, and answers what the model derives from the records at the revision that its read was answered with.
+//! A history accepts jobs, some of them twice and some with dependencies, records their outcomes and deletes batches. A
+//! controller observes it in parts: through its watch, through fresh reads, through pages of different revisions when
+//! its watch is too old, and through notices of siblings about cancellations that it has not read yet. After each part
+//! it is asked for the state of every job and must answer what the model derives from the records at the revision of
+//! its last read.
 
 use super::controller::{ControllerHarness, batch, id, spec};
 use burlhatch::coordination::{Input, ReadOutcome, RequestId, StoreCall, UserAnswer, UserRequest};
@@ -17,33 +18,33 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Jobs that a history is about.
+/// Number of jobs in a history.
 const JOBS: u64 = 8;
-/// Waiters of siblings, apart from users'.
-const SIBLING: RequestId = 1_000_000;
+/// Base of the request IDs of siblings' notices, distinct from the IDs of users' requests.
+const FIRST_NOTICE_REQUEST: RequestId = 1_000_000;
 
-/// What happens next, as far as the records so far allow it.
+/// A change of the stored records. A step that the records don't permit is skipped.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Some jobs are taken in, each awaiting some of those before it.
+    /// Accepts jobs, each with dependencies among the jobs accepted before it.
     Accept(Vec<(u64, Vec<u64>)>),
     Done(u64),
     Cancel(u64),
-    /// A batch is cleared away.
-    Clear(usize),
+    /// Deletes a batch whose jobs have all finished.
+    DeleteBatch(usize),
 }
 
-/// How the controller learns of what happened.
+/// How the controller learns of the steps.
 #[derive(Clone, Debug)]
-enum Look {
-    /// Its watch is answered.
+enum Observation {
+    /// Its watch and its fresh reads are answered.
     Watch,
-    /// Only the questions' own read is.
-    Fresh,
-    /// A sibling tells it of a cancellation, which its own reads may not have brought yet.
-    Sibling(usize),
-    /// It fell behind and reads everything again, in pages of so many items with some steps in between.
-    StartOver(usize),
+    /// Only its fresh reads are answered.
+    FreshRead,
+    /// A sibling notifies it of a cancellation, which its own reads may not have returned yet.
+    SiblingNotice(usize),
+    /// Its watch is too old, and it reads all records again, in pages of this many items with steps in between.
+    Resync(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -52,28 +53,28 @@
         4 => proptest::collection::vec((0..JOBS, depends_on()), 1..4).prop_map(Step::Accept),
         2 => (0..JOBS).prop_map(Step::Done),
         2 => (0..JOBS).prop_map(Step::Cancel),
-        2 => (0usize..8).prop_map(Step::Clear),
+        2 => (0usize..8).prop_map(Step::DeleteBatch),
     ]
 }
 
-fn look() -> impl Strategy<Value = Look> {
+fn observation() -> impl Strategy<Value = Observation> {
     prop_oneof![
-        3 => Just(Look::Watch),
-        3 => Just(Look::Fresh),
-        1 => (0usize..4).prop_map(Look::Sibling),
-        1 => (1usize..4).prop_map(Look::StartOver),
+        3 => Just(Observation::Watch),
+        3 => Just(Observation::FreshRead),
+        1 => (0usize..4).prop_map(Observation::SiblingNotice),
+        1 => (1usize..4).prop_map(Observation::Resync),
     ]
 }
 
-/// The store's records, and all that the model knows of the jobs.
+/// The records of the store, and the reference model of the jobs.
 #[derive(Default)]
 struct History {
     revision: u64,
-    log: Vec<Event>,
-    keys: BTreeMap<String, (Value, u64)>,
+    events: Vec<Event>,
+    records: BTreeMap<String, (Value, u64)>,
     batches: Vec<(String, BTreeSet<u64>)>,
     depends_on: BTreeMap<u64, Vec<u64>>,
-    ends: BTreeMap<u64, Outcome>,
+    outcomes: BTreeMap<u64, Outcome>,
 }
 
 impl History {
@@ -81,18 +82,18 @@
         self.revision += 1;
         let key = key.to_string();
         let (put, delete) = if value.is_some() { (Some(key.clone()), None) } else { (None, Some(key.clone())) };
-        self.log.push(Event { put, delete, value: value.clone(), version: self.revision });
+        self.events.push(Event { put, delete, value: value.clone(), version: self.revision });
         match value {
-            Some(value) => self.keys.insert(key, (value, self.revision)),
-            None => self.keys.remove(&key),
+            Some(value) => self.records.insert(key, (value, self.revision)),
+            None => self.records.remove(&key),
         };
     }
 
-    /// What has become of a job, by plain walks over what it depends on.
+    /// Returns a job's outcome, found by a recursive walk over its dependencies.
     fn outcome(&self, job: u64) -> Option<Outcome> {
-        let fell =
+        let cancelled_dependency =
             || self.depends_on.get(&job)?.iter().find(|before| self.outcome(**before) == Some(Outcome::Cancelled));
-        self.ends.get(&job).copied().or_else(|| fell().map(|_| Outcome::Cancelled))
+        self.outcomes.get(&job).copied().or_else(|| cancelled_dependency().map(|_| Outcome::Cancelled))
     }
 
     fn state(&self, job: u64) -> Option<JobState> {
@@ -112,18 +113,20 @@
                     depends_on.iter().all(|before| self.outcome(*before) == Some(Outcome::Done))
                 });
                 if ready && self.outcome(*job).is_none() {
-                    self.end(*job, Outcome::Done);
+                    self.record_outcome(*job, Outcome::Done);
                 }
             }
-            // Also the owner of one that fell with another writes that down some time.
+            // Also if a dependency was cancelled: the shard's holder then records the cancellation of the job itself.
             Step::Cancel(job) => {
-                if self.depends_on.contains_key(job) && !self.ends.contains_key(job) {
-                    self.end(*job, Outcome::Cancelled);
+                if self.depends_on.contains_key(job) && !self.outcomes.contains_key(job) {
+                    self.record_outcome(*job, Outcome::Cancelled);
                 }
             }
-            Step::Clear(nth) => {
-                let over = |jobs: &BTreeSet<u64>| jobs.iter().all(|job| self.ends.contains_key(job));
-                if let Some(at) = self.batches.iter().position(|(_, jobs)| over(jobs)).filter(|at| at % 8 <= *nth) {
+            Step::DeleteBatch(nth) => {
+                let has_finished = |jobs: &BTreeSet<u64>| jobs.iter().all(|job| self.outcomes.contains_key(job));
+                if let Some(at) =
+                    self.batches.iter().position(|(_, jobs)| has_finished(jobs)).filter(|at| at % 8 <= *nth)
+                {
                     let (name, _) = self.batches.remove(at);
                     self.write(Key::JobBatch(name), None);
                 }
@@ -131,12 +134,12 @@
         }
     }
 
-    /// Takes in those that are not over. A job that is known keeps what it depends on, whatever the repeat says: of two
-    /// batches the older counts.
+    /// Accepts the jobs that have no outcome. A known job keeps its dependencies if it is submitted again with others,
+    /// because of two batches the older is valid.
     fn accept(&mut self, jobs: &[(u64, Vec<u64>)]) {
         let mut members: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-        for (job, depends_on) in jobs.iter().filter(|(job, _)| !self.ends.contains_key(job)) {
-            // What it names was accepted before it, so there are no circles.
+        for (job, depends_on) in jobs.iter().filter(|(job, _)| !self.outcomes.contains_key(job)) {
+            // Dependencies must have been accepted before, so there are no cycles.
             let before = depends_on.iter().copied().filter(|other| other != job && self.depends_on.contains_key(other));
             members.entry(*job).or_insert_with(|| before.collect());
         }
@@ -144,8 +147,8 @@
             return;
         }
         let name = format!("{}", self.revision + 1);
-        let of = |depends_on: &[u64]| spec(&depends_on.iter().map(|job| id(*job)).collect::<Vec<_>>());
-        let specs: Vec<_> = members.iter().map(|(job, depends_on)| (id(*job), of(depends_on))).collect();
+        let spec_of = |depends_on: &[u64]| spec(&depends_on.iter().map(|job| id(*job)).collect::<Vec<_>>());
+        let specs: Vec<_> = members.iter().map(|(job, depends_on)| (id(*job), spec_of(depends_on))).collect();
         self.write(Key::JobBatch(name.clone()), Some(batch(&specs)));
         self.batches.push((name, members.keys().copied().collect()));
         for (job, depends_on) in members {
@@ -153,62 +156,62 @@
         }
     }
 
-    fn end(&mut self, job: u64, outcome: Outcome) {
+    fn record_outcome(&mut self, job: u64, outcome: Outcome) {
         let record = if outcome == Outcome::Done { OutcomeRecord::done() } else { OutcomeRecord::cancelled(Micros(1)) };
         self.write(Key::Outcome(id(job)), Some(to_value(&record)));
-        self.ends.insert(job, outcome);
+        self.outcomes.insert(job, outcome);
     }
 
     fn changes(&self, after: u64) -> ReadOutcome<Changes> {
-        let events = self.log.iter().filter(|event| event.version > after).cloned().collect();
+        let events = self.events.iter().filter(|event| event.version > after).cloned().collect();
         ReadOutcome::Got(Changes { revision: self.revision, events })
     }
 
-    /// Cancellations in the records, with their revisions.
+    /// Returns the cancellations in the records, with their revisions.
     fn cancellations(&self) -> Vec<CancelledJob> {
-        let cancelled = self.ends.iter().filter(|(_, outcome)| **outcome == Outcome::Cancelled);
-        let told = cancelled.map(|(job, _)| {
+        let cancelled = self.outcomes.iter().filter(|(_, outcome)| **outcome == Outcome::Cancelled);
+        let notices = cancelled.map(|(job, _)| {
             let key = Key::Outcome(id(*job)).to_string();
-            CancelledJob { id: id(*job).to_string(), cancelled_at: 1, revision: self.keys[&key].1 }
+            CancelledJob { id: id(*job).to_string(), cancelled_at: 1, revision: self.records[&key].1 }
         });
-        told.collect()
+        notices.collect()
     }
 }
 
-struct Day {
+struct Simulation {
     history: History,
     controller: ControllerHarness,
-    siblings: RequestId,
+    notice_count: RequestId,
 }
 
-impl Day {
-    /// Answers all calls to the store that are on their way, watches only if `watches`.
-    fn answer_calls(&mut self, watches: bool) {
+impl Simulation {
+    /// Answers all pending calls to the store, but watches only if `answers_watches`.
+    fn answer_calls(&mut self, answers_watches: bool) {
         for call in std::mem::take(&mut self.controller.calls) {
             match call {
-                StoreCall::Changes { ticket, after, wait_ms, .. } if wait_ms == 0 || watches => {
+                StoreCall::Changes { ticket, after, wait_ms, .. } if wait_ms == 0 || answers_watches => {
                     let outcome = self.history.changes(after);
                     self.controller.feed(Input::Changes { ticket, outcome });
                 }
-                // Roles and machines are no matter here.
+                // Writes and sessions are irrelevant here: they stay unanswered.
                 StoreCall::Txn { .. } | StoreCall::GrantSession { .. } | StoreCall::KeepAlive { .. } => {}
                 other => self.controller.calls.push(other),
             }
         }
     }
 
-    /// Reads everything again: pages of different times, with steps in between.
-    fn start_over(&mut self, page_items: usize, between: &mut impl Iterator<Item = Step>) {
+    /// Has the controller read all records again, in pages of different revisions with steps in between.
+    fn resync(&mut self, page_items: usize, between: &mut impl Iterator<Item = Step>) {
         let watch = self.controller.take_changes(|fresh| !fresh);
         self.controller.feed(Input::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
         loop {
-            self.controller.pass(100);
+            self.controller.advance_time(100);
             let Some(StoreCall::Page { ticket, after }) =
-                self.controller.take(|call| matches!(call, StoreCall::Page { .. }))
+                self.controller.take_call(|call| matches!(call, StoreCall::Page { .. }))
             else {
                 break;
             };
-            let rows = self.history.keys.iter().filter(|(key, _)| after.as_ref().is_none_or(|after| *key > after));
+            let rows = self.history.records.iter().filter(|(key, _)| after.as_ref().is_none_or(|after| *key > after));
             let mut items: Vec<Item> = rows
                 .map(|(key, (value, version))| Item { key: key.clone(), value: value.clone(), version: *version })
                 .collect();
@@ -225,33 +228,34 @@
                 return;
             }
             self.answer_calls(false);
-            self.controller.pass(100);
+            self.controller.advance_time(100);
         }
-        panic!("it is not ready again");
+        panic!("the controller is not ready after the resync");
     }
 
-    fn tell(&mut self, nth: usize) {
-        let told = self.history.cancellations();
-        if told.is_empty() {
+    /// Sends the controller a sibling's notice of one of the cancellations.
+    fn send_notice(&mut self, nth: usize) {
+        let cancelled = self.history.cancellations();
+        if cancelled.is_empty() {
             return;
         }
-        self.siblings += 1;
-        let jobs = vec![told[nth % told.len()].clone()];
+        self.notice_count += 1;
+        let jobs = vec![cancelled[nth % cancelled.len()].clone()];
         let message = CancellationNotice { shard: 0, fencing_token: 1, jobs };
-        self.controller.feed(Input::Peer(SIBLING + self.siblings, message));
+        self.controller.feed(Input::Peer(FIRST_NOTICE_REQUEST + self.notice_count, message));
     }
 
-    /// Asks about all jobs, and about one that nobody submitted.
+    /// Asks for the state of every job, and of one that was never submitted, and compares the answers with the model.
     fn check(&mut self) -> Result<(), TestCaseError> {
         let jobs: Vec<(u64, JobId)> = (0..=JOBS).map(|job| (job, id(job))).collect();
-        let asked: Vec<(u64, RequestId)> =
-            jobs.iter().map(|(job, id)| (*job, self.controller.ask(UserRequest::Get(id.clone())))).collect();
+        let requests: Vec<(u64, RequestId)> =
+            jobs.iter().map(|(job, id)| (*job, self.controller.request(UserRequest::Get(id.clone())))).collect();
         for _ in 0..10 {
-            self.controller.pass(100);
+            self.controller.advance_time(100);
             self.answer_calls(false);
         }
-        for (job, request_id) in asked {
-            let answer = match self.controller.told(request_id) {
+        for (job, request_id) in requests {
+            let answer = match self.controller.answer(request_id) {
                 Some(UserAnswer::Status(status)) => Some(status.state),
                 Some(UserAnswer::NotFound) => None,
                 other => return Err(TestCaseError::fail(format!("{job}: {other:?}"))),
@@ -265,27 +269,28 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
 
+    /// Guards against answers that are older than the records at the time of the request.
     #[test]
-    fn answers_follow_from_the_records(
+    fn answers_match_the_records_at_the_latest_revision(
         steps in proptest::collection::vec(step(), 1..50),
-        looks in proptest::collection::vec((1usize..6, look()), 1..12),
+        observations in proptest::collection::vec((1usize..6, observation()), 1..12),
     ) {
         let controller = ControllerHarness::started(Vec::new());
-        // The first revision that it knows of.
-        let history = History { revision: super::controller::FIRST, ..History::default() };
-        let mut day = Day { history, controller, siblings: 0 };
+        // The history begins at the revision of the controller's initial sync.
+        let history = History { revision: super::controller::FIRST_PAGE_REVISION, ..History::default() };
+        let mut simulation = Simulation { history, controller, notice_count: 0 };
         let mut steps = steps.into_iter();
-        for (count, look) in looks {
-            for step in steps.by_ref().take(count) {
-                day.history.apply(&step);
+        for (step_count, observation) in observations {
+            for step in steps.by_ref().take(step_count) {
+                simulation.history.apply(&step);
             }
-            match look {
-                Look::Watch => day.answer_calls(true),
-                Look::Fresh => {}
-                Look::Sibling(nth) => day.tell(nth),
-                Look::StartOver(items) => day.start_over(items, &mut steps),
+            match observation {
+                Observation::Watch => simulation.answer_calls(true),
+                Observation::FreshRead => {}
+                Observation::SiblingNotice(nth) => simulation.send_notice(nth),
+                Observation::Resync(items) => simulation.resync(items, &mut steps),
             }
-            day.check()?;
+            simulation.check()?;
         }
     }
 }
--- a/tests/linearizable/main.rs
+++ b/tests/linearizable/main.rs
@@ -1,7 +1,8 @@
-//! What one controller may answer, against the store's records.
+//! Answers of one controller must be linearizable with those of its siblings: none may be older than an answer that
+//! another controller has already given.
 //!
-//! [`controller`] drives one controller by hand; the sequences here are minimal, each in the order that once led to an answer
-//! older than what another controller had told. [`histories`] compares answers with a plain model on random histories.
+//! [`controller`] drives one controller call by call. The tests here are minimal sequences that once led to an outdated
+//! answer. [`histories`] compares answers with a reference model on random histories.
 
 mod controller;
 mod histories;
@@ -11,122 +12,132 @@
 use burlhatch::protocol::user::{JobSpec, JobState};
 use burlhatch::storage::schema::{DependencyListParts, JobBatchMember, JobRecord, Key, to_value};
 use burlhatch::types::{JobId, Micros};
-use controller::{ControllerHarness, FIRST, batch, cancelled, id, item, put, spec, written};
+use controller::{
+    ControllerHarness, FIRST_PAGE_REVISION, batch, cancellation_event, first_put_event, id, item, put_event, spec,
+};
 
-/// The batch of a submission is carried out at once and its answer comes late. Meanwhile another controller sees the
-/// job, its user calls it off there and is told so, and then the submission is repeated here. The commit says how
-/// things stood before that, and must not answer the repeat.
+/// Guards against answering a repeated submission from an outdated commit. The batch of a submission is committed at
+/// once, but the response is delayed. Meanwhile the job is cancelled through another controller, and then the
+/// submission is repeated here. The commit describes an earlier state and must not answer the repeated submission.
 #[test]
-fn a_commit_answers_nobody_who_asked_after_it_was_sent() {
-    let mut controller = ControllerHarness::started(Vec::new());
-    let first = controller.submit(&id(1), spec(&[]));
-    let (ticket, _) = controller.take_batch();
-    // Carried out at 11. Elsewhere: cancelled at 12, and told.
-    let repeat = controller.submit(&id(1), spec(&[]));
-    controller.commit(ticket, 11);
-    assert_eq!(controller.told(first), Some(&UserAnswer::Accepted(id(1))));
-    assert_eq!(controller.told(repeat), None, "answered with what the commit says");
-    controller.answer_changes(|fresh| fresh, 12, vec![cancelled(&id(1), 12)]);
-    controller.pass(500);
-    assert_eq!(controller.state_told(repeat), Some(JobState::Cancelled));
+fn a_commit_does_not_answer_requests_received_after_it_was_sent() {
+    let mut harness = ControllerHarness::started(Vec::new());
+    let first = harness.submit(&id(1), spec(&[]));
+    let (ticket, _) = harness.take_batch();
+    // The batch is committed at revision 11. Another controller cancels the job at 12 and acknowledges that.
+    let repeat = harness.submit(&id(1), spec(&[]));
+    harness.commit(ticket, 11);
+    assert_eq!(harness.answer(first), Some(&UserAnswer::Accepted(id(1))));
+    assert_eq!(harness.answer(repeat), None, "answered from the outdated commit");
+    harness.answer_changes(|fresh| fresh, 12, vec![cancellation_event(&id(1), 12)]);
+    harness.advance_time(500);
+    assert_eq!(harness.answered_state(repeat), Some(JobState::Cancelled));
 }
 
-/// As before, and the watch has brought the cancellation before the commit's answer comes: the controller that itself
-/// tells one user that the job is cancelled must not tell another that it is queued.
+/// Guards against answers that contradict each other: the watch returns the cancellation before the response to the
+/// commit arrives. A controller that has reported the job as cancelled must not report it as queued afterwards.
 #[test]
-fn a_late_commit_does_not_undo_what_the_watch_brought() {
-    let mut controller = ControllerHarness::started(Vec::new());
-    let first = controller.submit(&id(1), spec(&[]));
-    let (ticket, txn) = controller.take_batch();
-    controller.answer_changes(|fresh| !fresh, 12, vec![written(&txn, 11), cancelled(&id(1), 12)]);
-    let question = controller.ask(UserRequest::Get(id(1)));
-    controller.pass(200);
-    controller.commit(ticket, 11);
-    controller.pass(500);
-    assert_eq!(controller.state_told(question), Some(JobState::Cancelled));
-    assert_eq!(controller.state_told(first), Some(JobState::Cancelled));
+fn a_late_commit_does_not_revert_a_cancellation_seen_by_the_watch() {
+    let mut harness = ControllerHarness::started(Vec::new());
+    let first = harness.submit(&id(1), spec(&[]));
+    let (ticket, txn) = harness.take_batch();
+    harness.answer_changes(|fresh| !fresh, 12, vec![first_put_event(&txn, 11), cancellation_event(&id(1), 12)]);
+    let question = harness.request(UserRequest::Get(id(1)));
+    harness.advance_time(200);
+    harness.commit(ticket, 11);
+    harness.advance_time(500);
+    assert_eq!(harness.answered_state(question), Some(JobState::Cancelled));
+    assert_eq!(harness.answered_state(first), Some(JobState::Cancelled));
 }
 
-/// A job that another needs was cancelled where this controller's watch has not got yet, and whoever asked there was
-/// told that both are. The other's submission is repeated here: its batch can be carried out, as nothing is written
-/// down about it, but says nothing of what it needs.
+/// Guards against an answer that ignores a dependency's outcome. A job's dependency was cancelled at a revision that
+/// this controller's watch has not reached yet, and another controller has reported both jobs as cancelled. The
+/// submission of the dependent job is repeated here: its batch can be committed, as no outcome of that job is recorded,
+/// but the commit proves nothing about the dependency.
 #[test]
-fn a_commit_tells_nothing_of_the_jobs_that_one_needs() {
+fn a_commit_does_not_prove_the_state_of_a_jobs_dependencies() {
     let known = batch(&[(id(1), spec(&[]))]);
-    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known, 5)]);
-    let repeat = controller.submit(&id(2), spec(&[id(1)]));
-    let (ticket, txn) = controller.take_batch();
-    controller.commit(ticket, 13);
-    assert_eq!(controller.told(repeat), None, "answered with what the commit says");
-    controller.answer_changes(|_| true, 13, vec![cancelled(&id(1), 11), written(&txn, 13)]);
-    controller.pass(500);
-    assert_eq!(controller.state_told(repeat), Some(JobState::Cancelled));
+    let mut harness = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known, 5)]);
+    let repeat = harness.submit(&id(2), spec(&[id(1)]));
+    let (ticket, txn) = harness.take_batch();
+    harness.commit(ticket, 13);
+    assert_eq!(harness.answer(repeat), None, "answered from the commit alone");
+    harness.answer_changes(|_| true, 13, vec![cancellation_event(&id(1), 11), first_put_event(&txn, 13)]);
+    harness.advance_time(500);
+    assert_eq!(harness.answered_state(repeat), Some(JobState::Cancelled));
 }
 
-/// The same submission was taken by two controllers, with something else in it: the earlier batch counts, for the one
-/// that wrote the later, too, though it hears of its own commit first. By the later alone the job would have fallen.
+/// Guards against evaluating a job by the wrong one of two submissions. Two controllers accept the same ID with
+/// different dependencies: the earlier batch is valid, also for the controller that wrote the later one and learns of
+/// its own commit first. By the later batch alone the job would be cancelled with its dependency.
 #[test]
-fn an_own_batch_does_not_count_before_an_earlier_one_is_read() {
+fn an_own_batch_does_not_take_precedence_over_an_earlier_unread_one() {
     let known = batch(&[(id(1), spec(&[])), (id(2), spec(&[]))]);
-    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known, 5)]);
-    let repeat = controller.submit(&id(3), spec(&[id(2)]));
-    let (ticket, txn) = controller.take_batch();
-    controller.commit(ticket, 13);
-    let earlier = put(Key::JobBatch("2".into()), batch(&[(id(3), spec(&[id(1)]))]), 11);
-    controller.answer_changes(|_| true, 13, vec![earlier, cancelled(&id(2), 12), written(&txn, 13)]);
-    controller.pass(500);
-    assert_eq!(controller.state_told(repeat), Some(JobState::Queued), "its user did not cancel it");
+    let mut harness = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known, 5)]);
+    let repeat = harness.submit(&id(3), spec(&[id(2)]));
+    let (ticket, txn) = harness.take_batch();
+    harness.commit(ticket, 13);
+    let earlier = put_event(Key::JobBatch("2".into()), batch(&[(id(3), spec(&[id(1)]))]), 11);
+    harness.answer_changes(|_| true, 13, vec![earlier, cancellation_event(&id(2), 12), first_put_event(&txn, 13)]);
+    harness.advance_time(500);
+    assert_eq!(
+        harness.answered_state(repeat),
+        Some(JobState::Queued),
+        "by the earlier batch, none of its dependencies is cancelled"
+    );
 }
 
-/// A submission that no value takes, under the name of a job that others have taken: its state is told, not that the
-/// submission is malformed.
+/// Guards against rejecting a repeated submission as malformed: it is larger than a value of the store may be, but its
+/// ID is that of a job that another controller has accepted, so it is answered with that job's state.
 #[test]
-fn a_submission_too_large_to_be_written_down_may_repeat_a_known_job() {
-    let mut controller = ControllerHarness::started(Vec::new());
+fn an_oversized_submission_with_the_id_of_a_known_job_gets_the_jobs_state() {
+    let mut harness = ControllerHarness::started(Vec::new());
     let mut large = spec(&[]);
     large.image = "x".repeat(5000);
-    let repeat = controller.submit(&id(1), large);
-    controller.answer_changes(
+    let repeat = harness.submit(&id(1), large);
+    harness.answer_changes(
         |fresh| fresh,
         11,
-        vec![put(Key::JobBatch("1".into()), batch(&[(id(1), spec(&[]))]), 11)],
+        vec![put_event(Key::JobBatch("1".into()), batch(&[(id(1), spec(&[]))]), 11)],
     );
-    assert_eq!(controller.state_told(repeat), Some(JobState::Queued));
+    assert_eq!(harness.answered_state(repeat), Some(JobState::Queued));
 }
 
-/// The service no longer has what the watch asks for, and the controller reads everything again while the answer to
-/// an earlier read is on its way. That one answers no question that came after it.
+/// Guards against an outdated answer after a resync. The store has discarded the revision that the watch asks for, and
+/// the controller reads all records again while a fresh read is in flight. The response to that read must not answer
+/// requests that were received after it was sent.
 #[test]
-fn an_answer_to_a_read_of_before_counts_for_no_later_one() {
+fn a_read_sent_before_a_resync_does_not_answer_later_requests() {
     let known = batch(&[(id(1), spec(&[]))]);
-    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known.clone(), 5)]);
-    controller.ask(UserRequest::Get(id(1)));
-    let early = controller.take_changes(|fresh| fresh);
-    let watch = controller.take_changes(|fresh| !fresh);
-    controller.feed(Input::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
-    controller.pass(100);
-    controller.answer_page(vec![item(Key::JobBatch("1".into()), known, 5)], false);
-    controller.answer_changes(|_| true, FIRST, Vec::new());
-    controller.settle();
-    // Elsewhere the job is cancelled at 12 and its user told so.
-    let question = controller.ask(UserRequest::Get(id(1)));
-    controller.pass(300);
-    controller.feed(Input::Changes {
+    let mut harness = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), known.clone(), 5)]);
+    harness.request(UserRequest::Get(id(1)));
+    let early = harness.take_changes(|fresh| fresh);
+    let watch = harness.take_changes(|fresh| !fresh);
+    harness.feed(Input::Changes { ticket: watch, outcome: ReadOutcome::TooOld });
+    harness.advance_time(100);
+    harness.answer_page(vec![item(Key::JobBatch("1".into()), known, 5)], false);
+    harness.answer_changes(|_| true, FIRST_PAGE_REVISION, Vec::new());
+    harness.settle();
+    // Another controller cancels the job at revision 12 and acknowledges that.
+    let question = harness.request(UserRequest::Get(id(1)));
+    harness.advance_time(300);
+    harness.feed(Input::Changes {
         ticket: early,
         outcome: ReadOutcome::Got(Changes { revision: 11, events: Vec::new() }),
     });
-    controller.pass(100);
-    assert_eq!(controller.told(question), None, "answered by a read of before the question");
-    controller.answer_changes(|fresh| fresh, 12, vec![cancelled(&id(1), 12)]);
-    controller.pass(300);
-    assert_eq!(controller.state_told(question), Some(JobState::Cancelled));
+    harness.advance_time(100);
+    assert_eq!(harness.answer(question), None, "answered by a read that was sent before the request");
+    harness.answer_changes(|fresh| fresh, 12, vec![cancellation_event(&id(1), 12)]);
+    harness.advance_time(300);
+    assert_eq!(harness.answered_state(question), Some(JobState::Cancelled));
 }
 
-/// Pages are read at different times. A job's list of dependencies is written before the job and its page is read
-/// before as well: the job then stands in the records without its list until what changed meanwhile is read.
+/// Guards against answers from an incomplete sync. Pages are read at different revisions. The page that would hold a
+/// job's list of dependencies is read before the list is written, and the page with the job after that: the replica
+/// holds the job without its list until the changes since the first page are read.
 #[test]
-fn nothing_is_known_before_the_changes_since_the_first_page_are_read() {
-    let mut controller = ControllerHarness::new();
+fn the_controller_is_not_ready_before_it_has_read_the_changes_since_the_first_page() {
+    let mut harness = ControllerHarness::new();
     let mut record = JobRecord {
         accepted_at: Micros(1),
         dependency_list_parts: Some(DependencyListParts { name: "7".into(), count: 1 }),
@@ -134,30 +145,34 @@
     };
     record.spec.depends_on.clear();
     let member = JobBatchMember { id: id(2), record };
-    controller.answer_page(vec![item(Key::JobBatch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
-    controller.answer_page(vec![item(Key::JobBatch("2".into()), to_value(&vec![member]), 12)], false);
-    assert!(!controller.controller.is_ready(), "ready with pages of different times");
-    let list = put(Key::DependencyListPart("7".into(), 0), to_value(&vec![id(1)]), 11);
-    controller.answer_changes(|_| true, 13, vec![list, cancelled(&id(1), 13)]);
-    assert!(controller.controller.is_ready());
-    controller.settle();
-    let question = controller.ask(UserRequest::Get(id(2)));
-    controller.pass(300);
-    assert_eq!(controller.state_told(question), Some(JobState::Cancelled), "it fell with the job that it awaits");
+    harness.answer_page(vec![item(Key::JobBatch("1".into()), batch(&[(id(1), spec(&[]))]), 5)], true);
+    harness.answer_page(vec![item(Key::JobBatch("2".into()), to_value(&vec![member]), 12)], false);
+    assert!(!harness.controller.is_ready(), "ready with pages of different revisions");
+    let list = put_event(Key::DependencyListPart("7".into(), 0), to_value(&vec![id(1)]), 11);
+    harness.answer_changes(|_| true, 13, vec![list, cancellation_event(&id(1), 13)]);
+    assert!(harness.controller.is_ready());
+    harness.settle();
+    let question = harness.request(UserRequest::Get(id(2)));
+    harness.advance_time(300);
+    assert_eq!(harness.answered_state(question), Some(JobState::Cancelled), "a cancelled dependency cancels the job");
 }
 
-/// The answer to a controller's own commit comes after the watch has shown that what it wrote is gone again: the
-/// record must not come back. Here it is the list of a submission that depends on more jobs than one value can name.
+/// Guards against restoring a record from a late response. The response to a controller's own commit arrives after the
+/// watch has shown the deletion of the record that it wrote. The record is part of the dependency list of a submission
+/// that depends on more jobs than fit into one value.
 #[test]
-fn a_late_commit_brings_no_deleted_record_back() {
-    let many: Vec<JobId> = (1..=400).map(id).collect();
-    let jobs: Vec<(JobId, JobSpec)> = many.iter().map(|id| (id.clone(), spec(&[]))).collect();
-    let mut controller = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), batch(&jobs), 5)]);
-    controller.submit(&id(500), spec(&many));
-    let (ticket, txn) = controller.take_txn("/awaits/");
-    let put = written(&txn, 11);
-    let cleared = Event { put: None, delete: put.put.clone(), value: None, version: 13 };
-    controller.answer_changes(|fresh| !fresh, 13, vec![put, cleared]);
-    controller.commit(ticket, 11);
-    assert!(controller.controller.replica().dependency_list_parts.is_empty(), "it is in the replica again");
+fn a_late_commit_does_not_restore_a_deleted_record() {
+    let dependencies: Vec<JobId> = (1..=400).map(id).collect();
+    let jobs: Vec<(JobId, JobSpec)> = dependencies.iter().map(|id| (id.clone(), spec(&[]))).collect();
+    let mut harness = ControllerHarness::started(vec![item(Key::JobBatch("1".into()), batch(&jobs), 5)]);
+    harness.submit(&id(500), spec(&dependencies));
+    let (ticket, txn) = harness.take_txn("/awaits/");
+    let put = first_put_event(&txn, 11);
+    let deletion = Event { put: None, delete: put.put.clone(), value: None, version: 13 };
+    harness.answer_changes(|fresh| !fresh, 13, vec![put, deletion]);
+    harness.commit(ticket, 11);
+    assert!(
+        harness.controller.replica().dependency_list_parts.is_empty(),
+        "the deleted record is in the replica again"
+    );
 }
--- a/tests/soak_loopback.rs
+++ b/tests/soak_loopback.rs
@@ -9,7 +9,8 @@
 const SPAN: Duration = Duration::from_secs(20);
 
 /// Under overlapping faults, the tasks of a cancelled job end in time, no task runs twice, no job's state goes
-/// backwards, and no accepted job is lost. One seed has five controllers and long leases, the other three and short leases.
+/// backwards, and no accepted job is lost. One seed has five controllers and long leases, the other three controllers
+/// and short leases.
 #[tokio::test(flavor = "multi_thread")]
 async fn cancelled_tasks_end_in_time_under_overlapping_faults() {
     for (seed, controllers, timing) in [(11, 5, TIMING_PROFILES[0]), (12, 3, TIMING_PROFILES[1])] {
--- a/tests/zones_loopback.rs
+++ b/tests/zones_loopback.rs
@@ -27,8 +27,8 @@
 }
 
 /// A zone fails with its machines, two controllers and all connections. All services must run again
-/// within 30 s, without waiting for the agents' leases of 45 s to expire; batch jobs may resume later, and work bound to
-/// the zone resumes when the zone returns.
+/// within 30 s, without waiting for the agents' leases of 45 s to expire; batch jobs may resume later, and work bound
+/// to the zone resumes when the zone returns.
 #[tokio::test(flavor = "multi_thread")]
 async fn services_run_again_within_thirty_seconds_of_the_loss_of_a_zone() {
     let findings = play_and_check("killed", ZoneFault::Killed).await;
