--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! One controller over real sockets on loopback, with stand-ins for the services and an agent.
+//! One controller over real sockets on loopback, with fakes for the store, the cloud and an agent.
 
 use burlhatch::protocol::agent::{AgentCommand, DirectCommands, HeartbeatResponse};
 use burlhatch::protocol::store::{Txn, Write};
@@ -22,14 +22,15 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
+/// In-memory store.
 #[derive(Default)]
-struct Store {
+struct FakeStore {
     revision: u64,
     keys: BTreeMap<String, (Value, u64)>,
     log: Vec<Value>,
 }
 
-impl Store {
+impl FakeStore {
     fn txn(&mut self, txn: &Txn) -> (u16, Value) {
         if txn.preconditions.iter().any(|c| self.keys.get(&c.key).map_or(0, |(_, v)| *v) != c.version) {
             return (409, json!({"failed": [], "ledger": self.revision}));
@@ -56,8 +57,8 @@
     }
 }
 
-/// The store and the cloud, on one address.
-async fn stand_in(store: Arc<Mutex<Store>>, request: Request<Incoming>) -> (u16, Value) {
+/// Answers a request to the store or the cloud; both have the same address.
+async fn answer_service_request(store: Arc<Mutex<FakeStore>>, request: Request<Incoming>) -> (u16, Value) {
     let method = request.method().clone();
     let uri = request.uri().clone();
     let body = request.into_body().collect().await.expect("body").to_bytes();
@@ -103,13 +104,13 @@
     }
 }
 
-async fn serve(listener: TcpListener, store: Arc<Mutex<Store>>) {
+async fn serve(listener: TcpListener, store: Arc<Mutex<FakeStore>>) {
     while let Ok((stream, _)) = listener.accept().await {
         let store = store.clone();
         let service = service_fn(move |request| {
             let store = store.clone();
             async move {
-                let (status, body) = stand_in(store, request).await;
+                let (status, body) = answer_service_request(store, request).await;
                 let response = Response::builder().status(status).body(Full::new(Bytes::from(encode(&body))));
                 Ok::<_, Infallible>(response.expect("a response"))
             }
@@ -118,15 +119,15 @@
     }
 }
 
-/// An agent that finishes whatever it is told to start.
+/// State of a fake agent, whose tasks complete at once.
 #[derive(Default)]
-struct Agent {
+struct FakeAgent {
     exited: BTreeMap<String, u64>,
     fencing_token: u64,
     seq: u64,
 }
 
-impl Agent {
+impl FakeAgent {
     fn heartbeat(&mut self, addr: SocketAddr) -> Value {
         self.seq += 1;
         let pieces: Vec<Value> = self
@@ -138,9 +139,9 @@
             "watch": 1, "tally": self.seq, "helm": self.fencing_token, "warning_s": null, "pieces": pieces})
     }
 
-    fn obey(&mut self, commands: Vec<AgentCommand>) {
-        for order in commands {
-            match order {
+    fn carry_out(&mut self, commands: Vec<AgentCommand>) {
+        for command in commands {
+            match command {
                 AgentCommand::Start { task, attempt } => drop(self.exited.insert(task, attempt)),
                 AgentCommand::Forget { task, .. } => drop(self.exited.remove(&task)),
                 AgentCommand::Stop { .. } => {}
@@ -149,11 +150,12 @@
     }
 }
 
-async fn agent(client: Client, controller: SocketAddr) {
-    let state = Arc::new(Mutex::new(Agent::default()));
+/// Sends heartbeats to the controller and carries out the commands in its responses.
+async fn run_agent(client: Client, controller: SocketAddr) {
+    let state = Arc::new(Mutex::new(FakeAgent::default()));
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let addr = listener.local_addr().expect("its address");
-    tokio::spawn(agent_commands(listener, state.clone(), addr));
+    tokio::spawn(serve_direct_commands(listener, state.clone(), addr));
     loop {
         let heartbeat = state.lock().expect("no panic").heartbeat(addr);
         let answer = call(&client, controller, Method::POST, "/checkin", &heartbeat).await;
@@ -161,14 +163,14 @@
             let commands: HeartbeatResponse = accepted.decode().expect("orders");
             let mut state = state.lock().expect("no panic");
             state.fencing_token = commands.fencing_token.0;
-            state.obey(commands.commands);
+            state.carry_out(commands.commands);
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// The agent's own address: commands straight from a controller.
-async fn agent_commands(listener: TcpListener, state: Arc<Mutex<Agent>>, addr: SocketAddr) {
+/// Serves the agent's own address, to which a controller sends direct commands.
+async fn serve_direct_commands(listener: TcpListener, state: Arc<Mutex<FakeAgent>>, addr: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
         let state = state.clone();
         let service = service_fn(move |request: Request<Incoming>| {
@@ -177,13 +179,13 @@
                 let body = request.into_body().collect().await.expect("a body").to_bytes();
                 let commands: DirectCommands = decode(&body).expect("orders");
                 let mut state = state.lock().expect("no panic");
-                let fits = commands.fencing_token.0 >= state.fencing_token && commands.incarnation == 1;
-                if fits {
+                let is_accepted = commands.fencing_token.0 >= state.fencing_token && commands.incarnation == 1;
+                if is_accepted {
                     state.fencing_token = commands.fencing_token.0;
-                    state.obey(commands.commands);
+                    state.carry_out(commands.commands);
                 }
                 let body = Full::new(Bytes::from(encode(&state.heartbeat(addr))));
-                let status = if fits { 200 } else { 409 };
+                let status = if is_accepted { 200 } else { 409 };
                 Ok::<_, Infallible>(Response::builder().status(status).body(body).expect("a response"))
             }
         });
@@ -202,28 +204,30 @@
     client.call(to, method, path, body, Duration::from_secs(4)).await
 }
 
-/// Settings of a single controller whose services all answer at one address.
-fn settings(public: SocketAddr, back: SocketAddr, services: SocketAddr, sockets: usize) -> Platform {
+/// Returns the settings of a single controller whose store and cloud have the same address.
+fn settings(public: SocketAddr, back: SocketAddr, services: SocketAddr, fd_limit: usize) -> Platform {
     let text = format!(
         "label = \"solo\"\npublic_addr = \"{public}\"\nback = \"{back}\"\n[external]\ncloud = \"{services}\"\n\
          state = \"{services}\"\n[deployment]\nnodes = 1\n[deployment.workers]\nreport_s = 3.0\nlease_s = 20.0\n\
          gang_wait_s = 30.0\ngang_peer_s = 5.0\ncancel_s = 40.0\n[deployment.state]\nrps = 500.0\nwrite_rps = 200.0\n\
-         value_kb = 4.0\ntxn_ops = 12\n[deployment.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n[deployment.quota]\nfd_limit = {sockets}\n"
+         value_kb = 4.0\ntxn_ops = 12\n[deployment.cloud]\nrps = 50.0\nlist_lag_s = 1.0\n\
+         [deployment.quota]\nfd_limit = {fd_limit}\n"
     );
     Platform::parse(&text).expect("valid settings")
 }
 
-/// Starts a controller with so many sockets, and stand-ins for its services; where users reach it.
-async fn controller(sockets: usize) -> SocketAddr {
+/// Starts a controller that may use `fd_limit` sockets, and fakes for its services. Returns its public address.
+async fn start_controller(fd_limit: usize) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let services = listener.local_addr().expect("its address");
     tokio::spawn(serve(listener, Arc::default()));
     let free = || free_address().expect("a free port");
     let (public, back) = (free(), free());
-    tokio::spawn(daemon::run(settings(public, back, services, sockets), Policy::default()));
+    tokio::spawn(daemon::run(settings(public, back, services, fd_limit), Policy::default()));
     public
 }
 
+/// Polls the health check until it succeeds. Returns false if none of 100 attempts succeeds.
 async fn becomes_healthy(client: &Client, public: SocketAddr) -> bool {
     for _ in 0..100 {
         let answer = call(client, public, Method::GET, "/healthz", &Value::Null).await;
@@ -235,17 +239,18 @@
     false
 }
 
-/// With nearly all its connections taken by others, a controller still answers the health check and
-/// heartbeats, and refuses users at once; what is beyond the limit is closed and doesn't wait.
+/// Guards against a controller that stops responding when its connections are exhausted. While clients hold nearly all
+/// of them, it still answers health checks and heartbeats and refuses users at once; connections beyond the limit are
+/// closed without a delay.
 #[tokio::test]
-async fn when_crowded_the_health_check_gets_through_and_users_are_refused_at_once() {
-    // Of 80 sockets 16 are for idle calls, 8 for direct messages, twice 10 for siblings: 36 are left.
-    let public = controller(80).await;
+async fn with_connections_exhausted_health_checks_are_answered_and_users_refused_at_once() {
+    // Of 80 sockets, 16 are for idle connections, 8 for direct messages and 2 * 10 for siblings; 36 remain.
+    let public = start_controller(80).await;
     let client = Client::default();
     assert!(becomes_healthy(&client, public).await);
     let mut held = Vec::new();
     for _ in 0..33 {
-        held.push(TcpStream::connect(public).await.expect("room"));
+        held.push(TcpStream::connect(public).await.expect("below the limit"));
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     let began = Instant::now();
@@ -271,10 +276,10 @@
     assert_eq!(user.status, 404);
 }
 
-/// However many machines are called, no more idle connections are kept than were allowed, and the ones
-/// used last stay.
+/// Guards against a number of idle connections that grows with the number of machines called: no more are kept than
+/// allowed, and the most recently used ones stay.
 #[tokio::test]
-async fn idle_connections_keep_within_their_bound() {
+async fn idle_connections_stay_within_their_limit() {
     let client = Client::with_max_idle_connections(4);
     let mut addresses = Vec::new();
     for _ in 0..10 {
@@ -292,11 +297,12 @@
     assert_eq!(client.idle_connection_count(), 4);
 }
 
+/// Submits a job, runs it to its end and asks for it again; invalid requests get the right status codes.
 #[tokio::test]
-async fn a_job_is_taken_run_and_remembered_over_real_sockets() {
-    let public = controller(500).await;
+async fn a_job_is_accepted_run_and_still_known_when_done() {
+    let public = start_controller(500).await;
     let client = Client::default();
-    tokio::spawn(agent(client.clone(), public));
+    tokio::spawn(run_agent(client.clone(), public));
     let ask = |method: Method, path: &'static str, body: Value| {
         let client = client.clone();
         async move {
@@ -314,7 +320,7 @@
         if accepted.0 == 201 {
             break;
         }
-        // Until the machine types are known the controller can't decide.
+        // The controller can't accept jobs before it knows the machine types.
         assert_eq!(accepted.0, 503);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
