--- a/tests/model.rs
+++ b/tests/model.rs
@@ -1,4 +1,4 @@
-//! The real code against slow, plain models.
+//! Compares data structures and decisions with simple, slow reference models.
 
 use burlhatch::coordination::jobs::attempt::{AttemptState, TaskAttempt};
 use burlhatch::coordination::jobs::dependency_graph::{DependencyGraph, Urgency};
@@ -17,21 +17,21 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Steps 3 to 5 of the design, word for word, by looking at every pair.
-fn plain_choice(all: &[PlacementCandidate], slack: u64, margin: u64) -> Option<usize> {
+/// Reference model of the choice of a placement: steps 3 to 5 of the design, by a comparison of all pairs.
+fn reference_choice(all: &[PlacementCandidate], slack: u64, margin: u64) -> Option<usize> {
     let order = |i: &usize| (all[*i].ready_after, all[*i].tie_breaker, *i);
-    let miss = |c: &PlacementCandidate| c.ready_after.0.saturating_sub(slack);
-    let meeting: Vec<usize> = (0..all.len()).filter(|i| miss(&all[*i]) == 0).collect();
-    if meeting.is_empty() {
+    let delay = |c: &PlacementCandidate| c.ready_after.0.saturating_sub(slack);
+    let in_time: Vec<usize> = (0..all.len()).filter(|i| delay(&all[*i]) == 0).collect();
+    if in_time.is_empty() {
         return (0..all.len()).min_by_key(order);
     }
-    // A holder wins unless one without the image is earlier by the margin.
-    let beaten =
-        |h: usize| meeting.iter().any(|o| !all[*o].has_image && all[*o].ready_after.0 + margin <= all[h].ready_after.0);
-    let earliest_holder = meeting.iter().copied().filter(|i| all[*i].has_image).min_by_key(order);
-    match earliest_holder {
-        Some(h) if !beaten(h) => Some(h),
-        _ => meeting.iter().copied().filter(|i| !all[*i].has_image).min_by_key(order),
+    // A machine that has the image is chosen unless one without it is ready earlier by at least the margin.
+    let is_beaten =
+        |h: usize| in_time.iter().any(|o| !all[*o].has_image && all[*o].ready_after.0 + margin <= all[h].ready_after.0);
+    let earliest_with_image = in_time.iter().copied().filter(|i| all[*i].has_image).min_by_key(order);
+    match earliest_with_image {
+        Some(h) if !is_beaten(h) => Some(h),
+        _ => in_time.iter().copied().filter(|i| !all[*i].has_image).min_by_key(order),
     }
 }
 
@@ -43,9 +43,9 @@
     })
 }
 
-/// A run chunk as a plain table of tasks.
+/// Reference model of a run chunk: the set of its completed tasks.
 #[derive(Default)]
-struct PlainChunk {
+struct ChunkModel {
     done: BTreeSet<u32>,
 }
 
@@ -82,47 +82,48 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn placement_is_the_designs(
+    fn placement_follows_the_order_of_the_design(
         all in proptest::collection::vec(candidate(), 0..8),
         slack in 0u64..40,
         margin in 0u64..20,
     ) {
-        prop_assert_eq!(choose_candidate(&all, Micros(slack), Micros(margin)), plain_choice(&all, slack, margin));
+        prop_assert_eq!(choose_candidate(&all, Micros(slack), Micros(margin)), reference_choice(&all, slack, margin));
     }
 
+    /// Guards against completed tasks that are lost or counted twice when ranges merge.
     #[test]
-    fn a_chunk_counts_done_tasks_like_a_set(tasks in proptest::collection::vec(0u32..64, 0..80)) {
+    fn a_run_chunk_counts_done_tasks_like_a_set(tasks in proptest::collection::vec(0u32..64, 0..80)) {
         let mut real = RunChunk::default();
-        let mut plain = PlainChunk::default();
+        let mut model = ChunkModel::default();
         for task in tasks {
             real.mark_done(task);
-            plain.done.insert(task);
-            prop_assert_eq!(real.done_count() as usize, plain.done.len());
+            model.done.insert(task);
+            prop_assert_eq!(real.done_count() as usize, model.done.len());
         }
         for task in 0..64 {
-            prop_assert_eq!(real.is_done(task), plain.done.contains(&task));
+            prop_assert_eq!(real.is_done(task), model.done.contains(&task));
         }
-        // Ranges are as few as can be.
+        // Adjacent ranges are merged.
         prop_assert!(real.done_ranges.windows(2).all(|w| w[0].1 + 1 < w[1].0));
     }
 
-    /// The replica ends up as a sequential store does, whatever own commits it knew early and in
-    /// however overlapping answers the changes came.
+    /// Guards against a replica that diverges from the store because own commits were applied before the watch returned
+    /// them, or because changes arrived in overlapping responses.
     #[test]
-    fn the_replica_follows_a_sequential_store(
+    fn the_replica_converges_to_a_sequential_store(
         changes in proptest::collection::vec((change(), any::<bool>()), 1..40),
         cuts in proptest::collection::vec((0usize..40, 0usize..40), 1..12),
     ) {
-        let mut plain: BTreeMap<String, (u64, u64)> = BTreeMap::new();
+        let mut model: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         let mut log = Vec::new();
         for (i, (change, _)) in changes.iter().enumerate() {
             let version = i as u64 + 1;
             match change {
                 Change::Put(k, v) => {
-                    plain.insert(key(*k).to_string(), (*v, version));
+                    model.insert(key(*k).to_string(), (*v, version));
                 }
                 Change::Delete(k) => {
-                    plain.remove(&key(*k).to_string());
+                    model.remove(&key(*k).to_string());
                 }
             }
             log.push(event(change, version));
@@ -130,7 +131,7 @@
         let mut replica = Replica::default();
         let mut own = 0;
         for (from, to) in cuts.into_iter().chain([(0, log.len())]) {
-            // Own commits become known before the watch brings them.
+            // Own commits are applied before the watch returns them.
             while own < to.min(log.len()) {
                 if changes[own].1 {
                     let e = &log[own];
@@ -144,7 +145,7 @@
             let _ = replica.advance(&log[from..to], Revision(to as u64));
         }
         for k in 0..6 {
-            let expected = plain.get(&key(k).to_string());
+            let expected = model.get(&key(k).to_string());
             prop_assert_eq!(replica.version(&key(k)), expected.map_or(0, |(_, version)| *version));
             let Key::RunChunk(id, number) = key(k) else { unreachable!() };
             let held = replica.run_chunks.get(&id).and_then(|r| r.get(&number)).map(|c| c.value.write_id);
@@ -152,21 +153,23 @@
         }
     }
 
-    /// However calls come, a bucket lets no more through than its rate and burst allow, and
-    /// renewals get through when reads no longer do.
+    /// Guards against exceeding a service's request limit: a bucket admits no more than its rate and burst allow, and
+    /// it still admits critical calls when reads are refused.
     #[test]
-    fn a_limit_is_kept(steps in proptest::collection::vec((0u64..50_000, 0u8..3, 1u32..5), 1..200)) {
+    fn a_token_bucket_stays_within_its_limit_and_still_admits_critical_calls(
+        steps in proptest::collection::vec((0u64..50_000, 0u8..3, 1u32..5), 1..200),
+    ) {
         let (rate, burst) = (50.0, 20.0);
         let mut bucket = TokenBucket::new(rate, burst);
         let mut now = Micros::ZERO;
-        let mut through = 0.0;
+        let mut admitted = 0.0;
         for (wait, class, cost) in steps {
             now = now + Micros(wait);
             let class = [CallPriority::Critical, CallPriority::Write, CallPriority::Read][class as usize];
             if bucket.take(now, f64::from(cost), class).is_ok() {
-                through += f64::from(cost);
+                admitted += f64::from(cost);
             }
-            prop_assert!(through <= burst + rate * now.secs() + 1e-6);
+            prop_assert!(admitted <= burst + rate * now.secs() + 1e-6);
         }
         now = now + Micros(10_000_000);
         while bucket.take(now, 1.0, CallPriority::Read).is_ok() {}
@@ -218,54 +221,57 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens to starts, the kept sums are what counting all of them anew gives.
+    /// Guards against incremental sums that drift from the attempts they count.
     #[test]
-    fn kept_sums_are_the_plain_counts(steps in proptest::collection::vec(step(), 1..120)) {
+    fn incremental_usage_sums_equal_a_full_recount(steps in proptest::collection::vec(step(), 1..120)) {
         let machines: Vec<MachineId> = (0..3).map(|m| MachineId::new(&format!("m-{m}"))).collect();
         let specs: Vec<JobSpec> = (0..4).map(spec).collect();
         let names: Vec<JobId> = (0..4).map(|j| JobId::new(&format!("wk-{j}"))).collect();
         let mut usage = Usage::default();
         let mut real: Vec<JobAttempts> = (0..4).map(|j| JobAttempts::new(names[j].clone(), &specs[j])).collect();
-        let mut plain: BTreeMap<(usize, u32), (usize, AttemptState)> = BTreeMap::new();
+        let mut model: BTreeMap<(usize, u32), (usize, AttemptState)> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Insert(j, t, m, p) => {
                     let (j, m) = (usize::from(j), usize::from(m));
                     real[j].insert(t, TaskAttempt::new(1, machines[m].clone(), 1, state(p)), &mut usage);
-                    plain.insert((j, t), (m, state(p)));
+                    model.insert((j, t), (m, state(p)));
                 }
                 Step::Remove(j, t) => {
                     real[usize::from(j)].remove(t, &mut usage);
-                    plain.remove(&(usize::from(j), t));
+                    model.remove(&(usize::from(j), t));
                 }
                 Step::SetState(j, t, p) => {
                     real[usize::from(j)].set_state(t, state(p), &mut usage);
-                    if let Some(at) = plain.get_mut(&(usize::from(j), t)) {
+                    if let Some(at) = model.get_mut(&(usize::from(j), t)) {
                         at.1 = state(p);
                     }
                 }
             }
             for (j, attempts) in real.iter().enumerate() {
-                let own = || plain.iter().filter(|((job, _), _)| *job == j).map(|(_, at)| at.1);
+                let own = || model.iter().filter(|((job, _), _)| *job == j).map(|(_, at)| at.1);
                 prop_assert_eq!(attempts.occupying_count() as usize, own().filter(|p| p.occupies_resources()).count());
                 prop_assert_eq!(attempts.settled_count() as usize, own().filter(|p| !p.occupies_resources()).count());
                 prop_assert_eq!(attempts.decided_count() as usize, own().filter(|p| *p == AttemptState::Decided).count());
             }
             for (m, machine) in machines.iter().enumerate() {
-                let there = || plain.iter().filter(|(_, at)| at.0 == m);
-                let resources = there().filter(|(_, at)| at.1.occupies_resources()).fold(Resources::default(), |sum, ((j, _), _)| {
+                let on_machine = || model.iter().filter(|(_, at)| at.0 == m);
+                let occupying = on_machine().filter(|(_, at)| at.1.occupies_resources());
+                let resources = occupying.fold(Resources::default(), |sum, ((j, _), _)| {
                     sum.plus(&specs[*j].resources())
                 });
                 prop_assert_eq!(usage.used_on(machine), resources);
-                prop_assert_eq!(usage.is_empty(machine), there().count() == 0);
-                prop_assert_eq!(usage.is_busy(machine), there().any(|(_, at)| at.1.occupies_resources()));
-                let serves = there().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == JobKind::Service);
-                prop_assert_eq!(usage.runs_service_on(machine), serves);
-                let tasks: Vec<TaskId> = there().map(|((j, t), _)| TaskId { job: names[*j].clone(), index: *t }).collect();
+                prop_assert_eq!(usage.is_empty(machine), on_machine().count() == 0);
+                prop_assert_eq!(usage.is_busy(machine), on_machine().any(|(_, at)| at.1.occupies_resources()));
+                let runs_service =
+                    on_machine().any(|((j, _), at)| at.1.occupies_resources() && specs[*j].kind == JobKind::Service);
+                prop_assert_eq!(usage.runs_service_on(machine), runs_service);
+                let tasks: Vec<TaskId> =
+                    on_machine().map(|((j, t), _)| TaskId { job: names[*j].clone(), index: *t }).collect();
                 prop_assert_eq!(usage.attempts_on(machine), tasks);
             }
             for team in 0..2 {
-                let of_team = plain.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies_resources());
+                let of_team = model.iter().filter(|((j, _), at)| j % 2 == team && at.1.occupies_resources());
                 let resources = of_team.fold(Resources::default(), |sum, ((j, _), _)| sum.plus(&specs[*j].resources()));
                 prop_assert_eq!(usage.used_by(&format!("team-{team}")), resources);
             }
@@ -273,10 +279,10 @@
     }
 }
 
-/// Under steady refusals a controller slows down, but keeps its equal part of the limit; and it never
-/// spends much more than its rate.
+/// Guards against a controller that doesn't slow down under refusals, or is starved by them: under steady refusals it
+/// still gets its equal part of the limit, and it never spends much more than its rate.
 #[test]
-fn the_change_budget_slows_down_and_keeps_an_equal_part() {
+fn a_write_budget_slows_down_under_refusals_but_keeps_an_equal_part() {
     let mut budget = WriteBudget::new(50.0, 50.0, 5, 1.8);
     let mut spent = 0;
     for ms in 0..20_000 {
@@ -289,26 +295,26 @@
             }
         }
     }
-    // An equal part is 10 a second.
-    assert!((160..320).contains(&spent), "{spent} changes in 20 s");
+    // The equal part is 10 writes per second.
+    assert!((160..320).contains(&spent), "{spent} writes in 20 s");
 }
 
-/// Guards against spending on what can wait while other controllers, which share the limit, lack changes: a refusal is
-/// all that is heard of them.
+/// Guards against deferrable writes while other controllers, which share the limit, are short of writes: a refusal is
+/// the only sign of that.
 #[test]
-fn changes_are_not_plenty_for_a_while_after_a_refusal() {
+fn a_write_budget_is_not_idle_for_a_while_after_a_refusal() {
     let mut budget = WriteBudget::new(50.0, 50.0, 5, 1.8);
     let at = |s: u64| Micros::from_millis(s * 1000);
     assert!(budget.is_idle(at(10)));
     budget.record_refusal(at(10));
-    assert!(!budget.is_idle(at(15)), "its own burst is full again, but others were short a moment ago");
+    assert!(!budget.is_idle(at(15)), "its own burst is full again, but the store has refused a write recently");
     assert!(budget.is_idle(at(21)));
     budget.spend(at(21), 15);
     assert!(!budget.is_idle(at(21)));
 }
 
 #[test]
-fn an_outcome_once_known_stays() {
+fn a_known_outcome_is_never_replaced_or_removed() {
     let mut replica = Replica::default();
     let id = JobId::new("wk-1");
     let name = Key::Outcome(id.clone()).to_string();
@@ -319,7 +325,7 @@
 }
 
 #[test]
-fn keys_read_back_as_they_were_written() {
+fn keys_parse_to_what_was_formatted() {
     use burlhatch::storage::Role;
     let keys = [
         Key::FencingToken,
@@ -341,42 +347,42 @@
     assert_eq!(Key::parse("bh/run/wk-1"), None);
 }
 
-/// What happens to jobs of dependencies: one is accepted that depends on some of those before it, or one is over.
+/// A step of the dependency graph: a job is accepted that depends on some of those before it, or a job ends.
 #[derive(Clone, Debug)]
-enum Stage {
+enum GraphStep {
     Accept { depends_on: Vec<u8>, priority: u8, due: Option<u16>, span: u8 },
     End { which: u8, done: bool },
 }
 
-fn stage() -> impl Strategy<Value = Stage> {
+fn graph_step() -> impl Strategy<Value = GraphStep> {
     let accept = (proptest::collection::vec(any::<u8>(), 0..4), 0u8..4, proptest::option::of(500u16..2000), 0u8..50);
     prop_oneof![
-        accept.prop_map(|(depends_on, priority, due, span)| Stage::Accept { depends_on, priority, due, span }),
-        (any::<u8>(), any::<bool>()).prop_map(|(which, done)| Stage::End { which, done }),
+        accept.prop_map(|(depends_on, priority, due, span)| GraphStep::Accept { depends_on, priority, due, span }),
+        (any::<u8>(), any::<bool>()).prop_map(|(which, done)| GraphStep::End { which, done }),
     ]
 }
 
-/// A job as the plain model has it: everything is worked out by walking over all jobs.
-struct PlainJob {
+/// A job of the reference model, which derives everything by walks over all jobs.
+struct JobModel {
     depends_on: Vec<usize>,
     own: Urgency,
     span: Micros,
-    over: Option<bool>,
+    succeeded: Option<bool>,
 }
 
-fn plain_over(jobs: &[PlainJob], n: usize) -> Option<bool> {
-    let lost = jobs[n].depends_on.iter().any(|b| plain_over(jobs, *b) == Some(false));
-    jobs[n].over.or(lost.then_some(false))
+fn model_success(jobs: &[JobModel], n: usize) -> Option<bool> {
+    let has_cancelled_dependency = jobs[n].depends_on.iter().any(|b| model_success(jobs, *b) == Some(false));
+    jobs[n].succeeded.or(has_cancelled_dependency.then_some(false))
 }
 
-fn plain_waits(jobs: &[PlainJob], n: usize) -> bool {
-    jobs[n].depends_on.iter().any(|b| plain_over(jobs, *b) != Some(true))
+fn model_waits(jobs: &[JobModel], n: usize) -> bool {
+    jobs[n].depends_on.iter().any(|b| model_success(jobs, *b) != Some(true))
 }
 
-fn plain_urgency(jobs: &[PlainJob], n: usize) -> Urgency {
+fn model_urgency(jobs: &[JobModel], n: usize) -> Urgency {
     let later = (n + 1..jobs.len()).filter(|l| jobs[*l].depends_on.contains(&n));
     later.fold(jobs[n].own, |sum, l| {
-        let urgency = plain_urgency(jobs, l);
+        let urgency = model_urgency(jobs, l);
         sum.max(Urgency { priority: urgency.priority, due_at: urgency.due_at.map(|due| due - jobs[l].span) })
     })
 }
@@ -384,19 +390,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The kept graph against walks over everything: who waits, who falls with whom, and, as long as nothing is
-    /// over, how urgent each is.
+    /// Compares the incremental graph with walks over all jobs: which jobs wait, which become ready or are cancelled
+    /// with a dependency, and, until the first job ends, how urgent each is.
     #[test]
-    fn the_dependency_graph_is_the_plain_walks(stages in proptest::collection::vec(stage(), 1..40)) {
+    fn the_dependency_graph_matches_walks_over_all_jobs(steps in proptest::collection::vec(graph_step(), 1..40)) {
         let id = |n: usize| JobId::new(&format!("wk-{n}"));
         let number = |id: &JobId| id.as_str()[3..].parse::<usize>().expect("a number");
-        let mut plain: Vec<PlainJob> = Vec::new();
-        let mut kept = DependencyGraph::default();
-        let mut nothing_over = true;
-        for stage in stages {
-            match stage {
-                Stage::Accept { depends_on, priority, due, span } => {
-                    let count = plain.len();
+        let mut model: Vec<JobModel> = Vec::new();
+        let mut graph = DependencyGraph::default();
+        let mut none_ended = true;
+        for step in steps {
+            match step {
+                GraphStep::Accept { depends_on, priority, due, span } => {
+                    let count = model.len();
                     let mut depends_on: Vec<usize> =
                         if count == 0 { Vec::new() } else { depends_on.iter().map(|a| usize::from(*a) % count).collect() };
                     depends_on.sort_unstable();
@@ -405,55 +411,55 @@
                     let due = due.map(|due| Micros(u64::from(due)));
                     let own = Urgency { priority: priorities[usize::from(priority)], due_at: due };
                     let span = Micros(u64::from(span));
-                    plain.push(PlainJob { depends_on: depends_on.clone(), own, span, over: None });
-                    if plain_over(&plain, count).is_some() {
+                    model.push(JobModel { depends_on: depends_on.clone(), own, span, succeeded: None });
+                    if model_success(&model, count).is_some() {
                         continue;
                     }
-                    kept.note(&id(count), own, span);
-                    for before in depends_on.iter().filter(|b| plain_over(&plain, **b).is_none()) {
-                        kept.note(&id(*before), plain[*before].own, plain[*before].span);
-                        kept.link(&id(count), &id(*before));
+                    graph.note(&id(count), own, span);
+                    for before in depends_on.iter().filter(|b| model_success(&model, **b).is_none()) {
+                        graph.note(&id(*before), model[*before].own, model[*before].span);
+                        graph.link(&id(count), &id(*before));
                     }
                 }
-                Stage::End { which, done } => {
-                    let open: Vec<usize> = (0..plain.len()).filter(|n| plain_over(&plain, *n).is_none()).collect();
-                    // What waits can be cancelled, not done.
+                GraphStep::End { which, done } => {
+                    let open: Vec<usize> = (0..model.len()).filter(|n| model_success(&model, *n).is_none()).collect();
+                    // A waiting job can be cancelled but can't complete.
                     let Some(n) = open.get(usize::from(which) % open.len().max(1)).copied() else { continue };
-                    let done = done && !plain_waits(&plain, n);
-                    let waited: Vec<usize> = open.iter().copied().filter(|n| plain_waits(&plain, *n)).collect();
-                    plain[n].over = Some(done);
-                    nothing_over = false;
+                    let done = done && !model_waits(&model, n);
+                    let waited: Vec<usize> = open.iter().copied().filter(|n| model_waits(&model, *n)).collect();
+                    model[n].succeeded = Some(done);
+                    none_ended = false;
                     let mut ready = BTreeSet::new();
-                    let mut lost = BTreeSet::new();
+                    let mut cancelled = BTreeSet::new();
                     let mut ended = vec![(n, done)];
                     while let Some((n, done)) = ended.pop() {
-                        for follower in kept.ended(&id(n), done) {
+                        for follower in graph.ended(&id(n), done) {
                             let follower = number(&follower);
                             if done {
                                 ready.insert(follower);
-                            } else if lost.insert(follower) {
+                            } else if cancelled.insert(follower) {
                                 ended.push((follower, false));
                             }
                         }
                     }
-                    let plain_ready: BTreeSet<usize> = waited
+                    let expected_ready: BTreeSet<usize> = waited
                         .iter()
                         .copied()
-                        .filter(|n| plain_over(&plain, *n).is_none() && !plain_waits(&plain, *n))
+                        .filter(|n| model_success(&model, *n).is_none() && !model_waits(&model, *n))
                         .collect();
-                    let plain_lost: BTreeSet<usize> = open
+                    let expected_cancelled: BTreeSet<usize> = open
                         .iter()
                         .copied()
-                        .filter(|o| *o != n && plain_over(&plain, *o) == Some(false))
+                        .filter(|o| *o != n && model_success(&model, *o) == Some(false))
                         .collect();
-                    prop_assert_eq!(ready, plain_ready);
-                    prop_assert_eq!(lost, plain_lost);
+                    prop_assert_eq!(ready, expected_ready);
+                    prop_assert_eq!(cancelled, expected_cancelled);
                 }
             }
-            for n in (0..plain.len()).filter(|n| plain_over(&plain, *n).is_none()) {
-                prop_assert_eq!(kept.waits(&id(n)), plain_waits(&plain, n));
-                if let (true, Some(urgency)) = (nothing_over, kept.urgency(&id(n))) {
-                    prop_assert_eq!(urgency, plain_urgency(&plain, n));
+            for n in (0..model.len()).filter(|n| model_success(&model, *n).is_none()) {
+                prop_assert_eq!(graph.waits(&id(n)), model_waits(&model, n));
+                if let (true, Some(urgency)) = (none_ended, graph.urgency(&id(n))) {
+                    prop_assert_eq!(urgency, model_urgency(&model, n));
                 }
             }
         }
