--- a/src/coordination/store_sync/initial_sync.rs
+++ b/src/coordination/store_sync/initial_sync.rs
@@ -127,7 +127,7 @@
             return;
         }
         self.store.initial_sync.in_flight = None;
-        let ReadOutcome::Got(page) = outcome else {
+        let ReadOutcome::Fetched(page) = outcome else {
             return self.store.retry_sync_later(self.clock.steady);
         };
         self.store.apply_page(&page);
@@ -139,11 +139,11 @@
     pub(super) fn catch_up_outcome(&mut self, outcome: ReadOutcome<Changes>) {
         self.store.initial_sync.in_flight = None;
         match outcome {
-            ReadOutcome::Got(changes) => {
+            ReadOutcome::Fetched(changes) => {
                 self.store.catch_up(&changes, self.clock.steady);
                 self.initial_sync_done();
             }
-            ReadOutcome::TooOld => self.resync(),
+            ReadOutcome::Compacted => self.resync(),
             ReadOutcome::Failed => self.store.retry_sync_later(self.clock.steady),
         }
     }
--- a/src/transport/calls/store.rs
+++ b/src/transport/calls/store.rs
@@ -134,9 +134,9 @@
             }
             None => TxnOutcome::Failed(CallFailure::Indeterminate),
         },
-        StatusCode::TOO_MANY_REQUESTS => TxnOutcome::Limited,
+        StatusCode::TOO_MANY_REQUESTS => TxnOutcome::RateLimited,
         StatusCode::SERVICE_UNAVAILABLE => TxnOutcome::Failed(CallFailure::NotExecuted),
-        StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::NoLease,
+        StatusCode::BAD_REQUEST if response.body_contains(store::NO_SUCH_LEASE) => TxnOutcome::SessionExpired,
         StatusCode::BAD_REQUEST => TxnOutcome::Invalid,
         _ => TxnOutcome::Failed(CallFailure::Indeterminate),
     }
@@ -145,9 +145,9 @@
 fn read_outcome<T: DeserializeOwned>(response: Result<HttpResponse, CallFailure>) -> ReadOutcome<T> {
     match response {
         Ok(response) if response.status == StatusCode::OK => {
-            decode_or_log(&response).map_or(ReadOutcome::Failed, ReadOutcome::Got)
+            decode_or_log(&response).map_or(ReadOutcome::Failed, ReadOutcome::Fetched)
         }
-        Ok(response) if response.status == StatusCode::GONE => ReadOutcome::TooOld,
+        Ok(response) if response.status == StatusCode::GONE => ReadOutcome::Compacted,
         _ => ReadOutcome::Failed,
     }
 }
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -409,9 +409,9 @@
                     if plain_over(&plain, count).is_some() {
                         continue;
                     }
-                    kept.note(&id(count), own, span);
+                    kept.upsert(&id(count), own, span);
                     for before in depends_on.iter().filter(|b| plain_over(&plain, **b).is_none()) {
-                        kept.note(&id(*before), plain[*before].own, plain[*before].span);
+                        kept.upsert(&id(*before), plain[*before].own, plain[*before].span);
                         kept.link(&id(count), &id(*before));
                     }
                 }
@@ -427,7 +427,7 @@
                     let mut lost = BTreeSet::new();
                     let mut ended = vec![(n, done)];
                     while let Some((n, done)) = ended.pop() {
-                        for follower in kept.ended(&id(n), done) {
+                        for follower in kept.remove_ended(&id(n), done) {
                             let follower = number(&follower);
                             if done {
                                 ready.insert(follower);
@@ -451,7 +451,7 @@
                 }
             }
             for n in (0..plain.len()).filter(|n| plain_over(&plain, *n).is_none()) {
-                prop_assert_eq!(kept.waits(&id(n)), plain_waits(&plain, n));
+                prop_assert_eq!(kept.has_open_dependencies(&id(n)), plain_waits(&plain, n));
                 if let (true, Some(urgency)) = (nothing_over, kept.urgency(&id(n))) {
                     prop_assert_eq!(urgency, plain_urgency(&plain, n));
                 }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -157,7 +157,7 @@
     /// What has changed since, unless that is no longer remembered.
     pub fn changes(&self, after: u64) -> ReadOutcome<Changes> {
         if after < self.dropped {
-            return ReadOutcome::TooOld;
+            return ReadOutcome::Compacted;
         }
         let from = self.log.partition_point(|(revision, ..)| *revision <= after);
         let events = self
@@ -168,7 +168,7 @@
                 None => Event { put: None, delete: Some(key.clone()), value: None, version: *version },
             })
             .collect();
-        ReadOutcome::Got(Changes { revision: self.revision, events })
+        ReadOutcome::Fetched(Changes { revision: self.revision, events })
     }
 
     fn page(&self, after: Option<&String>) -> Page {
@@ -213,7 +213,7 @@
             .iter()
             .any(|w| matches!(w, Write::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease)));
         if lost {
-            return TxnOutcome::NoLease;
+            return TxnOutcome::SessionExpired;
         }
         let holds = txn.preconditions.iter().all(|c| self.keys.get(&c.key).map_or(0, |(_, v, _)| *v) == c.version);
         if !holds {
@@ -244,14 +244,14 @@
     pub fn answer(&mut self, now: u64, request: &StoreCall) -> Input {
         match request {
             StoreCall::Txn { ticket, txn, .. } => {
-                let outcome = if self.admits(now, txn.writes.len()) { self.txn(txn) } else { TxnOutcome::Limited };
+                let outcome = if self.admits(now, txn.writes.len()) { self.txn(txn) } else { TxnOutcome::RateLimited };
                 Input::Txn { ticket: *ticket, outcome }
             }
             StoreCall::Changes { ticket, after, .. } => {
                 Input::Changes { ticket: *ticket, outcome: self.changes(*after) }
             }
             StoreCall::Page { ticket, after } => {
-                Input::Page { ticket: *ticket, outcome: ReadOutcome::Got(self.page(after.as_ref())) }
+                Input::Page { ticket: *ticket, outcome: ReadOutcome::Fetched(self.page(after.as_ref())) }
             }
             StoreCall::GrantSession { ticket, ttl_ms } => {
                 self.next_lease += 1;
@@ -287,7 +287,7 @@
         }
         if !self.store.admits_request(now) {
             let input = match &request {
-                StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Limited },
+                StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::RateLimited },
                 other => failed(other, CallFailure::NotExecuted),
             };
             return self.reply(Place::Store, node, life, call, input);
