--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations that meet other troubles: once a user was told, nothing of the job may be left in time.
 
-use super::world::{CANCEL_S, LARGE, MS, Place, S, SHORT_LEASES, SLOW_HEARTBEATS, SMALL, Size, TIMES, Times, World};
+use super::world::{CANCEL_S, Endpoint, LARGE, MS, S, SHORT_LEASES, SLOW_HEARTBEATS, SMALL, Size, TIMES, Times, World};
 use super::{assert_clean, finish, keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::types::JobId;
@@ -103,7 +103,7 @@
             }
         }
         if matches!(more, More::PeersHeld | More::PeersLost) {
-            let peers = move |a: &Place, b: &Place| *a == Place::Node(owner) && matches!(b, Place::Node(_));
+            let peers = move |a: &Endpoint, b: &Endpoint| *a == Endpoint::Node(owner) && matches!(b, Endpoint::Node(_));
             world.cut(10 * S, more == More::PeersHeld, peers);
         }
         world.refuse_node(owner, 14 * S);
@@ -130,7 +130,7 @@
 fn without_peer_messages_the_stored_records_confirm_cancellations() {
     for seed in seeds(21, 3) {
         let (mut world, ids, _) = running(seed);
-        world.cut(80 * S, false, |a, b| matches!((a, b), (Place::Node(_), Place::Node(_))));
+        world.cut(80 * S, false, |a, b| matches!((a, b), (Endpoint::Node(_), Endpoint::Node(_))));
         cancel_at(&mut world, &ids, 0);
         world.run_for(20 * S);
         assert_eq!(told(&world, &ids), ids.len(), "{seed}: not all were told");
@@ -188,9 +188,9 @@
 /// Nobody but one controller hears the agents, and it hears nobody else: not the store, which gives its shard
 /// to a sibling, nor the siblings.
 fn leave_agents_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
-    let mine = move |place: &Place| *place == Place::Node(owner);
+    let mine = move |place: &Endpoint| *place == Endpoint::Node(owner);
     world.cut(duration, true, move |a, b| match (a, b) {
-        (Place::Agent(_), Place::Node(_)) | (Place::Node(_), Place::Agent(_)) => !mine(a) && !mine(b),
+        (Endpoint::Agent(_), Endpoint::Node(_)) | (Endpoint::Node(_), Endpoint::Agent(_)) => !mine(a) && !mine(b),
         _ => mine(a) || mine(b),
     });
     world.run_for(6 * S);
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -1,6 +1,6 @@
 //! Controllers that end, stand still or lose part of the network, and a store that is away.
 
-use super::world::{MS, Place, S, World};
+use super::world::{Endpoint, MS, S, World};
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::JobKind;
@@ -58,14 +58,14 @@
             let hold = !world.chance(3);
             let span = (2 + world.pick(28)) * S;
             match world.pick(4) {
-                0 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && *b == Place::Store),
-                1 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
-                2 => world.cut(span, hold, move |a, b| *a == Place::Node(node) && !matches!(b, Place::Node(_))),
+                0 => world.cut(span, hold, move |a, b| *a == Endpoint::Node(node) && *b == Endpoint::Store),
+                1 => world.cut(span, hold, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_))),
+                2 => world.cut(span, hold, move |a, b| *a == Endpoint::Node(node) && !matches!(b, Endpoint::Node(_))),
                 _ => {
                     let nth = world.pick(9) as usize;
                     if let Some(id) = world.nth_agent(nth) {
                         let cut_off: MachineId = id;
-                        world.cut(span, hold, move |a, _| *a == Place::Agent(cut_off.clone()));
+                        world.cut(span, hold, move |a, _| *a == Endpoint::Agent(cut_off.clone()));
                     }
                 }
             }
@@ -87,7 +87,7 @@
         world.run_for(40 * S);
         let before: Vec<MachineId> = world.agents.keys().cloned().collect();
         let started = world.started;
-        world.cut(30 * S, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
+        world.cut(30 * S, true, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_)));
         world.run_for(35 * S);
         assert!(before.iter().filter(|id| !world.agents.contains_key(id)).count() <= 1, "machines were deleted");
         assert!(world.started <= started + 2, "services were restarted");
@@ -110,7 +110,7 @@
         world.run_for(20 * S);
         let machines: Vec<MachineId> = world.agents.keys().cloned().collect();
         let started = world.started;
-        world.cut(45 * S, true, move |a, b| *a == Place::Node(node) && *b == Place::Store);
+        world.cut(45 * S, true, move |a, b| *a == Endpoint::Node(node) && *b == Endpoint::Store);
         world.run_for(6 * S);
         assert_eq!(world.unowned_shards(), 0, "its shares are taken over");
         let answer = world.ask_at(node, &ids[0]);
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -1,6 +1,6 @@
 //! Whole days: quiet ones, overload, everything at once, and fleets.
 
-use super::world::{FLEET, LARGE, MS, Place, S, SMALL, Size, World};
+use super::world::{Endpoint, FLEET, LARGE, MS, S, SMALL, Size, World};
 use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::Policy;
@@ -56,8 +56,8 @@
                 2 => world.refuse_node(node, span),
                 3 => world.hang(nth, span),
                 4 => world.kill_machine(nth),
-                5 => world.cut(span, true, move |a, b| *a == Place::Node(node) && *b == Place::Store),
-                _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
+                5 => world.cut(span, true, move |a, b| *a == Endpoint::Node(node) && *b == Endpoint::Store),
+                _ => world.cut(span, true, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_))),
             }
         }
         finish(&mut world, &format!("everything {seed}"));
@@ -148,7 +148,7 @@
             world.make_unreachable(nth, 100 * S);
         }
         let alone = world.pick(5) as usize;
-        world.cut(20 * S, true, move |a, b| *a == Place::Node(alone) && *b == Place::Store);
+        world.cut(20 * S, true, move |a, b| *a == Endpoint::Node(alone) && *b == Endpoint::Store);
         world.run_for(6 * S);
         for nth in 0..30 {
             world.hang(nth * 6, 12 * S);
@@ -188,9 +188,9 @@
     let inside: BTreeSet<MachineId> =
         world.agents.iter().filter(|(_, w)| w.zone == "d").map(|(id, _)| id.clone()).collect();
     let zone = inside.clone();
-    let is_in = move |place: &Place| match place {
-        Place::Node(node) => *node == 3,
-        Place::Agent(id) => zone.contains(id),
+    let is_in = move |place: &Endpoint| match place {
+        Endpoint::Node(node) => *node == 3,
+        Endpoint::Agent(id) => zone.contains(id),
         _ => false,
     };
     world.cut(16 * S, true, move |a, b| is_in(a) != is_in(b));
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -1,6 +1,6 @@
 //! Jobs that wait for others: nothing starts too early, nothing is orphaned, whatever fails meanwhile.
 
-use super::world::{CANCEL_S, LARGE, MS, Place, S, SMALL, Size, World};
+use super::world::{CANCEL_S, Endpoint, LARGE, MS, S, SMALL, Size, World};
 use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobKind, JobState, Priority};
@@ -126,7 +126,7 @@
         world.run_for(20 * S);
         let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
         if seed % 2 == 0 {
-            let peers = move |a: &Place, b: &Place| *a == Place::Node(owner) && matches!(b, Place::Node(_));
+            let peers = move |a: &Endpoint, b: &Endpoint| *a == Endpoint::Node(owner) && matches!(b, Endpoint::Node(_));
             world.cut(10 * S, true, peers);
         }
         for ids in &all {
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo test --test rules fingerprint -- --nocapture
 
-use super::world::{MS, Place, S, World};
+use super::world::{Endpoint, MS, S, World};
 use super::{finish, ordinary_jobs, seeds};
 
 /// A day with most kinds of troubles, and what the controllers did in it.
@@ -25,7 +25,7 @@
             4 => world.kill_machine(nth),
             5 => world.late_writes(span, 5),
             6 => world.freeze(node, span.min(4 * S)),
-            _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
+            _ => world.cut(span, true, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_))),
         }
     }
     finish(&mut world, &format!("fingerprint {seed}"));
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -1,7 +1,7 @@
 //! Two troubles at once. Most rules that broke on real days broke when two troubles met; each test here brings
 //! such a meeting about. Those of cancellations with outages are in `cancellations.rs`.
 
-use super::world::{MS, Place, S, SMALL, Size, World};
+use super::world::{Endpoint, MS, S, SMALL, Size, World};
 use super::{finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::JobKind;
 use burlhatch::settings::Policy;
@@ -55,7 +55,7 @@
         world.run_for(22 * S);
         let lost: BTreeSet<MachineId> = (0..3).filter_map(|n| world.nth_agent(n * 2)).collect();
         let hold = seed % 2 == 0;
-        world.cut(28 * S, hold, move |a, _| matches!(a, Place::Agent(id) if lost.contains(id)));
+        world.cut(28 * S, hold, move |a, _| matches!(a, Endpoint::Agent(id) if lost.contains(id)));
         for role in ["leader", "share/0", "share/1"] {
             if let Some(node) = world.holder(role) {
                 world.crash(node, 5 * S);
@@ -92,7 +92,7 @@
                 1 => world.hang(nth, 25 * S),
                 _ => {
                     let lost = world.nth_agent(nth).expect("a machine");
-                    world.cut(15 * S, true, move |a, _| *a == Place::Agent(lost.clone()));
+                    world.cut(15 * S, true, move |a, _| *a == Endpoint::Agent(lost.clone()));
                 }
             }
             world.run_for(6 * S);
@@ -141,7 +141,7 @@
             if let Some(id) = world.nth_agent(nth) {
                 // From a few seconds to longer than a lease.
                 let span = if round % 3 == 2 { 24 * S } else { 3 * S };
-                world.cut(span, true, move |a, b| *a == Place::Agent(id.clone()) && *b == Place::Node(node));
+                world.cut(span, true, move |a, b| *a == Endpoint::Agent(id.clone()) && *b == Endpoint::Node(node));
             }
             match round % 3 {
                 0 => world.crash(node, 2 * S),
@@ -167,7 +167,9 @@
         world.run_for(20 * S);
         let old = world.holder("leader").expect("somebody leads");
         let hold = seed % 2 == 0;
-        world.cut(60 * S, hold, move |a, b| *a == Place::Node(old) && matches!(b, Place::Store | Place::Node(_)));
+        world.cut(60 * S, hold, move |a, b| {
+            *a == Endpoint::Node(old) && matches!(b, Endpoint::Store | Endpoint::Node(_))
+        });
         world.run_for(500 * MS);
         call_off_some(&mut world, 3);
         world.run_for(5 * S);
@@ -296,7 +298,7 @@
         match seed % 3 {
             0 => {
                 let lost: BTreeSet<MachineId> = (0..2).filter_map(|n| world.nth_agent(n * 3)).collect();
-                world.cut(26 * S, true, move |a, _| matches!(a, Place::Agent(id) if lost.contains(id)));
+                world.cut(26 * S, true, move |a, _| matches!(a, Endpoint::Agent(id) if lost.contains(id)));
             }
             1 => {
                 for nth in 0..2 {
@@ -306,9 +308,9 @@
             _ => {
                 let zone: BTreeSet<MachineId> =
                     world.agents.iter().filter(|(_, w)| w.zone == "b").map(|(id, _)| id.clone()).collect();
-                let inside = move |place: &Place| match place {
-                    Place::Node(node) => *node == (owner + 1) % 3,
-                    Place::Agent(id) => zone.contains(id),
+                let inside = move |place: &Endpoint| match place {
+                    Endpoint::Node(node) => *node == (owner + 1) % 3,
+                    Endpoint::Agent(id) => zone.contains(id),
                     _ => false,
                 };
                 world.cut(32 * S, true, move |a, b| inside(a) != inside(b));
@@ -371,8 +373,9 @@
                 1 => drop(world.unreported(nth, span)),
                 2 => drop(world.make_unreachable(nth, span)),
                 3 => call_off_some(&mut world, 10),
-                4 => world
-                    .cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Store | Place::Node(_))),
+                4 => world.cut(span, true, move |a, b| {
+                    *a == Endpoint::Node(node) && matches!(b, Endpoint::Store | Endpoint::Node(_))
+                }),
                 5 => world.crash(node, 300 * MS),
                 6 => world.store_outage(span),
                 7 => world.hang(nth, span),
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -1,7 +1,7 @@
 //! Troubles that operators met on call: controllers without part of the network, those that stand still, boots that
 //! fail, guests who fill everything, jobs that can never succeed.
 
-use super::world::{MS, Place, S, SMALL, Size, World};
+use super::world::{Endpoint, MS, S, SMALL, Size, World};
 use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobKind, JobSpec, JobState, Priority};
@@ -71,7 +71,7 @@
         let node = world.holder("share/1").expect("owned");
         let mut changes = 0;
         for _ in 0..3 {
-            world.cut(16 * S, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
+            world.cut(16 * S, hold, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_)));
             changes += changes_of_holder(&mut world, 1, 40 * S);
         }
         let lost = count_gone(&world, &before);
@@ -356,12 +356,12 @@
 const LOSSES: [Loss; 5] = [Loss::Everything, Loss::KeyValueStore, Loss::Agents, Loss::Siblings, Loss::Refused];
 
 fn lose(world: &mut World, node: usize, loss: Loss, span: u64, hold: bool) {
-    let it = Place::Node(node);
+    let it = Endpoint::Node(node);
     match loss {
         Loss::Everything => world.cut(span, hold, move |a, _| *a == it),
-        Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
-        Loss::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Agent(_))),
-        Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
+        Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Endpoint::Store),
+        Loss::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Endpoint::Agent(_))),
+        Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Endpoint::Node(_))),
         Loss::Refused => world.refuse_node(node, span),
     }
 }
--- a/tests/rules/world/agent.rs
+++ b/tests/rules/world/agent.rs
@@ -1,6 +1,6 @@
 //! Agents: obey the highest fencing token, keep a lease, and send heartbeats.
 
-use super::{Event, Fate, MS, Place, S, World};
+use super::{Endpoint, Event, Fate, MS, S, World};
 use burlhatch::coordination::{AgentAnswer, DirectCommandsOutcome, Input};
 use burlhatch::protocol::agent::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
@@ -163,7 +163,7 @@
             self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
         let unreported = self.agents.get(&id).is_some_and(|w| w.unreported_until > now);
-        match self.fate(&Place::Agent(id.clone()), &Place::Node(node)) {
+        match self.fate(&Endpoint::Agent(id.clone()), &Endpoint::Node(node)) {
             Fate::Arrives(_) | Fate::Held(_) if unreported => {}
             Fate::Arrives(delay) | Fate::Held(delay) => self.at(delay, Event::Heartbeat { node, heartbeat, serial }),
             Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None }),
@@ -264,7 +264,13 @@
         let changed = agent.changed && agent.flight.is_none();
         let outcome =
             if done { DirectCommandsOutcome::Executed(heartbeat) } else { DirectCommandsOutcome::Rejected(heartbeat) };
-        self.reply(Place::Agent(id.clone()), node, life, call, Input::DirectCommands { machine: id.clone(), outcome });
+        self.reply(
+            Endpoint::Agent(id.clone()),
+            node,
+            life,
+            call,
+            Input::DirectCommands { machine: id.clone(), outcome },
+        );
         if changed {
             self.wake_in(&id, 500 * MS);
         }
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -1,7 +1,7 @@
 //! Controllers: inputs in, effects carried out.
 
 use super::network::Fate;
-use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
+use super::{Endpoint, Event, MS, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
     AgentAnswer, CallFailure, Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Input, RequestId,
     StoreCall, UserAnswer, UserRequest,
@@ -64,7 +64,7 @@
     fn answer_agent(&mut self, node: usize, request_id: RequestId, answer: AgentAnswer) {
         let Some((machine, serial)) = self.nodes[node].agents.remove(&request_id) else { return };
         self.check_renewal(node, &machine, serial, &answer);
-        match self.fate(&Place::Node(node), &Place::Agent(machine.clone())) {
+        match self.fate(&Endpoint::Node(node), &Endpoint::Agent(machine.clone())) {
             Fate::Arrives(delay) | Fate::Held(delay) => {
                 self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
             }
@@ -75,7 +75,7 @@
     fn answer_peer(&mut self, node: usize, request_id: RequestId, answer: CancellationAck) {
         if let Some(caller) = self.nodes[node].peers.remove(&request_id) {
             let input = Input::PeerAnswer { call: caller.number, answer: Some(answer) };
-            self.reply(Place::Node(node), caller.node, caller.life, caller.call, input);
+            self.reply(Endpoint::Node(node), caller.node, caller.life, caller.call, input);
         }
     }
 
@@ -84,7 +84,7 @@
         let Some(to) = to.strip_prefix("node-").and_then(|n| n.parse().ok()) else { return };
         self.call(
             node,
-            Place::Node(to),
+            Endpoint::Node(to),
             PEER_TIMEOUT,
             |call| Event::Peer { node, life, call, to, number, message: message.clone() },
             |_| Input::PeerAnswer { call: number, answer: None },
@@ -108,7 +108,7 @@
         }
         self.call(
             node,
-            Place::Store,
+            Endpoint::Store,
             timeout,
             |call| Event::Store { node, life, call, request: request.clone() },
             |failure| store::failed(&request, failure),
@@ -119,7 +119,7 @@
         let life = self.nodes[node].life;
         self.call(
             node,
-            Place::Cloud,
+            Endpoint::Cloud,
             CLOUD_TIMEOUT,
             |call| Event::Cloud { node, life, call, number, request: request.clone() },
             |_| Input::Cloud { call: number, outcome: CloudOutcome::Failed },
@@ -142,7 +142,7 @@
         }
         self.call(
             node,
-            Place::Agent(machine.clone()),
+            Endpoint::Agent(machine.clone()),
             DIRECT_COMMANDS_TIMEOUT,
             |call| Event::DirectCommands { node, life, call, machine: machine.clone(), commands: commands.clone() },
             |failure| failed(&machine, failure),
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -1,7 +1,7 @@
 //! Troubles that scenarios cause, and changes of version and limits.
 
 use super::network::{Cut, LateCommands};
-use super::{Event, Limits, MS, Place, S, World};
+use super::{Endpoint, Event, Limits, MS, S, World};
 use burlhatch::types::MachineId;
 use ciborium::Value;
 use std::collections::BTreeSet;
@@ -32,7 +32,7 @@
         self.at(duration, Event::Thaw(node, life));
     }
 
-    pub fn cut(&mut self, duration: u64, hold: bool, between: impl Fn(&Place, &Place) -> bool + 'static) {
+    pub fn cut(&mut self, duration: u64, hold: bool, between: impl Fn(&Endpoint, &Endpoint) -> bool + 'static) {
         tracing::info!(at_ms = self.now / MS, duration, hold, "trouble: cut");
         let until = self.now + duration;
         self.cuts.push(Cut { between: Box::new(between), until, hold, one_way: false });
@@ -46,7 +46,7 @@
     /// Nothing gets through between a zone's machines and anybody outside; they work on.
     pub fn cut_zone(&mut self, zone: &str, duration: u64, hold: bool) {
         let cut_off: BTreeSet<MachineId> = self.machines_in(zone).into_iter().collect();
-        self.cut(duration, hold, move |from, _| matches!(from, Place::Agent(id) if cut_off.contains(id)));
+        self.cut(duration, hold, move |from, _| matches!(from, Endpoint::Agent(id) if cut_off.contains(id)));
     }
 
     /// All machines of a zone are gone, and none comes up there until the zone is back.
@@ -69,8 +69,8 @@
         let id = self.nth_agent(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: deaf");
         let until = self.now + duration;
-        let unreachable = Place::Agent(id.clone());
-        let between = move |_: &Place, to: &Place| *to == unreachable;
+        let unreachable = Endpoint::Agent(id.clone());
+        let between = move |_: &Endpoint, to: &Endpoint| *to == unreachable;
         self.cuts.push(Cut { between: Box::new(between), until, hold: false, one_way: true });
         Some(id)
     }
@@ -105,7 +105,7 @@
 
     /// The cloud answers nobody.
     pub fn cloud_outage(&mut self, duration: u64) {
-        self.cut(duration, false, |_, to| *to == Place::Cloud);
+        self.cut(duration, false, |_, to| *to == Endpoint::Cloud);
     }
 
     /// Answers of the store, one in so many, come up to the time limit late.
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -24,7 +24,7 @@
 use burlhatch::types::{JobId, MachineId};
 use cloud::Cloud;
 use fingerprint::Fingerprint;
-pub use network::Place;
+pub use network::Endpoint;
 use network::{Cut, Fate, LateCommands};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -392,7 +392,7 @@
             Event::Cloud { node, life, call, number, request } => {
                 let outcome = self.cloud_request(request);
                 let input = Input::Cloud { call: number, outcome };
-                self.reply(Place::Cloud, node, life, call, input);
+                self.reply(Endpoint::Cloud, node, life, call, input);
             }
             Event::Boots { machine } => self.machine_up(machine),
             Event::DirectCommands { node, life, call, machine, commands } => {
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -8,14 +8,14 @@
 
 /// Ends of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     Node(usize),
     Store,
     Cloud,
     Agent(MachineId),
 }
 
-pub(super) type Between = Box<dyn Fn(&Place, &Place) -> bool>;
+pub(super) type Between = Box<dyn Fn(&Endpoint, &Endpoint) -> bool>;
 
 /// No traffic between places the two tests match, until `until`.
 pub(super) struct Cut {
@@ -45,7 +45,7 @@
 }
 
 impl World {
-    pub(super) fn fate(&mut self, from: &Place, to: &Place) -> Fate {
+    pub(super) fn fate(&mut self, from: &Endpoint, to: &Endpoint) -> Fate {
         let now = self.now;
         self.cuts.retain(|c| c.until > now);
         let mut delay = self.rng.random_range(MS / 2..5 * MS);
@@ -65,7 +65,7 @@
     pub(super) fn call(
         &mut self,
         node: usize,
-        to: Place,
+        to: Endpoint,
         limit: u64,
         event: impl Fn(u64) -> Event,
         fail: impl Fn(CallFailure) -> Input,
@@ -74,12 +74,12 @@
         let call = self.next_call;
         self.open_calls.insert(call, ());
         let life = self.nodes[node].life;
-        match self.fate(&Place::Node(node), &to) {
+        match self.fate(&Endpoint::Node(node), &to) {
             Fate::Arrives(delay) => {
                 self.at(delay, event(call));
                 self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
                 if self.copies > 0
-                    && matches!(to, Place::Store | Place::Agent(_) | Place::Node(_))
+                    && matches!(to, Endpoint::Store | Endpoint::Agent(_) | Endpoint::Node(_))
                     && self.chance(self.copies)
                 {
                     let late = self.rng.random_range(0..60 * S);
@@ -102,13 +102,13 @@
         self.chance(late.one_in).then(|| self.rng.random_range(late.delays))
     }
 
-    pub(super) fn reply(&mut self, from: Place, node: usize, life: u64, call: u64, input: Input) {
+    pub(super) fn reply(&mut self, from: Endpoint, node: usize, life: u64, call: u64, input: Input) {
         self.reply_after(0, from, node, life, call, input);
     }
 
-    pub(super) fn reply_after(&mut self, lag: u64, from: Place, node: usize, life: u64, call: u64, input: Input) {
-        if let Fate::Arrives(delay) = self.fate(&from, &Place::Node(node)) {
-            let held = from == Place::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
+    pub(super) fn reply_after(&mut self, lag: u64, from: Endpoint, node: usize, life: u64, call: u64, input: Input) {
+        if let Fate::Arrives(delay) = self.fate(&from, &Endpoint::Node(node)) {
+            let held = from == Endpoint::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
             let late = if held { self.pick(STORE_TIMEOUT) } else { 0 };
             self.at(delay + lag + late, Event::Outcome { node, life, call, input });
         }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -1,6 +1,6 @@
 //! The store.
 
-use super::{Event as WorldEvent, MS, Place, World};
+use super::{Endpoint, Event as WorldEvent, MS, World};
 use burlhatch::coordination::{CallFailure, Input, ReadOutcome, SessionOutcome, StoreCall, TxnOutcome};
 use burlhatch::protocol::store::{Changes, Event, Item, Page, Txn, Write};
 use ciborium::Value;
@@ -283,14 +283,14 @@
                 }
                 other => failed(other, CallFailure::NotExecuted),
             };
-            return self.reply(Place::Store, node, life, call, input);
+            return self.reply(Endpoint::Store, node, life, call, input);
         }
         if !self.store.admits_request(now) {
             let input = match &request {
                 StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::RateLimited },
                 other => failed(other, CallFailure::NotExecuted),
             };
-            return self.reply(Place::Store, node, life, call, input);
+            return self.reply(Endpoint::Store, node, life, call, input);
         }
         self.store.expire(now);
         if let StoreCall::Changes { ticket, after, wait_ms, .. } = &request
@@ -315,7 +315,7 @@
                 self.broken(what);
             }
         }
-        self.reply(Place::Store, node, life, call, input);
+        self.reply(Endpoint::Store, node, life, call, input);
         self.wake_watches();
     }
 
@@ -333,6 +333,6 @@
     pub(super) fn answer_watch(&mut self, call: u64, watch: &Watch) {
         let input = Input::Changes { ticket: watch.ticket, outcome: self.store.changes(watch.after) };
         let lag = self.watch_lag[watch.node];
-        self.reply_after(lag, Place::Store, watch.node, watch.life, call, input);
+        self.reply_after(lag, Endpoint::Store, watch.node, watch.life, call, input);
     }
 }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -1,7 +1,7 @@
 //! Zones that are lost and come back: services are restored first and without running twice, work returns step by step,
 //! and no single controller's blindness counts as a lost zone.
 
-use super::world::{MS, Place, S, Size, TIMES, World};
+use super::world::{Endpoint, MS, S, Size, TIMES, World};
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::{JobKind, JobState, Priority};
 use burlhatch::settings::{Policy, ZoneSettings};
@@ -125,7 +125,7 @@
         let blind = world.holder("share/1").expect("somebody holds it");
         let (unseen, before) = (world.machines_in("a"), world.agents.len());
         world.cut(15 * S, false, move |from, to| {
-            *from == Place::Node(blind) && matches!(to, Place::Agent(id) if unseen.contains(id))
+            *from == Endpoint::Node(blind) && matches!(to, Endpoint::Agent(id) if unseen.contains(id))
         });
         let mut seen = Vec::new();
         for _ in 0..15 {
