--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -40,7 +40,10 @@
         small_jobs(&mut world, 1, 60, 40 * S);
         ordinary_jobs(&mut world, 10);
         finish(&mut world, &format!("late answers {seed}"));
-        assert!(world.jobs.values().any(|job| job.told == Some(JobState::Cancelled)), "{seed}: none was cancelled");
+        assert!(
+            world.jobs.values().any(|job| job.reported_outcome == Some(JobState::Cancelled)),
+            "{seed}: none was cancelled"
+        );
     }
 }
 
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -153,7 +153,7 @@
         world.hang(nth * 2, (CANCEL_S + 10) * S);
     }
     world.run_for(2 * S);
-    assert_eq!(world.jobs[&id].told, Some(JobState::Cancelled));
+    assert_eq!(world.jobs[&id].reported_outcome, Some(JobState::Cancelled));
     let machines = world.agents.len();
     world.store_outage((CANCEL_S + 20) * S);
     world.run_for((CANCEL_S + 25) * S);
--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -13,7 +13,7 @@
     ordinary_jobs(&mut world, 30);
     world.run_for(90 * S);
     finish(&mut world, "quiet");
-    let done = world.jobs.values().filter(|j| j.told == Some(JobState::Done)).count();
+    let done = world.jobs.values().filter(|j| j.reported_outcome == Some(JobState::Done)).count();
     assert!(done >= 15, "only {done} jobs were done");
     // Only outcomes, machines and roles stay in the stored records.
     world.run_for(30 * S);
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -39,7 +39,7 @@
 }
 
 fn states(world: &World, ids: &[JobId]) -> Vec<Option<JobState>> {
-    ids.iter().map(|id| world.jobs[id].told).collect()
+    ids.iter().map(|id| world.jobs[id].reported_outcome).collect()
 }
 
 #[test]
@@ -59,7 +59,7 @@
     world.run_for(60 * S);
     let late = stage(&mut world, 900, "green", 1, &[all[0][0].clone(), all[1][4].clone()]);
     world.run_for(40 * S);
-    assert_eq!(world.jobs[&late].told, Some(JobState::Done));
+    assert_eq!(world.jobs[&late].reported_outcome, Some(JobState::Done));
 }
 
 /// Cancelled at each stage: what needs the job is withdrawn with it and told so by every controller, what it needs
@@ -84,7 +84,7 @@
         }
         finish(&mut world, &format!("cancelled at {stage_of}"));
         let expected = if stage_of == 0 { JobState::Cancelled } else { JobState::Done };
-        assert_eq!(world.jobs[&unrelated].told, Some(expected));
+        assert_eq!(world.jobs[&unrelated].reported_outcome, Some(expected));
         // That follows from the other's outcome, and is written down when there is time for it.
         world.run_for(60 * S);
         let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/batch/")).collect();
@@ -103,9 +103,12 @@
         }
         finish(&mut world, &format!("at the end {seed}"));
         for (id, job) in &world.jobs {
-            let before = job.spec.depends_on.iter().map(|b| world.jobs[b].told);
+            let before = job.spec.depends_on.iter().map(|b| world.jobs[b].reported_outcome);
             let orphan = before.clone().any(|told| told == Some(JobState::Cancelled));
-            assert!(!orphan || job.told == Some(JobState::Cancelled), "{seed}: {id} outlived what it needs");
+            assert!(
+                !orphan || job.reported_outcome == Some(JobState::Cancelled),
+                "{seed}: {id} outlived what it needs"
+            );
         }
     }
 }
@@ -303,7 +306,7 @@
     spec.estimated_runtime_s = 6.0;
     let id = world.submit(500, spec);
     let began = world.now;
-    while world.jobs[&id].told.is_none() && world.now < began + 300 * S {
+    while world.jobs[&id].reported_outcome.is_none() && world.now < began + 300 * S {
         world.run_for(S);
     }
     let took = (world.now - began) / S;
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -121,7 +121,7 @@
         let again = starts(&world) - begun;
         assert!(again <= 5 * 8, "{seed}: tasks of broken jobs were started {again} times in a minute");
         assert!(world.started - all >= u64::from(again) + 24, "{seed}: the others did not start");
-        let late = healthy.iter().filter(|id| world.jobs[*id].told != Some(JobState::Done)).count();
+        let late = healthy.iter().filter(|id| world.jobs[*id].reported_outcome != Some(JobState::Done)).count();
         assert_eq!(late, 0, "{seed}: healthy jobs are not done after a minute");
         let lost = count_gone(&world, &before);
         assert_eq!(lost, 0, "{seed}: machines were given back or replaced");
@@ -200,7 +200,7 @@
         world.run_for(25 * S);
         assert!(world.cloud.rented[0] > 0, "{seed}: no ordinary machine was rented");
         world.run_for(125 * S);
-        let done = ids.iter().filter(|id| world.jobs[*id].told == Some(JobState::Done)).count();
+        let done = ids.iter().filter(|id| world.jobs[*id].reported_outcome == Some(JobState::Done)).count();
         assert_eq!(done, 3, "{seed}: {done} of 3 done after 150 s");
         let [_, spot] = world.cloud.rented;
         assert!(spot <= 30, "{seed}: {spot} spot machines were rented in vain");
@@ -250,7 +250,7 @@
         spec.estimated_runtime_s = 1.0;
         let huge = world.submit(100, spec);
         world.run_for(400 * S);
-        assert_eq!(world.jobs[&huge].told, Some(JobState::Done), "{seed}: not done after 400 s");
+        assert_eq!(world.jobs[&huge].reported_outcome, Some(JobState::Done), "{seed}: not done after 400 s");
         assert!(world.violations.is_empty(), "{seed}: {:?}", world.violations);
     }
 }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -43,11 +43,9 @@
         let now = self.now;
         let Some(calm) = self.calm_since.filter(|calm| *calm < now) else { return };
         let mut found = Vec::new();
-        for (id, job) in self
-            .jobs
-            .iter()
-            .filter(|(_, j)| j.accepted && j.told.is_none() && j.spec.kind != JobKind::Gang && j.fails_after.is_none())
-        {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| {
+            j.accepted && j.reported_outcome.is_none() && j.spec.kind != JobKind::Gang && j.fails_after.is_none()
+        }) {
             let placed = |index: u32| self.agents.values().any(|w| w.tasks.contains_key(&(id.clone(), index)));
             let waits = (0..job.spec.tasks).any(|t| !job.done_tasks[t as usize] && !placed(t));
             // What it could do with one more task; its other tasks may bind it to zones.
@@ -142,11 +140,11 @@
     }
 
     pub fn all_over(&self) -> bool {
-        self.jobs.values().all(|j| j.told.is_some())
+        self.jobs.values().all(|j| j.reported_outcome.is_some())
     }
 
     pub fn unfinished(&self) -> Vec<String> {
-        let open = self.jobs.iter().filter(|(_, j)| j.told.is_none());
+        let open = self.jobs.iter().filter(|(_, j)| j.reported_outcome.is_none());
         open.map(|(id, j)| {
             let places: Vec<_> = self
                 .agents
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -33,9 +33,9 @@
     pub accepted: bool,
     pub cancel_at: Option<u64>,
     pub cancelled: Option<u64>,
-    pub told: Option<JobState>,
+    pub reported_outcome: Option<JobState>,
     /// Answers to questions asked before this may still be older.
-    pub(super) told_at: u64,
+    pub(super) reported_outcome_at: u64,
     pub done_tasks: Vec<bool>,
     pub(super) last_asked: u64,
     /// Last answer about it that was no refusal, and the longest time without one since troubles ended.
@@ -91,11 +91,13 @@
         if state == JobState::Cancelled && !question.called_off {
             broken.push(format!("went_back: {id} was not cancelled by its user"));
         }
-        if question.asked_at >= self.told_at && self.told.is_some_and(|told| told != state) {
-            broken.push(format!("went_back: {id} was {:?}, is {state:?}", self.told));
+        if question.asked_at >= self.reported_outcome_at
+            && self.reported_outcome.is_some_and(|reported| reported != state)
+        {
+            broken.push(format!("went_back: {id} was {:?}, is {state:?}", self.reported_outcome));
         }
-        if is_final && self.told.is_none() {
-            (self.told, self.told_at) = (Some(state), now);
+        if is_final && self.reported_outcome.is_none() {
+            (self.reported_outcome, self.reported_outcome_at) = (Some(state), now);
         }
         if state == JobState::Cancelled && self.cancelled.is_none() {
             self.cancelled = Some(now);
@@ -119,8 +121,8 @@
                 accepted: false,
                 cancel_at: None,
                 cancelled: None,
-                told: None,
-                told_at: 0,
+                reported_outcome: None,
+                reported_outcome_at: 0,
                 done_tasks: vec![false; tasks],
                 last_asked: 0,
                 answered: self.now,
@@ -178,7 +180,7 @@
     /// Its user calls a job off, at once.
     pub fn call_off(&mut self, id: &JobId) {
         let now = self.now;
-        if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.told.is_none()) {
+        if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.reported_outcome.is_none()) {
             job.cancel_at = Some(job.cancel_at.map_or(now, |at| at.min(now)));
             job.last_asked = 0;
             let node = self.rng.random_range(0..self.size.nodes);
@@ -204,7 +206,7 @@
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let cancel = job.cancel_at.is_some_and(|at| at <= now) && job.cancelled.is_none() && job.accepted;
-            let over = job.told.is_some();
+            let over = job.reported_outcome.is_some();
             if !job.accepted || (!over && cancel) || now >= job.last_asked + 5 * S {
                 job.last_asked = now;
                 let spec = job.spec.clone();
@@ -279,7 +281,7 @@
         if !self.close_looks {
             return;
         }
-        let over = self.jobs[id].told.is_some();
+        let over = self.jobs[id].reported_outcome.is_some();
         for node in 0..self.size.nodes {
             self.look_soon(node, id, Look::Status);
             self.look_soon(node, id, Look::Submission);
@@ -355,14 +357,14 @@
             self.called_off(&id, |job| job.cancelled).is_some_and(|at| asked_at > at + self.size.times.cancel);
         let cancel_at_once = self.cancel_at_once > 0 && self.chance(self.cancel_at_once);
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let before = (job.accepted, job.told);
+        let before = (job.accepted, job.reported_outcome);
         let question = Question { asked_at, cancels, orphaned, called_off: called_off.is_some() };
         let broken = job.take_answer(&id, answer, &question, now);
-        let cancels_now = !before.0 && job.accepted && cancel_at_once && job.told.is_none();
+        let cancels_now = !before.0 && job.accepted && cancel_at_once && job.reported_outcome.is_none();
         if cancels_now {
             job.cancel_at = Some(now);
         }
-        let news = before != (job.accepted, job.told);
+        let news = before != (job.accepted, job.reported_outcome);
         for what in broken {
             self.broken(what);
         }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -389,7 +389,10 @@
         cancel_services(&mut world);
         finish(&mut world, &format!("order {seed}"));
         let arrays = world.jobs.values().filter(|job| job.spec.kind == JobKind::Array);
-        assert!(arrays.filter(|job| job.told == Some(JobState::Done)).count() >= 35, "{seed}: batch work was lost");
+        assert!(
+            arrays.filter(|job| job.reported_outcome == Some(JobState::Done)).count() >= 35,
+            "{seed}: batch work was lost"
+        );
     }
 }
 
@@ -439,7 +442,7 @@
         }
         let services: Vec<JobId> =
             (0..18).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
-        while world.jobs[&first].told.is_none() {
+        while world.jobs[&first].reported_outcome.is_none() {
             world.run_for(S);
             assert!(world.now < 90 * S, "{seed}: the first job is not done");
         }
--- a/tests/rules/zones_measured.rs
+++ b/tests/rules/zones_measured.rs
@@ -107,7 +107,8 @@
         for id in &self.services {
             note("service whole outside the zone, ms after the cut", restored.get(id).map(|span| span / MS));
         }
-        let done = self.batches.iter().filter(|id| self.world.jobs[*id].told == Some(JobState::Done)).count();
+        let done =
+            self.batches.iter().filter(|id| self.world.jobs[*id].reported_outcome == Some(JobState::Done)).count();
         note("batch jobs done by the end", Some(done as u64));
         note("starts after the cut", Some(self.world.started - starts));
         note("longest fetch queue of a machine, images", Some(fetch_queue as u64));
