--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -71,7 +71,7 @@
         stage(&mut world, 1, "green", 2, &[]);
         let ids = dependency_chain(&mut world, 110);
         world.run_for(2 * S);
-        world.call_off(&ids[stage_of]);
+        world.cancel_job(&ids[stage_of]);
         world.run_for(2 * S);
         let later = stage(&mut world, 800, "blue", 1, &[ids[4].clone()]);
         let unrelated = stage(&mut world, 801, "blue", 1, &[ids[0].clone()]);
@@ -133,7 +133,7 @@
             world.cut(10 * S, true, peers);
         }
         for ids in &all {
-            world.call_off(&ids[0]);
+            world.cancel_job(&ids[0]);
         }
         world.refuse_node(owner, 14 * S);
         world.run_for(2 * S);
@@ -192,7 +192,7 @@
     }
     world.run_for(50 * S);
     assert!(ids.iter().all(|id| world.jobs[id].accepted), "not all accepted");
-    world.call_off(&root);
+    world.cancel_job(&root);
     world.run_for(3 * S);
     for id in &ids {
         let Some(UserAnswer::Status(status)) = world.ask_fresh(1, id) else { panic!("{id}: no answer") };
@@ -222,7 +222,7 @@
         world.run_for(20 * S);
         for node in 0..5 {
             if trouble == "cancel" && node == 2 {
-                world.call_off(&large[1]);
+                world.cancel_job(&large[1]);
             }
             world.upgrade(node);
             world.run_for(2 * S);
@@ -258,11 +258,11 @@
     world.crash(0, S);
     world.run_for(5 * S);
     // The last of all is what it waits for, as read back.
-    world.call_off(&many[699]);
+    world.cancel_job(&many[699]);
     world.run_for(5 * S);
     let answer = world.ask_fresh(0, &last);
     assert!(matches!(&answer, Some(UserAnswer::Status(s)) if s.state == JobState::Cancelled), "{answer:?}");
-    world.call_off(&root);
+    world.cancel_job(&root);
     finish(&mut world, "hundreds awaited");
     world.run_for(300 * S);
     let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/awaits/")).collect();
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -13,7 +13,7 @@
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
         if world.chance(one_in) {
-            world.call_off(&id);
+            world.cancel_job(&id);
         }
     }
 }
@@ -258,7 +258,7 @@
         assert!(!world.agents.contains_key(&unreported), "{seed}: {unreported} is still there");
         for id in &services {
             assert_eq!(world.running(id), 2, "{seed}: {id} is not up again");
-            world.call_off(id);
+            world.cancel_job(id);
         }
         finish(&mut world, &format!("mute {seed}"));
     }
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -98,7 +98,7 @@
 }
 
 fn call_off_all(world: &mut World, ids: &[JobId]) {
-    ids.iter().for_each(|id| world.call_off(id));
+    ids.iter().for_each(|id| world.cancel_job(id));
 }
 
 /// Jobs with a mistake fail wherever they run until their users cancel them. They are tried ever more rarely and one
@@ -282,7 +282,7 @@
         let left = world.agents.values().filter(|w| w.tasks.keys().any(|k| guests.contains(&k.0))).count();
         assert!(left >= 4, "{seed}: the guest is left with {left} machines");
         for id in &guests {
-            world.call_off(id);
+            world.cancel_job(id);
         }
         finish(&mut world, &format!("guest {seed}"));
         world.run_for(400 * S);
@@ -304,7 +304,7 @@
         world.run_for(40 * S);
         assert!(world.jobs[&house].begun.is_some(), "{seed}: not begun after 40 s");
         assert!(world.running(&guest) >= 5, "{seed}: {} tasks of the guest are left", world.running(&guest));
-        world.call_off(&guest);
+        world.cancel_job(&guest);
         finish(&mut world, &format!("guest's share {seed}"));
     }
 }
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -186,7 +186,7 @@
         }
         let whole = self.jobs.get(&key.0).is_some_and(|j| j.done_tasks.iter().all(|d| *d));
         if whole && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
-            self.call_off(&key.0);
+            self.cancel_job(&key.0);
         }
         if let Some(agent) = self.agents.get_mut(id) {
             agent.done.push(key.clone());
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -178,7 +178,7 @@
     }
 
     /// Its user calls a job off, at once.
-    pub fn call_off(&mut self, id: &JobId) {
+    pub fn cancel_job(&mut self, id: &JobId) {
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.reported_outcome.is_none()) {
             job.cancel_at = Some(job.cancel_at.map_or(now, |at| at.min(now)));
--- a/tests/rules/zone_cuts.rs
+++ b/tests/rules/zone_cuts.rs
@@ -176,7 +176,7 @@
         let goes_on: Vec<JobId> = world.agents[&kept].tasks.keys().map(|(job, _)| job.clone()).collect();
         world.cut_zone("a", CUT, true);
         for id in services.iter().filter(|id| !goes_on.contains(id)) {
-            world.call_off(id);
+            world.cancel_job(id);
         }
         world.run_for(FIRST_EXPIRY);
         let staying = world.machines_to_stay();
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -153,8 +153,8 @@
         world.late_writes(30 * S, 6);
         world.cut_zone("a", span, true);
         world.run_for(2 * S);
-        world.call_off(&services[0]);
-        world.call_off(&services[1]);
+        world.cancel_job(&services[0]);
+        world.cancel_job(&services[1]);
         world.run_for(span);
         world.run_for(20 * S);
         cancel_services(&mut world);
