--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -10,7 +10,7 @@
     let mut world = World::new(seed);
     ordinary_jobs(&mut world, 25);
     world.lag_watches(200 * MS);
-    world.close_looks = true;
+    world.follow_up_requests = true;
     world.cancel_at_end = 6;
     for step in 0..8 {
         world.run_for(5 * S);
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -232,7 +232,7 @@
     watch_lag: Vec<u64>,
     /// Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled, and repeat
     /// submissions there, also of a job whose first answer is still on its way.
-    pub close_looks: bool,
+    pub follow_up_requests: bool,
     /// They call a job off just when it was accepted, one in so many; 0 for none.
     pub cancel_at_once: u32,
     /// Users call off a job as it ends, one in so many; 0 for none.
@@ -299,7 +299,7 @@
             slow: (0, 0),
             late_answers: (0, 1),
             watch_lag: vec![0; size.nodes],
-            close_looks: false,
+            follow_up_requests: false,
             cancel_at_once: 0,
             cancel_at_end: 0,
             question_burst: 0,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -270,7 +270,7 @@
     /// A submission is on its way: it is repeated here and there before it is answered.
     pub(super) fn look_at_submission(&mut self, id: &JobId) {
         for node in 0..self.size.nodes {
-            if self.close_looks && self.chance(4) {
+            if self.follow_up_requests && self.chance(4) {
                 self.look_soon(node, id, Look::Submission);
             }
         }
@@ -278,7 +278,7 @@
 
     /// A user was told something new about a job: all controllers are asked for it.
     pub(super) fn look_at_news(&mut self, id: &JobId) {
-        if !self.close_looks {
+        if !self.follow_up_requests {
             return;
         }
         let over = self.jobs[id].reported_outcome.is_some();
