--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -53,7 +53,7 @@
     for seed in seeds(91, 6) {
         let mut world = looked_at(seed, SMALL);
         world.heartbeat_copies = 10;
-        world.odd_requests = true;
+        world.invalid_requests = true;
         small_jobs(&mut world, 100, 60, 60 * S);
         ordinary_jobs(&mut world, 15);
         for _ in 0..8 {
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -151,7 +151,7 @@
     for seed in seeds(74, 6) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 10;
-        world.odd_requests = true;
+        world.invalid_requests = true;
         ordinary_jobs(&mut world, 12);
         for n in 0..6 {
             let ids = dependency_chain(&mut world, 100 + n * 10);
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -332,7 +332,7 @@
     for seed in seeds(41, 4) {
         let mut world = World::new(seed);
         world.cancel_at_end = 2;
-        world.odd_requests = true;
+        world.invalid_requests = true;
         ordinary_jobs(&mut world, 60);
         for round in 0..5 {
             world.run_for(12 * S);
@@ -362,7 +362,7 @@
         let mut world = World::sized(seed, Policy::default(), Size { machines: 10, capacity: 20, ..SMALL });
         world.heartbeat_copies = 5;
         world.cancel_at_end = 6;
-        world.odd_requests = true;
+        world.invalid_requests = true;
         ordinary_jobs(&mut world, 45);
         for _ in 0..10 {
             world.run_for(5 * S);
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -242,7 +242,7 @@
     /// The longest time that a user waited for an answer, of controllers that had not ended.
     pub longest_answer: u64,
     /// Users repeat known jobs with whatever else in them, and send jobs that can't be taken.
-    pub odd_requests: bool,
+    pub invalid_requests: bool,
     pub size: Size,
     /// Since when there are no troubles any more.
     calm_since: Option<u64>,
@@ -304,7 +304,7 @@
             cancel_at_end: 0,
             question_burst: 0,
             longest_answer: 0,
-            odd_requests: false,
+            invalid_requests: false,
             size,
             calm_since: None,
             overheard: None,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -224,7 +224,7 @@
                 }
             }
         }
-        if self.odd_requests {
+        if self.invalid_requests {
             self.odd_request();
         }
         self.ask_in_bursts();
