--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -438,7 +438,7 @@
         ordinary_jobs(&mut world, 30);
         world.run_for(20 * S);
         world.longest_answer = 0;
-        world.question_burst = 300;
+        world.request_burst_size = 300;
         let requests = world.store_requests();
         world.run_for(15 * S);
         let node = world.holder("share/0").expect("owned");
@@ -448,7 +448,7 @@
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
         assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
         assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
-        world.question_burst = 0;
+        world.request_burst_size = 0;
         finish(&mut world, &format!("burst {seed}"));
     }
 }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -238,7 +238,7 @@
     /// Users call off a job as it ends, one in so many; 0 for none.
     pub cancel_at_end: u32,
     /// Questions that users ask at random controllers in each quarter of a second, besides their usual ones.
-    pub question_burst: u32,
+    pub request_burst_size: u32,
     /// The longest time that a user waited for an answer, of controllers that had not ended.
     pub longest_answer: u64,
     /// Users repeat known jobs with whatever else in them, and send jobs that can't be taken.
@@ -302,7 +302,7 @@
             follow_up_requests: false,
             cancel_at_once: 0,
             cancel_at_end: 0,
-            question_burst: 0,
+            request_burst_size: 0,
             longest_answer: 0,
             invalid_requests: false,
             size,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -237,7 +237,7 @@
     /// Many questions about whatever job, also ended ones and some that nobody knows, and repeats of submissions.
     fn ask_in_bursts(&mut self) {
         let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
-        for _ in 0..self.question_burst {
+        for _ in 0..self.request_burst_size {
             let nth = self.pick(ids.len() as u64 + 1) as usize;
             let Some(id) = ids.get(nth).cloned() else {
                 let stranger = JobId::new(&format!("wk-none{}", self.pick(1000)));
