--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -20,7 +20,7 @@
                     world.hang(nth, span);
                 }
                 1 => world.kill_machine(nth),
-                _ => world.sicken(nth),
+                _ => world.make_faulty(nth),
             }
         }
         finish(&mut world, &format!("machines {seed}"));
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -144,7 +144,7 @@
         let broken = submit_broken(&mut world, 1, S);
         let nth = world.pick(5) as usize;
         let sick = world.nth_agent(nth).expect("a machine");
-        world.sicken(nth);
+        world.make_faulty(nth);
         let mut number = 100;
         for _ in 0..30 {
             for team in TEAMS {
--- a/tests/rules/world/agent.rs
+++ b/tests/rules/world/agent.rs
@@ -45,7 +45,7 @@
     /// When a higher fencing token last counted as a change.
     token_change: Option<u64>,
     pub hung_until: u64,
-    pub sick: bool,
+    pub faulty: bool,
     /// Until then its heartbeats reach nobody.
     pub unreported_until: u64,
 }
@@ -120,7 +120,7 @@
             changed: true,
             token_change: None,
             hung_until: 0,
-            sick: false,
+            faulty: false,
             unreported_until: 0,
         };
         self.agents.insert(id.clone(), agent);
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -184,11 +184,11 @@
         }
     }
 
-    pub fn sicken(&mut self, nth: usize) {
+    pub fn make_faulty(&mut self, nth: usize) {
         if let Some(id) = self.nth_agent(nth)
             && let Some(agent) = self.agents.get_mut(&id)
         {
-            agent.sick = true;
+            agent.faulty = true;
         }
     }
 
--- a/tests/rules/world/start_rules.rs
+++ b/tests/rules/world/start_rules.rs
@@ -119,7 +119,7 @@
             .sum();
         let fits = |agent: &Agent| cpus_used_on(agent) + spec.cpus <= cpus_of(&agent.machine_type) + ROUNDING;
         used_by_team + spec.cpus <= quota_of(team) + ROUNDING
-            && self.agents.values().any(|agent| allows(spec, agent) && !agent.sick && fits(agent))
+            && self.agents.values().any(|agent| allows(spec, agent) && !agent.faulty && fits(agent))
     }
 
     /// Tasks of cancelled jobs that are still on a machine after the time allowed for a cancellation.
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -70,7 +70,7 @@
             agent.cache.push(image);
         }
         agent.changed = true;
-        let sick = agent.sick;
+        let faulty = agent.faulty;
         let finished = agent.done.contains(key);
         if let Some(task) = agent.tasks.get_mut(key) {
             task.since = now;
@@ -80,7 +80,7 @@
                 JobKind::Array => (TaskState::Running, now + fails_after.unwrap_or(run)),
             };
         }
-        if sick {
+        if faulty {
             self.exit(id, key, ExitCause::Failed);
         } else if finished {
             self.exit(id, key, ExitCause::Completed);
