--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -79,13 +79,13 @@
 fn finish(world: &mut World, name: &str) {
     world.troubles_end();
     for _ in 0..60 {
-        if world.all_over() {
+        if world.all_jobs_finished() {
             break;
         }
         world.run_for(10 * S);
     }
     assert_clean(world, name);
-    assert!(world.all_over(), "{name}: unfinished {:#?}", world.unfinished());
+    assert!(world.all_jobs_finished(), "{name}: unfinished {:#?}", world.unfinished());
 }
 
 /// So that a machine that is gone was taken for lost.
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -139,7 +139,7 @@
         self.store.limited
     }
 
-    pub fn all_over(&self) -> bool {
+    pub fn all_jobs_finished(&self) -> bool {
         self.jobs.values().all(|j| j.reported_outcome.is_some())
     }
 
