--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -209,7 +209,7 @@
 fn a_rolling_upgrade_meets_a_crash_an_outage_and_cancellations() {
     for (seed, trouble) in seeds(78, 6).zip(["crash", "outage", "cancel"].into_iter().cycle()) {
         let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 40, capacity: 60, ..LARGE });
-        world.all_old();
+        world.run_previous_version();
         world.lower_limits_at(70 * S, 2048, 4, 18.0);
         ordinary_jobs(&mut world, 20);
         let large: Vec<JobId> = (0..3)
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -80,7 +80,7 @@
     for seed in seeds(81, 6) {
         let mut world = world_of_many_moves(seed);
         if seed % 2 == 0 {
-            world.all_old();
+            world.run_previous_version();
         }
         for round in 0..16 {
             work_of_one_team(&mut world, round);
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -198,7 +198,7 @@
     }
 
     /// All controllers are of the version before: they know nothing of limits to come, and write as much as they may.
-    pub fn all_old(&mut self) {
+    pub fn run_previous_version(&mut self) {
         self.old = (0..self.size.nodes).collect();
     }
 
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -310,7 +310,7 @@
 fn versions_that_do_not_judge_zones_beside_those_that_do() {
     for seed in seeds(110, 5) {
         let mut world = world_of(seed, judging_zones());
-        world.all_old();
+        world.run_previous_version();
         submit_services(&mut world, 8);
         ordinary_jobs_from(&mut world, 100, 10);
         for node in 0..5 {
