--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -62,7 +62,7 @@
         world.late_writes_of(holder, 8 * S);
         urgent_work(&mut world, 3, "blue", 1, "second");
         world.run_for(400 * MS);
-        world.go_back(leader, 200 * MS);
+        world.downgrade(leader, 200 * MS);
         urgent_work(&mut world, 4, "green", 60, "third");
         world.run_for(20 * S);
         moves += world.records.moves;
@@ -93,7 +93,7 @@
             };
             let back_after = if world.chance(2) { 200 * MS } else { 3 * S };
             if world.chance(2) {
-                world.go_back(node, back_after);
+                world.downgrade(node, back_after);
             } else {
                 world.upgrade(node);
             }
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -209,7 +209,7 @@
     }
 
     /// One controller is killed and comes back as the version before.
-    pub fn go_back(&mut self, node: usize, back_after: u64) {
+    pub fn downgrade(&mut self, node: usize, back_after: u64) {
         self.old.insert(node);
         self.crash(node, back_after);
     }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -322,7 +322,7 @@
         world.cut_zone("a", 25 * S, true);
         world.run_for(6 * S);
         world.upgrade(1);
-        world.go_back(0, S);
+        world.downgrade(0, S);
         world.run_for(30 * S);
         cancel_services(&mut world);
         finish(&mut world, &format!("versions {seed}"));
