--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -77,7 +77,7 @@
 }
 
 fn finish(world: &mut World, name: &str) {
-    world.troubles_end();
+    world.start_liveness_checks();
     for _ in 0..60 {
         if world.all_jobs_finished() {
             break;
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -143,7 +143,7 @@
     }
 
     /// From here on every job has to be answered for.
-    pub fn troubles_end(&mut self) {
+    pub fn start_liveness_checks(&mut self) {
         let until = self.cuts.iter().map(|c| c.until).chain([self.store.down_until]);
         let machines = self.agents.values().flat_map(|w| [w.hung_until, w.unreported_until]);
         let until =
