--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -198,11 +198,11 @@
         let ids: Vec<JobId> = (0..3).map(|n| world.submit(n + 1, wide_array("green", 6, 20.0))).collect();
         // Long before those that don't come up are given up, which is after 30 s.
         world.run_for(25 * S);
-        assert!(world.cloud.rented[0] > 0, "{seed}: no ordinary machine was rented");
+        assert!(world.cloud.created_instances[0] > 0, "{seed}: no ordinary machine was rented");
         world.run_for(125 * S);
         let done = ids.iter().filter(|id| world.jobs[*id].reported_outcome == Some(JobState::Done)).count();
         assert_eq!(done, 3, "{seed}: {done} of 3 done after 150 s");
-        let [_, spot] = world.cloud.rented;
+        let [_, spot] = world.cloud.created_instances;
         assert!(spot <= 30, "{seed}: {spot} spot machines were rented in vain");
         finish(&mut world, &format!("dead spot {seed}"));
     }
@@ -224,7 +224,7 @@
         let leader = world.holder("leader").expect("somebody leads");
         world.freeze(leader, 6 * S);
         world.run_for(60 * S);
-        let rented: usize = world.cloud.rented.iter().sum();
+        let rented: usize = world.cloud.created_instances.iter().sum();
         assert!(rented <= 60, "{seed}: {rented} machines were rented for 24 tasks");
         world.cloud.boot_percent = 100;
         finish(&mut world, &format!("late boots {seed}"));
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -36,7 +36,7 @@
     /// Machines take so many times as long to come up, in percent.
     pub boot_percent: u64,
     /// Machines rented by now, of each kind: spot or not.
-    pub rented: [usize; 2],
+    pub created_instances: [usize; 2],
 }
 
 impl Cloud {
@@ -50,7 +50,7 @@
             dead_zones: BTreeSet::new(),
             spot_is_dead: false,
             boot_percent: 100,
-            rented: [0; 2],
+            created_instances: [0; 2],
         }
     }
 
@@ -128,7 +128,7 @@
             let never = stuck || dead || (rental.spot && self.cloud.spot_is_dead);
             let ordinary = (6 * S + self.pick(9 * S)) * self.cloud.boot_percent / 100;
             let delay = if never { 1_000_000 * S } else { ordinary };
-            self.cloud.rented[usize::from(rental.spot)] += 1;
+            self.cloud.created_instances[usize::from(rental.spot)] += 1;
             names.push(self.boot(&rental.machine_type, &rental.zone, rental.spot, delay));
         }
         self.cloud.charters.insert(rental.request, names.clone());
