--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -192,7 +192,7 @@
     for seed in seeds(65, 4) {
         let size = Size { machines: 1, capacity: 24, ..SMALL };
         let mut world = World::sized(seed, Policy::default(), size);
-        world.cloud.spot_is_dead = true;
+        world.cloud.spot_never_boots = true;
         world.cloud.never_up = 0;
         world.run_for(5 * S);
         let ids: Vec<JobId> = (0..3).map(|n| world.submit(n + 1, wide_array("green", 6, 20.0))).collect();
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -32,7 +32,7 @@
     /// Zones in which nothing that is rented comes up.
     pub dead_zones: BTreeSet<String>,
     /// Spot machines that are rented never come up.
-    pub spot_is_dead: bool,
+    pub spot_never_boots: bool,
     /// Machines take so many times as long to come up, in percent.
     pub boot_percent: u64,
     /// Machines rented by now, of each kind: spot or not.
@@ -48,7 +48,7 @@
             capacity,
             never_up: 15,
             dead_zones: BTreeSet::new(),
-            spot_is_dead: false,
+            spot_never_boots: false,
             boot_percent: 100,
             created_instances: [0; 2],
         }
@@ -125,7 +125,7 @@
         for _ in 0..available.min(rental.count as usize) {
             let stuck = self.cloud.never_up > 0 && self.chance(self.cloud.never_up);
             let dead = self.cloud.dead_zones.contains(&rental.zone);
-            let never = stuck || dead || (rental.spot && self.cloud.spot_is_dead);
+            let never = stuck || dead || (rental.spot && self.cloud.spot_never_boots);
             let ordinary = (6 * S + self.pick(9 * S)) * self.cloud.boot_percent / 100;
             let delay = if never { 1_000_000 * S } else { ordinary };
             self.cloud.created_instances[usize::from(rental.spot)] += 1;
