--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -249,7 +249,7 @@
             .filter(|n| world.agents.values().nth(*n).is_some_and(|w| w.tasks.keys().any(|k| services.contains(&k.0))))
             .collect();
         let nth = serving.first().copied().unwrap_or(0);
-        let unreported = world.unreported(nth, 300 * S).expect("a machine");
+        let unreported = world.drop_heartbeats(nth, 300 * S).expect("a machine");
         if seed % 2 == 1 {
             let node = world.holder("share/2").expect("owned");
             world.crash(node, 4 * S);
@@ -273,7 +273,7 @@
     world.run_for(30 * S);
     let before: Vec<MachineId> = world.agents.keys().cloned().collect();
     for nth in 0..before.len() {
-        world.unreported(nth, 25 * S);
+        world.drop_heartbeats(nth, 25 * S);
     }
     world.run_for(40 * S);
     let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
@@ -370,7 +370,7 @@
             let span = (1 + world.pick(25)) * S;
             match world.pick(9) {
                 0 => world.late_writes(span, 4),
-                1 => drop(world.unreported(nth, span)),
+                1 => drop(world.drop_heartbeats(nth, span)),
                 2 => drop(world.make_unreachable(nth, span)),
                 3 => call_off_some(&mut world, 10),
                 4 => world.cut(span, true, move |a, b| {
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -76,7 +76,7 @@
     }
 
     /// The machine's heartbeats reach no controller, though direct commands reach it and are answered.
-    pub fn unreported(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
+    pub fn drop_heartbeats(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
         let id = self.nth_agent(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: mute");
         let until = self.now + duration;
