--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -100,7 +100,7 @@
     }
 
     /// Machines in the stored records that were not deleted and are not to be.
-    pub fn machines_to_stay(&self) -> BTreeSet<MachineId> {
+    pub fn undeleted_machines(&self) -> BTreeSet<MachineId> {
         let is_to_go = |cordon| matches!(cordon, Some(CordonReason::ForceDelete | CordonReason::Deleted));
         let staying = self.stored().machines.into_iter().filter(|(_, record)| !is_to_go(record.value.cordon));
         staying.map(|(id, _)| id).collect()
--- a/tests/rules/zone_course.rs
+++ b/tests/rules/zone_course.rs
@@ -186,7 +186,7 @@
 
     /// What there is to say when the first leases could expire.
     fn outcome(&self, restored: Option<u64>) -> Outcome {
-        let staying = self.world.machines_to_stay();
+        let staying = self.world.undeleted_machines();
         let staying_count = |ids: &[MachineId]| ids.iter().filter(|id| staying.contains(*id)).count();
         let left_machines = staying_count(&self.hosts);
         Outcome {
--- a/tests/rules/zone_cuts.rs
+++ b/tests/rules/zone_cuts.rs
@@ -40,7 +40,7 @@
         let in_zone = world.machines_in("a");
         world.cut_zone("a", CUT, true);
         world.run_for(FIRST_EXPIRY);
-        let staying = world.machines_to_stay();
+        let staying = world.undeleted_machines();
         let deleted = in_zone.iter().filter(|id| !staying.contains(*id)).count();
         assert_eq!(deleted, 0, "{seed}: {deleted} of {} machines", in_zone.len());
         super::cancel_services(&mut world);
@@ -179,7 +179,7 @@
             world.cancel_job(id);
         }
         world.run_for(FIRST_EXPIRY);
-        let staying = world.machines_to_stay();
+        let staying = world.undeleted_machines();
         let deleted = hosts.iter().filter(|id| !staying.contains(*id)).count();
         assert_eq!(deleted, 0, "{seed}: {deleted} of {} machines", hosts.len());
         super::cancel_services(&mut world);
@@ -204,7 +204,7 @@
         let hung = world.machines_in("b").into_iter().find(runs_services).expect("services run in the other zone");
         world.hang_machine(&hung, CUT);
         world.run_for(FIRST_EXPIRY);
-        assert!(!world.machines_to_stay().contains(&hung), "{seed}: {hung} is not replaced before its lease ends");
+        assert!(!world.undeleted_machines().contains(&hung), "{seed}: {hung} is not replaced before its lease ends");
         let missing = services.iter().filter(|id| world.running(id) < 2).count();
         assert_eq!(missing, 0, "{seed}: {missing} services are not whole");
         super::cancel_services(&mut world);
