--- a/tests/rules/world/agent.rs
+++ b/tests/rules/world/agent.rs
@@ -1,6 +1,6 @@
 //! Agents: obey the highest fencing token, keep a lease, and send heartbeats.
 
-use super::{Endpoint, Event, Fate, MS, S, World};
+use super::{Delivery, Endpoint, Event, MS, S, World};
 use burlhatch::coordination::{AgentAnswer, DirectCommandsOutcome, Input};
 use burlhatch::protocol::agent::{AgentCommand, DirectCommands, ExitCause, Heartbeat, TaskState, TaskStatus};
 use burlhatch::storage::schema::Outcome;
@@ -30,14 +30,14 @@
     seq: u64,
     fencing_token: FencingToken,
     /// When the last answered heartbeat was sent, or the incarnation began.
-    pub(super) renewed: u64,
+    pub(super) lease_renewed_at: u64,
     pub tasks: BTreeMap<(JobId, u32), Task>,
     pub(super) exited: BTreeMap<(JobId, u32, u64), ExitCause>,
     pub(super) cache: Vec<String>,
-    pub(super) done: Vec<(JobId, u32)>,
+    pub(super) completed: Vec<(JobId, u32)>,
     node: usize,
     /// The heartbeat in flight and when it was sent.
-    pub(super) flight: Option<(u64, u64, u64)>,
+    pub(super) in_flight: Option<(u64, u64, u64)>,
     /// What it says is on the machine, not ended.
     reported: Vec<TaskStatus>,
     wake: u64,
@@ -47,7 +47,7 @@
     pub hung_until: u64,
     pub faulty: bool,
     /// Until then its heartbeats reach nobody.
-    pub unreported_until: u64,
+    pub heartbeats_dropped_until: u64,
 }
 
 impl Agent {
@@ -83,7 +83,7 @@
     }
 
     /// Keeps the highest fencing token, and reports a higher one at once, though only one time within half a lease.
-    fn take_token(&mut self, fencing_token: FencingToken, now: u64, lease: u64) {
+    fn adopt_token(&mut self, fencing_token: FencingToken, now: u64, lease: u64) {
         if fencing_token <= self.fencing_token {
             return;
         }
@@ -108,27 +108,27 @@
             incarnation: 1,
             seq: 0,
             fencing_token: FencingToken(0),
-            renewed: self.now,
+            lease_renewed_at: self.now,
             tasks: BTreeMap::new(),
             exited: BTreeMap::new(),
             cache: Vec::new(),
-            done: Vec::new(),
+            completed: Vec::new(),
             node: self.pick(self.size.nodes as u64) as usize,
-            flight: None,
+            in_flight: None,
             reported: Vec::new(),
             wake: 0,
             changed: true,
             token_change: None,
             hung_until: 0,
             faulty: false,
-            unreported_until: 0,
+            heartbeats_dropped_until: 0,
         };
         self.agents.insert(id.clone(), agent);
         self.at(100 * MS, Event::AgentStep { machine: id.clone() });
         self.at(10 * MS, Event::AgentHeartbeat { machine: id, wake: 0 });
     }
 
-    pub(super) fn wake_in(&mut self, id: &MachineId, delay: u64) {
+    pub(super) fn schedule_heartbeat(&mut self, id: &MachineId, delay: u64) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.wake += 1;
             let wake = agent.wake;
@@ -139,12 +139,12 @@
     pub(super) fn agent_heartbeat(&mut self, id: MachineId, wake: u64) {
         let now = self.now;
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        if agent.wake != wake || agent.flight.is_some() {
+        if agent.wake != wake || agent.in_flight.is_some() {
             return;
         }
         if agent.hung_until > now {
             let rest = agent.hung_until - now;
-            return self.wake_in(&id, rest);
+            return self.schedule_heartbeat(&id, rest);
         }
         let heartbeat = agent.heartbeat(&id);
         agent.changed = false;
@@ -152,7 +152,7 @@
         self.next_serial += 1;
         let serial = self.next_serial;
         if let Some(agent) = self.agents.get_mut(&id) {
-            agent.flight = Some((serial, now, agent.incarnation));
+            agent.in_flight = Some((serial, now, agent.incarnation));
             agent.reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
         }
         if self.heartbeat_copies > 0 && self.chance(self.heartbeat_copies) {
@@ -162,11 +162,13 @@
             let node = if self.chance(2) { self.pick(self.size.nodes as u64) as usize } else { node };
             self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
-        let unreported = self.agents.get(&id).is_some_and(|w| w.unreported_until > now);
-        match self.fate(&Endpoint::Agent(id.clone()), &Endpoint::Node(node)) {
-            Fate::Arrives(_) | Fate::Held(_) if unreported => {}
-            Fate::Arrives(delay) | Fate::Held(delay) => self.at(delay, Event::Heartbeat { node, heartbeat, serial }),
-            Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None }),
+        let are_dropped = self.agents.get(&id).is_some_and(|w| w.heartbeats_dropped_until > now);
+        match self.delivery(&Endpoint::Agent(id.clone()), &Endpoint::Node(node)) {
+            Delivery::Arrives(_) | Delivery::Held(_) if are_dropped => {}
+            Delivery::Arrives(delay) | Delivery::Held(delay) => {
+                self.at(delay, Event::Heartbeat { node, heartbeat, serial });
+            }
+            Delivery::Refused => self.at(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None }),
         }
         self.at(4 * S, Event::HeartbeatAnswer { machine: id, serial, answer: None });
     }
@@ -174,7 +176,9 @@
     /// An answer renews the lease: it must stop what the heartbeat names of jobs that the controller knows to be cancelled.
     pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &AgentAnswer) {
         let AgentAnswer::Response(given) = answer else { return };
-        let Some(agent) = self.agents.get(id).filter(|w| w.flight.is_some_and(|(flight, ..)| flight == serial)) else {
+        let Some(agent) =
+            self.agents.get(id).filter(|w| w.in_flight.is_some_and(|(in_flight, ..)| in_flight == serial))
+        else {
             return;
         };
         let Some(controller) = &self.nodes[node].controller else { return };
@@ -190,7 +194,7 @@
         };
         let missing = agent.reported.iter().find(|task| cancelled(task) && !stopped(task));
         if let Some(task) = missing.map(|task| task.task.clone()) {
-            self.broken(format!("renewed without a stop: {task} on {id}, by node {node}"));
+            self.report_violation(format!("renewed without a stop: {task} on {id}, by node {node}"));
         }
     }
 
@@ -198,8 +202,8 @@
         let now = self.now;
         let (nodes, times) = (self.size.nodes, self.size.times);
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        let Some((flight, sent, incarnation)) = agent.flight else { return };
-        if flight != serial {
+        let Some((in_flight, sent, incarnation)) = agent.in_flight else { return };
+        if in_flight != serial {
             return;
         }
         if agent.hung_until > now {
@@ -208,13 +212,13 @@
             let answer = if rest + now - sent > 4 * S { None } else { answer };
             return self.at(rest, Event::HeartbeatAnswer { machine: id, serial, answer });
         }
-        agent.flight = None;
+        agent.in_flight = None;
         let pause = match answer {
             Some(AgentAnswer::Response(commands)) => {
                 if commands.fencing_token >= agent.fencing_token && incarnation == agent.incarnation {
-                    agent.take_token(commands.fencing_token, now, times.lease);
-                    agent.renewed = agent.renewed.max(sent);
-                    self.obey(&id, &commands.commands);
+                    agent.adopt_token(commands.fencing_token, now, times.lease);
+                    agent.lease_renewed_at = agent.lease_renewed_at.max(sent);
+                    self.execute_commands(&id, &commands.commands);
                 }
                 let changed = self.agents.get(&id).is_some_and(|w| w.changed);
                 if changed { 500 * MS } else { times.heartbeat - times.heartbeat / 4 + self.pick(times.heartbeat / 2) }
@@ -237,13 +241,13 @@
                 S
             }
         };
-        self.wake_in(&id, pause);
+        self.schedule_heartbeat(&id, pause);
     }
 
     pub(super) fn agent_commands(
         &mut self,
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         id: MachineId,
         commands: DirectCommands,
@@ -252,34 +256,34 @@
         let Some(agent) = self.agents.get_mut(&id) else { return };
         if agent.hung_until > now {
             let rest = agent.hung_until - now;
-            return self.at(rest, Event::DirectCommands { node, life, call, machine: id, commands });
+            return self.at(rest, Event::DirectCommands { node, generation, call, machine: id, commands });
         }
         let done = commands.fencing_token >= agent.fencing_token && commands.incarnation == agent.incarnation;
         if done {
-            agent.take_token(commands.fencing_token, now, times.lease);
-            self.obey(&id, &commands.commands);
+            agent.adopt_token(commands.fencing_token, now, times.lease);
+            self.execute_commands(&id, &commands.commands);
         }
         let Some(agent) = self.agents.get_mut(&id) else { return };
         let heartbeat = agent.heartbeat(&id);
-        let changed = agent.changed && agent.flight.is_none();
+        let changed = agent.changed && agent.in_flight.is_none();
         let outcome =
             if done { DirectCommandsOutcome::Executed(heartbeat) } else { DirectCommandsOutcome::Rejected(heartbeat) };
         self.reply(
             Endpoint::Agent(id.clone()),
             node,
-            life,
+            generation,
             call,
             Input::DirectCommands { machine: id.clone(), outcome },
         );
         if changed {
-            self.wake_in(&id, 500 * MS);
+            self.schedule_heartbeat(&id, 500 * MS);
         }
     }
 
-    fn obey(&mut self, id: &MachineId, commands: &[AgentCommand]) {
+    fn execute_commands(&mut self, id: &MachineId, commands: &[AgentCommand]) {
         for command in commands {
             match command {
-                AgentCommand::Start { task, attempt } => self.obey_start(id, task, *attempt),
+                AgentCommand::Start { task, attempt } => self.execute_start(id, task, *attempt),
                 AgentCommand::Stop { task, attempt, .. } => {
                     let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { continue };
                     let here = self.agents.get(id).and_then(|w| w.tasks.get(&key));
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -10,9 +10,9 @@
 
 /// Longest time in which no question about an accepted job may be answered once troubles are over.
 /// The users' patience is 75 s.
-const GAP_MOST: u64 = 40 * S;
+const MAX_ANSWER_GAP: u64 = 40 * S;
 /// So long a task may wait then while a machine that fits has room and its team is under its limit.
-const WAIT_MOST: u64 = 90 * S;
+const MAX_RUNNABLE_WAIT: u64 = 90 * S;
 
 impl World {
     /// The controller that holds a role: `leader`, or `shard/` and a number.
@@ -23,25 +23,26 @@
     }
 
     /// Every job accepted, not cancelled and not over: how long its users have been without an answer.
-    pub(super) fn note_gaps(&mut self) {
+    pub(super) fn check_answer_gaps(&mut self) {
         let now = self.now;
-        let Some(calm) = self.calm_since.filter(|calm| *calm < now) else { return };
+        let Some(from) = self.liveness_checked_since.filter(|from| *from < now) else { return };
         let mut forgotten = Vec::new();
         for (id, job) in self.jobs.iter_mut().filter(|(_, j)| j.accepted && j.cancelled.is_none()) {
-            job.gap = job.gap.max(now - job.answered.max(calm));
-            if job.gap > GAP_MOST && job.gap < GAP_MOST + S {
-                forgotten.push(format!("forgotten: no question about {id} was answered for {} ms", job.gap / MS));
+            job.max_answer_gap = job.max_answer_gap.max(now - job.answered.max(from));
+            if job.max_answer_gap > MAX_ANSWER_GAP && job.max_answer_gap < MAX_ANSWER_GAP + S {
+                forgotten
+                    .push(format!("forgotten: no question about {id} was answered for {} ms", job.max_answer_gap / MS));
             }
         }
         for what in forgotten {
-            self.broken(what);
+            self.report_violation(what);
         }
     }
 
     /// Every task of arrays and services that waits: how long it could have run all the same.
-    pub(super) fn note_stranded(&mut self) {
+    pub(super) fn check_runnable_tasks(&mut self) {
         let now = self.now;
-        let Some(calm) = self.calm_since.filter(|calm| *calm < now) else { return };
+        let Some(from) = self.liveness_checked_since.filter(|from| *from < now) else { return };
         let mut found = Vec::new();
         for (id, job) in self.jobs.iter().filter(|(_, j)| {
             j.accepted && j.reported_outcome.is_none() && j.spec.kind != JobKind::Gang && j.fails_after.is_none()
@@ -51,20 +52,20 @@
             // What it could do with one more task; its other tasks may bind it to zones.
             let free = !job.spec.one_zone && !job.spec.spread;
             let could = waits && free && job.cancel_at.is_none_or(|at| at > now) && self.could_run(&job.spec);
-            let since = if could { Some(job.stranded_since.unwrap_or(now).max(calm)) } else { None };
+            let since = if could { Some(job.runnable_since.unwrap_or(now).max(from)) } else { None };
             found.push((id.clone(), since));
         }
         for (id, since) in found {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.stranded_since = since;
+                job.runnable_since = since;
             }
-            if since.is_some_and(|at| now - at >= WAIT_MOST) {
-                self.broken(format!("{id} waits for 90 s though it could run"));
+            if since.is_some_and(|at| now - at >= MAX_RUNNABLE_WAIT) {
+                self.report_violation(format!("{id} waits for 90 s though it could run"));
             }
         }
     }
 
-    pub fn broken(&mut self, what: String) {
+    pub fn report_violation(&mut self, what: String) {
         let at = self.now as f64 / 1e6;
         self.violations.push(format!("{at:.3} s: {what}"));
     }
@@ -127,16 +128,16 @@
 
     /// Changes that the store has carried out.
     pub fn changes(&self) -> u64 {
-        self.store.written
+        self.store.write_count
     }
 
     /// Requests that the store got.
     pub fn store_requests(&self) -> u64 {
-        self.store.asked
+        self.store.request_count
     }
 
     pub fn limited(&self) -> u64 {
-        self.store.limited
+        self.store.rate_limited_count
     }
 
     pub fn all_jobs_finished(&self) -> bool {
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -12,25 +12,25 @@
 /// Machines on one page of the list.
 const PAGE: usize = 100;
 
-pub struct Rented {
+pub struct Instance {
     pub machine_type: String,
     pub zone: String,
     pub spot: bool,
     since: u64,
     state: ListedState,
-    gone_at: Option<u64>,
+    deleted_at: Option<u64>,
 }
 
 pub struct Cloud {
-    pub machines: BTreeMap<MachineId, Rented>,
-    charters: BTreeMap<String, Vec<MachineId>>,
+    pub machines: BTreeMap<MachineId, Instance>,
+    created_by_request: BTreeMap<String, Vec<MachineId>>,
     next: u64,
     /// Most machines at a time.
     pub capacity: usize,
     /// Of the machines rented one in so many never comes up; 0 for none.
     pub never_up: u32,
     /// Zones in which nothing that is rented comes up.
-    pub dead_zones: BTreeSet<String>,
+    pub zones_never_booting: BTreeSet<String>,
     /// Spot machines that are rented never come up.
     pub spot_never_boots: bool,
     /// Machines take so many times as long to come up, in percent.
@@ -43,11 +43,11 @@
     pub fn new(capacity: usize) -> Cloud {
         Cloud {
             machines: BTreeMap::new(),
-            charters: BTreeMap::new(),
+            created_by_request: BTreeMap::new(),
             next: 0,
             capacity,
             never_up: 15,
-            dead_zones: BTreeSet::new(),
+            zones_never_booting: BTreeSet::new(),
             spot_never_boots: false,
             boot_percent: 100,
             created_instances: [0; 2],
@@ -61,7 +61,7 @@
     }
 
     fn used(&self) -> usize {
-        self.machines.values().filter(|m| m.gone_at.is_none()).count()
+        self.machines.values().filter(|m| m.deleted_at.is_none()).count()
     }
 }
 
@@ -73,23 +73,23 @@
     pub fn boot(&mut self, machine_type: &str, zone: &str, spot: bool, delay: u64) -> MachineId {
         self.cloud.next += 1;
         let id = MachineId::new(&format!("m-{:06}", self.cloud.next));
-        let rented = Rented {
+        let instance = Instance {
             machine_type: machine_type.into(),
             zone: zone.into(),
             spot,
             since: self.now,
             state: ListedState::Booting,
-            gone_at: None,
+            deleted_at: None,
         };
-        self.cloud.machines.insert(id.clone(), rented);
-        self.at(delay, Event::Boots { machine: id.clone() });
+        self.cloud.machines.insert(id.clone(), instance);
+        self.at(delay, Event::Booted { machine: id.clone() });
         id
     }
 
     pub(super) fn cloud_request(&mut self, request: CloudCall) -> CloudOutcome {
         match request {
             CloudCall::Types => CloudOutcome::Types(self.machine_types()),
-            CloudCall::CreateInstances(rental) => self.rent(rental),
+            CloudCall::CreateInstances(request) => self.create_instances(request),
             CloudCall::Delete(ids) => self.delete_machines(&ids),
             CloudCall::List { after } => CloudOutcome::List(self.list_machines(after.as_ref())),
         }
@@ -113,8 +113,8 @@
     }
 
     /// A repeated request brings what the first one brought.
-    fn rent(&mut self, rental: InstanceRequest) -> CloudOutcome {
-        if let Some(names) = self.cloud.charters.get(&rental.request) {
+    fn create_instances(&mut self, request: InstanceRequest) -> CloudOutcome {
+        if let Some(names) = self.cloud.created_by_request.get(&request.request) {
             return CloudOutcome::InstancesCreated(MachineNames { machines: names.clone() });
         }
         let available = self.cloud.capacity.saturating_sub(self.cloud.used());
@@ -122,23 +122,23 @@
             return CloudOutcome::NoCapacity;
         }
         let mut names = Vec::new();
-        for _ in 0..available.min(rental.count as usize) {
+        for _ in 0..available.min(request.count as usize) {
             let stuck = self.cloud.never_up > 0 && self.chance(self.cloud.never_up);
-            let dead = self.cloud.dead_zones.contains(&rental.zone);
-            let never = stuck || dead || (rental.spot && self.cloud.spot_never_boots);
+            let dead = self.cloud.zones_never_booting.contains(&request.zone);
+            let never = stuck || dead || (request.spot && self.cloud.spot_never_boots);
             let ordinary = (6 * S + self.pick(9 * S)) * self.cloud.boot_percent / 100;
             let delay = if never { 1_000_000 * S } else { ordinary };
-            self.cloud.created_instances[usize::from(rental.spot)] += 1;
-            names.push(self.boot(&rental.machine_type, &rental.zone, rental.spot, delay));
+            self.cloud.created_instances[usize::from(request.spot)] += 1;
+            names.push(self.boot(&request.machine_type, &request.zone, request.spot, delay));
         }
-        self.cloud.charters.insert(rental.request, names.clone());
+        self.cloud.created_by_request.insert(request.request, names.clone());
         CloudOutcome::InstancesCreated(MachineNames { machines: names })
     }
 
     fn delete_machines(&mut self, ids: &[MachineId]) -> CloudOutcome {
         for id in ids {
             if let Some(machine) = self.cloud.machines.get_mut(id) {
-                machine.gone_at.get_or_insert(self.now);
+                machine.deleted_at.get_or_insert(self.now);
                 self.agents.remove(id);
             }
         }
@@ -149,10 +149,10 @@
     fn list_machines(&mut self, after: Option<&MachineId>) -> MachineList {
         let lag = LAG + self.pick(LAG);
         let then = self.now.saturating_sub(lag);
-        let is_listed = |id: &MachineId, machine: &Rented| {
+        let is_listed = |id: &MachineId, machine: &Instance| {
             after.is_none_or(|after| id > after)
                 && machine.since <= then
-                && machine.gone_at.is_none_or(|gone_at| gone_at > then)
+                && machine.deleted_at.is_none_or(|deleted_at| deleted_at > then)
         };
         let mut machines: Vec<ListedMachine> = self
             .cloud
@@ -175,13 +175,13 @@
         MachineList { machines, more }
     }
 
-    pub(super) fn machine_up(&mut self, machine: MachineId) {
-        let Some(rented) = self.cloud.machines.get_mut(&machine) else { return };
-        if rented.gone_at.is_some() {
+    pub(super) fn machine_booted(&mut self, machine: MachineId) {
+        let Some(instance) = self.cloud.machines.get_mut(&machine) else { return };
+        if instance.deleted_at.is_some() {
             return;
         }
-        rented.state = ListedState::Running;
-        let (machine_type, zone, spot) = (rented.machine_type.clone(), rented.zone.clone(), rented.spot);
+        instance.state = ListedState::Running;
+        let (machine_type, zone, spot) = (instance.machine_type.clone(), instance.zone.clone(), instance.spot);
         self.start_agent(machine, machine_type, zone, spot);
     }
 }
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -1,6 +1,6 @@
 //! Controllers: inputs in, effects carried out.
 
-use super::network::Fate;
+use super::network::Delivery;
 use super::{Endpoint, Event, MS, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
     AgentAnswer, CallFailure, Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Input, RequestId,
@@ -21,7 +21,7 @@
     pub(super) fn clock(&self, node: usize) -> Clock {
         let n = &self.nodes[node];
         Clock {
-            steady: Micros(((self.now - n.began) as f64 * n.drift) as u64 + 1),
+            steady: Micros(((self.now - n.started_at) as f64 * n.drift) as u64 + 1),
             wall: Micros(1_700_000_000 * S + self.now + node as u64 * 20 * MS),
         }
     }
@@ -38,10 +38,10 @@
             return;
         }
         controller.handle(clock, input);
-        let mut looks = 50;
+        let mut checks_left = 50;
         let effects = controller.round(clock, &mut || {
-            looks -= 1;
-            looks > 0
+            checks_left -= 1;
+            checks_left > 0
         });
         for effect in effects {
             self.carry_out(node, effect);
@@ -64,35 +64,35 @@
     fn answer_agent(&mut self, node: usize, request_id: RequestId, answer: AgentAnswer) {
         let Some((machine, serial)) = self.nodes[node].agents.remove(&request_id) else { return };
         self.check_renewal(node, &machine, serial, &answer);
-        match self.fate(&Endpoint::Node(node), &Endpoint::Agent(machine.clone())) {
-            Fate::Arrives(delay) | Fate::Held(delay) => {
+        match self.delivery(&Endpoint::Node(node), &Endpoint::Agent(machine.clone())) {
+            Delivery::Arrives(delay) | Delivery::Held(delay) => {
                 self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
             }
-            Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
+            Delivery::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
         }
     }
 
     fn answer_peer(&mut self, node: usize, request_id: RequestId, answer: CancellationAck) {
         if let Some(caller) = self.nodes[node].peers.remove(&request_id) {
             let input = Input::PeerAnswer { call: caller.number, answer: Some(answer) };
-            self.reply(Endpoint::Node(node), caller.node, caller.life, caller.call, input);
+            self.reply(Endpoint::Node(node), caller.node, caller.generation, caller.call, input);
         }
     }
 
     fn call_peer(&mut self, node: usize, number: u64, to: &str, message: &CancellationNotice) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         let Some(to) = to.strip_prefix("node-").and_then(|n| n.parse().ok()) else { return };
         self.call(
             node,
             Endpoint::Node(to),
             PEER_TIMEOUT,
-            |call| Event::Peer { node, life, call, to, number, message: message.clone() },
+            |call| Event::Peer { node, generation, call, to, number, message: message.clone() },
             |_| Input::PeerAnswer { call: number, answer: None },
         );
     }
 
     fn call_store(&mut self, node: usize, request: StoreCall) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         let timeout = match &request {
             StoreCall::Changes { wait_ms, .. } => wait_ms * MS + STORE_TIMEOUT,
             _ => STORE_TIMEOUT,
@@ -102,32 +102,32 @@
         if is_txn && may_be_late && self.chance(self.late_writes.1) {
             let call = self.open_call();
             let late = 2 * S + self.pick(10 * S);
-            let input = store::failed(&request, CallFailure::Indeterminate);
-            self.at(late, Event::Store { node, life, call, request });
-            return self.at(timeout, Event::Outcome { node, life, call, input });
+            let input = store::failure_input(&request, CallFailure::Indeterminate);
+            self.at(late, Event::Store { node, generation, call, request });
+            return self.at(timeout, Event::Outcome { node, generation, call, input });
         }
         self.call(
             node,
             Endpoint::Store,
             timeout,
-            |call| Event::Store { node, life, call, request: request.clone() },
-            |failure| store::failed(&request, failure),
+            |call| Event::Store { node, generation, call, request: request.clone() },
+            |failure| store::failure_input(&request, failure),
         );
     }
 
     fn call_cloud(&mut self, node: usize, number: u64, request: &CloudCall) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         self.call(
             node,
             Endpoint::Cloud,
             CLOUD_TIMEOUT,
-            |call| Event::Cloud { node, life, call, number, request: request.clone() },
+            |call| Event::Cloud { node, generation, call, number, request: request.clone() },
             |_| Input::Cloud { call: number, outcome: CloudOutcome::Failed },
         );
     }
 
     fn call_agent(&mut self, node: usize, machine: MachineId, commands: DirectCommands) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         // Without commands nothing can be carried out late.
         let is_empty = commands.commands.is_empty();
         let failed = |machine: &MachineId, failure: CallFailure| {
@@ -137,14 +137,20 @@
         if let Some(late) = self.command_delay() {
             let call = self.open_call();
             let input = failed(&machine, CallFailure::Indeterminate);
-            self.at(late, Event::DirectCommands { node, life, call, machine, commands });
-            return self.at(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, life, call, input });
+            self.at(late, Event::DirectCommands { node, generation, call, machine, commands });
+            return self.at(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, generation, call, input });
         }
         self.call(
             node,
             Endpoint::Agent(machine.clone()),
             DIRECT_COMMANDS_TIMEOUT,
-            |call| Event::DirectCommands { node, life, call, machine: machine.clone(), commands: commands.clone() },
+            |call| Event::DirectCommands {
+                node,
+                generation,
+                call,
+                machine: machine.clone(),
+                commands: commands.clone(),
+            },
             |failure| failed(&machine, failure),
         );
     }
@@ -177,13 +183,13 @@
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
         controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
-        self.overheard = None;
+        self.test_answer = None;
         for _ in 0..60 {
             self.run_for(50 * MS);
-            if self.overheard.is_some() {
+            if self.test_answer.is_some() {
                 break;
             }
         }
-        self.overheard.take()
+        self.test_answer.take()
     }
 }
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -11,7 +11,7 @@
     pub fn crash(&mut self, node: usize, back_after: u64) {
         tracing::info!(at_ms = self.now / MS, node, back_after, "trouble: crash");
         self.nodes[node].controller = None;
-        self.nodes[node].life += 1;
+        self.nodes[node].generation += 1;
         // Agents and users on its connections see a reset.
         let lost: Vec<_> = std::mem::take(&mut self.nodes[node].agents).into_values().collect();
         for (machine, serial) in lost {
@@ -28,8 +28,8 @@
     pub fn freeze(&mut self, node: usize, duration: u64) {
         tracing::info!(at_ms = self.now / MS, node, duration, "trouble: freeze");
         self.nodes[node].frozen_until = self.now + duration;
-        let life = self.nodes[node].life;
-        self.at(duration, Event::Thaw(node, life));
+        let generation = self.nodes[node].generation;
+        self.at(duration, Event::Thaw(node, generation));
     }
 
     pub fn cut(&mut self, duration: u64, hold: bool, between: impl Fn(&Endpoint, &Endpoint) -> bool + 'static) {
@@ -55,7 +55,7 @@
         for id in self.machines_in(zone) {
             self.agents.remove(&id);
         }
-        self.cloud.dead_zones.insert(zone.into());
+        self.cloud.zones_never_booting.insert(zone.into());
     }
 
     /// Writes a key of the store past all controllers.
@@ -80,7 +80,7 @@
         let id = self.nth_agent(nth)?;
         tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: mute");
         let until = self.now + duration;
-        self.agents.get_mut(&id)?.unreported_until = until;
+        self.agents.get_mut(&id)?.heartbeats_dropped_until = until;
         Some(id)
     }
 
@@ -134,10 +134,10 @@
     /// Its agent begins anew, with nothing on it and nothing remembered.
     pub fn restart_agent(&mut self, nth: usize) {
         if let Some(id) = self.nth_agent(nth)
-            && let Some(rented) = self.cloud.machines.get(&id)
+            && let Some(instance) = self.cloud.machines.get(&id)
         {
             tracing::info!(at_ms = self.now / MS, machine = %id, "trouble: the worker begins anew");
-            let (machine_type, zone, spot) = (rented.machine_type.clone(), rented.zone.clone(), rented.spot);
+            let (machine_type, zone, spot) = (instance.machine_type.clone(), instance.zone.clone(), instance.spot);
             self.start_agent(id, machine_type, zone, spot);
         }
     }
@@ -145,11 +145,13 @@
     /// From here on every job has to be answered for.
     pub fn start_liveness_checks(&mut self) {
         let until = self.cuts.iter().map(|c| c.until).chain([self.store.down_until]);
-        let machines = self.agents.values().flat_map(|w| [w.hung_until, w.unreported_until]);
-        let until =
-            until.chain(self.store.refused.values().copied()).chain(machines).chain([self.late_writes.0, self.slow.0]);
+        let machines = self.agents.values().flat_map(|w| [w.hung_until, w.heartbeats_dropped_until]);
+        let until = until
+            .chain(self.store.refused_until.values().copied())
+            .chain(machines)
+            .chain([self.late_writes.0, self.slow.0]);
         let until = until.max().unwrap_or(0).max(self.now);
-        self.calm_since = Some(until + 5 * S);
+        self.liveness_checked_since = Some(until + 5 * S);
     }
 
     pub fn store_outage(&mut self, duration: u64) {
@@ -160,7 +162,7 @@
 
     pub fn refuse_node(&mut self, node: usize, duration: u64) {
         tracing::info!(at_ms = self.now / MS, node, duration, "trouble: refused");
-        self.store.refused.insert(node, self.now + duration);
+        self.store.refused_until.insert(node, self.now + duration);
     }
 
     pub fn hang(&mut self, nth: usize, duration: u64) {
@@ -199,24 +201,24 @@
 
     /// All controllers are of the version before: they know nothing of limits to come, and write as much as they may.
     pub fn run_previous_version(&mut self) {
-        self.old = (0..self.size.nodes).collect();
+        self.previous_version = (0..self.size.nodes).collect();
     }
 
     /// One controller is killed and comes back as the new version.
     pub fn upgrade(&mut self, node: usize) {
-        self.old.remove(&node);
+        self.previous_version.remove(&node);
         self.crash(node, 4 * S);
     }
 
     /// One controller is killed and comes back as the version before.
     pub fn downgrade(&mut self, node: usize, back_after: u64) {
-        self.old.insert(node);
+        self.previous_version.insert(node);
         self.crash(node, back_after);
     }
 
     /// From then on the store takes no larger values and transactions, and fewer changes.
     pub fn lower_limits_at(&mut self, at: u64, value: usize, ops: usize, write_rps: f64) {
-        self.store.lower = Some((at, value, ops, write_rps));
+        self.store.lowered_limits = Some((at, value, ops, write_rps));
         self.next_limits = format!(
             "[deployment.state.next]\nwrite_rps = {write_rps:?}\nvalue_kb = {}.0\ntxn_ops = {ops}\n",
             value / 1024
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -110,7 +110,7 @@
     match call {
         CloudCall::Types => (cloud::TYPES_PATH.into(), Vec::new()),
         CloudCall::List { after } => (cloud::list_path(after.as_ref()), Vec::new()),
-        CloudCall::CreateInstances(rental) => (cloud::INSTANCES_PATH.into(), encode(rental)),
+        CloudCall::CreateInstances(request) => (cloud::INSTANCES_PATH.into(), encode(request)),
         CloudCall::Delete(machines) => {
             let names = cloud::MachineNames { machines: machines.clone() };
             (cloud::DELETE_PATH.into(), encode(&names))
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -25,7 +25,7 @@
 use cloud::Cloud;
 use fingerprint::Fingerprint;
 pub use network::Endpoint;
-use network::{Cut, Fate, LateCommands};
+use network::{Cut, Delivery, LateCommands};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use records::Records;
@@ -35,7 +35,7 @@
 pub use store::Limits;
 use store::Store;
 pub use users::UserJob;
-use users::{Asked, Look};
+use users::{JobRequest, PendingRequest};
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
@@ -104,20 +104,20 @@
     /// A request reaches a service; `call` names it for the answer.
     Store {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         request: StoreCall,
     },
     Cloud {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         number: u64,
         request: CloudCall,
     },
     DirectCommands {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         machine: MachineId,
         commands: DirectCommands,
@@ -125,13 +125,13 @@
     /// An answer, or the moment the caller gives up, whichever comes first.
     Outcome {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         input: Input,
     },
     Peer {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         to: usize,
         number: u64,
@@ -157,15 +157,15 @@
     AgentStep {
         machine: MachineId,
     },
-    Boots {
+    Booted {
         machine: MachineId,
     },
     Users,
     /// A user looks closely: asks one controller now.
-    Look {
+    JobRequest {
         node: usize,
         id: JobId,
-        look: Look,
+        kind: JobRequest,
     },
     Restart(usize),
     Thaw(usize, u64),
@@ -174,18 +174,18 @@
 /// A sibling's call: whose, in which of its lives, the call, and its own number for it.
 struct PeerCall {
     node: usize,
-    life: u64,
+    generation: u64,
     call: u64,
     number: u64,
 }
 
 struct Node {
     controller: Option<Controller>,
-    life: u64,
-    began: u64,
+    generation: u64,
+    started_at: u64,
     drift: f64,
     next_request_id: u64,
-    users: BTreeMap<u64, (u64, Asked)>,
+    users: BTreeMap<u64, (u64, PendingRequest)>,
     agents: BTreeMap<u64, (MachineId, u64)>,
     /// Siblings that wait for an answer.
     peers: BTreeMap<u64, PeerCall>,
@@ -245,13 +245,13 @@
     pub invalid_requests: bool,
     pub size: Size,
     /// Since when there are no troubles any more.
-    calm_since: Option<u64>,
+    liveness_checked_since: Option<u64>,
     /// An answer to a question of a test's own.
-    overheard: Option<UserAnswer>,
+    test_answer: Option<UserAnswer>,
     /// What the controllers' settings say of limits to come.
     next_limits: String,
     /// Controllers of the version before: they don't read that yet, and follow the first rules for records.
-    old: BTreeSet<usize>,
+    previous_version: BTreeSet<usize>,
     /// What was written, checked record by record.
     pub records: Records,
     /// Everything that the controllers had carried out.
@@ -306,10 +306,10 @@
             longest_answer: 0,
             invalid_requests: false,
             size,
-            calm_since: None,
-            overheard: None,
+            liveness_checked_since: None,
+            test_answer: None,
             next_limits: String::new(),
-            old: BTreeSet::new(),
+            previous_version: BTreeSet::new(),
             records: Records::new(size.nodes),
             fingerprint: Fingerprint::default(),
         };
@@ -317,8 +317,8 @@
             let drift = 1.0 + world.rng.random_range(-0.0005..0.0005);
             let node = Node {
                 controller: None,
-                life: 0,
-                began: 0,
+                generation: 0,
+                started_at: 0,
                 drift,
                 next_request_id: 0,
                 users: BTreeMap::new(),
@@ -372,16 +372,16 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Restart(node) => self.restart(node),
-            Event::Tick(node, life) => self.tick(node, life),
-            Event::Thaw(node, life) => self.thaw(node, life),
-            Event::Outcome { node, life, call, input } => {
-                if self.open_calls.remove(&call).is_some() && self.nodes[node].life == life {
+            Event::Tick(node, generation) => self.tick(node, generation),
+            Event::Thaw(node, generation) => self.thaw(node, generation),
+            Event::Outcome { node, generation, call, input } => {
+                if self.open_calls.remove(&call).is_some() && self.nodes[node].generation == generation {
                     self.feed(node, input);
                 }
             }
-            Event::Store { node, life, call, request } => self.store_request(node, life, call, request),
-            Event::Peer { node, life, call, to, number, message } => {
-                let caller = PeerCall { node, life, call, number };
+            Event::Store { node, generation, call, request } => self.store_request(node, generation, call, request),
+            Event::Peer { node, generation, call, to, number, message } => {
+                let caller = PeerCall { node, generation, call, number };
                 self.peer_message_arrives(to, caller, message);
             }
             Event::WatchEnds { call } => {
@@ -389,51 +389,51 @@
                     self.answer_watch(call, &watch);
                 }
             }
-            Event::Cloud { node, life, call, number, request } => {
+            Event::Cloud { node, generation, call, number, request } => {
                 let outcome = self.cloud_request(request);
                 let input = Input::Cloud { call: number, outcome };
-                self.reply(Endpoint::Cloud, node, life, call, input);
+                self.reply(Endpoint::Cloud, node, generation, call, input);
             }
-            Event::Boots { machine } => self.machine_up(machine),
-            Event::DirectCommands { node, life, call, machine, commands } => {
-                self.agent_commands(node, life, call, machine, commands);
+            Event::Booted { machine } => self.machine_booted(machine),
+            Event::DirectCommands { node, generation, call, machine, commands } => {
+                self.agent_commands(node, generation, call, machine, commands);
             }
             Event::Heartbeat { node, heartbeat, serial } => self.heartbeat_arrives(node, heartbeat, serial),
             Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
             Event::AgentHeartbeat { machine, wake } => self.agent_heartbeat(machine, wake),
             Event::AgentStep { machine } => self.agent_step(machine),
             Event::Users => self.users_step(),
-            Event::Look { node, id, look } => self.look(node, id, look),
+            Event::JobRequest { node, id, kind } => self.send_job_request(node, id, kind),
         }
     }
     fn restart(&mut self, node: usize) {
         let seed = self.rng.random();
-        let is_old = self.old.contains(&node);
-        let next_limits = if is_old { "" } else { &self.next_limits };
+        let is_previous_version = self.previous_version.contains(&node);
+        let next_limits = if is_previous_version { "" } else { &self.next_limits };
         let mut policy = self.policy.clone();
-        policy.zones.enabled &= !is_old;
-        policy.record_version = if is_old { RecordVersion::FIRST.0 } else { policy.record_version };
+        policy.zones.enabled &= !is_previous_version;
+        policy.record_version = if is_previous_version { RecordVersion::FIRST.0 } else { policy.record_version };
         let platform = Platform::parse(&(settings(node, self.size) + next_limits)).expect("valid settings");
         let process = &mut self.nodes[node];
         if process.controller.is_some() {
             return;
         }
-        process.life += 1;
-        process.began = self.now;
+        process.generation += 1;
+        process.started_at = self.now;
         process.controller = Some(Controller::new(Arc::new(platform), Arc::new(policy), seed));
-        let life = process.life;
-        self.at(0, Event::Tick(node, life));
+        let generation = process.generation;
+        self.at(0, Event::Tick(node, generation));
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life == life && self.nodes[node].controller.is_some() {
+    fn tick(&mut self, node: usize, generation: u64) {
+        if self.nodes[node].generation == generation && self.nodes[node].controller.is_some() {
             self.feed(node, Input::Tick);
-            self.at(50 * MS, Event::Tick(node, life));
+            self.at(50 * MS, Event::Tick(node, generation));
         }
     }
 
-    fn thaw(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life != life || self.nodes[node].frozen_until > self.now {
+    fn thaw(&mut self, node: usize, generation: u64) {
+        if self.nodes[node].generation != generation || self.nodes[node].frozen_until > self.now {
             return;
         }
         // Timers may fire before or after the sockets are read.
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -37,7 +37,7 @@
     pub(super) delays: Range<u64>,
 }
 
-pub(super) enum Fate {
+pub(super) enum Delivery {
     Arrives(u64),
     /// Arrives late; whoever sent it has given up by then.
     Held(u64),
@@ -45,7 +45,7 @@
 }
 
 impl World {
-    pub(super) fn fate(&mut self, from: &Endpoint, to: &Endpoint) -> Fate {
+    pub(super) fn delivery(&mut self, from: &Endpoint, to: &Endpoint) -> Delivery {
         let now = self.now;
         self.cuts.retain(|c| c.until > now);
         let mut delay = self.rng.random_range(MS / 2..5 * MS);
@@ -56,9 +56,9 @@
         if let Some(cut) = self.cuts.iter().find(|c| cuts(c)) {
             let late = cut.until - now + delay;
             let hold = cut.hold;
-            return if hold && self.chance(2) { Fate::Held(late) } else { Fate::Refused };
+            return if hold && self.chance(2) { Delivery::Held(late) } else { Delivery::Refused };
         }
-        Fate::Arrives(delay)
+        Delivery::Arrives(delay)
     }
 
     /// Sends a request; `timeout` is the input for the caller if no answer comes in time.
@@ -73,11 +73,11 @@
         self.next_call += 1;
         let call = self.next_call;
         self.open_calls.insert(call, ());
-        let life = self.nodes[node].life;
-        match self.fate(&Endpoint::Node(node), &to) {
-            Fate::Arrives(delay) => {
+        let generation = self.nodes[node].generation;
+        match self.delivery(&Endpoint::Node(node), &to) {
+            Delivery::Arrives(delay) => {
                 self.at(delay, event(call));
-                self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
+                self.at(limit, Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) });
                 if self.copies > 0
                     && matches!(to, Endpoint::Store | Endpoint::Agent(_) | Endpoint::Node(_))
                     && self.chance(self.copies)
@@ -86,12 +86,12 @@
                     self.at(late, event(call));
                 }
             }
-            Fate::Held(late) => {
+            Delivery::Held(late) => {
                 self.at(late, event(call));
-                self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
+                self.at(limit, Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) });
             }
-            Fate::Refused => {
-                self.at(limit.min(S), Event::Outcome { node, life, call, input: fail(CallFailure::NotExecuted) });
+            Delivery::Refused => {
+                self.at(limit.min(S), Event::Outcome { node, generation, call, input: fail(CallFailure::NotExecuted) });
             }
         }
     }
@@ -102,15 +102,23 @@
         self.chance(late.one_in).then(|| self.rng.random_range(late.delays))
     }
 
-    pub(super) fn reply(&mut self, from: Endpoint, node: usize, life: u64, call: u64, input: Input) {
-        self.reply_after(0, from, node, life, call, input);
+    pub(super) fn reply(&mut self, from: Endpoint, node: usize, generation: u64, call: u64, input: Input) {
+        self.reply_after(0, from, node, generation, call, input);
     }
 
-    pub(super) fn reply_after(&mut self, lag: u64, from: Endpoint, node: usize, life: u64, call: u64, input: Input) {
-        if let Fate::Arrives(delay) = self.fate(&from, &Endpoint::Node(node)) {
+    pub(super) fn reply_after(
+        &mut self,
+        lag: u64,
+        from: Endpoint,
+        node: usize,
+        generation: u64,
+        call: u64,
+        input: Input,
+    ) {
+        if let Delivery::Arrives(delay) = self.delivery(&from, &Endpoint::Node(node)) {
             let held = from == Endpoint::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
             let late = if held { self.pick(STORE_TIMEOUT) } else { 0 };
-            self.at(delay + lag + late, Event::Outcome { node, life, call, input });
+            self.at(delay + lag + late, Event::Outcome { node, generation, call, input });
         }
     }
 }
--- a/tests/rules/world/records.rs
+++ b/tests/rules/world/records.rs
@@ -22,7 +22,7 @@
     }
 
     /// Takes in a transaction; says what should not have been written.
-    pub fn committed(&mut self, txn: &Txn, revision: u64) -> Vec<String> {
+    pub fn check_transaction(&mut self, txn: &Txn, revision: u64) -> Vec<String> {
         let mut wrong = Vec::new();
         for write in &txn.writes {
             let (key, value) = match write {
@@ -32,7 +32,7 @@
             match (Key::parse(key), value) {
                 (Some(Key::RunChunk(id, chunk)), Some(value)) => {
                     let chunk_now: RunChunk = from_value(value).expect("a run chunk");
-                    wrong.extend(self.misplaced(&id, chunk, &chunk_now));
+                    wrong.extend(self.misplaced_starts(&id, chunk, &chunk_now));
                 }
                 (Some(Key::Machine(id)), Some(value)) => self.count_move(&id, value),
                 _ => {}
@@ -50,7 +50,7 @@
 
     /// Starts recorded on machines of other shards than their job's: whoever commands these tells nothing of them to
     /// the job's shard. One on a machine that is not in the stored records any more is harmless, as it was deleted.
-    fn misplaced(&self, id: &JobId, chunk: u32, now: &RunChunk) -> Vec<String> {
+    fn misplaced_starts(&self, id: &JobId, chunk: u32, now: &RunChunk) -> Vec<String> {
         let before: Option<&Versioned<RunChunk>> =
             self.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
         let known = |start: &TaskAttemptRecord| before.is_some_and(|b| b.value.task_attempts.contains(start));
--- a/tests/rules/world/start_rules.rs
+++ b/tests/rules/world/start_rules.rs
@@ -30,7 +30,7 @@
     /// Checks every rule about a task's start at the moment of the start.
     pub(super) fn check_start(&mut self, id: &MachineId, key: &(JobId, u32)) {
         let Some(job) = self.jobs.get(&key.0) else {
-            return self.broken(format!("a task of no job starts: {}/{}", key.0, key.1));
+            return self.report_violation(format!("a task of no job starts: {}/{}", key.0, key.1));
         };
         let spec = job.spec.clone();
         let mut found = Vec::new();
@@ -41,7 +41,7 @@
         found.extend(self.is_in_wrong_place(&spec, agent, id, key));
         found.extend(self.exceeds_quota(&spec, key));
         for violation in found {
-            self.broken(violation);
+            self.report_violation(violation);
         }
     }
 
@@ -133,7 +133,7 @@
         let found: Vec<String> =
             overdue.map(|task| format!("ran_cancelled: {}/{} is still on {id}", task.0, task.1)).collect();
         for violation in found {
-            self.broken(violation);
+            self.report_violation(violation);
         }
     }
 }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -27,19 +27,19 @@
 
 /// What may be used of a limit of so many a second; bursts of one second's worth are allowed.
 #[derive(Default)]
-struct Allowance {
-    left: f64,
-    at: u64,
+struct TokenBucket {
+    tokens: f64,
+    updated_at: u64,
 }
 
-impl Allowance {
+impl TokenBucket {
     fn admits(&mut self, now: u64, rate: f64, amount: usize) -> bool {
-        let span = (now - self.at) as f64 / 1e6;
-        self.at = now;
-        self.left = (self.left + span * rate).min(rate);
-        let admitted = self.left >= amount as f64;
+        let span = (now - self.updated_at) as f64 / 1e6;
+        self.updated_at = now;
+        self.tokens = (self.tokens + span * rate).min(rate);
+        let admitted = self.tokens >= amount as f64;
         if admitted {
-            self.left -= amount as f64;
+            self.tokens -= amount as f64;
         }
         admitted
     }
@@ -47,7 +47,7 @@
 
 pub struct Watch {
     pub node: usize,
-    pub life: u64,
+    pub generation: u64,
     pub ticket: u64,
     pub after: u64,
 }
@@ -58,27 +58,27 @@
     revision: u64,
     log: VecDeque<(u64, String, Option<Value>)>,
     /// The latest revision of which a change was dropped from the log.
-    dropped: u64,
+    compacted_revision: u64,
     pub limits: Limits,
-    requests: Allowance,
+    request_bucket: TokenBucket,
     leases: BTreeMap<u64, (u64, u64)>,
     next_lease: u64,
     pub watches: BTreeMap<u64, Watch>,
     pub down_until: u64,
-    pub refused: BTreeMap<usize, u64>,
+    pub refused_until: BTreeMap<usize, u64>,
     /// Changes it takes in a second.
     write_rps: f64,
-    changes: Allowance,
-    pub limited: u64,
+    write_bucket: TokenBucket,
+    pub rate_limited_count: u64,
     /// Changes carried out, and requests that came.
-    pub written: u64,
-    pub asked: u64,
+    pub write_count: u64,
+    pub request_count: u64,
     /// From when on the largest value, the most changes in a transaction and in a second are so many.
-    pub lower: Option<(u64, usize, usize, f64)>,
+    pub lowered_limits: Option<(u64, usize, usize, f64)>,
 }
 
 /// What a caller hears that gets no answer.
-pub fn failed(request: &StoreCall, failure: CallFailure) -> Input {
+pub fn failure_input(request: &StoreCall, failure: CallFailure) -> Input {
     match request {
         StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
         StoreCall::Changes { ticket, .. } => Input::Changes { ticket: *ticket, outcome: ReadOutcome::Failed },
@@ -91,19 +91,19 @@
 
 impl Store {
     pub fn new(write_rps: f64) -> Store {
-        Store { write_rps, changes: Allowance { left: write_rps, at: 0 }, ..Store::default() }
+        Store { write_rps, write_bucket: TokenBucket { tokens: write_rps, updated_at: 0 }, ..Store::default() }
     }
 
     /// Whether one more request is within the limit.
     pub fn admits_request(&mut self, now: u64) -> bool {
-        self.asked += 1;
-        self.limits.rps.is_none_or(|rate| self.requests.admits(now, rate, 1))
+        self.request_count += 1;
+        self.limits.rps.is_none_or(|rate| self.request_bucket.admits(now, rate, 1))
     }
 
-    fn record(&mut self, key: String, value: Option<Value>) {
+    fn append_to_log(&mut self, key: String, value: Option<Value>) {
         self.log.push_back((self.revision, key, value));
         while self.log.len() > self.limits.history {
-            self.dropped = self.log.pop_front().map_or(self.dropped, |(revision, ..)| revision);
+            self.compacted_revision = self.log.pop_front().map_or(self.compacted_revision, |(revision, ..)| revision);
         }
     }
 
@@ -114,38 +114,38 @@
             Some(value) => drop(self.keys.insert(key.into(), (value, self.revision, None))),
             None => drop(self.keys.remove(key)),
         }
-        self.record(key.into(), value);
+        self.append_to_log(key.into(), value);
     }
 
     /// Whether that many changes are within the limit.
     fn admits(&mut self, now: u64, changes: usize) -> bool {
-        if let Some((at, _, _, rate)) = self.lower
+        if let Some((at, _, _, rate)) = self.lowered_limits
             && now >= at
         {
             self.write_rps = rate;
         }
-        let admitted = self.changes.admits(now, self.write_rps, changes);
-        self.limited += u64::from(!admitted);
+        let admitted = self.write_bucket.admits(now, self.write_rps, changes);
+        self.rate_limited_count += u64::from(!admitted);
         admitted
     }
 
     /// After an outage every lease has its full time again.
     pub fn prolong_leases(&mut self, end: u64) {
-        for (expires, life) in self.leases.values_mut() {
-            *expires = end + *life;
+        for (expires, ttl) in self.leases.values_mut() {
+            *expires = end + *ttl;
         }
     }
 
     pub fn expire(&mut self, now: u64) {
-        let over: Vec<u64> = self.leases.iter().filter(|(_, (at, _))| *at <= now).map(|(id, _)| *id).collect();
-        for id in over {
+        let expired: Vec<u64> = self.leases.iter().filter(|(_, (at, _))| *at <= now).map(|(id, _)| *id).collect();
+        for id in expired {
             self.leases.remove(&id);
             let bound: Vec<String> =
                 self.keys.iter().filter(|(_, (_, _, l))| *l == Some(id)).map(|(k, _)| k.clone()).collect();
             for key in bound {
                 self.revision += 1;
                 self.keys.remove(&key);
-                self.record(key, None);
+                self.append_to_log(key, None);
             }
         }
     }
@@ -156,7 +156,7 @@
 
     /// What has changed since, unless that is no longer remembered.
     pub fn changes(&self, after: u64) -> ReadOutcome<Changes> {
-        if after < self.dropped {
+        if after < self.compacted_revision {
             return ReadOutcome::Compacted;
         }
         let from = self.log.partition_point(|(revision, ..)| *revision <= after);
@@ -187,16 +187,16 @@
     }
 
     /// Changes of a transaction and bytes of a value at most, as of the last request.
-    fn largest(&self) -> (usize, usize) {
-        match self.lower {
-            Some((at, value, ops, _)) if self.changes.at >= at => (ops, value),
+    fn txn_limits(&self) -> (usize, usize) {
+        match self.lowered_limits {
+            Some((at, value, ops, _)) if self.write_bucket.updated_at >= at => (ops, value),
             _ => (12, 4096),
         }
     }
 
     /// Whether a transaction is within the limits of the moment.
     fn allows(&self, txn: &Txn) -> bool {
-        let (ops_max, value_max) = self.largest();
+        let (ops_max, value_max) = self.txn_limits();
         let fits = |write: &Write| match write {
             Write::Put { value, .. } => serde_json::to_string(value).expect("plain data").len() <= value_max,
             Write::Delete { .. } => true,
@@ -205,7 +205,7 @@
     }
 
     fn txn(&mut self, txn: &Txn) -> TxnOutcome {
-        let (ops_max, value_max) = self.largest();
+        let (ops_max, value_max) = self.txn_limits();
         assert!(txn.writes.len() <= ops_max, "too many writes in one transaction");
         assert!(txn.preconditions.len() <= ops_max * 4, "too many conditions in one transaction");
         let lost = txn
@@ -221,7 +221,7 @@
         }
         if !txn.writes.is_empty() {
             self.revision += 1;
-            self.written += txn.writes.len() as u64;
+            self.write_count += txn.writes.len() as u64;
         }
         for write in &txn.writes {
             match write {
@@ -229,11 +229,11 @@
                     let size = serde_json::to_string(value).expect("plain data").len();
                     assert!(size <= value_max, "value of {key} has {size} bytes");
                     self.keys.insert(key.clone(), (value.clone(), self.revision, *lease));
-                    self.record(key.clone(), Some(value.clone()));
+                    self.append_to_log(key.clone(), Some(value.clone()));
                 }
                 Write::Delete { key } => {
                     if self.keys.remove(key).is_some() {
-                        self.record(key.clone(), None);
+                        self.append_to_log(key.clone(), None);
                     }
                 }
             }
@@ -260,8 +260,8 @@
             }
             StoreCall::KeepAlive { ticket, lease } => {
                 let outcome = match self.leases.get_mut(lease) {
-                    Some((expires, life)) => {
-                        *expires = now + *life;
+                    Some((expires, ttl)) => {
+                        *expires = now + *ttl;
                         SessionOutcome::KeptAlive
                     }
                     None => SessionOutcome::Expired,
@@ -273,31 +273,31 @@
 }
 
 impl World {
-    pub(super) fn store_request(&mut self, node: usize, life: u64, call: u64, request: StoreCall) {
+    pub(super) fn store_request(&mut self, node: usize, generation: u64, call: u64, request: StoreCall) {
         let now = self.now;
-        let refused = now < self.store.down_until || self.store.refused.get(&node).is_some_and(|t| *t > now);
+        let refused = now < self.store.down_until || self.store.refused_until.get(&node).is_some_and(|t| *t > now);
         if refused {
             let input = match &request {
                 StoreCall::Txn { ticket, .. } => {
                     Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(CallFailure::NotExecuted) }
                 }
-                other => failed(other, CallFailure::NotExecuted),
+                other => failure_input(other, CallFailure::NotExecuted),
             };
-            return self.reply(Endpoint::Store, node, life, call, input);
+            return self.reply(Endpoint::Store, node, generation, call, input);
         }
         if !self.store.admits_request(now) {
             let input = match &request {
                 StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::RateLimited },
-                other => failed(other, CallFailure::NotExecuted),
+                other => failure_input(other, CallFailure::NotExecuted),
             };
-            return self.reply(Endpoint::Store, node, life, call, input);
+            return self.reply(Endpoint::Store, node, generation, call, input);
         }
         self.store.expire(now);
         if let StoreCall::Changes { ticket, after, wait_ms, .. } = &request
             && *wait_ms > 0
             && !self.store.has_changed(*after)
         {
-            self.store.watches.insert(call, Watch { node, life, ticket: *ticket, after: *after });
+            self.store.watches.insert(call, Watch { node, generation, ticket: *ticket, after: *after });
             return self.at(wait_ms * MS, WorldEvent::WatchEnds { call });
         }
         if let StoreCall::Txn { txn, .. } = &request
@@ -311,11 +311,11 @@
         if let (StoreCall::Txn { txn, .. }, Input::Txn { outcome: TxnOutcome::Committed(revision), .. }) =
             (&request, &input)
         {
-            for what in self.records.committed(txn, *revision) {
-                self.broken(what);
+            for what in self.records.check_transaction(txn, *revision) {
+                self.report_violation(what);
             }
         }
-        self.reply(Endpoint::Store, node, life, call, input);
+        self.reply(Endpoint::Store, node, generation, call, input);
         self.wake_watches();
     }
 
@@ -333,6 +333,6 @@
     pub(super) fn answer_watch(&mut self, call: u64, watch: &Watch) {
         let input = Input::Changes { ticket: watch.ticket, outcome: self.store.changes(watch.after) };
         let lag = self.watch_lag[watch.node];
-        self.reply_after(lag, Endpoint::Store, watch.node, watch.life, call, input);
+        self.reply_after(lag, Endpoint::Store, watch.node, watch.generation, call, input);
     }
 }
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -11,7 +11,7 @@
 const GANG_WAIT: u64 = 30 * S;
 
 impl World {
-    pub(super) fn obey_start(&mut self, id: &MachineId, task: &str, attempt: u64) {
+    pub(super) fn execute_start(&mut self, id: &MachineId, task: &str, attempt: u64) {
         let now = self.now;
         let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { return };
         let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { return };
@@ -36,7 +36,7 @@
             let task = Task { attempt, state: TaskState::FetchingImage, due, since: now };
             agent.tasks.insert(key.clone(), task);
             if cached {
-                self.arrives(id, &key);
+                self.image_fetched(id, &key);
             }
         }
     }
@@ -46,14 +46,14 @@
         if let Some(task) = agent.tasks.remove(key) {
             agent.exited.insert((key.0.clone(), key.1, task.attempt), why);
             agent.changed = true;
-            if agent.flight.is_none() {
-                self.wake_in(id, 100 * MS);
+            if agent.in_flight.is_none() {
+                self.schedule_heartbeat(id, 100 * MS);
             }
         }
     }
 
     /// The task has its image: from here on it is on its machine.
-    fn arrives(&mut self, id: &MachineId, key: &(JobId, u32)) {
+    fn image_fetched(&mut self, id: &MachineId, key: &(JobId, u32)) {
         let now = self.now;
         self.check_start(id, key);
         self.started += 1;
@@ -64,14 +64,14 @@
         let Some(job) = self.jobs.get(&key.0) else { return };
         let (kind, image, run) = (job.spec.kind, job.spec.image.clone(), job.spec.estimated_runtime_s);
         let fails_after = job.fails_after;
-        let run = (run * 1e6) as u64 / 2 + self.rng_run((run * 1e6) as u64);
+        let run = (run * 1e6) as u64 / 2 + self.random_below((run * 1e6) as u64);
         let Some(agent) = self.agents.get_mut(id) else { return };
         if !agent.cache.contains(&image) {
             agent.cache.push(image);
         }
         agent.changed = true;
         let faulty = agent.faulty;
-        let finished = agent.done.contains(key);
+        let finished = agent.completed.contains(key);
         if let Some(task) = agent.tasks.get_mut(key) {
             task.since = now;
             (task.state, task.due) = match kind {
@@ -85,15 +85,15 @@
         } else if finished {
             self.exit(id, key, ExitCause::Completed);
         } else if kind == JobKind::Gang {
-            self.gang_may_start(&key.0);
+            self.start_complete_gang(&key.0);
         }
     }
 
-    fn rng_run(&mut self, span: u64) -> u64 {
+    fn random_below(&mut self, span: u64) -> u64 {
         if span == 0 { 0 } else { self.pick(span) }
     }
 
-    fn gang_may_start(&mut self, job: &JobId) {
+    fn start_complete_gang(&mut self, job: &JobId) {
         let now = self.now;
         let Some(spec) = self.jobs.get(job).map(|j| j.spec.clone()) else { return };
         let mut waiting: BTreeMap<u64, Vec<(MachineId, u32)>> = BTreeMap::new();
@@ -116,7 +116,7 @@
     }
 
     /// Whether all of a gang's attempt is still there.
-    fn gang_whole(&self, job: &JobId, attempt: u64, tasks: u32) -> bool {
+    fn is_gang_running(&self, job: &JobId, attempt: u64, tasks: u32) -> bool {
         let n = self
             .agents
             .values()
@@ -134,11 +134,11 @@
         self.at(100 * MS, Event::AgentStep { machine: id.clone() });
         let Some(agent) = self.agents.get_mut(&id) else { return };
         // Also one that hangs: it may go on with its tasks at any moment within its lease, and not after.
-        if now > agent.renewed + lease {
+        if now > agent.lease_renewed_at + lease {
             agent.tasks.clear();
             agent.exited.clear();
             agent.incarnation += 1;
-            agent.renewed = now;
+            agent.lease_renewed_at = now;
             agent.changed = true;
             return;
         }
@@ -152,7 +152,7 @@
             let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
             match task.state {
                 TaskState::Running if broken => self.exit(&id, &key, ExitCause::Failed),
-                TaskState::FetchingImage => self.arrives(&id, &key),
+                TaskState::FetchingImage => self.image_fetched(&id, &key),
                 TaskState::Waiting => self.exit(&id, &key, ExitCause::GangIncomplete),
                 TaskState::Running if spec.kind == JobKind::Gang => {
                     self.gang_task_completes(&id, &key, task.attempt, spec.tasks);
@@ -166,7 +166,7 @@
 
     /// A gang completes as a whole, if all of its attempt is still there.
     fn gang_task_completes(&mut self, id: &MachineId, key: &(JobId, u32), attempt: u64, tasks: u32) {
-        if !self.gang_whole(&key.0, attempt, tasks) {
+        if !self.is_gang_running(&key.0, attempt, tasks) {
             return self.exit(id, key, ExitCause::GangPeerLost);
         }
         let members: Vec<(MachineId, (JobId, u32))> = self
@@ -184,12 +184,12 @@
         if let Some(done) = self.jobs.get_mut(&key.0).and_then(|j| j.done_tasks.get_mut(key.1 as usize)) {
             *done = true;
         }
-        let whole = self.jobs.get(&key.0).is_some_and(|j| j.done_tasks.iter().all(|d| *d));
-        if whole && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
+        let all_done = self.jobs.get(&key.0).is_some_and(|j| j.done_tasks.iter().all(|d| *d));
+        if all_done && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
             self.cancel_job(&key.0);
         }
         if let Some(agent) = self.agents.get_mut(id) {
-            agent.done.push(key.clone());
+            agent.completed.push(key.clone());
         }
         self.exit(id, key, ExitCause::Completed);
     }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -7,23 +7,23 @@
 use rand::Rng;
 
 /// Users who look closely ask everywhere within so long.
-const LOOK_SPAN: u64 = 6 * MS;
+const FOLLOW_UP_SPAN: u64 = 6 * MS;
 
 /// What is asked in a close look.
 #[derive(Clone, Copy)]
-pub(super) enum Look {
+pub(super) enum JobRequest {
     Status,
     Submission,
     Cancellation,
 }
 
-pub(super) enum Asked {
+pub(super) enum PendingRequest {
     Submit(JobId),
     Get(JobId),
     Cancel(JobId),
-    Stranger,
+    UnknownJob,
     /// A job that must not be accepted.
-    Odd(&'static str),
+    Invalid(&'static str),
 }
 
 /// What the users know of a job.
@@ -37,10 +37,10 @@
     /// Answers to questions asked before this may still be older.
     pub(super) reported_outcome_at: u64,
     pub done_tasks: Vec<bool>,
-    pub(super) last_asked: u64,
+    pub(super) last_requested_at: u64,
     /// Last answer about it that was no refusal, and the longest time without one since troubles ended.
     pub(super) answered: u64,
-    pub gap: u64,
+    pub max_answer_gap: u64,
     /// When its first task started.
     pub begun: Option<u64>,
     /// It was submitted with a mistake: each of its tasks fails after so long at work, wherever it runs.
@@ -48,27 +48,27 @@
     /// How many of its tasks arrived on a machine.
     pub starts: u32,
     /// Since when a task of it waits though it could run.
-    pub(super) stranded_since: Option<u64>,
+    pub(super) runnable_since: Option<u64>,
 }
 
 /// What matters of a question for the rules about its answer.
-struct Question {
-    asked_at: u64,
+struct RequestContext {
+    requested_at: u64,
     /// It was a cancellation.
-    cancels: bool,
+    is_cancellation: bool,
     /// A job that it needs was confirmed as cancelled too long ago for it to go on.
-    orphaned: bool,
+    cancellation_overdue: bool,
     /// Its user, or that of a job that it needs, has called it off.
-    called_off: bool,
+    cancellation_due: bool,
 }
 
 impl UserJob {
     /// Takes in an answer; says which rules it breaks.
-    fn take_answer(&mut self, id: &JobId, answer: UserAnswer, question: &Question, now: u64) -> Vec<String> {
+    fn check_answer(&mut self, id: &JobId, answer: UserAnswer, context: &RequestContext, now: u64) -> Vec<String> {
         match answer {
             // Whoever is told that a job was taken is told that it is queued.
-            UserAnswer::Accepted(_) => self.take_state(id, JobState::Queued, question, now),
-            UserAnswer::Status(status) => self.take_state(id, status.state, question, now),
+            UserAnswer::Accepted(_) => self.check_state(id, JobState::Queued, context, now),
+            UserAnswer::Status(status) => self.check_state(id, status.state, context, now),
             UserAnswer::NotFound | UserAnswer::Malformed | UserAnswer::CanNeverRun(_) if self.accepted => {
                 vec![format!("forgotten: {id} is answered {answer:?}")]
             }
@@ -77,7 +77,7 @@
         }
     }
 
-    fn take_state(&mut self, id: &JobId, state: JobState, question: &Question, now: u64) -> Vec<String> {
+    fn check_state(&mut self, id: &JobId, state: JobState, context: &RequestContext, now: u64) -> Vec<String> {
         let mut broken = Vec::new();
         let is_final = matches!(state, JobState::Done | JobState::Cancelled);
         self.accepted = true;
@@ -85,13 +85,13 @@
         if state == JobState::Done && self.done_tasks.iter().any(|done| !done) {
             broken.push(format!("not_done: {id} is called done"));
         }
-        if question.orphaned && !is_final {
+        if context.cancellation_overdue && !is_final {
             broken.push(format!("orphaned: {id} is still called {state:?}"));
         }
-        if state == JobState::Cancelled && !question.called_off {
+        if state == JobState::Cancelled && !context.cancellation_due {
             broken.push(format!("went_back: {id} was not cancelled by its user"));
         }
-        if question.asked_at >= self.reported_outcome_at
+        if context.requested_at >= self.reported_outcome_at
             && self.reported_outcome.is_some_and(|reported| reported != state)
         {
             broken.push(format!("went_back: {id} was {:?}, is {state:?}", self.reported_outcome));
@@ -102,7 +102,7 @@
         if state == JobState::Cancelled && self.cancelled.is_none() {
             self.cancelled = Some(now);
         }
-        if question.cancels && !is_final {
+        if context.is_cancellation && !is_final {
             broken.push(format!("a cancellation of {id} was answered {state:?}"));
         }
         broken
@@ -124,13 +124,13 @@
                 reported_outcome: None,
                 reported_outcome_at: 0,
                 done_tasks: vec![false; tasks],
-                last_asked: 0,
+                last_requested_at: 0,
                 answered: self.now,
-                gap: 0,
+                max_answer_gap: 0,
                 begun: None,
                 fails_after: None,
                 starts: 0,
-                stranded_since: None,
+                runnable_since: None,
             },
         );
         id
@@ -161,19 +161,19 @@
         }
     }
 
-    pub(super) fn ask(&mut self, asked: Asked, request: UserRequest) {
+    pub(super) fn send_request(&mut self, pending: PendingRequest, request: UserRequest) {
         let node = self.rng.random_range(0..self.size.nodes);
-        self.ask_node(node, asked, request);
+        self.send_request_to(node, pending, request);
     }
 
-    pub(super) fn ask_node(&mut self, node: usize, asked: Asked, request: UserRequest) {
+    pub(super) fn send_request_to(&mut self, node: usize, pending: PendingRequest, request: UserRequest) {
         let ready = self.nodes[node].controller.as_ref().is_some_and(Controller::is_ready);
         if !ready {
             return;
         }
         self.nodes[node].next_request_id += 1;
         let request_id = self.nodes[node].next_request_id;
-        self.nodes[node].users.insert(request_id, (self.now, asked));
+        self.nodes[node].users.insert(request_id, (self.now, pending));
         self.feed(node, Input::User(request_id, request));
     }
 
@@ -182,22 +182,22 @@
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.reported_outcome.is_none()) {
             job.cancel_at = Some(job.cancel_at.map_or(now, |at| at.min(now)));
-            job.last_asked = 0;
+            job.last_requested_at = 0;
             let node = self.rng.random_range(0..self.size.nodes);
-            self.ask_node(node, Asked::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
+            self.send_request_to(node, PendingRequest::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
         }
     }
 
     pub(super) fn users_step(&mut self) {
-        self.note_gaps();
+        self.check_answer_gaps();
         if self.now / S != (self.now - 250 * MS) / S {
-            self.note_stranded();
+            self.check_runnable_tasks();
         }
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let now = self.now;
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            if job.submitted > now || now < job.last_asked + S {
+            if job.submitted > now || now < job.last_requested_at + S {
                 continue;
             }
             let depends_on = job.spec.depends_on.clone();
@@ -206,99 +206,105 @@
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let cancel = job.cancel_at.is_some_and(|at| at <= now) && job.cancelled.is_none() && job.accepted;
-            let over = job.reported_outcome.is_some();
-            if !job.accepted || (!over && cancel) || now >= job.last_asked + 5 * S {
-                job.last_asked = now;
+            let is_finished = job.reported_outcome.is_some();
+            if !job.accepted || (!is_finished && cancel) || now >= job.last_requested_at + 5 * S {
+                job.last_requested_at = now;
                 let spec = job.spec.clone();
                 let accepted = job.accepted;
                 // Repeats of an accepted submission may come at any time.
                 let again = accepted && self.chance(10);
                 if !accepted || again {
                     let submission = Submission { id: Some(id.clone()), spec: Some(spec) };
-                    self.ask(Asked::Submit(id.clone()), UserRequest::Submit(Box::new(submission)));
-                    self.look_at_submission(&id);
+                    self.send_request(PendingRequest::Submit(id.clone()), UserRequest::Submit(Box::new(submission)));
+                    self.repeat_submission_elsewhere(&id);
                 } else if cancel {
-                    self.ask(Asked::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
+                    self.send_request(PendingRequest::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
                 } else {
-                    self.ask(Asked::Get(id.clone()), UserRequest::Get(id.clone()));
+                    self.send_request(PendingRequest::Get(id.clone()), UserRequest::Get(id.clone()));
                 }
             }
         }
         if self.invalid_requests {
-            self.odd_request();
+            self.send_invalid_request();
         }
-        self.ask_in_bursts();
+        self.send_request_burst();
         if self.chance(20) {
-            self.ask(Asked::Stranger, UserRequest::Get(JobId::new("wk-999999")));
+            self.send_request(PendingRequest::UnknownJob, UserRequest::Get(JobId::new("wk-999999")));
         }
         self.at(250 * MS, Event::Users);
     }
 
     /// Many questions about whatever job, also ended ones and some that nobody knows, and repeats of submissions.
-    fn ask_in_bursts(&mut self) {
+    fn send_request_burst(&mut self) {
         let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         for _ in 0..self.request_burst_size {
             let nth = self.pick(ids.len() as u64 + 1) as usize;
             let Some(id) = ids.get(nth).cloned() else {
-                let stranger = JobId::new(&format!("wk-none{}", self.pick(1000)));
-                self.ask(Asked::Stranger, UserRequest::Get(stranger));
+                let unknown = JobId::new(&format!("wk-none{}", self.pick(1000)));
+                self.send_request(PendingRequest::UnknownJob, UserRequest::Get(unknown));
                 continue;
             };
             let node = self.pick(self.size.nodes as u64) as usize;
-            let look = if self.chance(8) { Look::Submission } else { Look::Status };
-            self.look(node, id, look);
+            let kind = if self.chance(8) { JobRequest::Submission } else { JobRequest::Status };
+            self.send_job_request(node, id, kind);
         }
     }
 
-    pub(super) fn look(&mut self, node: usize, id: JobId, look: Look) {
+    pub(super) fn send_job_request(&mut self, node: usize, id: JobId, kind: JobRequest) {
         let Some(job) = self.jobs.get(&id) else { return };
-        match look {
-            Look::Status => self.ask_node(node, Asked::Get(id.clone()), UserRequest::Get(id)),
-            Look::Cancellation => self.ask_node(node, Asked::Cancel(id.clone()), UserRequest::Cancel(id)),
-            Look::Submission => {
+        match kind {
+            JobRequest::Status => self.send_request_to(node, PendingRequest::Get(id.clone()), UserRequest::Get(id)),
+            JobRequest::Cancellation => {
+                self.send_request_to(node, PendingRequest::Cancel(id.clone()), UserRequest::Cancel(id));
+            }
+            JobRequest::Submission => {
                 let submission = Submission { id: Some(id.clone()), spec: Some(job.spec.clone()) };
-                self.ask_node(node, Asked::Submit(id), UserRequest::Submit(Box::new(submission)));
+                self.send_request_to(node, PendingRequest::Submit(id), UserRequest::Submit(Box::new(submission)));
             }
         }
     }
 
-    pub(super) fn look_soon(&mut self, node: usize, id: &JobId, look: Look) {
-        let delay = self.pick(LOOK_SPAN);
-        self.at(delay, Event::Look { node, id: id.clone(), look });
+    pub(super) fn schedule_job_request(&mut self, node: usize, id: &JobId, kind: JobRequest) {
+        let delay = self.pick(FOLLOW_UP_SPAN);
+        self.at(delay, Event::JobRequest { node, id: id.clone(), kind });
     }
 
     /// A submission is on its way: it is repeated here and there before it is answered.
-    pub(super) fn look_at_submission(&mut self, id: &JobId) {
+    pub(super) fn repeat_submission_elsewhere(&mut self, id: &JobId) {
         for node in 0..self.size.nodes {
             if self.follow_up_requests && self.chance(4) {
-                self.look_soon(node, id, Look::Submission);
+                self.schedule_job_request(node, id, JobRequest::Submission);
             }
         }
     }
 
     /// A user was told something new about a job: all controllers are asked for it.
-    pub(super) fn look_at_news(&mut self, id: &JobId) {
+    pub(super) fn follow_up_on_change(&mut self, id: &JobId) {
         if !self.follow_up_requests {
             return;
         }
-        let over = self.jobs[id].reported_outcome.is_some();
+        let is_finished = self.jobs[id].reported_outcome.is_some();
         for node in 0..self.size.nodes {
-            self.look_soon(node, id, Look::Status);
-            self.look_soon(node, id, Look::Submission);
-            if over && self.chance(3) {
-                self.look_soon(node, id, Look::Cancellation);
+            self.schedule_job_request(node, id, JobRequest::Status);
+            self.schedule_job_request(node, id, JobRequest::Submission);
+            if is_finished && self.chance(3) {
+                self.schedule_job_request(node, id, JobRequest::Cancellation);
             }
         }
     }
 
     /// When a job was called off, by its own user or with one that it needs, as `when` tells it of each.
-    pub(super) fn called_off(&self, id: &JobId, when: impl Fn(&UserJob) -> Option<u64> + Copy) -> Option<u64> {
+    pub(super) fn earliest_cancellation(
+        &self,
+        id: &JobId,
+        when: impl Fn(&UserJob) -> Option<u64> + Copy,
+    ) -> Option<u64> {
         let job = self.jobs.get(id)?;
-        let before = job.spec.depends_on.iter().filter_map(|before| self.called_off(before, when));
+        let before = job.spec.depends_on.iter().filter_map(|before| self.earliest_cancellation(before, when));
         before.chain(when(job)).min()
     }
 
-    pub(super) fn odd_request(&mut self) {
+    pub(super) fn send_invalid_request(&mut self) {
         let known: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         let mut spec = World::spec(JobKind::Array, "red", 2, 1.0);
         let what = match self.pick(6) {
@@ -307,7 +313,7 @@
                 let id = known[self.pick(known.len() as u64) as usize].clone();
                 let spec = if self.chance(2) { None } else { Some(World::spec(JobKind::Gang, "nobody", 9, 99.0)) };
                 let submission = Submission { id: Some(id.clone()), spec };
-                return self.ask(Asked::Submit(id), UserRequest::Submit(Box::new(submission)));
+                return self.send_request(PendingRequest::Submit(id), UserRequest::Submit(Box::new(submission)));
             }
             1 => {
                 spec.cpus = 99.0;
@@ -325,55 +331,64 @@
         };
         let spec = (what != "a field is missing").then_some(spec);
         let id = JobId::new(&format!("wk-odd{}", self.pick(50)));
-        self.ask(Asked::Odd(what), UserRequest::Submit(Box::new(Submission { id: Some(id), spec })));
+        self.send_request(
+            PendingRequest::Invalid(what),
+            UserRequest::Submit(Box::new(Submission { id: Some(id), spec })),
+        );
     }
 
     pub(super) fn user_answer(&mut self, node: usize, request_id: u64, answer: UserAnswer) {
         if request_id == u64::MAX {
-            self.overheard = Some(answer);
+            self.test_answer = Some(answer);
             return;
         }
-        let Some((asked_at, asked)) = self.nodes[node].users.remove(&request_id) else { return };
-        self.longest_answer = self.longest_answer.max(self.now - asked_at);
-        let (id, cancels) = match asked {
-            Asked::Stranger => {
+        let Some((requested_at, pending)) = self.nodes[node].users.remove(&request_id) else { return };
+        self.longest_answer = self.longest_answer.max(self.now - requested_at);
+        let (id, is_cancellation) = match pending {
+            PendingRequest::UnknownJob => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
-                    self.broken("invented: a stranger's job is known".into());
+                    self.report_violation("invented: a stranger's job is known".into());
                 }
                 return;
             }
-            Asked::Odd(what) => {
+            PendingRequest::Invalid(what) => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
-                    self.broken(format!("invented: accepted, though {what}"));
+                    self.report_violation(format!("invented: accepted, though {what}"));
                 }
                 return;
             }
-            Asked::Cancel(id) => (id, true),
-            Asked::Submit(id) | Asked::Get(id) => (id, false),
+            PendingRequest::Cancel(id) => (id, true),
+            PendingRequest::Submit(id) | PendingRequest::Get(id) => (id, false),
         };
         let now = self.now;
-        let called_off = self.called_off(&id, |job| job.cancel_at.filter(|at| *at <= now));
-        let orphaned =
-            self.called_off(&id, |job| job.cancelled).is_some_and(|at| asked_at > at + self.size.times.cancel);
+        let cancellation_due = self.earliest_cancellation(&id, |job| job.cancel_at.filter(|at| *at <= now));
+        let cancellation_overdue = self
+            .earliest_cancellation(&id, |job| job.cancelled)
+            .is_some_and(|at| requested_at > at + self.size.times.cancel);
         let cancel_at_once = self.cancel_at_once > 0 && self.chance(self.cancel_at_once);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let before = (job.accepted, job.reported_outcome);
-        let question = Question { asked_at, cancels, orphaned, called_off: called_off.is_some() };
-        let broken = job.take_answer(&id, answer, &question, now);
+        let context = RequestContext {
+            requested_at,
+            is_cancellation,
+            cancellation_overdue,
+            cancellation_due: cancellation_due.is_some(),
+        };
+        let broken = job.check_answer(&id, answer, &context, now);
         let cancels_now = !before.0 && job.accepted && cancel_at_once && job.reported_outcome.is_none();
         if cancels_now {
             job.cancel_at = Some(now);
         }
-        let news = before != (job.accepted, job.reported_outcome);
+        let is_changed = before != (job.accepted, job.reported_outcome);
         for what in broken {
-            self.broken(what);
+            self.report_violation(what);
         }
-        if news {
-            self.look_at_news(&id);
+        if is_changed {
+            self.follow_up_on_change(&id);
         }
         if cancels_now {
             let node = self.pick(self.size.nodes as u64) as usize;
-            self.look_soon(node, &id, Look::Cancellation);
+            self.schedule_job_request(node, &id, JobRequest::Cancellation);
         }
     }
 }
