--- a/tests/rules/world/agent.rs
+++ b/tests/rules/world/agent.rs
@@ -1,4 +1,4 @@
-//! Agents: obey the highest fencing token, keep a lease, and send heartbeats.
+//! Agents: accept commands under the highest fencing token, keep a lease and send heartbeats.
 
 use super::{Delivery, Endpoint, Event, MS, S, World};
 use burlhatch::coordination::{AgentAnswer, DirectCommandsOutcome, Input};
@@ -11,7 +11,7 @@
 pub struct Task {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
-    /// When its next step is due.
+    /// Time at which the next state transition is due.
     pub(super) due: u64,
     pub(super) since: u64,
 }
@@ -29,24 +29,25 @@
     pub(super) incarnation: u64,
     seq: u64,
     fencing_token: FencingToken,
-    /// When the last answered heartbeat was sent, or the incarnation began.
+    /// Time at which the last answered heartbeat was sent, or at which the incarnation began.
     pub(super) lease_renewed_at: u64,
     pub tasks: BTreeMap<(JobId, u32), Task>,
     pub(super) exited: BTreeMap<(JobId, u32, u64), ExitCause>,
     pub(super) cache: Vec<String>,
     pub(super) completed: Vec<(JobId, u32)>,
     node: usize,
-    /// The heartbeat in flight and when it was sent.
+    /// Serial number, time of sending and incarnation of the heartbeat that is in flight.
     pub(super) in_flight: Option<(u64, u64, u64)>,
-    /// What it says is on the machine, not ended.
+    /// Tasks that the heartbeat in flight lists and that have not exited.
     reported: Vec<TaskStatus>,
     wake: u64,
     pub(super) changed: bool,
-    /// When a higher fencing token last counted as a change.
+    /// Time at which a higher fencing token was last reported at once.
     token_change: Option<u64>,
     pub hung_until: u64,
+    /// Whether every task on the machine fails.
     pub faulty: bool,
-    /// Until then its heartbeats reach nobody.
+    /// Time until which its heartbeats reach no controller.
     pub heartbeats_dropped_until: u64,
 }
 
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Keeps the highest fencing token, and reports a higher one at once, though only one time within half a lease.
+    /// Adopts a higher fencing token and reports it at once, at most one time within half a lease.
     fn adopt_token(&mut self, fencing_token: FencingToken, now: u64, lease: u64) {
         if fencing_token <= self.fencing_token {
             return;
@@ -156,9 +157,9 @@
             agent.reported = heartbeat.tasks.iter().filter(|task| task.state != TaskState::Exited).cloned().collect();
         }
         if self.heartbeat_copies > 0 && self.chance(self.heartbeat_copies) {
-            // A copy comes late, from seconds to well over a lease; nobody waits for its answer.
+            // The copy is one second to about three leases late, and no agent waits for its answer.
             let late = S + self.pick(3 * self.size.times.lease);
-            // Whoever leads by then may get it.
+            // Another controller may receive it, such as the leader at that time.
             let node = if self.chance(2) { self.pick(self.size.nodes as u64) as usize } else { node };
             self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
@@ -173,22 +174,23 @@
         self.at(4 * S, Event::HeartbeatAnswer { machine: id, serial, answer: None });
     }
 
-    /// An answer renews the lease: it must stop what the heartbeat names of jobs that the controller knows to be cancelled.
+    /// Checks that an answer, which renews the lease, stops each task in the heartbeat whose job the controller knows
+    /// to be cancelled.
     pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &AgentAnswer) {
-        let AgentAnswer::Response(given) = answer else { return };
+        let AgentAnswer::Response(response) = answer else { return };
         let Some(agent) =
             self.agents.get(id).filter(|w| w.in_flight.is_some_and(|(in_flight, ..)| in_flight == serial))
         else {
             return;
         };
         let Some(controller) = &self.nodes[node].controller else { return };
-        let ends = &controller.replica().outcomes;
+        let outcomes = &controller.replica().outcomes;
         let cancelled = |task: &TaskStatus| {
             let job = TaskId::parse(&task.task).map(|task| task.job);
-            job.and_then(|job| ends.get(&job)).is_some_and(|end| end.value.outcome == Outcome::Cancelled)
+            job.and_then(|job| outcomes.get(&job)).is_some_and(|record| record.value.outcome == Outcome::Cancelled)
         };
         let stopped = |task: &TaskStatus| {
-            given.commands.iter().any(
+            response.commands.iter().any(
                 |command| matches!(command, AgentCommand::Stop { task: t, attempt, .. } if *t == task.task && *attempt == task.attempt),
             )
         };
@@ -208,7 +210,7 @@
         }
         if agent.hung_until > now {
             let rest = agent.hung_until - now;
-            // It finds the answer when it goes on, if that is not too old by then.
+            // The agent reads the answer once it no longer hangs, unless its request has timed out by then.
             let answer = if rest + now - sent > 4 * S { None } else { answer };
             return self.at(rest, Event::HeartbeatAnswer { machine: id, serial, answer });
         }
@@ -258,16 +260,19 @@
             let rest = agent.hung_until - now;
             return self.at(rest, Event::DirectCommands { node, generation, call, machine: id, commands });
         }
-        let done = commands.fencing_token >= agent.fencing_token && commands.incarnation == agent.incarnation;
-        if done {
+        let is_accepted = commands.fencing_token >= agent.fencing_token && commands.incarnation == agent.incarnation;
+        if is_accepted {
             agent.adopt_token(commands.fencing_token, now, times.lease);
             self.execute_commands(&id, &commands.commands);
         }
         let Some(agent) = self.agents.get_mut(&id) else { return };
         let heartbeat = agent.heartbeat(&id);
         let changed = agent.changed && agent.in_flight.is_none();
-        let outcome =
-            if done { DirectCommandsOutcome::Executed(heartbeat) } else { DirectCommandsOutcome::Rejected(heartbeat) };
+        let outcome = if is_accepted {
+            DirectCommandsOutcome::Executed(heartbeat)
+        } else {
+            DirectCommandsOutcome::Rejected(heartbeat)
+        };
         self.reply(
             Endpoint::Agent(id.clone()),
             node,
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -1,4 +1,4 @@
-//! The cloud: rents machines, lists them late.
+//! The cloud: creates and deletes instances, and lists them with a delay.
 
 use super::{Event, S, World};
 use burlhatch::coordination::{CloudCall, CloudOutcome};
@@ -8,6 +8,7 @@
 use burlhatch::types::MachineId;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Age of the listed state at least; it varies up to twice this value.
 const LAG: u64 = 4 * S;
 /// Machines on one page of the list.
 const PAGE: usize = 100;
@@ -25,17 +26,17 @@
     pub machines: BTreeMap<MachineId, Instance>,
     created_by_request: BTreeMap<String, Vec<MachineId>>,
     next: u64,
-    /// Most machines at a time.
+    /// Instances that can exist at the same time.
     pub capacity: usize,
-    /// Of the machines rented one in so many never comes up; 0 for none.
+    /// One in this many created instances never boots; 0 for none.
     pub never_up: u32,
-    /// Zones in which nothing that is rented comes up.
+    /// Zones in which no created instance boots.
     pub zones_never_booting: BTreeSet<String>,
-    /// Spot machines that are rented never come up.
+    /// Whether no created spot instance boots.
     pub spot_never_boots: bool,
-    /// Machines take so many times as long to come up, in percent.
+    /// Boot time in percent of the ordinary one.
     pub boot_percent: u64,
-    /// Machines rented by now, of each kind: spot or not.
+    /// Number of instances created so far: ordinary ones, then spot.
     pub created_instances: [usize; 2],
 }
 
@@ -112,7 +113,7 @@
         MachineTypes { types: vec![kind("small", 4.0, 0.2), kind("large", 8.0, 0.4)] }
     }
 
-    /// A repeated request brings what the first one brought.
+    /// Creates instances; a repeated request gets the result of the first one.
     fn create_instances(&mut self, request: InstanceRequest) -> CloudOutcome {
         if let Some(names) = self.cloud.created_by_request.get(&request.request) {
             return CloudOutcome::InstancesCreated(MachineNames { machines: names.clone() });
@@ -123,11 +124,11 @@
         }
         let mut names = Vec::new();
         for _ in 0..available.min(request.count as usize) {
-            let stuck = self.cloud.never_up > 0 && self.chance(self.cloud.never_up);
-            let dead = self.cloud.zones_never_booting.contains(&request.zone);
-            let never = stuck || dead || (request.spot && self.cloud.spot_never_boots);
+            let is_stuck = self.cloud.never_up > 0 && self.chance(self.cloud.never_up);
+            let is_zone_failed = self.cloud.zones_never_booting.contains(&request.zone);
+            let never_boots = is_stuck || is_zone_failed || (request.spot && self.cloud.spot_never_boots);
             let ordinary = (6 * S + self.pick(9 * S)) * self.cloud.boot_percent / 100;
-            let delay = if never { 1_000_000 * S } else { ordinary };
+            let delay = if never_boots { 1_000_000 * S } else { ordinary };
             self.cloud.created_instances[usize::from(request.spot)] += 1;
             names.push(self.boot(&request.machine_type, &request.zone, request.spot, delay));
         }
@@ -145,7 +146,7 @@
         CloudOutcome::Deleted
     }
 
-    /// A page of the list as it was a while ago.
+    /// Returns a page of the list as it was some seconds ago.
     fn list_machines(&mut self, after: Option<&MachineId>) -> MachineList {
         let lag = LAG + self.pick(LAG);
         let then = self.now.saturating_sub(lag);
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -1,4 +1,4 @@
-//! Controllers: inputs in, effects carried out.
+//! Controllers: receive inputs, and have their effects executed.
 
 use super::network::Delivery;
 use super::{Endpoint, Event, MS, S, STORE_TIMEOUT, World, store};
@@ -10,11 +10,11 @@
 use burlhatch::protocol::peer::{CancellationAck, CancellationNotice};
 use burlhatch::types::{JobId, MachineId, Micros};
 
-/// How long a controller waits for a sibling's answer.
+/// Time after which a controller stops waiting for a sibling's answer.
 const PEER_TIMEOUT: u64 = 700 * MS;
-/// How long a controller waits for the cloud's answer.
+/// Time after which a controller stops waiting for the cloud's answer.
 const CLOUD_TIMEOUT: u64 = 5 * S;
-/// How long a controller waits for an agent's answer to direct commands.
+/// Time after which a controller stops waiting for an agent's answer to direct commands.
 const DIRECT_COMMANDS_TIMEOUT: u64 = 2500 * MS;
 
 impl World {
@@ -128,7 +128,7 @@
 
     fn call_agent(&mut self, node: usize, machine: MachineId, commands: DirectCommands) {
         let generation = self.nodes[node].generation;
-        // Without commands nothing can be carried out late.
+        // A request without commands has no effect, even if it arrives late.
         let is_empty = commands.commands.is_empty();
         let failed = |machine: &MachineId, failure: CallFailure| {
             let failure = if is_empty { CallFailure::NotExecuted } else { failure };
@@ -155,14 +155,14 @@
         );
     }
 
-    /// Names a call whose answer, or the end of waiting for it, is still to come.
+    /// Opens a call and returns its number; the answer or the timeout closes it.
     fn open_call(&mut self) -> u64 {
         self.next_call += 1;
         self.open_calls.insert(self.next_call, ());
         self.next_call
     }
 
-    /// One controller's answer to a question about a job, if it comes at once.
+    /// Queries a job at one controller and returns the answer, if it comes in the same round.
     pub fn ask_at(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
@@ -171,14 +171,14 @@
         let mut answer = None;
         for effect in effects {
             match effect {
-                Effect::AnswerUser(u64::MAX, given) => answer = Some(given),
+                Effect::AnswerUser(u64::MAX, received) => answer = Some(received),
                 other => self.carry_out(node, other),
             }
         }
         answer
     }
 
-    /// One controller's answer to a question about a job, after the read that it may need.
+    /// Queries a job at one controller and returns the answer, which may follow a read of the store, within 3 s.
     pub fn ask_fresh(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -1,4 +1,4 @@
-//! Troubles that scenarios cause, and changes of version and limits.
+//! Faults that scenarios inject, and changes of versions and limits.
 
 use super::network::{Cut, LateCommands};
 use super::{Endpoint, Event, Limits, MS, S, World};
@@ -9,7 +9,7 @@
 
 impl World {
     pub fn crash(&mut self, node: usize, back_after: u64) {
-        tracing::info!(at_ms = self.now / MS, node, back_after, "trouble: crash");
+        tracing::info!(at_ms = self.now / MS, node, back_after, "fault: controller crashes");
         self.nodes[node].controller = None;
         self.nodes[node].generation += 1;
         // Agents and users on its connections see a reset.
@@ -24,50 +24,52 @@
         self.at(back_after, Event::Restart(node));
     }
 
-    /// The controller stands still; what is sent to it waits in its sockets and comes all at once.
+    /// Pauses a controller; inputs sent to it wait in its sockets and are read together when it resumes.
     pub fn freeze(&mut self, node: usize, duration: u64) {
-        tracing::info!(at_ms = self.now / MS, node, duration, "trouble: freeze");
+        tracing::info!(at_ms = self.now / MS, node, duration, "fault: controller is paused");
         self.nodes[node].frozen_until = self.now + duration;
         let generation = self.nodes[node].generation;
         self.at(duration, Event::Thaw(node, generation));
     }
 
+    /// Cuts the network between endpoints. With `hold`, about half of the packets arrive after the cut; all others are
+    /// refused.
     pub fn cut(&mut self, duration: u64, hold: bool, between: impl Fn(&Endpoint, &Endpoint) -> bool + 'static) {
-        tracing::info!(at_ms = self.now / MS, duration, hold, "trouble: cut");
+        tracing::info!(at_ms = self.now / MS, duration, hold, "fault: network is cut");
         let until = self.now + duration;
         self.cuts.push(Cut { between: Box::new(between), until, hold, one_way: false });
     }
 
-    /// The machines of a zone that are up.
+    /// Returns the machines of a zone that are up.
     pub fn machines_in(&self, zone: &str) -> Vec<MachineId> {
         self.agents.iter().filter(|(_, agent)| agent.zone == zone).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Nothing gets through between a zone's machines and anybody outside; they work on.
+    /// Cuts a zone's machines off from all other endpoints; their tasks keep running.
     pub fn cut_zone(&mut self, zone: &str, duration: u64, hold: bool) {
         let cut_off: BTreeSet<MachineId> = self.machines_in(zone).into_iter().collect();
         self.cut(duration, hold, move |from, _| matches!(from, Endpoint::Agent(id) if cut_off.contains(id)));
     }
 
-    /// All machines of a zone are gone, and none comes up there until the zone is back.
+    /// Removes all machines of a zone and keeps new instances there from booting.
     pub fn kill_zone(&mut self, zone: &str) {
-        tracing::info!(at_ms = self.now / MS, zone, "trouble: zone lost");
+        tracing::info!(at_ms = self.now / MS, zone, "fault: zone is lost");
         for id in self.machines_in(zone) {
             self.agents.remove(&id);
         }
         self.cloud.zones_never_booting.insert(zone.into());
     }
 
-    /// Writes a key of the store past all controllers.
+    /// Writes a key of the store directly, without any controller.
     pub fn write_key(&mut self, key: &str, value: Option<Value>) {
         self.store.write(key, value);
         self.wake_watches();
     }
 
-    /// The machine's heartbeats arrive, but neither answers nor commands reach it.
+    /// Makes a machine unreachable: its heartbeats arrive, but neither answers nor commands reach it.
     pub fn make_unreachable(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
         let id = self.nth_agent(nth)?;
-        tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: deaf");
+        tracing::info!(at_ms = self.now / MS, machine = %id, duration, "fault: machine is unreachable");
         let until = self.now + duration;
         let unreachable = Endpoint::Agent(id.clone());
         let between = move |_: &Endpoint, to: &Endpoint| *to == unreachable;
@@ -75,74 +77,76 @@
         Some(id)
     }
 
-    /// The machine's heartbeats reach no controller, though direct commands reach it and are answered.
+    /// Drops a machine's heartbeats; direct commands still reach it and are answered.
     pub fn drop_heartbeats(&mut self, nth: usize, duration: u64) -> Option<MachineId> {
         let id = self.nth_agent(nth)?;
-        tracing::info!(at_ms = self.now / MS, machine = %id, duration, "trouble: mute");
+        tracing::info!(at_ms = self.now / MS, machine = %id, duration, "fault: heartbeats are dropped");
         let until = self.now + duration;
         self.agents.get_mut(&id)?.heartbeats_dropped_until = until;
         Some(id)
     }
 
-    /// Transactions, one in so many, get no answer and are carried out seconds later, after newer ones.
+    /// Delays one in `one_in` transactions: it gets no answer and is executed seconds later, after newer ones.
     pub fn late_writes(&mut self, duration: u64, one_in: u32) {
-        tracing::info!(at_ms = self.now / MS, duration, "trouble: late writes");
+        tracing::info!(at_ms = self.now / MS, duration, "fault: transactions are delayed");
         self.late_writes = (self.now + duration, one_in);
         self.late_writer = None;
     }
 
-    /// The same for all transactions of one controller.
+    /// Delays all transactions of one controller as `late_writes` does.
     pub fn late_writes_of(&mut self, node: usize, duration: u64) {
         self.late_writes(duration, 1);
         self.late_writer = Some(node);
     }
 
-    /// Direct commands, one in so many, get no answer and are carried out after one of these delays.
+    /// Delays one in `one_in` requests with direct commands: it gets no answer and is executed after a delay from the
+    /// range.
     pub fn late_commands(&mut self, duration: u64, one_in: u32, delays: Range<u64>) {
-        tracing::info!(at_ms = self.now / MS, duration, one_in, "trouble: late commands");
+        tracing::info!(at_ms = self.now / MS, duration, one_in, "fault: direct commands are delayed");
         self.late_commands = Some(LateCommands { until: self.now + duration, one_in, delays });
     }
 
-    /// The cloud answers nobody.
+    /// Makes the cloud unreachable for all controllers.
     pub fn cloud_outage(&mut self, duration: u64) {
         self.cut(duration, false, |_, to| *to == Endpoint::Cloud);
     }
 
-    /// Answers of the store, one in so many, come up to the time limit late.
+    /// Delays one in `one_in` answers of the store by up to the timeout.
     pub fn late_answers(&mut self, duration: u64, one_in: u32) {
-        tracing::info!(at_ms = self.now / MS, duration, "trouble: late answers");
+        tracing::info!(at_ms = self.now / MS, duration, "fault: answers of the store are delayed");
         self.late_answers = (self.now + duration, one_in);
     }
 
-    /// From now on each controller's watch is answered later by up to so much, each by another lag.
+    /// Delays the answers to the watches from now on, for each controller by a lag of its own of at most `most`.
     pub fn lag_watches(&mut self, most: u64) {
         for node in 0..self.size.nodes {
             self.watch_lag[node] = self.pick(most + 1);
         }
     }
 
-    /// What the store can hold and answer.
+    /// Sets the limits of the store.
     pub fn limit_store(&mut self, limits: Limits) {
         self.store.limits = limits;
     }
 
+    /// Delays each packet by up to `most` in addition.
     pub fn slow_links(&mut self, duration: u64, most: u64) {
-        tracing::info!(at_ms = self.now / MS, duration, "trouble: slow links");
+        tracing::info!(at_ms = self.now / MS, duration, "fault: links are slow");
         self.slow = (self.now + duration, most);
     }
 
-    /// Its agent begins anew, with nothing on it and nothing remembered.
+    /// Restarts a machine's agent without tasks and with its state lost.
     pub fn restart_agent(&mut self, nth: usize) {
         if let Some(id) = self.nth_agent(nth)
             && let Some(instance) = self.cloud.machines.get(&id)
         {
-            tracing::info!(at_ms = self.now / MS, machine = %id, "trouble: the worker begins anew");
+            tracing::info!(at_ms = self.now / MS, machine = %id, "fault: agent restarts");
             let (machine_type, zone, spot) = (instance.machine_type.clone(), instance.zone.clone(), instance.spot);
             self.start_agent(id, machine_type, zone, spot);
         }
     }
 
-    /// From here on every job has to be answered for.
+    /// Starts the liveness checks 5 s after the end of the faults injected so far.
     pub fn start_liveness_checks(&mut self) {
         let until = self.cuts.iter().map(|c| c.until).chain([self.store.down_until]);
         let machines = self.agents.values().flat_map(|w| [w.hung_until, w.heartbeats_dropped_until]);
@@ -155,13 +159,14 @@
     }
 
     pub fn store_outage(&mut self, duration: u64) {
-        tracing::info!(at_ms = self.now / MS, duration, "trouble: outage");
+        tracing::info!(at_ms = self.now / MS, duration, "fault: store outage");
         self.store.down_until = self.now + duration;
         self.store.prolong_leases(self.now + duration);
     }
 
+    /// Makes the store refuse the requests of one controller.
     pub fn refuse_node(&mut self, node: usize, duration: u64) {
-        tracing::info!(at_ms = self.now / MS, node, duration, "trouble: refused");
+        tracing::info!(at_ms = self.now / MS, node, duration, "fault: store refuses a controller");
         self.store.refused_until.insert(node, self.now + duration);
     }
 
@@ -171,7 +176,7 @@
         }
     }
 
-    /// A machine hangs, whichever it is.
+    /// Makes a machine hang.
     pub fn hang_machine(&mut self, id: &MachineId, duration: u64) {
         let until = self.now + duration;
         if let Some(agent) = self.agents.get_mut(id) {
@@ -186,6 +191,7 @@
         }
     }
 
+    /// Makes all tasks fail that start on a machine from now on.
     pub fn make_faulty(&mut self, nth: usize) {
         if let Some(id) = self.nth_agent(nth)
             && let Some(agent) = self.agents.get_mut(&id)
@@ -199,24 +205,26 @@
         if up.is_empty() { None } else { Some(up[nth % up.len()].clone()) }
     }
 
-    /// All controllers are of the version before: they know nothing of limits to come, and write as much as they may.
+    /// Makes all controllers run the previous version, which ignores announced limits and uses the current ones fully.
+    /// Takes effect when they start.
     pub fn run_previous_version(&mut self) {
         self.previous_version = (0..self.size.nodes).collect();
     }
 
-    /// One controller is killed and comes back as the new version.
+    /// Kills a controller, which restarts as the new version.
     pub fn upgrade(&mut self, node: usize) {
         self.previous_version.remove(&node);
         self.crash(node, 4 * S);
     }
 
-    /// One controller is killed and comes back as the version before.
+    /// Kills a controller, which restarts as the previous version.
     pub fn downgrade(&mut self, node: usize, back_after: u64) {
         self.previous_version.insert(node);
         self.crash(node, back_after);
     }
 
-    /// From then on the store takes no larger values and transactions, and fewer changes.
+    /// Lowers the store's limits for values, transactions and writes per second at that time, and announces them in the
+    /// settings of the controllers that start from now on.
     pub fn lower_limits_at(&mut self, at: u64, value: usize, ops: usize, write_rps: f64) {
         self.store.lowered_limits = Some((at, value, ops, write_rps));
         self.next_limits = format!(
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated world, written from the protocol page: store, cloud, agents, users and
-//! the network between them. It drives the pure state machines of several controllers on simulated time
-//! and fixed seeds, breaks things, and checks the protocol's rules after every step.
+//! Deterministic simulation of a deployment: store, cloud, agents, users and the network between them, as the protocol
+//! page describes them. Drives the pure state machines of several controllers on simulated time from a fixed seed,
+//! injects faults and checks the rules of the protocol at each step.
 
 mod agent;
 mod checks;
@@ -40,10 +40,10 @@
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 pub const CANCEL_S: u64 = 40;
-/// How long a controller waits for an answer of the store.
+/// Time after which a controller stops waiting for an answer of the store.
 const STORE_TIMEOUT: u64 = 1500 * MS;
 
-/// The agents' times.
+/// Intervals that the agents keep, in microseconds like every time of the simulation.
 #[derive(Clone, Copy)]
 pub struct Times {
     pub heartbeat: u64,
@@ -52,19 +52,20 @@
 }
 
 pub const TIMES: Times = Times { heartbeat: 3 * S, lease: 20 * S, cancel: CANCEL_S * S };
-/// Heartbeats that come rarely, in long leases.
+/// Rare heartbeats with long leases.
 pub const SLOW_HEARTBEATS: Times = Times { heartbeat: 10 * S, lease: 45 * S, cancel: 65 * S };
-/// Short leases, and little time for a cancellation.
+/// Short leases with little time for a cancellation.
 pub const SHORT_LEASES: Times = Times { heartbeat: 1500 * MS, lease: 14 * S, cancel: 39 * S };
 
-/// How large a world is.
+/// Size of a simulated deployment.
 #[derive(Clone, Copy)]
 pub struct Size {
     pub nodes: usize,
-    /// Machines up at the start, and most machines at a time.
+    /// Machines that are up at the start.
     pub machines: usize,
+    /// Machines that the cloud provides at the same time at most.
     pub capacity: usize,
-    /// Changes the store takes in a second.
+    /// Writes that the store accepts per second.
     pub write_rps: f64,
     pub zones: &'static [&'static str],
     pub times: Times,
@@ -101,7 +102,7 @@
 
 enum Event {
     Tick(usize, u64),
-    /// A request reaches a service; `call` names it for the answer.
+    /// Arrival of a request at the store; the answer refers to it by `call`.
     Store {
         node: usize,
         generation: u64,
@@ -122,7 +123,7 @@
         machine: MachineId,
         commands: DirectCommands,
     },
-    /// An answer, or the moment the caller gives up, whichever comes first.
+    /// Arrival of an answer, or the timeout of the caller; only the earlier of the two has an effect.
     Outcome {
         node: usize,
         generation: u64,
@@ -161,7 +162,7 @@
         machine: MachineId,
     },
     Users,
-    /// A user looks closely: asks one controller now.
+    /// A user sends a request about a job to one controller.
     JobRequest {
         node: usize,
         id: JobId,
@@ -171,7 +172,7 @@
     Thaw(usize, u64),
 }
 
-/// A sibling's call: whose, in which of its lives, the call, and its own number for it.
+/// Origin of a sibling's message: the sender, the generation of its process, the call, and the sender's number for it.
 struct PeerCall {
     node: usize,
     generation: u64,
@@ -181,17 +182,18 @@
 
 struct Node {
     controller: Option<Controller>,
+    /// Number of the controller's process; events of earlier processes are ignored.
     generation: u64,
     started_at: u64,
     drift: f64,
     next_request_id: u64,
     users: BTreeMap<u64, (u64, PendingRequest)>,
     agents: BTreeMap<u64, (MachineId, u64)>,
-    /// Siblings that wait for an answer.
+    /// Siblings that wait for an answer, by request id.
     peers: BTreeMap<u64, PeerCall>,
-    /// It stands still until then while its clocks run on.
+    /// Time until which the controller is paused while its clocks run on.
     frozen_until: u64,
-    /// What reached it meanwhile.
+    /// Inputs that arrived during the pause.
     backlog: Vec<Input>,
 }
 
@@ -213,48 +215,49 @@
     pub violations: Vec<String>,
     pub started: u64,
     pub policy: Policy,
-    /// Late copies of direct commands and transactions, one in so many.
+    /// One in this many requests to the store, an agent or a sibling arrives a second time, late; 0 for none.
     copies: u32,
-    /// Late copies of heartbeats, one in so many; 0 for none.
+    /// One in this many heartbeats arrives a second time, late; 0 for none.
     pub heartbeat_copies: u32,
-    /// Until then transactions, one in so many, get no answer and are carried out 2 to 12 s later.
+    /// Until the first value, one in the second value of the transactions gets no answer and is executed 2 to 12 s
+    /// later.
     late_writes: (u64, u32),
-    /// Only those of this controller.
+    /// Restricts `late_writes` to the transactions of this controller.
     late_writer: Option<usize>,
-    /// Direct commands that are held up on their way, unanswered, and carried out once, if any are.
+    /// Delays of direct commands, if some are delayed: the sender gets no answer, and the agent executes them once.
     late_commands: Option<LateCommands>,
-    /// Until then every packet takes so much longer at most.
+    /// Until the first value, each packet is delayed by up to the second value more.
     slow: (u64, u64),
-    /// Until then an answer of the store, one in so many, takes up to the time limit, though the request was
-    /// carried out at once.
+    /// Until the first value, one in the second value of the store's answers is delayed by up to the timeout, though
+    /// the store executed the request at once.
     late_answers: (u64, u32),
-    /// How much later each controller's watch is answered.
+    /// Additional delay of the answers to each controller's watch.
     watch_lag: Vec<u64>,
-    /// Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled, and repeat
-    /// submissions there, also of a job whose first answer is still on its way.
+    /// Whether users query all controllers within milliseconds after a job was accepted, ended or cancelled, and repeat
+    /// its submission there, also while the answer to the first submission is still in flight.
     pub follow_up_requests: bool,
-    /// They call a job off just when it was accepted, one in so many; 0 for none.
+    /// Users cancel one in this many jobs as soon as its acceptance is reported; 0 for none.
     pub cancel_at_once: u32,
-    /// Users call off a job as it ends, one in so many; 0 for none.
+    /// Users cancel one in this many jobs as its last task completes; 0 for none.
     pub cancel_at_end: u32,
-    /// Questions that users ask at random controllers in each quarter of a second, besides their usual ones.
+    /// Requests that users send to random controllers every 250 ms in addition to their usual ones.
     pub request_burst_size: u32,
-    /// The longest time that a user waited for an answer, of controllers that had not ended.
+    /// Longest time for which a user waited for an answer; requests to controllers that crashed meanwhile don't count.
     pub longest_answer: u64,
-    /// Users repeat known jobs with whatever else in them, and send jobs that can't be taken.
+    /// Whether users resubmit known jobs with another content and submit jobs that must be refused.
     pub invalid_requests: bool,
     pub size: Size,
-    /// Since when there are no troubles any more.
+    /// Time since which no fault is active, so that every job must make progress.
     liveness_checked_since: Option<u64>,
-    /// An answer to a question of a test's own.
+    /// Answer to the latest request sent by `ask_fresh`.
     test_answer: Option<UserAnswer>,
-    /// What the controllers' settings say of limits to come.
+    /// Section of the settings with the future limits of the store.
     next_limits: String,
-    /// Controllers of the version before: they don't read that yet, and follow the first rules for records.
+    /// Controllers that run the previous version: they don't read `next_limits` and write the first version of records.
     previous_version: BTreeSet<usize>,
-    /// What was written, checked record by record.
+    /// Replica of the stored records, which checks each committed transaction.
     pub records: Records,
-    /// Everything that the controllers had carried out.
+    /// Hash over all effects of the controllers.
     pub fingerprint: Fingerprint,
 }
 
@@ -436,7 +439,7 @@
         if self.nodes[node].generation != generation || self.nodes[node].frozen_until > self.now {
             return;
         }
-        // Timers may fire before or after the sockets are read.
+        // After a pause, timers may fire before or after the sockets are read.
         if self.chance(2) {
             self.feed(node, Input::Tick);
         }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,4 +1,4 @@
-//! The network: delays, cuts, packets held back, and copies that come late.
+//! The network: delays, cuts, held packets and late copies of requests.
 
 use super::{Event, MS, S, STORE_TIMEOUT, World};
 use burlhatch::coordination::{CallFailure, Input};
@@ -6,7 +6,7 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// Ends of a connection.
+/// End of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Endpoint {
     Node(usize),
@@ -17,29 +17,30 @@
 
 pub(super) type Between = Box<dyn Fn(&Endpoint, &Endpoint) -> bool>;
 
-/// No traffic between places the two tests match, until `until`.
+/// Interruption of the traffic between the endpoints for which `between` returns true.
 pub(super) struct Cut {
     pub(super) between: Between,
     pub(super) until: u64,
-    /// Held packets arrive when it ends; otherwise connections are reset.
+    /// Whether about half of the packets are held and arrive when the cut ends; all others are refused.
     pub(super) hold: bool,
-    /// Only what goes from the first to the second is lost.
+    /// Whether the cut affects only packets from the first endpoint to the second.
     pub(super) one_way: bool,
 }
 
-/// Direct commands that come late: their senders have given up, and the agents carry them out if fencing token and incarnation
-/// still match.
+/// Delays of direct commands: the sender has given up when they arrive, and the agent executes them if the fencing
+/// token and the incarnation still match.
 #[derive(Clone)]
 pub(super) struct LateCommands {
     pub(super) until: u64,
-    /// One in so many.
+    /// One in this many requests is delayed.
     pub(super) one_in: u32,
     pub(super) delays: Range<u64>,
 }
 
+/// Outcome of sending a packet, with the delay of its arrival.
 pub(super) enum Delivery {
     Arrives(u64),
-    /// Arrives late; whoever sent it has given up by then.
+    /// Arrives after the end of a cut, when the sender may have given up.
     Held(u64),
     Refused,
 }
@@ -61,7 +62,8 @@
         Delivery::Arrives(delay)
     }
 
-    /// Sends a request; `timeout` is the input for the caller if no answer comes in time.
+    /// Sends a request. `fail` makes the input that the caller gets if the request is refused or no answer arrives
+    /// within `limit`.
     pub(super) fn call(
         &mut self,
         node: usize,
@@ -96,7 +98,7 @@
         }
     }
 
-    /// How late a direct command that leaves now arrives, if it is held up.
+    /// Returns the delay of direct commands that are sent now, if they are to be delayed.
     pub(super) fn command_delay(&mut self) -> Option<u64> {
         let late = self.late_commands.clone().filter(|late| self.now < late.until)?;
         self.chance(late.one_in).then(|| self.rng.random_range(late.delays))
--- a/tests/rules/world/records.rs
+++ b/tests/rules/world/records.rs
@@ -1,4 +1,4 @@
-//! What controllers write to the store, checked record by record.
+//! Checks of the records that controllers write to the store.
 
 use burlhatch::protocol::store::{Txn, Write};
 use burlhatch::storage::schema::{Key, MachineRecord, RunChunk, TaskAttemptRecord, from_value};
@@ -12,7 +12,7 @@
 pub struct Records {
     replica: Replica,
     shards: u32,
-    /// Machines that went from one shard to another.
+    /// Number of moves of machines from one shard to another.
     pub moves: u64,
 }
 
@@ -21,7 +21,7 @@
         Records { replica: Replica::default(), shards: controllers as u32, moves: 0 }
     }
 
-    /// Takes in a transaction; says what should not have been written.
+    /// Applies a committed transaction and returns the violations in its writes.
     pub fn check_transaction(&mut self, txn: &Txn, revision: u64) -> Vec<String> {
         let mut wrong = Vec::new();
         for write in &txn.writes {
@@ -48,8 +48,9 @@
         self.moves += u64::from(before.is_some_and(|shard| shard != record.shard));
     }
 
-    /// Starts recorded on machines of other shards than their job's: whoever commands these tells nothing of them to
-    /// the job's shard. One on a machine that is not in the stored records any more is harmless, as it was deleted.
+    /// Returns the starts recorded on machines of another shard than the job's: the holder of that shard doesn't report
+    /// them to the job's shard. A start on a machine that is no longer in the stored records is harmless, because the
+    /// machine was deleted.
     fn misplaced_starts(&self, id: &JobId, chunk: u32, now: &RunChunk) -> Vec<String> {
         let before: Option<&Versioned<RunChunk>> =
             self.replica.run_chunks.get(id).and_then(|chunks| chunks.get(&chunk));
--- a/tests/rules/world/start_rules.rs
+++ b/tests/rules/world/start_rules.rs
@@ -1,4 +1,5 @@
-//! The protocol's rules about a task that starts, checked with the knowledge of all machines that no controller has.
+//! Rules of the protocol about the start of a task, checked against the true state of all machines, which no controller
+//! knows.
 
 use super::World;
 use super::agent::Agent;
@@ -7,10 +8,10 @@
 use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeMap;
 
-/// Amounts of CPUs are compared with this tolerance.
+/// Tolerance in comparisons of CPU amounts.
 const ROUNDING: f64 = 1e-9;
 
-/// CPUs that a team may use at a time.
+/// Returns the CPUs that a team may use at the same time.
 fn quota_of(team: &str) -> f64 {
     match team {
         "red" => 12.0,
@@ -19,7 +20,7 @@
     }
 }
 
-/// Whether the job may run on that machine, wherever its other tasks are.
+/// Returns whether the job may run on that machine, regardless of its other tasks.
 fn allows(spec: &JobSpec, agent: &Agent) -> bool {
     spec.types.as_ref().is_none_or(|types| types.contains(&agent.machine_type))
         && spec.zone.as_ref().is_none_or(|zone| *zone == agent.zone)
@@ -27,7 +28,7 @@
 }
 
 impl World {
-    /// Checks every rule about a task's start at the moment of the start.
+    /// Checks all rules about a task's start as the task starts.
     pub(super) fn check_start(&mut self, id: &MachineId, key: &(JobId, u32)) {
         let Some(job) = self.jobs.get(&key.0) else {
             return self.report_violation(format!("a task of no job starts: {}/{}", key.0, key.1));
@@ -71,12 +72,12 @@
         (!is_right).then(|| format!("wrong_place: {}/{} on {id} in {}: {zones:?}", key.0, key.1, agent.zone))
     }
 
-    /// In which zones the job's tasks are at this moment, if that binds it: with thousands of machines a walk for each
-    /// start would take most of the run.
+    /// Returns the number of the job's tasks in each zone, or nothing if no rule depends on it: with thousands of
+    /// machines, iterating over all of them at each start would take most of the run.
     fn tasks_by_zone(&self, spec: &JobSpec, id: &MachineId, key: &(JobId, u32)) -> BTreeMap<&str, u32> {
         let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
-        let is_bound = spec.spread || spec.one_zone;
-        for (other, agent) in self.agents.iter().filter(|_| is_bound) {
+        let is_relevant = spec.spread || spec.one_zone;
+        for (other, agent) in self.agents.iter().filter(|_| is_relevant) {
             for task in agent.tasks.keys().filter(|task| task.0 == key.0 && (*task != key || other == id)) {
                 if agent.on_machine(task) || (other == id && task == key) {
                     *zones.entry(&agent.zone).or_default() += 1;
@@ -103,7 +104,7 @@
         (used > quota + ROUNDING).then(|| format!("quota: team {team} uses {used}"))
     }
 
-    /// Whether one more task of that kind could run somewhere at this moment.
+    /// Returns whether one more task of the job could run on some machine now, within the quota of its team.
     pub(super) fn could_run(&self, spec: &JobSpec) -> bool {
         let cpus_used_on = |agent: &Agent| -> f64 {
             agent.tasks.keys().filter_map(|task| self.jobs.get(&task.0)).map(|job| job.spec.cpus).sum()
@@ -122,7 +123,7 @@
             && self.agents.values().any(|agent| allows(spec, agent) && !agent.faulty && fits(agent))
     }
 
-    /// Tasks of cancelled jobs that are still on a machine after the time allowed for a cancellation.
+    /// Checks that no task of a cancelled job is on the machine after the time allowed for a cancellation.
     pub(super) fn check_cancelled_tasks(&mut self, id: &MachineId) {
         let is_overdue = |task: &&(JobId, u32)| {
             let cancelled = self.jobs.get(&task.0).and_then(|job| job.cancelled);
