--- a/tests/rules/world/agent.rs
+++ b/tests/rules/world/agent.rs
@@ -163,7 +163,7 @@
             let node = if self.chance(2) { self.pick(self.size.nodes as u64) as usize } else { node };
             self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
-        let are_dropped = self.agents.get(&id).is_some_and(|w| w.heartbeats_dropped_until > now);
+        let are_dropped = self.agents.get(&id).is_some_and(|agent| agent.heartbeats_dropped_until > now);
         match self.delivery(&Endpoint::Agent(id.clone()), &Endpoint::Node(node)) {
             Delivery::Arrives(_) | Delivery::Held(_) if are_dropped => {}
             Delivery::Arrives(delay) | Delivery::Held(delay) => {
@@ -179,7 +179,7 @@
     pub(super) fn check_renewal(&mut self, node: usize, id: &MachineId, serial: u64, answer: &AgentAnswer) {
         let AgentAnswer::Response(response) = answer else { return };
         let Some(agent) =
-            self.agents.get(id).filter(|w| w.in_flight.is_some_and(|(in_flight, ..)| in_flight == serial))
+            self.agents.get(id).filter(|agent| agent.in_flight.is_some_and(|(in_flight, ..)| in_flight == serial))
         else {
             return;
         };
@@ -222,7 +222,7 @@
                     agent.lease_renewed_at = agent.lease_renewed_at.max(sent);
                     self.execute_commands(&id, &commands.commands);
                 }
-                let changed = self.agents.get(&id).is_some_and(|w| w.changed);
+                let changed = self.agents.get(&id).is_some_and(|agent| agent.changed);
                 if changed { 500 * MS } else { times.heartbeat - times.heartbeat / 4 + self.pick(times.heartbeat / 2) }
             }
             Some(AgentAnswer::Redirect(Some(label))) => {
@@ -291,7 +291,7 @@
                 AgentCommand::Start { task, attempt } => self.execute_start(id, task, *attempt),
                 AgentCommand::Stop { task, attempt, .. } => {
                     let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { continue };
-                    let here = self.agents.get(id).and_then(|w| w.tasks.get(&key));
+                    let here = self.agents.get(id).and_then(|agent| agent.tasks.get(&key));
                     if here.is_some_and(|t| t.attempt == *attempt) {
                         self.exit(id, &key, ExitCause::Stopped);
                     }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -46,7 +46,7 @@
         for (id, job) in self.jobs.iter().filter(|(_, j)| {
             j.accepted && j.reported_outcome.is_none() && j.spec.kind != JobKind::Gang && j.fails_after.is_none()
         }) {
-            let placed = |index: u32| self.agents.values().any(|w| w.tasks.contains_key(&(id.clone(), index)));
+            let placed = |index: u32| self.agents.values().any(|agent| agent.tasks.contains_key(&(id.clone(), index)));
             let is_waiting = (0..job.spec.tasks).any(|t| !job.done_tasks[t as usize] && !placed(t));
             // `could_run` ignores the job's other tasks, on which the zone depends with `one_zone` and `spread`.
             let is_placed_independently = !job.spec.one_zone && !job.spec.spread;
@@ -117,7 +117,7 @@
 
     /// Returns the number of tasks of a job that agents have now, including those that fetch their image.
     pub fn running(&self, id: &JobId) -> usize {
-        self.agents.values().flat_map(|w| w.tasks.keys()).filter(|k| k.0 == *id).count()
+        self.agents.values().flat_map(|agent| agent.tasks.keys()).filter(|k| k.0 == *id).count()
     }
 
     /// Returns the largest number of images that any machine has to fetch.
@@ -154,7 +154,7 @@
             let places: Vec<_> = self
                 .agents
                 .iter()
-                .flat_map(|(m, w)| w.tasks.iter().filter(|(k, _)| k.0 == *id).map(move |(k, t)| (m, k.1, t)))
+                .flat_map(|(m, agent)| agent.tasks.iter().filter(|(k, _)| k.0 == *id).map(move |(k, t)| (m, k.1, t)))
                 .collect();
             let records: Vec<_> =
                 self.store.keys.iter().filter(|(k, _)| k.contains(id.as_str())).map(|(k, v)| (k, &v.0)).collect();
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -149,7 +149,7 @@
     /// Starts the liveness checks 5 s after the end of the faults injected so far.
     pub fn start_liveness_checks(&mut self) {
         let until = self.cuts.iter().map(|c| c.until).chain([self.store.down_until]);
-        let machines = self.agents.values().flat_map(|w| [w.hung_until, w.heartbeats_dropped_until]);
+        let machines = self.agents.values().flat_map(|agent| [agent.hung_until, agent.heartbeats_dropped_until]);
         let until = until
             .chain(self.store.refused_until.values().copied())
             .chain(machines)
--- a/tests/rules/world/fingerprint.rs
+++ b/tests/rules/world/fingerprint.rs
@@ -1,8 +1,8 @@
-//! A fingerprint of behaviour: one hash over all effects of all controllers in the order in which they leave, each
-//! with its time and encoded as on the wire or in the store, so that no renaming of a type can change it.
+//! Fingerprint of the behaviour of all controllers: one hash over their effects in the order of execution, each with
+//! its time and encoded as on the wire or in the store, so that renaming a type doesn't change it.
 //!
-//! With `BURLHATCH_WORLD_FINGERPRINTS=FILE` every world appends its fingerprint to that file when it ends; two versions
-//! of the sources that behave alike leave the same lines, in any order.
+//! With `BURLHATCH_WORLD_FINGERPRINTS=FILE` every world appends its fingerprint to that file when it is dropped. Two
+//! versions of the sources with the same behaviour write the same lines, in any order.
 
 use super::World;
 use burlhatch::coordination::{AgentAnswer, CloudCall, Effect, ReadKind, StoreCall, UserAnswer};
@@ -11,7 +11,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Write;
 
-/// Hash over everything that the controllers of a world had carried out.
+/// Hash over the effects of all controllers of a world.
 #[derive(Default)]
 pub struct Fingerprint {
     hasher: DefaultHasher,
@@ -19,7 +19,7 @@
 }
 
 impl Fingerprint {
-    /// Adds an effect that a controller had carried out at some time.
+    /// Adds an effect of a controller that is executed at the time `now`.
     pub(super) fn add(&mut self, now: u64, node: usize, effect: &Effect) {
         self.effects += 1;
         (now, node).hash(&mut self.hasher);
@@ -45,7 +45,7 @@
     }
 }
 
-/// An effect as a kind, the numbers that name it, and the bytes that leave the process.
+/// Encoded effect: kind, number of the request, further parameters, and the bytes sent.
 type Encoded = (&'static str, u64, String, Vec<u8>);
 
 fn encoded(effect: &Effect) -> Encoded {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -213,6 +213,7 @@
     next_serial: u64,
     pub jobs: BTreeMap<JobId, UserJob>,
     pub violations: Vec<String>,
+    /// Number of task starts.
     pub started: u64,
     pub policy: Policy,
     /// One in this many requests to the store, an agent or a sibling arrives a second time, late; 0 for none.
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -1,4 +1,4 @@
-//! The store.
+//! The store: keys with revisions, transactions, sessions, watches and limits.
 
 use super::{Endpoint, Event as WorldEvent, MS, World};
 use burlhatch::coordination::{CallFailure, Input, ReadOutcome, SessionOutcome, StoreCall, TxnOutcome};
@@ -6,26 +6,27 @@
 use ciborium::Value;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Limits of the protocol that only a large deployment reaches; tests lower them.
+/// Limits of the protocol that only a large deployment reaches; the tests lower them.
 #[derive(Clone, Copy)]
 pub struct Limits {
-    /// Changes it remembers.
+    /// Number of changes kept in the log.
     pub history: usize,
-    /// Items and bytes of a page.
+    /// Items on a page at most.
     pub page_items: usize,
+    /// Bytes of the keys and values on a page at most; a single larger item still gets a page.
     pub page_bytes: usize,
-    /// Requests a second, none for no limit.
+    /// Requests per second; `None` for no limit.
     pub rps: Option<f64>,
 }
 
 impl Default for Limits {
-    /// Small pages, so that reading takes several.
+    /// Returns limits with pages so small that a complete read takes several.
     fn default() -> Limits {
         Limits { history: 10_000, page_items: 20, page_bytes: 512 * 1024, rps: None }
     }
 }
 
-/// What may be used of a limit of so many a second; bursts of one second's worth are allowed.
+/// Token bucket for a rate per second, which allows bursts of up to one second's amount.
 #[derive(Default)]
 struct TokenBucket {
     tokens: f64,
@@ -57,7 +58,7 @@
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     revision: u64,
     log: VecDeque<(u64, String, Option<Value>)>,
-    /// The latest revision of which a change was dropped from the log.
+    /// Latest revision of which a change was removed from the log.
     compacted_revision: u64,
     pub limits: Limits,
     request_bucket: TokenBucket,
@@ -65,19 +66,23 @@
     next_lease: u64,
     pub watches: BTreeMap<u64, Watch>,
     pub down_until: u64,
+    /// Controllers whose requests are refused, with the time until which they are.
     pub refused_until: BTreeMap<usize, u64>,
-    /// Changes it takes in a second.
+    /// Writes accepted per second.
     write_rps: f64,
     write_bucket: TokenBucket,
+    /// Transactions refused because of the limit of writes per second.
     pub rate_limited_count: u64,
-    /// Changes carried out, and requests that came.
+    /// Writes executed by transactions.
     pub write_count: u64,
+    /// Requests received, including those above the limit.
     pub request_count: u64,
-    /// From when on the largest value, the most changes in a transaction and in a second are so many.
+    /// Time from which lower limits apply, then these limits: bytes of a value, writes of a transaction and writes per
+    /// second.
     pub lowered_limits: Option<(u64, usize, usize, f64)>,
 }
 
-/// What a caller hears that gets no answer.
+/// Returns the input for a controller whose request failed without an answer.
 pub fn failure_input(request: &StoreCall, failure: CallFailure) -> Input {
     match request {
         StoreCall::Txn { ticket, .. } => Input::Txn { ticket: *ticket, outcome: TxnOutcome::Failed(failure) },
@@ -94,7 +99,7 @@
         Store { write_rps, write_bucket: TokenBucket { tokens: write_rps, updated_at: 0 }, ..Store::default() }
     }
 
-    /// Whether one more request is within the limit.
+    /// Counts a request and returns whether it is within the limit.
     pub fn admits_request(&mut self, now: u64) -> bool {
         self.request_count += 1;
         self.limits.rps.is_none_or(|rate| self.request_bucket.admits(now, rate, 1))
@@ -107,7 +112,7 @@
         }
     }
 
-    /// Writes or removes a key past all limits.
+    /// Writes or deletes a key without regard to the limits.
     pub fn write(&mut self, key: &str, value: Option<Value>) {
         self.revision += 1;
         match value.clone() {
@@ -117,7 +122,7 @@
         self.append_to_log(key.into(), value);
     }
 
-    /// Whether that many changes are within the limit.
+    /// Returns whether that many writes are within the limit per second, and uses it if so.
     fn admits(&mut self, now: u64, changes: usize) -> bool {
         if let Some((at, _, _, rate)) = self.lowered_limits
             && now >= at
@@ -129,7 +134,7 @@
         admitted
     }
 
-    /// After an outage every lease has its full time again.
+    /// Gives each session its full duration after the end of an outage.
     pub fn prolong_leases(&mut self, end: u64) {
         for (expires, ttl) in self.leases.values_mut() {
             *expires = end + *ttl;
@@ -154,7 +159,7 @@
         self.log.back().is_some_and(|(revision, ..)| *revision > after)
     }
 
-    /// What has changed since, unless that is no longer remembered.
+    /// Returns the changes after a revision, or `Compacted` if the log no longer holds all of them.
     pub fn changes(&self, after: u64) -> ReadOutcome<Changes> {
         if after < self.compacted_revision {
             return ReadOutcome::Compacted;
@@ -186,7 +191,7 @@
         Page { items, more: rows.peek().is_some(), revision: self.revision }
     }
 
-    /// Changes of a transaction and bytes of a value at most, as of the last request.
+    /// Returns the maximum writes of a transaction and bytes of a value, as of the last transaction.
     fn txn_limits(&self) -> (usize, usize) {
         match self.lowered_limits {
             Some((at, value, ops, _)) if self.write_bucket.updated_at >= at => (ops, value),
@@ -194,7 +199,7 @@
         }
     }
 
-    /// Whether a transaction is within the limits of the moment.
+    /// Returns whether a transaction is within the present limits of its size.
     fn allows(&self, txn: &Txn) -> bool {
         let (ops_max, value_max) = self.txn_limits();
         let fits = |write: &Write| match write {
@@ -207,7 +212,7 @@
     fn txn(&mut self, txn: &Txn) -> TxnOutcome {
         let (ops_max, value_max) = self.txn_limits();
         assert!(txn.writes.len() <= ops_max, "too many writes in one transaction");
-        assert!(txn.preconditions.len() <= ops_max * 4, "too many conditions in one transaction");
+        assert!(txn.preconditions.len() <= ops_max * 4, "too many preconditions in one transaction");
         let lost = txn
             .writes
             .iter()
@@ -304,15 +309,16 @@
             && !self.open_calls.contains_key(&call)
             && !self.store.allows(txn)
         {
-            // A copy that arrives after the limits were lowered, and that nobody waits for: it gets 400.
+            // A late copy that exceeds the limits lowered meanwhile; the store refuses it with 400, and no caller waits
+            // for the answer.
             return;
         }
         let input = self.store.answer(now, &request);
         if let (StoreCall::Txn { txn, .. }, Input::Txn { outcome: TxnOutcome::Committed(revision), .. }) =
             (&request, &input)
         {
-            for what in self.records.check_transaction(txn, *revision) {
-                self.report_violation(what);
+            for violation in self.records.check_transaction(txn, *revision) {
+                self.report_violation(violation);
             }
         }
         self.reply(Endpoint::Store, node, generation, call, input);
@@ -329,7 +335,7 @@
         }
     }
 
-    /// Answers of watches take longer to some controllers than to others.
+    /// Answers a watch, with the additional delay of its controller.
     pub(super) fn answer_watch(&mut self, call: u64, watch: &Watch) {
         let input = Input::Changes { ticket: watch.ticket, outcome: self.store.changes(watch.after) };
         let lag = self.watch_lag[watch.node];
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -1,4 +1,4 @@
-//! What becomes of a task on an agent: it fetches its image, waits for its gang, runs, and ends.
+//! Life cycle of a task on an agent: it fetches its image, waits for its gang, runs and exits.
 
 use super::agent::Task;
 use super::cloud::cpus_of;
@@ -8,6 +8,7 @@
 use burlhatch::types::{JobId, MachineId, TaskId};
 use std::collections::BTreeMap;
 
+/// Time after which a gang's task exits if not all tasks of the gang wait on their machines.
 const GANG_WAIT: u64 = 30 * S;
 
 impl World {
@@ -16,7 +17,7 @@
         let Some(key) = TaskId::parse(task).map(|t| (t.job, t.index)) else { return };
         let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { return };
         let cpus: f64 = match self.agents.get(id) {
-            Some(w) => w.tasks.keys().filter_map(|k| self.jobs.get(&k.0)).map(|j| j.spec.cpus).sum(),
+            Some(agent) => agent.tasks.keys().filter_map(|k| self.jobs.get(&k.0)).map(|j| j.spec.cpus).sum(),
             None => return,
         };
         let Some(agent) = self.agents.get_mut(id) else { return };
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The task has its image: from here on it is on its machine.
+    /// Starts a task whose image is fetched; from here on the rules count it as on its machine.
     fn image_fetched(&mut self, id: &MachineId, key: &(JobId, u32)) {
         let now = self.now;
         self.check_start(id, key);
@@ -97,8 +98,8 @@
         let now = self.now;
         let Some(spec) = self.jobs.get(job).map(|j| j.spec.clone()) else { return };
         let mut waiting: BTreeMap<u64, Vec<(MachineId, u32)>> = BTreeMap::new();
-        for (id, w) in &self.agents {
-            for ((j, index), t) in &w.tasks {
+        for (id, agent) in &self.agents {
+            for ((j, index), t) in &agent.tasks {
                 if j == job && t.state == TaskState::Waiting {
                     waiting.entry(t.attempt).or_default().push((id.clone(), *index));
                 }
@@ -108,22 +109,22 @@
         let fails_after = self.jobs.get(job).and_then(|j| j.fails_after);
         let due = now + fails_after.unwrap_or((spec.estimated_runtime_s * 1e6) as u64);
         for (id, index) in members {
-            if let Some(t) = self.agents.get_mut(&id).and_then(|w| w.tasks.get_mut(&(job.clone(), index))) {
+            if let Some(t) = self.agents.get_mut(&id).and_then(|agent| agent.tasks.get_mut(&(job.clone(), index))) {
                 t.state = TaskState::Running;
                 t.due = due;
             }
         }
     }
 
-    /// Whether all of a gang's attempt is still there.
+    /// Returns whether all tasks of a gang's attempt are running.
     fn is_gang_running(&self, job: &JobId, attempt: u64, tasks: u32) -> bool {
-        let n = self
+        let running_count = self
             .agents
             .values()
-            .flat_map(|w| w.tasks.iter())
+            .flat_map(|agent| agent.tasks.iter())
             .filter(|((j, _), t)| j == job && t.attempt == attempt && t.state == TaskState::Running)
             .count();
-        n == tasks as usize
+        running_count == tasks as usize
     }
 
     pub(super) fn agent_step(&mut self, id: MachineId) {
@@ -133,7 +134,7 @@
         }
         self.at(100 * MS, Event::AgentStep { machine: id.clone() });
         let Some(agent) = self.agents.get_mut(&id) else { return };
-        // Also one that hangs: it may go on with its tasks at any moment within its lease, and not after.
+        // Also applies to an agent that hangs: it may resume its tasks at any time within its lease, but not later.
         if now > agent.lease_renewed_at + lease {
             agent.tasks.clear();
             agent.exited.clear();
@@ -149,9 +150,9 @@
             agent.tasks.iter().filter(|(_, t)| t.due <= now).map(|(k, t)| (k.clone(), t.clone())).collect();
         for (key, task) in due {
             let Some(spec) = self.jobs.get(&key.0).map(|j| j.spec.clone()) else { continue };
-            let broken = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
+            let is_failing = self.jobs.get(&key.0).is_some_and(|j| j.fails_after.is_some());
             match task.state {
-                TaskState::Running if broken => self.exit(&id, &key, ExitCause::Failed),
+                TaskState::Running if is_failing => self.exit(&id, &key, ExitCause::Failed),
                 TaskState::FetchingImage => self.image_fetched(&id, &key),
                 TaskState::Waiting => self.exit(&id, &key, ExitCause::GangIncomplete),
                 TaskState::Running if spec.kind == JobKind::Gang => {
@@ -164,7 +165,7 @@
         self.check_cancelled_tasks(&id);
     }
 
-    /// A gang completes as a whole, if all of its attempt is still there.
+    /// Completes all tasks of a gang if its attempt is still running as a whole, or else fails this task.
     fn gang_task_completes(&mut self, id: &MachineId, key: &(JobId, u32), attempt: u64, tasks: u32) {
         if !self.is_gang_running(&key.0, attempt, tasks) {
             return self.exit(id, key, ExitCause::GangPeerLost);
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, ask and call off, and the rules about what they are told.
+//! Users: submissions, queries and cancellations, and the rules about the answers.
 
 use super::{Event, MS, S, World};
 use burlhatch::coordination::{Controller, Input, UserAnswer, UserRequest};
@@ -6,10 +6,10 @@
 use burlhatch::types::JobId;
 use rand::Rng;
 
-/// Users who look closely ask everywhere within so long.
+/// Time within which users repeat a request at all controllers after a change of a job.
 const FOLLOW_UP_SPAN: u64 = 6 * MS;
 
-/// What is asked in a close look.
+/// Kind of request about a known job.
 #[derive(Clone, Copy)]
 pub(super) enum JobRequest {
     Status,
@@ -17,56 +17,64 @@
     Cancellation,
 }
 
+/// Request whose answer a user waits for.
 pub(super) enum PendingRequest {
     Submit(JobId),
     Get(JobId),
     Cancel(JobId),
+    /// Query about a job that was never submitted.
     UnknownJob,
-    /// A job that must not be accepted.
+    /// Submission that must not be accepted, and why.
     Invalid(&'static str),
 }
 
-/// What the users know of a job.
+/// Job as its users know it.
 pub struct UserJob {
     pub spec: JobSpec,
+    /// Time of the first submission.
     pub submitted: u64,
     pub accepted: bool,
+    /// Time from which its user cancels it.
     pub cancel_at: Option<u64>,
+    /// Time at which a user first received the answer that it is cancelled.
     pub cancelled: Option<u64>,
+    /// First final state that a user received.
     pub reported_outcome: Option<JobState>,
-    /// Answers to questions asked before this may still be older.
+    /// Time of that answer; answers to earlier requests may still contain an earlier state.
     pub(super) reported_outcome_at: u64,
     pub done_tasks: Vec<bool>,
     pub(super) last_requested_at: u64,
-    /// Last answer about it that was no refusal, and the longest time without one since troubles ended.
+    /// Time of the last answer with its state.
     pub(super) answered: u64,
+    /// Longest time without such an answer since the liveness checks started.
     pub max_answer_gap: u64,
-    /// When its first task started.
+    /// Time at which its first task started.
     pub begun: Option<u64>,
-    /// It was submitted with a mistake: each of its tasks fails after so long at work, wherever it runs.
+    /// Running time after which each of its tasks fails on any machine, if the job is faulty.
     pub fails_after: Option<u64>,
-    /// How many of its tasks arrived on a machine.
+    /// Number of starts of its tasks.
     pub starts: u32,
-    /// Since when a task of it waits though it could run.
+    /// Time since which one of its tasks waits though it could run.
     pub(super) runnable_since: Option<u64>,
 }
 
-/// What matters of a question for the rules about its answer.
+/// Properties of a request that the rules about its answer depend on.
 struct RequestContext {
     requested_at: u64,
-    /// It was a cancellation.
+    /// Whether the request was a cancellation.
     is_cancellation: bool,
-    /// A job that it needs was confirmed as cancelled too long ago for it to go on.
+    /// Whether the cancellation of the job, or of one that it depends on, was confirmed so long before the request that
+    /// the job must have ended.
     cancellation_overdue: bool,
-    /// Its user, or that of a job that it needs, has called it off.
+    /// Whether the user of the job, or of one that it depends on, was due to cancel it by now.
     cancellation_due: bool,
 }
 
 impl UserJob {
-    /// Takes in an answer; says which rules it breaks.
+    /// Records an answer and returns the rules that it violates.
     fn check_answer(&mut self, id: &JobId, answer: UserAnswer, context: &RequestContext, now: u64) -> Vec<String> {
         match answer {
-            // Whoever is told that a job was taken is told that it is queued.
+            // The answer that a job is accepted implies that it is queued.
             UserAnswer::Accepted(_) => self.check_state(id, JobState::Queued, context, now),
             UserAnswer::Status(status) => self.check_state(id, status.state, context, now),
             UserAnswer::NotFound | UserAnswer::Malformed | UserAnswer::CanNeverRun(_) if self.accepted => {
@@ -78,23 +86,23 @@
     }
 
     fn check_state(&mut self, id: &JobId, state: JobState, context: &RequestContext, now: u64) -> Vec<String> {
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         let is_final = matches!(state, JobState::Done | JobState::Cancelled);
         self.accepted = true;
         self.answered = now;
         if state == JobState::Done && self.done_tasks.iter().any(|done| !done) {
-            broken.push(format!("not_done: {id} is called done"));
+            violations.push(format!("not_done: {id} is reported as done"));
         }
         if context.cancellation_overdue && !is_final {
-            broken.push(format!("orphaned: {id} is still called {state:?}"));
+            violations.push(format!("orphaned: {id} is still reported as {state:?}"));
         }
         if state == JobState::Cancelled && !context.cancellation_due {
-            broken.push(format!("went_back: {id} was not cancelled by its user"));
+            violations.push(format!("went_back: {id} was not cancelled by its user"));
         }
         if context.requested_at >= self.reported_outcome_at
             && self.reported_outcome.is_some_and(|reported| reported != state)
         {
-            broken.push(format!("went_back: {id} was {:?}, is {state:?}", self.reported_outcome));
+            violations.push(format!("went_back: {id} was {:?}, is {state:?}", self.reported_outcome));
         }
         if is_final && self.reported_outcome.is_none() {
             (self.reported_outcome, self.reported_outcome_at) = (Some(state), now);
@@ -103,9 +111,9 @@
             self.cancelled = Some(now);
         }
         if context.is_cancellation && !is_final {
-            broken.push(format!("a cancellation of {id} was answered {state:?}"));
+            violations.push(format!("a cancellation of {id} was answered {state:?}"));
         }
-        broken
+        violations
     }
 }
 
@@ -177,7 +185,7 @@
         self.feed(node, Input::User(request_id, request));
     }
 
-    /// Its user calls a job off, at once.
+    /// Cancels an accepted job now, unless a user has received its final state.
     pub fn cancel_job(&mut self, id: &JobId) {
         let now = self.now;
         if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.reported_outcome.is_none()) {
@@ -211,9 +219,9 @@
                 job.last_requested_at = now;
                 let spec = job.spec.clone();
                 let accepted = job.accepted;
-                // Repeats of an accepted submission may come at any time.
-                let again = accepted && self.chance(10);
-                if !accepted || again {
+                // An accepted submission may be repeated at any time.
+                let is_repeat = accepted && self.chance(10);
+                if !accepted || is_repeat {
                     let submission = Submission { id: Some(id.clone()), spec: Some(spec) };
                     self.send_request(PendingRequest::Submit(id.clone()), UserRequest::Submit(Box::new(submission)));
                     self.repeat_submission_elsewhere(&id);
@@ -234,7 +242,7 @@
         self.at(250 * MS, Event::Users);
     }
 
-    /// Many questions about whatever job, also ended ones and some that nobody knows, and repeats of submissions.
+    /// Sends a number of queries about random jobs, including ended and unknown ones, and repeats of submissions.
     fn send_request_burst(&mut self) {
         let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         for _ in 0..self.request_burst_size {
@@ -269,7 +277,7 @@
         self.at(delay, Event::JobRequest { node, id: id.clone(), kind });
     }
 
-    /// A submission is on its way: it is repeated here and there before it is answered.
+    /// Repeats a submission at some controllers while the first answer is still in flight.
     pub(super) fn repeat_submission_elsewhere(&mut self, id: &JobId) {
         for node in 0..self.size.nodes {
             if self.follow_up_requests && self.chance(4) {
@@ -278,7 +286,7 @@
         }
     }
 
-    /// A user was told something new about a job: all controllers are asked for it.
+    /// Sends requests about a job to all controllers after a user received a new state of it.
     pub(super) fn follow_up_on_change(&mut self, id: &JobId) {
         if !self.follow_up_requests {
             return;
@@ -293,7 +301,7 @@
         }
     }
 
-    /// When a job was called off, by its own user or with one that it needs, as `when` tells it of each.
+    /// Returns the earliest of the times that `when` returns for the job and all jobs that it depends on.
     pub(super) fn earliest_cancellation(
         &self,
         id: &JobId,
@@ -307,9 +315,9 @@
     pub(super) fn send_invalid_request(&mut self) {
         let known: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         let mut spec = World::spec(JobKind::Array, "red", 2, 1.0);
-        let what = match self.pick(6) {
+        let defect = match self.pick(6) {
             0 if !known.is_empty() => {
-                // A known job has its state, whatever the repeat holds.
+                // A known job keeps its state, regardless of the content of the repeated submission.
                 let id = known[self.pick(known.len() as u64) as usize].clone();
                 let spec = if self.chance(2) { None } else { Some(World::spec(JobKind::Gang, "nobody", 9, 99.0)) };
                 let submission = Submission { id: Some(id.clone()), spec };
@@ -321,7 +329,7 @@
             }
             2 => {
                 spec.depends_on = vec![JobId::new("wk-nobody")];
-                "what it awaits was never accepted"
+                "a job it depends on was never accepted"
             }
             3 => {
                 spec = World::spec(JobKind::Gang, "red", 30, 1.0);
@@ -329,10 +337,10 @@
             }
             _ => "a field is missing",
         };
-        let spec = (what != "a field is missing").then_some(spec);
+        let spec = (defect != "a field is missing").then_some(spec);
         let id = JobId::new(&format!("wk-odd{}", self.pick(50)));
         self.send_request(
-            PendingRequest::Invalid(what),
+            PendingRequest::Invalid(defect),
             UserRequest::Submit(Box::new(Submission { id: Some(id), spec })),
         );
     }
@@ -347,13 +355,13 @@
         let (id, is_cancellation) = match pending {
             PendingRequest::UnknownJob => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
-                    self.report_violation("invented: a stranger's job is known".into());
+                    self.report_violation("invented: a job that was never submitted is known".into());
                 }
                 return;
             }
-            PendingRequest::Invalid(what) => {
+            PendingRequest::Invalid(defect) => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
-                    self.report_violation(format!("invented: accepted, though {what}"));
+                    self.report_violation(format!("invented: accepted, though {defect}"));
                 }
                 return;
             }
@@ -374,14 +382,14 @@
             cancellation_overdue,
             cancellation_due: cancellation_due.is_some(),
         };
-        let broken = job.check_answer(&id, answer, &context, now);
+        let violations = job.check_answer(&id, answer, &context, now);
         let cancels_now = !before.0 && job.accepted && cancel_at_once && job.reported_outcome.is_none();
         if cancels_now {
             job.cancel_at = Some(now);
         }
         let is_changed = before != (job.accepted, job.reported_outcome);
-        for what in broken {
-            self.report_violation(what);
+        for violation in violations {
+            self.report_violation(violation);
         }
         if is_changed {
             self.follow_up_on_change(&id);
