--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -195,11 +195,11 @@
     });
     world.run_for(6 * S);
     let mut waited = 0;
-    while world.unowned_shards() > 0 && waited < 2 * S {
+    while world.unheld_shards() > 0 && waited < 2 * S {
         world.run_for(100 * MS);
         waited += 100 * MS;
     }
-    assert_eq!(world.unowned_shards(), 0, "{seed}: taken over");
+    assert_eq!(world.unheld_shards(), 0, "{seed}: taken over");
 }
 
 /// A shard has a new holder that can't reach the machines, and the deposed one, which knows of nothing, goes on renewing
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -112,7 +112,7 @@
         let started = world.started;
         world.cut(45 * S, true, move |a, b| *a == Endpoint::Node(node) && *b == Endpoint::Store);
         world.run_for(6 * S);
-        assert_eq!(world.unowned_shards(), 0, "its shares are taken over");
+        assert_eq!(world.unheld_shards(), 0, "its shares are taken over");
         let answer = world.ask_at(node, &ids[0]);
         assert!(matches!(answer, Some(UserAnswer::Unavailable { retry_after_s: 1.. })), "{answer:?}");
         world.run_for(42 * S);
@@ -147,7 +147,7 @@
                 world.restart_agent(nth);
             }
             world.run_for(100 * MS);
-            unowned = if world.unowned_shards() > 0 { unowned + 100 } else { 0 };
+            unowned = if world.unheld_shards() > 0 { unowned + 100 } else { 0 };
             longest = longest.max(unowned);
         }
         assert!(longest <= 6000, "{seed}: a share was without an owner for {longest} ms");
@@ -177,7 +177,7 @@
         world.run_for(span / 2);
         world.freeze((owner + 1) % 3, span);
         world.run_for(span + 6 * S);
-        assert_eq!(world.unowned_shards(), 0, "freeze {seed}");
+        assert_eq!(world.unheld_shards(), 0, "freeze {seed}");
         // What fell silent by its own standstill must not be deleted.
         assert!(world.stored_machines().len() * 2 > machines, "freeze {seed}: machines deleted");
         finish(&mut world, &format!("freeze {seed}"));
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -383,7 +383,7 @@
                 let node = world.holder(role).expect("held");
                 lose(&mut world, node, loss, span, hold);
                 world.run_for(6 * S);
-                assert_eq!(world.unowned_shards(), 0, "{name}: a share has no owner");
+                assert_eq!(world.unheld_shards(), 0, "{name}: a share has no owner");
                 if matches!(loss, Loss::Everything | Loss::KeyValueStore | Loss::Refused) {
                     let answer = world.ask_at(node, &services[0]);
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
@@ -421,7 +421,7 @@
             world.run_for(span + 1500 * MS);
         }
         world.run_for(8 * S);
-        assert_eq!(world.unowned_shards(), 0, "{seed}: a share has no owner");
+        assert_eq!(world.unheld_shards(), 0, "{seed}: a share has no owner");
         let lost = count_gone(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
         finish(&mut world, &format!("standstill {seed}"));
@@ -447,7 +447,7 @@
         let each_second = (world.store_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
         assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
-        assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
+        assert_eq!(world.unheld_shards(), 0, "{seed}: a session was lost");
         world.request_burst_size = 0;
         finish(&mut world, &format!("burst {seed}"));
     }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the number of shards without a holder.
-    pub fn unowned_shards(&self) -> usize {
+    pub fn unheld_shards(&self) -> usize {
         self.size.nodes - self.store.keys.keys().filter(|k| k.starts_with(&format!("{ROOT}share/"))).count()
     }
 
