--- a/tests/rules/days.rs
+++ b/tests/rules/days.rs
@@ -131,7 +131,7 @@
             world.jobs.get_mut(id).expect("submitted").cancel_at = Some(0);
         }
         finish(&mut world, &format!("few changes {seed}"));
-        assert!(world.limited() < 400, "{seed}: refused {} times", world.limited());
+        assert!(world.rate_limited_txns() < 400, "{seed}: refused {} times", world.rate_limited_txns());
     }
     assert!(soon >= 5, "soon in {soon} of 10 worlds only");
 }
--- a/tests/rules/world/checks.rs
+++ b/tests/rules/world/checks.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns the number of transactions that the store refused because of its limit of writes per second.
-    pub fn limited(&self) -> u64 {
+    pub fn rate_limited_txns(&self) -> u64 {
         self.store.rate_limited_count
     }
 
