--- a/tests/rules/world/agent.rs
+++ b/tests/rules/world/agent.rs
@@ -40,7 +40,9 @@
     pub(super) in_flight: Option<(u64, u64, u64)>,
     /// Tasks that the heartbeat in flight lists and that have not exited.
     reported: Vec<TaskStatus>,
+    /// Number of the next heartbeat to send; events with an earlier number are ignored.
     wake: u64,
+    /// Whether the next heartbeat is to be sent early because something changed.
     pub(super) changed: bool,
     /// Time at which a higher fencing token was last reported at once.
     token_change: Option<u64>,
@@ -125,15 +127,15 @@
             heartbeats_dropped_until: 0,
         };
         self.agents.insert(id.clone(), agent);
-        self.at(100 * MS, Event::AgentStep { machine: id.clone() });
-        self.at(10 * MS, Event::AgentHeartbeat { machine: id, wake: 0 });
+        self.schedule(100 * MS, Event::AgentStep { machine: id.clone() });
+        self.schedule(10 * MS, Event::AgentHeartbeat { machine: id, wake: 0 });
     }
 
     pub(super) fn schedule_heartbeat(&mut self, id: &MachineId, delay: u64) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.wake += 1;
             let wake = agent.wake;
-            self.at(delay, Event::AgentHeartbeat { machine: id.clone(), wake });
+            self.schedule(delay, Event::AgentHeartbeat { machine: id.clone(), wake });
         }
     }
 
@@ -161,17 +163,19 @@
             let late = S + self.pick(3 * self.size.times.lease);
             // Another controller may receive it, such as the leader at that time.
             let node = if self.chance(2) { self.pick(self.size.nodes as u64) as usize } else { node };
-            self.at(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
+            self.schedule(late, Event::Heartbeat { node, heartbeat: heartbeat.clone(), serial: 0 });
         }
         let are_dropped = self.agents.get(&id).is_some_and(|agent| agent.heartbeats_dropped_until > now);
         match self.delivery(&Endpoint::Agent(id.clone()), &Endpoint::Node(node)) {
             Delivery::Arrives(_) | Delivery::Held(_) if are_dropped => {}
             Delivery::Arrives(delay) | Delivery::Held(delay) => {
-                self.at(delay, Event::Heartbeat { node, heartbeat, serial });
+                self.schedule(delay, Event::Heartbeat { node, heartbeat, serial });
+            }
+            Delivery::Refused => {
+                self.schedule(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None });
             }
-            Delivery::Refused => self.at(MS, Event::HeartbeatAnswer { machine: id.clone(), serial, answer: None }),
         }
-        self.at(4 * S, Event::HeartbeatAnswer { machine: id, serial, answer: None });
+        self.schedule(4 * S, Event::HeartbeatAnswer { machine: id, serial, answer: None });
     }
 
     /// Checks that an answer, which renews the lease, stops each task in the heartbeat whose job the controller knows
@@ -212,7 +216,7 @@
             let rest = agent.hung_until - now;
             // The agent reads the answer once it no longer hangs, unless its request has timed out by then.
             let answer = if rest + now - sent > 4 * S { None } else { answer };
-            return self.at(rest, Event::HeartbeatAnswer { machine: id, serial, answer });
+            return self.schedule(rest, Event::HeartbeatAnswer { machine: id, serial, answer });
         }
         agent.in_flight = None;
         let pause = match answer {
@@ -258,7 +262,7 @@
         let Some(agent) = self.agents.get_mut(&id) else { return };
         if agent.hung_until > now {
             let rest = agent.hung_until - now;
-            return self.at(rest, Event::DirectCommands { node, generation, call, machine: id, commands });
+            return self.schedule(rest, Event::DirectCommands { node, generation, call, machine: id, commands });
         }
         let is_accepted = commands.fencing_token >= agent.fencing_token && commands.incarnation == agent.incarnation;
         if is_accepted {
--- a/tests/rules/world/cloud.rs
+++ b/tests/rules/world/cloud.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    pub fn failed(&mut self, id: &MachineId) {
+    /// Lists a machine as failed from now on.
+    pub fn mark_failed(&mut self, id: &MachineId) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.state = ListedState::Failed;
         }
@@ -71,6 +72,7 @@
 }
 
 impl World {
+    /// Creates an instance whose agent starts after the delay.
     pub fn boot(&mut self, machine_type: &str, zone: &str, spot: bool, delay: u64) -> MachineId {
         self.cloud.next += 1;
         let id = MachineId::new(&format!("m-{:06}", self.cloud.next));
@@ -83,7 +85,7 @@
             deleted_at: None,
         };
         self.cloud.machines.insert(id.clone(), instance);
-        self.at(delay, Event::Booted { machine: id.clone() });
+        self.schedule(delay, Event::Booted { machine: id.clone() });
         id
     }
 
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    pub(super) fn feed(&mut self, node: usize, input: Input) {
+    pub(super) fn deliver_input(&mut self, node: usize, input: Input) {
         let clock = self.clock(node);
         let _at = tracing::error_span!("at", ms = self.now / MS, node).entered();
         let frozen = self.now < self.nodes[node].frozen_until;
@@ -44,11 +44,11 @@
             checks_left > 0
         });
         for effect in effects {
-            self.carry_out(node, effect);
+            self.execute_effect(node, effect);
         }
     }
 
-    pub(super) fn carry_out(&mut self, node: usize, effect: Effect) {
+    pub(super) fn execute_effect(&mut self, node: usize, effect: Effect) {
         self.fingerprint.add(self.now, node, &effect);
         match effect {
             Effect::AnswerUser(request_id, answer) => self.user_answer(node, request_id, answer),
@@ -66,9 +66,9 @@
         self.check_renewal(node, &machine, serial, &answer);
         match self.delivery(&Endpoint::Node(node), &Endpoint::Agent(machine.clone())) {
             Delivery::Arrives(delay) | Delivery::Held(delay) => {
-                self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
+                self.schedule(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
             }
-            Delivery::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
+            Delivery::Refused => self.schedule(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
         }
     }
 
@@ -103,8 +103,8 @@
             let call = self.open_call();
             let late = 2 * S + self.pick(10 * S);
             let input = store::failure_input(&request, CallFailure::Indeterminate);
-            self.at(late, Event::Store { node, generation, call, request });
-            return self.at(timeout, Event::Outcome { node, generation, call, input });
+            self.schedule(late, Event::Store { node, generation, call, request });
+            return self.schedule(timeout, Event::Outcome { node, generation, call, input });
         }
         self.call(
             node,
@@ -137,8 +137,8 @@
         if let Some(late) = self.command_delay() {
             let call = self.open_call();
             let input = failed(&machine, CallFailure::Indeterminate);
-            self.at(late, Event::DirectCommands { node, generation, call, machine, commands });
-            return self.at(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, generation, call, input });
+            self.schedule(late, Event::DirectCommands { node, generation, call, machine, commands });
+            return self.schedule(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, generation, call, input });
         }
         self.call(
             node,
@@ -172,7 +172,7 @@
         for effect in effects {
             match effect {
                 Effect::AnswerUser(u64::MAX, received) => answer = Some(received),
-                other => self.carry_out(node, other),
+                other => self.execute_effect(node, other),
             }
         }
         answer
--- a/tests/rules/world/faults.rs
+++ b/tests/rules/world/faults.rs
@@ -15,13 +15,13 @@
         // Agents and users on its connections see a reset.
         let lost: Vec<_> = std::mem::take(&mut self.nodes[node].agents).into_values().collect();
         for (machine, serial) in lost {
-            self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
+            self.schedule(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
         }
         self.nodes[node].users.clear();
         self.nodes[node].peers.clear();
         self.nodes[node].frozen_until = 0;
         self.nodes[node].backlog.clear();
-        self.at(back_after, Event::Restart(node));
+        self.schedule(back_after, Event::Restart(node));
     }
 
     /// Pauses a controller; inputs sent to it wait in its sockets and are read together when it resumes.
@@ -29,7 +29,7 @@
         tracing::info!(at_ms = self.now / MS, node, duration, "fault: controller is paused");
         self.nodes[node].frozen_until = self.now + duration;
         let generation = self.nodes[node].generation;
-        self.at(duration, Event::Thaw(node, generation));
+        self.schedule(duration, Event::Thaw(node, generation));
     }
 
     /// Cuts the network between endpoints. With `hold`, about half of the packets arrive after the cut; all others are
@@ -187,7 +187,7 @@
     pub fn kill_machine(&mut self, nth: usize) {
         if let Some(id) = self.nth_agent(nth) {
             self.agents.remove(&id);
-            self.cloud.failed(&id);
+            self.cloud.mark_failed(&id);
         }
     }
 
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -332,16 +332,16 @@
                 backlog: Vec::new(),
             };
             world.nodes.push(node);
-            world.at(10 * MS * i as u64, Event::Restart(i));
+            world.schedule(10 * MS * i as u64, Event::Restart(i));
         }
         for i in 0..size.machines {
             world.boot("small", size.zones[i % size.zones.len()], false, 0);
         }
-        world.at(0, Event::Users);
+        world.schedule(0, Event::Users);
         world
     }
 
-    fn at(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
         self.queue.push(Reverse((self.now + delay, self.next_event)));
@@ -380,7 +380,7 @@
             Event::Thaw(node, generation) => self.thaw(node, generation),
             Event::Outcome { node, generation, call, input } => {
                 if self.open_calls.remove(&call).is_some() && self.nodes[node].generation == generation {
-                    self.feed(node, input);
+                    self.deliver_input(node, input);
                 }
             }
             Event::Store { node, generation, call, request } => self.store_request(node, generation, call, request),
@@ -426,13 +426,13 @@
         process.started_at = self.now;
         process.controller = Some(Controller::new(Arc::new(platform), Arc::new(policy), seed));
         let generation = process.generation;
-        self.at(0, Event::Tick(node, generation));
+        self.schedule(0, Event::Tick(node, generation));
     }
 
     fn tick(&mut self, node: usize, generation: u64) {
         if self.nodes[node].generation == generation && self.nodes[node].controller.is_some() {
-            self.feed(node, Input::Tick);
-            self.at(50 * MS, Event::Tick(node, generation));
+            self.deliver_input(node, Input::Tick);
+            self.schedule(50 * MS, Event::Tick(node, generation));
         }
     }
 
@@ -442,10 +442,10 @@
         }
         // After a pause, timers may fire before or after the sockets are read.
         if self.chance(2) {
-            self.feed(node, Input::Tick);
+            self.deliver_input(node, Input::Tick);
         }
         for input in std::mem::take(&mut self.nodes[node].backlog) {
-            self.feed(node, input);
+            self.deliver_input(node, input);
         }
     }
 
@@ -456,18 +456,18 @@
         self.nodes[to].next_request_id += 1;
         let request_id = self.nodes[to].next_request_id;
         self.nodes[to].peers.insert(request_id, caller);
-        self.feed(to, Input::Peer(request_id, message));
+        self.deliver_input(to, Input::Peer(request_id, message));
     }
 
     fn heartbeat_arrives(&mut self, node: usize, heartbeat: Heartbeat, serial: u64) {
         let machine = heartbeat.machine.clone();
         if self.nodes[node].controller.is_none() {
-            self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
+            self.schedule(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
             return;
         }
         self.nodes[node].next_request_id += 1;
         let request_id = self.nodes[node].next_request_id;
         self.nodes[node].agents.insert(request_id, (machine, serial));
-        self.feed(node, Input::Heartbeat { request_id, heartbeat, relayed: false });
+        self.deliver_input(node, Input::Heartbeat { request_id, heartbeat, relayed: false });
     }
 }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -78,22 +78,31 @@
         let generation = self.nodes[node].generation;
         match self.delivery(&Endpoint::Node(node), &to) {
             Delivery::Arrives(delay) => {
-                self.at(delay, event(call));
-                self.at(limit, Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) });
+                self.schedule(delay, event(call));
+                self.schedule(
+                    limit,
+                    Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) },
+                );
                 if self.copies > 0
                     && matches!(to, Endpoint::Store | Endpoint::Agent(_) | Endpoint::Node(_))
                     && self.chance(self.copies)
                 {
                     let late = self.rng.random_range(0..60 * S);
-                    self.at(late, event(call));
+                    self.schedule(late, event(call));
                 }
             }
             Delivery::Held(late) => {
-                self.at(late, event(call));
-                self.at(limit, Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) });
+                self.schedule(late, event(call));
+                self.schedule(
+                    limit,
+                    Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) },
+                );
             }
             Delivery::Refused => {
-                self.at(limit.min(S), Event::Outcome { node, generation, call, input: fail(CallFailure::NotExecuted) });
+                self.schedule(
+                    limit.min(S),
+                    Event::Outcome { node, generation, call, input: fail(CallFailure::NotExecuted) },
+                );
             }
         }
     }
@@ -120,7 +129,7 @@
         if let Delivery::Arrives(delay) = self.delivery(&from, &Endpoint::Node(node)) {
             let held = from == Endpoint::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
             let late = if held { self.pick(STORE_TIMEOUT) } else { 0 };
-            self.at(delay + lag + late, Event::Outcome { node, generation, call, input });
+            self.schedule(delay + lag + late, Event::Outcome { node, generation, call, input });
         }
     }
 }
--- a/tests/rules/world/store.rs
+++ b/tests/rules/world/store.rs
@@ -303,7 +303,7 @@
             && !self.store.has_changed(*after)
         {
             self.store.watches.insert(call, Watch { node, generation, ticket: *ticket, after: *after });
-            return self.at(wait_ms * MS, WorldEvent::WatchEnds { call });
+            return self.schedule(wait_ms * MS, WorldEvent::WatchEnds { call });
         }
         if let StoreCall::Txn { txn, .. } = &request
             && !self.open_calls.contains_key(&call)
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -132,7 +132,7 @@
         if !self.agents.contains_key(&id) {
             return;
         }
-        self.at(100 * MS, Event::AgentStep { machine: id.clone() });
+        self.schedule(100 * MS, Event::AgentStep { machine: id.clone() });
         let Some(agent) = self.agents.get_mut(&id) else { return };
         // Also applies to an agent that hangs: it may resume its tasks at any time within its lease, but not later.
         if now > agent.lease_renewed_at + lease {
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -31,7 +31,7 @@
 /// Job as its users know it.
 pub struct UserJob {
     pub spec: JobSpec,
-    /// Time of the first submission.
+    /// Time from which its user submits it.
     pub submitted: u64,
     pub accepted: bool,
     /// Time from which its user cancels it.
@@ -182,7 +182,7 @@
         self.nodes[node].next_request_id += 1;
         let request_id = self.nodes[node].next_request_id;
         self.nodes[node].users.insert(request_id, (self.now, pending));
-        self.feed(node, Input::User(request_id, request));
+        self.deliver_input(node, Input::User(request_id, request));
     }
 
     /// Cancels an accepted job now, unless a user has received its final state.
@@ -239,7 +239,7 @@
         if self.chance(20) {
             self.send_request(PendingRequest::UnknownJob, UserRequest::Get(JobId::new("wk-999999")));
         }
-        self.at(250 * MS, Event::Users);
+        self.schedule(250 * MS, Event::Users);
     }
 
     /// Sends a number of queries about random jobs, including ended and unknown ones, and repeats of submissions.
@@ -274,7 +274,7 @@
 
     pub(super) fn schedule_job_request(&mut self, node: usize, id: &JobId, kind: JobRequest) {
         let delay = self.pick(FOLLOW_UP_SPAN);
-        self.at(delay, Event::JobRequest { node, id: id.clone(), kind });
+        self.schedule(delay, Event::JobRequest { node, id: id.clone(), kind });
     }
 
     /// Repeats a submission at some controllers while the first answer is still in flight.
