--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -238,7 +238,7 @@
     /// its submission there, also while the answer to the first submission is still in flight.
     pub follow_up_requests: bool,
     /// Users cancel one in this many jobs as soon as its acceptance is reported; 0 for none.
-    pub cancel_at_once: u32,
+    pub cancel_on_acceptance: u32,
     /// Users cancel one in this many jobs as its last task completes; 0 for none.
     pub cancel_at_end: u32,
     /// Requests that users send to random controllers every 250 ms in addition to their usual ones.
@@ -304,7 +304,7 @@
             late_answers: (0, 1),
             watch_lag: vec![0; size.nodes],
             follow_up_requests: false,
-            cancel_at_once: 0,
+            cancel_on_acceptance: 0,
             cancel_at_end: 0,
             request_burst_size: 0,
             longest_answer: 0,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -373,7 +373,7 @@
         let cancellation_overdue = self
             .earliest_cancellation(&id, |job| job.cancelled)
             .is_some_and(|at| requested_at > at + self.size.times.cancel);
-        let cancel_at_once = self.cancel_at_once > 0 && self.chance(self.cancel_at_once);
+        let cancel_on_acceptance = self.cancel_on_acceptance > 0 && self.chance(self.cancel_on_acceptance);
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let before = (job.accepted, job.reported_outcome);
         let context = RequestContext {
@@ -383,7 +383,7 @@
             cancellation_due: cancellation_due.is_some(),
         };
         let violations = job.check_answer(&id, answer, &context, now);
-        let cancels_now = !before.0 && job.accepted && cancel_at_once && job.reported_outcome.is_none();
+        let cancels_now = !before.0 && job.accepted && cancel_on_acceptance && job.reported_outcome.is_none();
         if cancels_now {
             job.cancel_at = Some(now);
         }
