--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -26,7 +26,7 @@
     let mut world = World::sized(seed, Policy::default(), size);
     world.follow_up_requests = true;
     world.cancel_on_acceptance = 3;
-    world.cancel_at_end = 3;
+    world.cancel_on_completion = 3;
     world.late_answers(600 * S, 4);
     world.lag_watches(800 * MS);
     world
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -97,7 +97,7 @@
 fn cancelled_as_the_job_before_is_done() {
     for seed in seeds(72, 4) {
         let mut world = World::new(seed);
-        world.cancel_at_end = 2;
+        world.cancel_on_completion = 2;
         for n in 0..8 {
             dependency_chain(&mut world, 100 + n * 10);
         }
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -11,7 +11,7 @@
     ordinary_jobs(&mut world, 25);
     world.lag_watches(200 * MS);
     world.follow_up_requests = true;
-    world.cancel_at_end = 6;
+    world.cancel_on_completion = 6;
     for step in 0..8 {
         world.run_for(5 * S);
         let nth = world.pick(9) as usize;
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -331,7 +331,7 @@
 fn requests_at_the_end_of_the_last_task_and_odd_ones() {
     for seed in seeds(41, 4) {
         let mut world = World::new(seed);
-        world.cancel_at_end = 2;
+        world.cancel_on_completion = 2;
         world.invalid_requests = true;
         ordinary_jobs(&mut world, 60);
         for round in 0..5 {
@@ -361,7 +361,7 @@
     for seed in seeds(42, 6) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 10, capacity: 20, ..SMALL });
         world.heartbeat_copies = 5;
-        world.cancel_at_end = 6;
+        world.cancel_on_completion = 6;
         world.invalid_requests = true;
         ordinary_jobs(&mut world, 45);
         for _ in 0..10 {
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -240,7 +240,7 @@
     /// Users cancel one in this many jobs as soon as its acceptance is reported; 0 for none.
     pub cancel_on_acceptance: u32,
     /// Users cancel one in this many jobs as its last task completes; 0 for none.
-    pub cancel_at_end: u32,
+    pub cancel_on_completion: u32,
     /// Requests that users send to random controllers every 250 ms in addition to their usual ones.
     pub request_burst_size: u32,
     /// Longest time for which a user waited for an answer; requests to controllers that crashed meanwhile don't count.
@@ -305,7 +305,7 @@
             watch_lag: vec![0; size.nodes],
             follow_up_requests: false,
             cancel_on_acceptance: 0,
-            cancel_at_end: 0,
+            cancel_on_completion: 0,
             request_burst_size: 0,
             longest_answer: 0,
             invalid_requests: false,
--- a/tests/rules/world/task_lifecycle.rs
+++ b/tests/rules/world/task_lifecycle.rs
@@ -186,7 +186,7 @@
             *done = true;
         }
         let all_done = self.jobs.get(&key.0).is_some_and(|j| j.done_tasks.iter().all(|d| *d));
-        if all_done && self.cancel_at_end > 0 && self.chance(self.cancel_at_end) {
+        if all_done && self.cancel_on_completion > 0 && self.chance(self.cancel_on_completion) {
             self.cancel_job(&key.0);
         }
         if let Some(agent) = self.agents.get_mut(id) {
