--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -437,7 +437,7 @@
         let mut world = World::with_policy(seed, keeping_idle_machines());
         ordinary_jobs(&mut world, 30);
         world.run_for(20 * S);
-        world.longest_answer = 0;
+        world.longest_response_time = 0;
         world.request_burst_size = 300;
         let requests = world.store_requests();
         world.run_for(15 * S);
@@ -446,7 +446,7 @@
         world.run_for(15 * S);
         let each_second = (world.store_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
-        assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
+        assert!(world.longest_response_time <= 3 * S, "{seed}: a user waited {} ms", world.longest_response_time / MS);
         assert_eq!(world.unheld_shards(), 0, "{seed}: a session was lost");
         world.request_burst_size = 0;
         finish(&mut world, &format!("burst {seed}"));
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -244,7 +244,7 @@
     /// Requests that users send to random controllers every 250 ms in addition to their usual ones.
     pub request_burst_size: u32,
     /// Longest time for which a user waited for an answer; requests to controllers that crashed meanwhile don't count.
-    pub longest_answer: u64,
+    pub longest_response_time: u64,
     /// Whether users resubmit known jobs with another content and submit jobs that must be refused.
     pub invalid_requests: bool,
     pub size: Size,
@@ -307,7 +307,7 @@
             cancel_on_acceptance: 0,
             cancel_on_completion: 0,
             request_burst_size: 0,
-            longest_answer: 0,
+            longest_response_time: 0,
             invalid_requests: false,
             size,
             liveness_checked_since: None,
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -351,7 +351,7 @@
             return;
         }
         let Some((requested_at, pending)) = self.nodes[node].users.remove(&request_id) else { return };
-        self.longest_answer = self.longest_answer.max(self.now - requested_at);
+        self.longest_response_time = self.longest_response_time.max(self.now - requested_at);
         let (id, is_cancellation) = match pending {
             PendingRequest::UnknownJob => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
