--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -48,7 +48,7 @@
     let all: Vec<Vec<JobId>> = (0..4).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
     world.run_for(3 * S);
     for ids in &all {
-        let Some(UserAnswer::Status(status)) = world.ask_fresh(0, &ids[1]) else { panic!("no answer") };
+        let Some(UserAnswer::Status(status)) = world.query_job_after_read(0, &ids[1]) else { panic!("no answer") };
         assert_eq!((status.state, status.running), (JobState::Queued, Some(0)), "it waits");
     }
     finish(&mut world, "stages");
@@ -78,7 +78,9 @@
         world.run_for(3 * S);
         for node in 0..3 {
             for id in ids[4..].iter().chain([&later]) {
-                let Some(UserAnswer::Status(status)) = world.ask_fresh(node, id) else { panic!("{id}: no answer") };
+                let Some(UserAnswer::Status(status)) = world.query_job_after_read(node, id) else {
+                    panic!("{id}: no answer")
+                };
                 assert_eq!(status.state, JobState::Cancelled, "{id} at {node}");
             }
         }
@@ -195,7 +197,7 @@
     world.cancel_job(&root);
     world.run_for(3 * S);
     for id in &ids {
-        let Some(UserAnswer::Status(status)) = world.ask_fresh(1, id) else { panic!("{id}: no answer") };
+        let Some(UserAnswer::Status(status)) = world.query_job_after_read(1, id) else { panic!("{id}: no answer") };
         assert_eq!(status.state, JobState::Cancelled, "{id}");
     }
     finish(&mut world, "chain and fan");
@@ -260,7 +262,7 @@
     // The last of all is what it waits for, as read back.
     world.cancel_job(&many[699]);
     world.run_for(5 * S);
-    let answer = world.ask_fresh(0, &last);
+    let answer = world.query_job_after_read(0, &last);
     assert!(matches!(&answer, Some(UserAnswer::Status(s)) if s.state == JobState::Cancelled), "{answer:?}");
     world.cancel_job(&root);
     finish(&mut world, "hundreds awaited");
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -179,7 +179,7 @@
     }
 
     /// Queries a job at one controller and returns the answer, which may follow a read of the store, within 3 s.
-    pub fn ask_fresh(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
+    pub fn query_job_after_read(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
         controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -250,7 +250,7 @@
     pub size: Size,
     /// Time since which no fault is active, so that every job must make progress.
     liveness_checked_since: Option<u64>,
-    /// Answer to the latest request sent by `ask_fresh`.
+    /// Answer to the latest request sent by `query_job_after_read`.
     test_answer: Option<UserAnswer>,
     /// Section of the settings with the future limits of the store.
     next_limits: String,
