--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -113,7 +113,7 @@
         world.cut(45 * S, true, move |a, b| *a == Endpoint::Node(node) && *b == Endpoint::Store);
         world.run_for(6 * S);
         assert_eq!(world.unheld_shards(), 0, "its shares are taken over");
-        let answer = world.ask_at(node, &ids[0]);
+        let answer = world.query_job(node, &ids[0]);
         assert!(matches!(answer, Some(UserAnswer::Unavailable { retry_after_s: 1.. })), "{answer:?}");
         world.run_for(42 * S);
         assert!(machines.iter().all(|id| world.agents.contains_key(id)), "machines were deleted");
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -347,7 +347,7 @@
         for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
             let told = world.jobs[&id].reported_outcome;
             for node in 0..3 {
-                if let Some(burlhatch::coordination::UserAnswer::Status(status)) = world.ask_at(node, &id) {
+                if let Some(burlhatch::coordination::UserAnswer::Status(status)) = world.query_job(node, &id) {
                     assert_eq!(Some(status.state), told, "{seed}: {id} at node {node}");
                 }
             }
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -385,7 +385,7 @@
                 world.run_for(6 * S);
                 assert_eq!(world.unheld_shards(), 0, "{name}: a share has no owner");
                 if matches!(loss, Loss::Everything | Loss::KeyValueStore | Loss::Refused) {
-                    let answer = world.ask_at(node, &services[0]);
+                    let answer = world.query_job(node, &services[0]);
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
                 }
                 let changes = changes_of_holder(&mut world, 1, span + 14 * S);
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -163,7 +163,7 @@
     }
 
     /// Queries a job at one controller and returns the answer, if it comes in the same round.
-    pub fn ask_at(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
+    pub fn query_job(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
         controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
