--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -24,9 +24,9 @@
 /// of the store come late, watches at each controller by another lag.
 fn looked_at(seed: u64, size: Size) -> World {
     let mut world = World::sized(seed, Policy::default(), size);
-    world.close_looks = true;
-    world.cancel_at_once = 3;
-    world.cancel_at_end = 3;
+    world.follow_up_requests = true;
+    world.cancel_on_acceptance = 3;
+    world.cancel_on_completion = 3;
     world.late_answers(600 * S, 4);
     world.lag_watches(800 * MS);
     world
@@ -40,7 +40,10 @@
         small_jobs(&mut world, 1, 60, 40 * S);
         ordinary_jobs(&mut world, 10);
         finish(&mut world, &format!("late answers {seed}"));
-        assert!(world.jobs.values().any(|job| job.told == Some(JobState::Cancelled)), "{seed}: none was cancelled");
+        assert!(
+            world.jobs.values().any(|job| job.reported_outcome == Some(JobState::Cancelled)),
+            "{seed}: none was cancelled"
+        );
     }
 }
 
@@ -50,7 +53,7 @@
     for seed in seeds(91, 6) {
         let mut world = looked_at(seed, SMALL);
         world.heartbeat_copies = 10;
-        world.odd_requests = true;
+        world.invalid_requests = true;
         small_jobs(&mut world, 100, 60, 60 * S);
         ordinary_jobs(&mut world, 15);
         for _ in 0..8 {
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -1,6 +1,6 @@
 //! Jobs that wait for others: nothing starts too early, nothing is orphaned, whatever fails meanwhile.
 
-use super::world::{CANCEL_S, LARGE, MS, Place, S, SMALL, Size, World};
+use super::world::{CANCEL_S, Endpoint, LARGE, MS, S, SMALL, Size, World};
 use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobKind, JobState, Priority};
@@ -39,7 +39,7 @@
 }
 
 fn states(world: &World, ids: &[JobId]) -> Vec<Option<JobState>> {
-    ids.iter().map(|id| world.jobs[id].told).collect()
+    ids.iter().map(|id| world.jobs[id].reported_outcome).collect()
 }
 
 #[test]
@@ -48,7 +48,7 @@
     let all: Vec<Vec<JobId>> = (0..4).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
     world.run_for(3 * S);
     for ids in &all {
-        let Some(UserAnswer::Status(status)) = world.ask_fresh(0, &ids[1]) else { panic!("no answer") };
+        let Some(UserAnswer::Status(status)) = world.query_job_after_read(0, &ids[1]) else { panic!("no answer") };
         assert_eq!((status.state, status.running), (JobState::Queued, Some(0)), "it waits");
     }
     finish(&mut world, "stages");
@@ -59,7 +59,7 @@
     world.run_for(60 * S);
     let late = stage(&mut world, 900, "green", 1, &[all[0][0].clone(), all[1][4].clone()]);
     world.run_for(40 * S);
-    assert_eq!(world.jobs[&late].told, Some(JobState::Done));
+    assert_eq!(world.jobs[&late].reported_outcome, Some(JobState::Done));
 }
 
 /// Cancelled at each stage: what needs the job is withdrawn with it and told so by every controller, what it needs
@@ -71,20 +71,22 @@
         stage(&mut world, 1, "green", 2, &[]);
         let ids = dependency_chain(&mut world, 110);
         world.run_for(2 * S);
-        world.call_off(&ids[stage_of]);
+        world.cancel_job(&ids[stage_of]);
         world.run_for(2 * S);
         let later = stage(&mut world, 800, "blue", 1, &[ids[4].clone()]);
         let unrelated = stage(&mut world, 801, "blue", 1, &[ids[0].clone()]);
         world.run_for(3 * S);
         for node in 0..3 {
             for id in ids[4..].iter().chain([&later]) {
-                let Some(UserAnswer::Status(status)) = world.ask_fresh(node, id) else { panic!("{id}: no answer") };
+                let Some(UserAnswer::Status(status)) = world.query_job_after_read(node, id) else {
+                    panic!("{id}: no answer")
+                };
                 assert_eq!(status.state, JobState::Cancelled, "{id} at {node}");
             }
         }
         finish(&mut world, &format!("cancelled at {stage_of}"));
         let expected = if stage_of == 0 { JobState::Cancelled } else { JobState::Done };
-        assert_eq!(world.jobs[&unrelated].told, Some(expected));
+        assert_eq!(world.jobs[&unrelated].reported_outcome, Some(expected));
         // That follows from the other's outcome, and is written down when there is time for it.
         world.run_for(60 * S);
         let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/batch/")).collect();
@@ -97,15 +99,18 @@
 fn cancelled_as_the_job_before_is_done() {
     for seed in seeds(72, 4) {
         let mut world = World::new(seed);
-        world.cancel_at_end = 2;
+        world.cancel_on_completion = 2;
         for n in 0..8 {
             dependency_chain(&mut world, 100 + n * 10);
         }
         finish(&mut world, &format!("at the end {seed}"));
         for (id, job) in &world.jobs {
-            let before = job.spec.depends_on.iter().map(|b| world.jobs[b].told);
+            let before = job.spec.depends_on.iter().map(|b| world.jobs[b].reported_outcome);
             let orphan = before.clone().any(|told| told == Some(JobState::Cancelled));
-            assert!(!orphan || job.told == Some(JobState::Cancelled), "{seed}: {id} outlived what it needs");
+            assert!(
+                !orphan || job.reported_outcome == Some(JobState::Cancelled),
+                "{seed}: {id} outlived what it needs"
+            );
         }
     }
 }
@@ -126,11 +131,11 @@
         world.run_for(20 * S);
         let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
         if seed % 2 == 0 {
-            let peers = move |a: &Place, b: &Place| *a == Place::Node(owner) && matches!(b, Place::Node(_));
+            let peers = move |a: &Endpoint, b: &Endpoint| *a == Endpoint::Node(owner) && matches!(b, Endpoint::Node(_));
             world.cut(10 * S, true, peers);
         }
         for ids in &all {
-            world.call_off(&ids[0]);
+            world.cancel_job(&ids[0]);
         }
         world.refuse_node(owner, 14 * S);
         world.run_for(2 * S);
@@ -148,7 +153,7 @@
     for seed in seeds(74, 6) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 10;
-        world.odd_requests = true;
+        world.invalid_requests = true;
         ordinary_jobs(&mut world, 12);
         for n in 0..6 {
             let ids = dependency_chain(&mut world, 100 + n * 10);
@@ -189,10 +194,10 @@
     }
     world.run_for(50 * S);
     assert!(ids.iter().all(|id| world.jobs[id].accepted), "not all accepted");
-    world.call_off(&root);
+    world.cancel_job(&root);
     world.run_for(3 * S);
     for id in &ids {
-        let Some(UserAnswer::Status(status)) = world.ask_fresh(1, id) else { panic!("{id}: no answer") };
+        let Some(UserAnswer::Status(status)) = world.query_job_after_read(1, id) else { panic!("{id}: no answer") };
         assert_eq!(status.state, JobState::Cancelled, "{id}");
     }
     finish(&mut world, "chain and fan");
@@ -206,7 +211,7 @@
 fn a_rolling_upgrade_meets_a_crash_an_outage_and_cancellations() {
     for (seed, trouble) in seeds(78, 6).zip(["crash", "outage", "cancel"].into_iter().cycle()) {
         let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 40, capacity: 60, ..LARGE });
-        world.all_old();
+        world.run_previous_version();
         world.lower_limits_at(70 * S, 2048, 4, 18.0);
         ordinary_jobs(&mut world, 20);
         let large: Vec<JobId> = (0..3)
@@ -219,7 +224,7 @@
         world.run_for(20 * S);
         for node in 0..5 {
             if trouble == "cancel" && node == 2 {
-                world.call_off(&large[1]);
+                world.cancel_job(&large[1]);
             }
             world.upgrade(node);
             world.run_for(2 * S);
@@ -255,11 +260,11 @@
     world.crash(0, S);
     world.run_for(5 * S);
     // The last of all is what it waits for, as read back.
-    world.call_off(&many[699]);
+    world.cancel_job(&many[699]);
     world.run_for(5 * S);
-    let answer = world.ask_fresh(0, &last);
+    let answer = world.query_job_after_read(0, &last);
     assert!(matches!(&answer, Some(UserAnswer::Status(s)) if s.state == JobState::Cancelled), "{answer:?}");
-    world.call_off(&root);
+    world.cancel_job(&root);
     finish(&mut world, "hundreds awaited");
     world.run_for(300 * S);
     let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/awaits/")).collect();
@@ -303,7 +308,7 @@
     spec.estimated_runtime_s = 6.0;
     let id = world.submit(500, spec);
     let began = world.now;
-    while world.jobs[&id].told.is_none() && world.now < began + 300 * S {
+    while world.jobs[&id].reported_outcome.is_none() && world.now < began + 300 * S {
         world.run_for(S);
     }
     let took = (world.now - began) / S;
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -2,7 +2,7 @@
 //!
 //!     cargo test --test rules fingerprint -- --nocapture
 
-use super::world::{MS, Place, S, World};
+use super::world::{Endpoint, MS, S, World};
 use super::{finish, ordinary_jobs, seeds};
 
 /// A day with most kinds of troubles, and what the controllers did in it.
@@ -10,8 +10,8 @@
     let mut world = World::new(seed);
     ordinary_jobs(&mut world, 25);
     world.lag_watches(200 * MS);
-    world.close_looks = true;
-    world.cancel_at_end = 6;
+    world.follow_up_requests = true;
+    world.cancel_on_completion = 6;
     for step in 0..8 {
         world.run_for(5 * S);
         let nth = world.pick(9) as usize;
@@ -25,7 +25,7 @@
             4 => world.kill_machine(nth),
             5 => world.late_writes(span, 5),
             6 => world.freeze(node, span.min(4 * S)),
-            _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
+            _ => world.cut(span, true, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_))),
         }
     }
     finish(&mut world, &format!("fingerprint {seed}"));
--- a/tests/rules/meetings.rs
+++ b/tests/rules/meetings.rs
@@ -1,7 +1,7 @@
 //! Two troubles at once. Most rules that broke on real days broke when two troubles met; each test here brings
 //! such a meeting about. Those of cancellations with outages are in `cancellations.rs`.
 
-use super::world::{MS, Place, S, SMALL, Size, World};
+use super::world::{Endpoint, MS, S, SMALL, Size, World};
 use super::{finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::JobKind;
 use burlhatch::settings::Policy;
@@ -13,7 +13,7 @@
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
         if world.chance(one_in) {
-            world.call_off(&id);
+            world.cancel_job(&id);
         }
     }
 }
@@ -55,7 +55,7 @@
         world.run_for(22 * S);
         let lost: BTreeSet<MachineId> = (0..3).filter_map(|n| world.nth_agent(n * 2)).collect();
         let hold = seed % 2 == 0;
-        world.cut(28 * S, hold, move |a, _| matches!(a, Place::Agent(id) if lost.contains(id)));
+        world.cut(28 * S, hold, move |a, _| matches!(a, Endpoint::Agent(id) if lost.contains(id)));
         for role in ["leader", "share/0", "share/1"] {
             if let Some(node) = world.holder(role) {
                 world.crash(node, 5 * S);
@@ -92,7 +92,7 @@
                 1 => world.hang(nth, 25 * S),
                 _ => {
                     let lost = world.nth_agent(nth).expect("a machine");
-                    world.cut(15 * S, true, move |a, _| *a == Place::Agent(lost.clone()));
+                    world.cut(15 * S, true, move |a, _| *a == Endpoint::Agent(lost.clone()));
                 }
             }
             world.run_for(6 * S);
@@ -141,7 +141,7 @@
             if let Some(id) = world.nth_agent(nth) {
                 // From a few seconds to longer than a lease.
                 let span = if round % 3 == 2 { 24 * S } else { 3 * S };
-                world.cut(span, true, move |a, b| *a == Place::Agent(id.clone()) && *b == Place::Node(node));
+                world.cut(span, true, move |a, b| *a == Endpoint::Agent(id.clone()) && *b == Endpoint::Node(node));
             }
             match round % 3 {
                 0 => world.crash(node, 2 * S),
@@ -167,7 +167,9 @@
         world.run_for(20 * S);
         let old = world.holder("leader").expect("somebody leads");
         let hold = seed % 2 == 0;
-        world.cut(60 * S, hold, move |a, b| *a == Place::Node(old) && matches!(b, Place::Store | Place::Node(_)));
+        world.cut(60 * S, hold, move |a, b| {
+            *a == Endpoint::Node(old) && matches!(b, Endpoint::Store | Endpoint::Node(_))
+        });
         world.run_for(500 * MS);
         call_off_some(&mut world, 3);
         world.run_for(5 * S);
@@ -247,7 +249,7 @@
             .filter(|n| world.agents.values().nth(*n).is_some_and(|w| w.tasks.keys().any(|k| services.contains(&k.0))))
             .collect();
         let nth = serving.first().copied().unwrap_or(0);
-        let unreported = world.unreported(nth, 300 * S).expect("a machine");
+        let unreported = world.drop_heartbeats(nth, 300 * S).expect("a machine");
         if seed % 2 == 1 {
             let node = world.holder("share/2").expect("owned");
             world.crash(node, 4 * S);
@@ -256,7 +258,7 @@
         assert!(!world.agents.contains_key(&unreported), "{seed}: {unreported} is still there");
         for id in &services {
             assert_eq!(world.running(id), 2, "{seed}: {id} is not up again");
-            world.call_off(id);
+            world.cancel_job(id);
         }
         finish(&mut world, &format!("mute {seed}"));
     }
@@ -271,7 +273,7 @@
     world.run_for(30 * S);
     let before: Vec<MachineId> = world.agents.keys().cloned().collect();
     for nth in 0..before.len() {
-        world.unreported(nth, 25 * S);
+        world.drop_heartbeats(nth, 25 * S);
     }
     world.run_for(40 * S);
     let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
@@ -296,7 +298,7 @@
         match seed % 3 {
             0 => {
                 let lost: BTreeSet<MachineId> = (0..2).filter_map(|n| world.nth_agent(n * 3)).collect();
-                world.cut(26 * S, true, move |a, _| matches!(a, Place::Agent(id) if lost.contains(id)));
+                world.cut(26 * S, true, move |a, _| matches!(a, Endpoint::Agent(id) if lost.contains(id)));
             }
             1 => {
                 for nth in 0..2 {
@@ -306,9 +308,9 @@
             _ => {
                 let zone: BTreeSet<MachineId> =
                     world.agents.iter().filter(|(_, w)| w.zone == "b").map(|(id, _)| id.clone()).collect();
-                let inside = move |place: &Place| match place {
-                    Place::Node(node) => *node == (owner + 1) % 3,
-                    Place::Agent(id) => zone.contains(id),
+                let inside = move |place: &Endpoint| match place {
+                    Endpoint::Node(node) => *node == (owner + 1) % 3,
+                    Endpoint::Agent(id) => zone.contains(id),
                     _ => false,
                 };
                 world.cut(32 * S, true, move |a, b| inside(a) != inside(b));
@@ -329,8 +331,8 @@
 fn requests_at_the_end_of_the_last_task_and_odd_ones() {
     for seed in seeds(41, 4) {
         let mut world = World::new(seed);
-        world.cancel_at_end = 2;
-        world.odd_requests = true;
+        world.cancel_on_completion = 2;
+        world.invalid_requests = true;
         ordinary_jobs(&mut world, 60);
         for round in 0..5 {
             world.run_for(12 * S);
@@ -343,9 +345,9 @@
         }
         finish(&mut world, &format!("at the end {seed}"));
         for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
-            let told = world.jobs[&id].told;
+            let told = world.jobs[&id].reported_outcome;
             for node in 0..3 {
-                if let Some(burlhatch::coordination::UserAnswer::Status(status)) = world.ask_at(node, &id) {
+                if let Some(burlhatch::coordination::UserAnswer::Status(status)) = world.query_job(node, &id) {
                     assert_eq!(Some(status.state), told, "{seed}: {id} at node {node}");
                 }
             }
@@ -359,8 +361,8 @@
     for seed in seeds(42, 6) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 10, capacity: 20, ..SMALL });
         world.heartbeat_copies = 5;
-        world.cancel_at_end = 6;
-        world.odd_requests = true;
+        world.cancel_on_completion = 6;
+        world.invalid_requests = true;
         ordinary_jobs(&mut world, 45);
         for _ in 0..10 {
             world.run_for(5 * S);
@@ -368,11 +370,12 @@
             let span = (1 + world.pick(25)) * S;
             match world.pick(9) {
                 0 => world.late_writes(span, 4),
-                1 => drop(world.unreported(nth, span)),
+                1 => drop(world.drop_heartbeats(nth, span)),
                 2 => drop(world.make_unreachable(nth, span)),
                 3 => call_off_some(&mut world, 10),
-                4 => world
-                    .cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Store | Place::Node(_))),
+                4 => world.cut(span, true, move |a, b| {
+                    *a == Endpoint::Node(node) && matches!(b, Endpoint::Store | Endpoint::Node(_))
+                }),
                 5 => world.crash(node, 300 * MS),
                 6 => world.store_outage(span),
                 7 => world.hang(nth, span),
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -1,7 +1,7 @@
 //! Troubles that operators met on call: controllers without part of the network, those that stand still, boots that
 //! fail, guests who fill everything, jobs that can never succeed.
 
-use super::world::{MS, Place, S, SMALL, Size, World};
+use super::world::{Endpoint, MS, S, SMALL, Size, World};
 use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobKind, JobSpec, JobState, Priority};
@@ -71,7 +71,7 @@
         let node = world.holder("share/1").expect("owned");
         let mut changes = 0;
         for _ in 0..3 {
-            world.cut(16 * S, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
+            world.cut(16 * S, hold, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_)));
             changes += changes_of_holder(&mut world, 1, 40 * S);
         }
         let lost = count_gone(&world, &before);
@@ -98,7 +98,7 @@
 }
 
 fn call_off_all(world: &mut World, ids: &[JobId]) {
-    ids.iter().for_each(|id| world.call_off(id));
+    ids.iter().for_each(|id| world.cancel_job(id));
 }
 
 /// Jobs with a mistake fail wherever they run until their users cancel them. They are tried ever more rarely and one
@@ -121,7 +121,7 @@
         let again = starts(&world) - begun;
         assert!(again <= 5 * 8, "{seed}: tasks of broken jobs were started {again} times in a minute");
         assert!(world.started - all >= u64::from(again) + 24, "{seed}: the others did not start");
-        let late = healthy.iter().filter(|id| world.jobs[*id].told != Some(JobState::Done)).count();
+        let late = healthy.iter().filter(|id| world.jobs[*id].reported_outcome != Some(JobState::Done)).count();
         assert_eq!(late, 0, "{seed}: healthy jobs are not done after a minute");
         let lost = count_gone(&world, &before);
         assert_eq!(lost, 0, "{seed}: machines were given back or replaced");
@@ -144,7 +144,7 @@
         let broken = submit_broken(&mut world, 1, S);
         let nth = world.pick(5) as usize;
         let sick = world.nth_agent(nth).expect("a machine");
-        world.sicken(nth);
+        world.make_faulty(nth);
         let mut number = 100;
         for _ in 0..30 {
             for team in TEAMS {
@@ -192,17 +192,17 @@
     for seed in seeds(65, 4) {
         let size = Size { machines: 1, capacity: 24, ..SMALL };
         let mut world = World::sized(seed, Policy::default(), size);
-        world.cloud.spot_is_dead = true;
+        world.cloud.spot_never_boots = true;
         world.cloud.never_up = 0;
         world.run_for(5 * S);
         let ids: Vec<JobId> = (0..3).map(|n| world.submit(n + 1, wide_array("green", 6, 20.0))).collect();
         // Long before those that don't come up are given up, which is after 30 s.
         world.run_for(25 * S);
-        assert!(world.cloud.rented[0] > 0, "{seed}: no ordinary machine was rented");
+        assert!(world.cloud.created_instances[0] > 0, "{seed}: no ordinary machine was rented");
         world.run_for(125 * S);
-        let done = ids.iter().filter(|id| world.jobs[*id].told == Some(JobState::Done)).count();
+        let done = ids.iter().filter(|id| world.jobs[*id].reported_outcome == Some(JobState::Done)).count();
         assert_eq!(done, 3, "{seed}: {done} of 3 done after 150 s");
-        let [_, spot] = world.cloud.rented;
+        let [_, spot] = world.cloud.created_instances;
         assert!(spot <= 30, "{seed}: {spot} spot machines were rented in vain");
         finish(&mut world, &format!("dead spot {seed}"));
     }
@@ -224,7 +224,7 @@
         let leader = world.holder("leader").expect("somebody leads");
         world.freeze(leader, 6 * S);
         world.run_for(60 * S);
-        let rented: usize = world.cloud.rented.iter().sum();
+        let rented: usize = world.cloud.created_instances.iter().sum();
         assert!(rented <= 60, "{seed}: {rented} machines were rented for 24 tasks");
         world.cloud.boot_percent = 100;
         finish(&mut world, &format!("late boots {seed}"));
@@ -250,7 +250,7 @@
         spec.estimated_runtime_s = 1.0;
         let huge = world.submit(100, spec);
         world.run_for(400 * S);
-        assert_eq!(world.jobs[&huge].told, Some(JobState::Done), "{seed}: not done after 400 s");
+        assert_eq!(world.jobs[&huge].reported_outcome, Some(JobState::Done), "{seed}: not done after 400 s");
         assert!(world.violations.is_empty(), "{seed}: {:?}", world.violations);
     }
 }
@@ -282,7 +282,7 @@
         let left = world.agents.values().filter(|w| w.tasks.keys().any(|k| guests.contains(&k.0))).count();
         assert!(left >= 4, "{seed}: the guest is left with {left} machines");
         for id in &guests {
-            world.call_off(id);
+            world.cancel_job(id);
         }
         finish(&mut world, &format!("guest {seed}"));
         world.run_for(400 * S);
@@ -304,7 +304,7 @@
         world.run_for(40 * S);
         assert!(world.jobs[&house].begun.is_some(), "{seed}: not begun after 40 s");
         assert!(world.running(&guest) >= 5, "{seed}: {} tasks of the guest are left", world.running(&guest));
-        world.call_off(&guest);
+        world.cancel_job(&guest);
         finish(&mut world, &format!("guest's share {seed}"));
     }
 }
@@ -356,12 +356,12 @@
 const LOSSES: [Loss; 5] = [Loss::Everything, Loss::KeyValueStore, Loss::Agents, Loss::Siblings, Loss::Refused];
 
 fn lose(world: &mut World, node: usize, loss: Loss, span: u64, hold: bool) {
-    let it = Place::Node(node);
+    let it = Endpoint::Node(node);
     match loss {
         Loss::Everything => world.cut(span, hold, move |a, _| *a == it),
-        Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
-        Loss::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Agent(_))),
-        Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
+        Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Endpoint::Store),
+        Loss::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Endpoint::Agent(_))),
+        Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Endpoint::Node(_))),
         Loss::Refused => world.refuse_node(node, span),
     }
 }
@@ -383,9 +383,9 @@
                 let node = world.holder(role).expect("held");
                 lose(&mut world, node, loss, span, hold);
                 world.run_for(6 * S);
-                assert_eq!(world.unowned_shards(), 0, "{name}: a share has no owner");
+                assert_eq!(world.unheld_shards(), 0, "{name}: a share has no owner");
                 if matches!(loss, Loss::Everything | Loss::KeyValueStore | Loss::Refused) {
-                    let answer = world.ask_at(node, &services[0]);
+                    let answer = world.query_job(node, &services[0]);
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
                 }
                 let changes = changes_of_holder(&mut world, 1, span + 14 * S);
@@ -421,7 +421,7 @@
             world.run_for(span + 1500 * MS);
         }
         world.run_for(8 * S);
-        assert_eq!(world.unowned_shards(), 0, "{seed}: a share has no owner");
+        assert_eq!(world.unheld_shards(), 0, "{seed}: a share has no owner");
         let lost = count_gone(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
         finish(&mut world, &format!("standstill {seed}"));
@@ -437,8 +437,8 @@
         let mut world = World::with_policy(seed, keeping_idle_machines());
         ordinary_jobs(&mut world, 30);
         world.run_for(20 * S);
-        world.longest_answer = 0;
-        world.question_burst = 300;
+        world.longest_response_time = 0;
+        world.request_burst_size = 300;
         let requests = world.store_requests();
         world.run_for(15 * S);
         let node = world.holder("share/0").expect("owned");
@@ -446,9 +446,9 @@
         world.run_for(15 * S);
         let each_second = (world.store_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
-        assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
-        assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
-        world.question_burst = 0;
+        assert!(world.longest_response_time <= 3 * S, "{seed}: a user waited {} ms", world.longest_response_time / MS);
+        assert_eq!(world.unheld_shards(), 0, "{seed}: a session was lost");
+        world.request_burst_size = 0;
         finish(&mut world, &format!("burst {seed}"));
     }
 }
--- a/tests/rules/world/control.rs
+++ b/tests/rules/world/control.rs
@@ -1,7 +1,7 @@
-//! Controllers: inputs in, effects carried out.
+//! Controllers: receive inputs, and have their effects executed.
 
-use super::network::Fate;
-use super::{Event, MS, Place, S, STORE_TIMEOUT, World, store};
+use super::network::Delivery;
+use super::{Endpoint, Event, MS, S, STORE_TIMEOUT, World, store};
 use burlhatch::coordination::{
     AgentAnswer, CallFailure, Clock, CloudCall, CloudOutcome, DirectCommandsOutcome, Effect, Input, RequestId,
     StoreCall, UserAnswer, UserRequest,
@@ -10,23 +10,23 @@
 use burlhatch::protocol::peer::{CancellationAck, CancellationNotice};
 use burlhatch::types::{JobId, MachineId, Micros};
 
-/// How long a controller waits for a sibling's answer.
+/// Time after which a controller stops waiting for a sibling's answer.
 const PEER_TIMEOUT: u64 = 700 * MS;
-/// How long a controller waits for the cloud's answer.
+/// Time after which a controller stops waiting for the cloud's answer.
 const CLOUD_TIMEOUT: u64 = 5 * S;
-/// How long a controller waits for an agent's answer to direct commands.
+/// Time after which a controller stops waiting for an agent's answer to direct commands.
 const DIRECT_COMMANDS_TIMEOUT: u64 = 2500 * MS;
 
 impl World {
     pub(super) fn clock(&self, node: usize) -> Clock {
         let n = &self.nodes[node];
         Clock {
-            steady: Micros(((self.now - n.began) as f64 * n.drift) as u64 + 1),
+            steady: Micros(((self.now - n.started_at) as f64 * n.drift) as u64 + 1),
             wall: Micros(1_700_000_000 * S + self.now + node as u64 * 20 * MS),
         }
     }
 
-    pub(super) fn feed(&mut self, node: usize, input: Input) {
+    pub(super) fn deliver_input(&mut self, node: usize, input: Input) {
         let clock = self.clock(node);
         let _at = tracing::error_span!("at", ms = self.now / MS, node).entered();
         let frozen = self.now < self.nodes[node].frozen_until;
@@ -38,17 +38,17 @@
             return;
         }
         controller.handle(clock, input);
-        let mut looks = 50;
+        let mut checks_left = 50;
         let effects = controller.round(clock, &mut || {
-            looks -= 1;
-            looks > 0
+            checks_left -= 1;
+            checks_left > 0
         });
         for effect in effects {
-            self.carry_out(node, effect);
+            self.execute_effect(node, effect);
         }
     }
 
-    pub(super) fn carry_out(&mut self, node: usize, effect: Effect) {
+    pub(super) fn execute_effect(&mut self, node: usize, effect: Effect) {
         self.fingerprint.add(self.now, node, &effect);
         match effect {
             Effect::AnswerUser(request_id, answer) => self.user_answer(node, request_id, answer),
@@ -64,35 +64,35 @@
     fn answer_agent(&mut self, node: usize, request_id: RequestId, answer: AgentAnswer) {
         let Some((machine, serial)) = self.nodes[node].agents.remove(&request_id) else { return };
         self.check_renewal(node, &machine, serial, &answer);
-        match self.fate(&Place::Node(node), &Place::Agent(machine.clone())) {
-            Fate::Arrives(delay) | Fate::Held(delay) => {
-                self.at(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
+        match self.delivery(&Endpoint::Node(node), &Endpoint::Agent(machine.clone())) {
+            Delivery::Arrives(delay) | Delivery::Held(delay) => {
+                self.schedule(delay, Event::HeartbeatAnswer { machine, serial, answer: Some(answer) });
             }
-            Fate::Refused => self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
+            Delivery::Refused => self.schedule(MS, Event::HeartbeatAnswer { machine, serial, answer: None }),
         }
     }
 
     fn answer_peer(&mut self, node: usize, request_id: RequestId, answer: CancellationAck) {
         if let Some(caller) = self.nodes[node].peers.remove(&request_id) {
             let input = Input::PeerAnswer { call: caller.number, answer: Some(answer) };
-            self.reply(Place::Node(node), caller.node, caller.life, caller.call, input);
+            self.reply(Endpoint::Node(node), caller.node, caller.generation, caller.call, input);
         }
     }
 
     fn call_peer(&mut self, node: usize, number: u64, to: &str, message: &CancellationNotice) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         let Some(to) = to.strip_prefix("node-").and_then(|n| n.parse().ok()) else { return };
         self.call(
             node,
-            Place::Node(to),
+            Endpoint::Node(to),
             PEER_TIMEOUT,
-            |call| Event::Peer { node, life, call, to, number, message: message.clone() },
+            |call| Event::Peer { node, generation, call, to, number, message: message.clone() },
             |_| Input::PeerAnswer { call: number, answer: None },
         );
     }
 
     fn call_store(&mut self, node: usize, request: StoreCall) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         let timeout = match &request {
             StoreCall::Changes { wait_ms, .. } => wait_ms * MS + STORE_TIMEOUT,
             _ => STORE_TIMEOUT,
@@ -102,33 +102,33 @@
         if is_txn && may_be_late && self.chance(self.late_writes.1) {
             let call = self.open_call();
             let late = 2 * S + self.pick(10 * S);
-            let input = store::failed(&request, CallFailure::Indeterminate);
-            self.at(late, Event::Store { node, life, call, request });
-            return self.at(timeout, Event::Outcome { node, life, call, input });
+            let input = store::failure_input(&request, CallFailure::Indeterminate);
+            self.schedule(late, Event::Store { node, generation, call, request });
+            return self.schedule(timeout, Event::Outcome { node, generation, call, input });
         }
         self.call(
             node,
-            Place::Store,
+            Endpoint::Store,
             timeout,
-            |call| Event::Store { node, life, call, request: request.clone() },
-            |failure| store::failed(&request, failure),
+            |call| Event::Store { node, generation, call, request: request.clone() },
+            |failure| store::failure_input(&request, failure),
         );
     }
 
     fn call_cloud(&mut self, node: usize, number: u64, request: &CloudCall) {
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         self.call(
             node,
-            Place::Cloud,
+            Endpoint::Cloud,
             CLOUD_TIMEOUT,
-            |call| Event::Cloud { node, life, call, number, request: request.clone() },
+            |call| Event::Cloud { node, generation, call, number, request: request.clone() },
             |_| Input::Cloud { call: number, outcome: CloudOutcome::Failed },
         );
     }
 
     fn call_agent(&mut self, node: usize, machine: MachineId, commands: DirectCommands) {
-        let life = self.nodes[node].life;
-        // Without commands nothing can be carried out late.
+        let generation = self.nodes[node].generation;
+        // A request without commands has no effect, even if it arrives late.
         let is_empty = commands.commands.is_empty();
         let failed = |machine: &MachineId, failure: CallFailure| {
             let failure = if is_empty { CallFailure::NotExecuted } else { failure };
@@ -137,27 +137,33 @@
         if let Some(late) = self.command_delay() {
             let call = self.open_call();
             let input = failed(&machine, CallFailure::Indeterminate);
-            self.at(late, Event::DirectCommands { node, life, call, machine, commands });
-            return self.at(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, life, call, input });
+            self.schedule(late, Event::DirectCommands { node, generation, call, machine, commands });
+            return self.schedule(DIRECT_COMMANDS_TIMEOUT, Event::Outcome { node, generation, call, input });
         }
         self.call(
             node,
-            Place::Agent(machine.clone()),
+            Endpoint::Agent(machine.clone()),
             DIRECT_COMMANDS_TIMEOUT,
-            |call| Event::DirectCommands { node, life, call, machine: machine.clone(), commands: commands.clone() },
+            |call| Event::DirectCommands {
+                node,
+                generation,
+                call,
+                machine: machine.clone(),
+                commands: commands.clone(),
+            },
             |failure| failed(&machine, failure),
         );
     }
 
-    /// Names a call whose answer, or the end of waiting for it, is still to come.
+    /// Opens a call and returns its number; the answer or the timeout closes it.
     fn open_call(&mut self) -> u64 {
         self.next_call += 1;
         self.open_calls.insert(self.next_call, ());
         self.next_call
     }
 
-    /// One controller's answer to a question about a job, if it comes at once.
-    pub fn ask_at(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
+    /// Queries a job at one controller and returns the answer, if it comes in the same round.
+    pub fn query_job(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
         controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
@@ -165,25 +171,25 @@
         let mut answer = None;
         for effect in effects {
             match effect {
-                Effect::AnswerUser(u64::MAX, given) => answer = Some(given),
-                other => self.carry_out(node, other),
+                Effect::AnswerUser(u64::MAX, received) => answer = Some(received),
+                other => self.execute_effect(node, other),
             }
         }
         answer
     }
 
-    /// One controller's answer to a question about a job, after the read that it may need.
-    pub fn ask_fresh(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
+    /// Queries a job at one controller and returns the answer, which may follow a read of the store, within 3 s.
+    pub fn query_job_after_read(&mut self, node: usize, id: &JobId) -> Option<UserAnswer> {
         let clock = self.clock(node);
         let controller = self.nodes[node].controller.as_mut()?;
         controller.handle(clock, Input::User(u64::MAX, UserRequest::Get(id.clone())));
-        self.overheard = None;
+        self.test_answer = None;
         for _ in 0..60 {
             self.run_for(50 * MS);
-            if self.overheard.is_some() {
+            if self.test_answer.is_some() {
                 break;
             }
         }
-        self.overheard.take()
+        self.test_answer.take()
     }
 }
--- a/tests/rules/world/mod.rs
+++ b/tests/rules/world/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated world, written from the protocol page: store, cloud, agents, users and
-//! the network between them. It drives the pure state machines of several controllers on simulated time
-//! and fixed seeds, breaks things, and checks the protocol's rules after every step.
+//! Deterministic simulation of a deployment: store, cloud, agents, users and the network between them, as the protocol
+//! page describes them. Drives the pure state machines of several controllers on simulated time from a fixed seed,
+//! injects faults and checks the rules of the protocol at each step.
 
 mod agent;
 mod checks;
@@ -24,8 +24,8 @@
 use burlhatch::types::{JobId, MachineId};
 use cloud::Cloud;
 use fingerprint::Fingerprint;
-pub use network::Place;
-use network::{Cut, Fate, LateCommands};
+pub use network::Endpoint;
+use network::{Cut, Delivery, LateCommands};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use records::Records;
@@ -35,15 +35,15 @@
 pub use store::Limits;
 use store::Store;
 pub use users::UserJob;
-use users::{Asked, Look};
+use users::{JobRequest, PendingRequest};
 
 pub const MS: u64 = 1_000;
 pub const S: u64 = 1_000_000;
 pub const CANCEL_S: u64 = 40;
-/// How long a controller waits for an answer of the store.
+/// Time after which a controller stops waiting for an answer of the store.
 const STORE_TIMEOUT: u64 = 1500 * MS;
 
-/// The agents' times.
+/// Intervals that the agents keep, in microseconds like every time of the simulation.
 #[derive(Clone, Copy)]
 pub struct Times {
     pub heartbeat: u64,
@@ -52,19 +52,20 @@
 }
 
 pub const TIMES: Times = Times { heartbeat: 3 * S, lease: 20 * S, cancel: CANCEL_S * S };
-/// Heartbeats that come rarely, in long leases.
+/// Rare heartbeats with long leases.
 pub const SLOW_HEARTBEATS: Times = Times { heartbeat: 10 * S, lease: 45 * S, cancel: 65 * S };
-/// Short leases, and little time for a cancellation.
+/// Short leases with little time for a cancellation.
 pub const SHORT_LEASES: Times = Times { heartbeat: 1500 * MS, lease: 14 * S, cancel: 39 * S };
 
-/// How large a world is.
+/// Size of a simulated deployment.
 #[derive(Clone, Copy)]
 pub struct Size {
     pub nodes: usize,
-    /// Machines up at the start, and most machines at a time.
+    /// Machines that are up at the start.
     pub machines: usize,
+    /// Machines that the cloud provides at the same time at most.
     pub capacity: usize,
-    /// Changes the store takes in a second.
+    /// Writes that the store accepts per second.
     pub write_rps: f64,
     pub zones: &'static [&'static str],
     pub times: Times,
@@ -101,37 +102,37 @@
 
 enum Event {
     Tick(usize, u64),
-    /// A request reaches a service; `call` names it for the answer.
+    /// Arrival of a request at the store; the answer refers to it by `call`.
     Store {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         request: StoreCall,
     },
     Cloud {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         number: u64,
         request: CloudCall,
     },
     DirectCommands {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         machine: MachineId,
         commands: DirectCommands,
     },
-    /// An answer, or the moment the caller gives up, whichever comes first.
+    /// Arrival of an answer, or the timeout of the caller; only the earlier of the two has an effect.
     Outcome {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         input: Input,
     },
     Peer {
         node: usize,
-        life: u64,
+        generation: u64,
         call: u64,
         to: usize,
         number: u64,
@@ -157,41 +158,42 @@
     AgentStep {
         machine: MachineId,
     },
-    Boots {
+    Booted {
         machine: MachineId,
     },
     Users,
-    /// A user looks closely: asks one controller now.
-    Look {
+    /// A user sends a request about a job to one controller.
+    JobRequest {
         node: usize,
         id: JobId,
-        look: Look,
+        kind: JobRequest,
     },
     Restart(usize),
     Thaw(usize, u64),
 }
 
-/// A sibling's call: whose, in which of its lives, the call, and its own number for it.
+/// Origin of a sibling's message: the sender, the generation of its process, the call, and the sender's number for it.
 struct PeerCall {
     node: usize,
-    life: u64,
+    generation: u64,
     call: u64,
     number: u64,
 }
 
 struct Node {
     controller: Option<Controller>,
-    life: u64,
-    began: u64,
+    /// Number of the controller's process; events of earlier processes are ignored.
+    generation: u64,
+    started_at: u64,
     drift: f64,
     next_request_id: u64,
-    users: BTreeMap<u64, (u64, Asked)>,
+    users: BTreeMap<u64, (u64, PendingRequest)>,
     agents: BTreeMap<u64, (MachineId, u64)>,
-    /// Siblings that wait for an answer.
+    /// Siblings that wait for an answer, by request id.
     peers: BTreeMap<u64, PeerCall>,
-    /// It stands still until then while its clocks run on.
+    /// Time until which the controller is paused while its clocks run on.
     frozen_until: u64,
-    /// What reached it meanwhile.
+    /// Inputs that arrived during the pause.
     backlog: Vec<Input>,
 }
 
@@ -211,50 +213,52 @@
     next_serial: u64,
     pub jobs: BTreeMap<JobId, UserJob>,
     pub violations: Vec<String>,
+    /// Number of task starts.
     pub started: u64,
     pub policy: Policy,
-    /// Late copies of direct commands and transactions, one in so many.
+    /// One in this many requests to the store, an agent or a sibling arrives a second time, late; 0 for none.
     copies: u32,
-    /// Late copies of heartbeats, one in so many; 0 for none.
+    /// One in this many heartbeats arrives a second time, late; 0 for none.
     pub heartbeat_copies: u32,
-    /// Until then transactions, one in so many, get no answer and are carried out 2 to 12 s later.
+    /// Until the first value, one in the second value of the transactions gets no answer and is executed 2 to 12 s
+    /// later.
     late_writes: (u64, u32),
-    /// Only those of this controller.
+    /// Restricts `late_writes` to the transactions of this controller.
     late_writer: Option<usize>,
-    /// Direct commands that are held up on their way, unanswered, and carried out once, if any are.
+    /// Delays of direct commands, if some are delayed: the sender gets no answer, and the agent executes them once.
     late_commands: Option<LateCommands>,
-    /// Until then every packet takes so much longer at most.
+    /// Until the first value, each packet is delayed by up to the second value more.
     slow: (u64, u64),
-    /// Until then an answer of the store, one in so many, takes up to the time limit, though the request was
-    /// carried out at once.
+    /// Until the first value, one in the second value of the store's answers is delayed by up to the timeout, though
+    /// the store executed the request at once.
     late_answers: (u64, u32),
-    /// How much later each controller's watch is answered.
+    /// Additional delay of the answers to each controller's watch.
     watch_lag: Vec<u64>,
-    /// Users ask at all controllers within milliseconds after a job was accepted, ended or cancelled, and repeat
-    /// submissions there, also of a job whose first answer is still on its way.
-    pub close_looks: bool,
-    /// They call a job off just when it was accepted, one in so many; 0 for none.
-    pub cancel_at_once: u32,
-    /// Users call off a job as it ends, one in so many; 0 for none.
-    pub cancel_at_end: u32,
-    /// Questions that users ask at random controllers in each quarter of a second, besides their usual ones.
-    pub question_burst: u32,
-    /// The longest time that a user waited for an answer, of controllers that had not ended.
-    pub longest_answer: u64,
-    /// Users repeat known jobs with whatever else in them, and send jobs that can't be taken.
-    pub odd_requests: bool,
+    /// Whether users query all controllers within milliseconds after a job was accepted, ended or cancelled, and repeat
+    /// its submission there, also while the answer to the first submission is still in flight.
+    pub follow_up_requests: bool,
+    /// Users cancel one in this many jobs as soon as its acceptance is reported; 0 for none.
+    pub cancel_on_acceptance: u32,
+    /// Users cancel one in this many jobs as its last task completes; 0 for none.
+    pub cancel_on_completion: u32,
+    /// Requests that users send to random controllers every 250 ms in addition to their usual ones.
+    pub request_burst_size: u32,
+    /// Longest time for which a user waited for an answer; requests to controllers that crashed meanwhile don't count.
+    pub longest_response_time: u64,
+    /// Whether users resubmit known jobs with another content and submit jobs that must be refused.
+    pub invalid_requests: bool,
     pub size: Size,
-    /// Since when there are no troubles any more.
-    calm_since: Option<u64>,
-    /// An answer to a question of a test's own.
-    overheard: Option<UserAnswer>,
-    /// What the controllers' settings say of limits to come.
+    /// Time since which no fault is active, so that every job must make progress.
+    liveness_checked_since: Option<u64>,
+    /// Answer to the latest request sent by `query_job_after_read`.
+    test_answer: Option<UserAnswer>,
+    /// Section of the settings with the future limits of the store.
     next_limits: String,
-    /// Controllers of the version before: they don't read that yet, and follow the first rules for records.
-    old: BTreeSet<usize>,
-    /// What was written, checked record by record.
+    /// Controllers that run the previous version: they don't read `next_limits` and write the first version of records.
+    previous_version: BTreeSet<usize>,
+    /// Replica of the stored records, which checks each committed transaction.
     pub records: Records,
-    /// Everything that the controllers had carried out.
+    /// Hash over all effects of the controllers.
     pub fingerprint: Fingerprint,
 }
 
@@ -299,17 +303,17 @@
             slow: (0, 0),
             late_answers: (0, 1),
             watch_lag: vec![0; size.nodes],
-            close_looks: false,
-            cancel_at_once: 0,
-            cancel_at_end: 0,
-            question_burst: 0,
-            longest_answer: 0,
-            odd_requests: false,
+            follow_up_requests: false,
+            cancel_on_acceptance: 0,
+            cancel_on_completion: 0,
+            request_burst_size: 0,
+            longest_response_time: 0,
+            invalid_requests: false,
             size,
-            calm_since: None,
-            overheard: None,
+            liveness_checked_since: None,
+            test_answer: None,
             next_limits: String::new(),
-            old: BTreeSet::new(),
+            previous_version: BTreeSet::new(),
             records: Records::new(size.nodes),
             fingerprint: Fingerprint::default(),
         };
@@ -317,8 +321,8 @@
             let drift = 1.0 + world.rng.random_range(-0.0005..0.0005);
             let node = Node {
                 controller: None,
-                life: 0,
-                began: 0,
+                generation: 0,
+                started_at: 0,
                 drift,
                 next_request_id: 0,
                 users: BTreeMap::new(),
@@ -328,16 +332,16 @@
                 backlog: Vec::new(),
             };
             world.nodes.push(node);
-            world.at(10 * MS * i as u64, Event::Restart(i));
+            world.schedule(10 * MS * i as u64, Event::Restart(i));
         }
         for i in 0..size.machines {
             world.boot("small", size.zones[i % size.zones.len()], false, 0);
         }
-        world.at(0, Event::Users);
+        world.schedule(0, Event::Users);
         world
     }
 
-    fn at(&mut self, delay: u64, event: Event) {
+    fn schedule(&mut self, delay: u64, event: Event) {
         self.next_event += 1;
         self.events.insert(self.next_event, event);
         self.queue.push(Reverse((self.now + delay, self.next_event)));
@@ -372,16 +376,16 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Restart(node) => self.restart(node),
-            Event::Tick(node, life) => self.tick(node, life),
-            Event::Thaw(node, life) => self.thaw(node, life),
-            Event::Outcome { node, life, call, input } => {
-                if self.open_calls.remove(&call).is_some() && self.nodes[node].life == life {
-                    self.feed(node, input);
+            Event::Tick(node, generation) => self.tick(node, generation),
+            Event::Thaw(node, generation) => self.thaw(node, generation),
+            Event::Outcome { node, generation, call, input } => {
+                if self.open_calls.remove(&call).is_some() && self.nodes[node].generation == generation {
+                    self.deliver_input(node, input);
                 }
             }
-            Event::Store { node, life, call, request } => self.store_request(node, life, call, request),
-            Event::Peer { node, life, call, to, number, message } => {
-                let caller = PeerCall { node, life, call, number };
+            Event::Store { node, generation, call, request } => self.store_request(node, generation, call, request),
+            Event::Peer { node, generation, call, to, number, message } => {
+                let caller = PeerCall { node, generation, call, number };
                 self.peer_message_arrives(to, caller, message);
             }
             Event::WatchEnds { call } => {
@@ -389,59 +393,59 @@
                     self.answer_watch(call, &watch);
                 }
             }
-            Event::Cloud { node, life, call, number, request } => {
+            Event::Cloud { node, generation, call, number, request } => {
                 let outcome = self.cloud_request(request);
                 let input = Input::Cloud { call: number, outcome };
-                self.reply(Place::Cloud, node, life, call, input);
+                self.reply(Endpoint::Cloud, node, generation, call, input);
             }
-            Event::Boots { machine } => self.machine_up(machine),
-            Event::DirectCommands { node, life, call, machine, commands } => {
-                self.agent_commands(node, life, call, machine, commands);
+            Event::Booted { machine } => self.machine_booted(machine),
+            Event::DirectCommands { node, generation, call, machine, commands } => {
+                self.agent_commands(node, generation, call, machine, commands);
             }
             Event::Heartbeat { node, heartbeat, serial } => self.heartbeat_arrives(node, heartbeat, serial),
             Event::HeartbeatAnswer { machine, serial, answer } => self.heartbeat_answer(machine, serial, answer),
             Event::AgentHeartbeat { machine, wake } => self.agent_heartbeat(machine, wake),
             Event::AgentStep { machine } => self.agent_step(machine),
             Event::Users => self.users_step(),
-            Event::Look { node, id, look } => self.look(node, id, look),
+            Event::JobRequest { node, id, kind } => self.send_job_request(node, id, kind),
         }
     }
     fn restart(&mut self, node: usize) {
         let seed = self.rng.random();
-        let is_old = self.old.contains(&node);
-        let next_limits = if is_old { "" } else { &self.next_limits };
+        let is_previous_version = self.previous_version.contains(&node);
+        let next_limits = if is_previous_version { "" } else { &self.next_limits };
         let mut policy = self.policy.clone();
-        policy.zones.enabled &= !is_old;
-        policy.record_version = if is_old { RecordVersion::FIRST.0 } else { policy.record_version };
+        policy.zones.enabled &= !is_previous_version;
+        policy.record_version = if is_previous_version { RecordVersion::FIRST.0 } else { policy.record_version };
         let platform = Platform::parse(&(settings(node, self.size) + next_limits)).expect("valid settings");
         let process = &mut self.nodes[node];
         if process.controller.is_some() {
             return;
         }
-        process.life += 1;
-        process.began = self.now;
+        process.generation += 1;
+        process.started_at = self.now;
         process.controller = Some(Controller::new(Arc::new(platform), Arc::new(policy), seed));
-        let life = process.life;
-        self.at(0, Event::Tick(node, life));
+        let generation = process.generation;
+        self.schedule(0, Event::Tick(node, generation));
     }
 
-    fn tick(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life == life && self.nodes[node].controller.is_some() {
-            self.feed(node, Input::Tick);
-            self.at(50 * MS, Event::Tick(node, life));
+    fn tick(&mut self, node: usize, generation: u64) {
+        if self.nodes[node].generation == generation && self.nodes[node].controller.is_some() {
+            self.deliver_input(node, Input::Tick);
+            self.schedule(50 * MS, Event::Tick(node, generation));
         }
     }
 
-    fn thaw(&mut self, node: usize, life: u64) {
-        if self.nodes[node].life != life || self.nodes[node].frozen_until > self.now {
+    fn thaw(&mut self, node: usize, generation: u64) {
+        if self.nodes[node].generation != generation || self.nodes[node].frozen_until > self.now {
             return;
         }
-        // Timers may fire before or after the sockets are read.
+        // After a pause, timers may fire before or after the sockets are read.
         if self.chance(2) {
-            self.feed(node, Input::Tick);
+            self.deliver_input(node, Input::Tick);
         }
         for input in std::mem::take(&mut self.nodes[node].backlog) {
-            self.feed(node, input);
+            self.deliver_input(node, input);
         }
     }
 
@@ -452,18 +456,18 @@
         self.nodes[to].next_request_id += 1;
         let request_id = self.nodes[to].next_request_id;
         self.nodes[to].peers.insert(request_id, caller);
-        self.feed(to, Input::Peer(request_id, message));
+        self.deliver_input(to, Input::Peer(request_id, message));
     }
 
     fn heartbeat_arrives(&mut self, node: usize, heartbeat: Heartbeat, serial: u64) {
         let machine = heartbeat.machine.clone();
         if self.nodes[node].controller.is_none() {
-            self.at(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
+            self.schedule(MS, Event::HeartbeatAnswer { machine, serial, answer: None });
             return;
         }
         self.nodes[node].next_request_id += 1;
         let request_id = self.nodes[node].next_request_id;
         self.nodes[node].agents.insert(request_id, (machine, serial));
-        self.feed(node, Input::Heartbeat { request_id, heartbeat, relayed: false });
+        self.deliver_input(node, Input::Heartbeat { request_id, heartbeat, relayed: false });
     }
 }
--- a/tests/rules/world/network.rs
+++ b/tests/rules/world/network.rs
@@ -1,4 +1,4 @@
-//! The network: delays, cuts, packets held back, and copies that come late.
+//! The network: delays, cuts, held packets and late copies of requests.
 
 use super::{Event, MS, S, STORE_TIMEOUT, World};
 use burlhatch::coordination::{CallFailure, Input};
@@ -6,46 +6,47 @@
 use rand::Rng;
 use std::ops::Range;
 
-/// Ends of a connection.
+/// End of a connection.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum Endpoint {
     Node(usize),
     Store,
     Cloud,
     Agent(MachineId),
 }
 
-pub(super) type Between = Box<dyn Fn(&Place, &Place) -> bool>;
+pub(super) type Between = Box<dyn Fn(&Endpoint, &Endpoint) -> bool>;
 
-/// No traffic between places the two tests match, until `until`.
+/// Interruption of the traffic between the endpoints for which `between` returns true.
 pub(super) struct Cut {
     pub(super) between: Between,
     pub(super) until: u64,
-    /// Held packets arrive when it ends; otherwise connections are reset.
+    /// Whether about half of the packets are held and arrive when the cut ends; all others are refused.
     pub(super) hold: bool,
-    /// Only what goes from the first to the second is lost.
+    /// Whether the cut affects only packets from the first endpoint to the second.
     pub(super) one_way: bool,
 }
 
-/// Direct commands that come late: their senders have given up, and the agents carry them out if fencing token and incarnation
-/// still match.
+/// Delays of direct commands: the sender has given up when they arrive, and the agent executes them if the fencing
+/// token and the incarnation still match.
 #[derive(Clone)]
 pub(super) struct LateCommands {
     pub(super) until: u64,
-    /// One in so many.
+    /// One in this many requests is delayed.
     pub(super) one_in: u32,
     pub(super) delays: Range<u64>,
 }
 
-pub(super) enum Fate {
+/// Outcome of sending a packet, with the delay of its arrival.
+pub(super) enum Delivery {
     Arrives(u64),
-    /// Arrives late; whoever sent it has given up by then.
+    /// Arrives after the end of a cut, when the sender may have given up.
     Held(u64),
     Refused,
 }
 
 impl World {
-    pub(super) fn fate(&mut self, from: &Place, to: &Place) -> Fate {
+    pub(super) fn delivery(&mut self, from: &Endpoint, to: &Endpoint) -> Delivery {
         let now = self.now;
         self.cuts.retain(|c| c.until > now);
         let mut delay = self.rng.random_range(MS / 2..5 * MS);
@@ -56,16 +57,17 @@
         if let Some(cut) = self.cuts.iter().find(|c| cuts(c)) {
             let late = cut.until - now + delay;
             let hold = cut.hold;
-            return if hold && self.chance(2) { Fate::Held(late) } else { Fate::Refused };
+            return if hold && self.chance(2) { Delivery::Held(late) } else { Delivery::Refused };
         }
-        Fate::Arrives(delay)
+        Delivery::Arrives(delay)
     }
 
-    /// Sends a request; `timeout` is the input for the caller if no answer comes in time.
+    /// Sends a request. `fail` makes the input that the caller gets if the request is refused or no answer arrives
+    /// within `limit`.
     pub(super) fn call(
         &mut self,
         node: usize,
-        to: Place,
+        to: Endpoint,
         limit: u64,
         event: impl Fn(u64) -> Event,
         fail: impl Fn(CallFailure) -> Input,
@@ -73,44 +75,61 @@
         self.next_call += 1;
         let call = self.next_call;
         self.open_calls.insert(call, ());
-        let life = self.nodes[node].life;
-        match self.fate(&Place::Node(node), &to) {
-            Fate::Arrives(delay) => {
-                self.at(delay, event(call));
-                self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
+        let generation = self.nodes[node].generation;
+        match self.delivery(&Endpoint::Node(node), &to) {
+            Delivery::Arrives(delay) => {
+                self.schedule(delay, event(call));
+                self.schedule(
+                    limit,
+                    Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) },
+                );
                 if self.copies > 0
-                    && matches!(to, Place::Store | Place::Agent(_) | Place::Node(_))
+                    && matches!(to, Endpoint::Store | Endpoint::Agent(_) | Endpoint::Node(_))
                     && self.chance(self.copies)
                 {
                     let late = self.rng.random_range(0..60 * S);
-                    self.at(late, event(call));
+                    self.schedule(late, event(call));
                 }
             }
-            Fate::Held(late) => {
-                self.at(late, event(call));
-                self.at(limit, Event::Outcome { node, life, call, input: fail(CallFailure::Indeterminate) });
+            Delivery::Held(late) => {
+                self.schedule(late, event(call));
+                self.schedule(
+                    limit,
+                    Event::Outcome { node, generation, call, input: fail(CallFailure::Indeterminate) },
+                );
             }
-            Fate::Refused => {
-                self.at(limit.min(S), Event::Outcome { node, life, call, input: fail(CallFailure::NotExecuted) });
+            Delivery::Refused => {
+                self.schedule(
+                    limit.min(S),
+                    Event::Outcome { node, generation, call, input: fail(CallFailure::NotExecuted) },
+                );
             }
         }
     }
 
-    /// How late a direct command that leaves now arrives, if it is held up.
+    /// Returns the delay of direct commands that are sent now, if they are to be delayed.
     pub(super) fn command_delay(&mut self) -> Option<u64> {
         let late = self.late_commands.clone().filter(|late| self.now < late.until)?;
         self.chance(late.one_in).then(|| self.rng.random_range(late.delays))
     }
 
-    pub(super) fn reply(&mut self, from: Place, node: usize, life: u64, call: u64, input: Input) {
-        self.reply_after(0, from, node, life, call, input);
+    pub(super) fn reply(&mut self, from: Endpoint, node: usize, generation: u64, call: u64, input: Input) {
+        self.reply_after(0, from, node, generation, call, input);
     }
 
-    pub(super) fn reply_after(&mut self, lag: u64, from: Place, node: usize, life: u64, call: u64, input: Input) {
-        if let Fate::Arrives(delay) = self.fate(&from, &Place::Node(node)) {
-            let held = from == Place::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
+    pub(super) fn reply_after(
+        &mut self,
+        lag: u64,
+        from: Endpoint,
+        node: usize,
+        generation: u64,
+        call: u64,
+        input: Input,
+    ) {
+        if let Delivery::Arrives(delay) = self.delivery(&from, &Endpoint::Node(node)) {
+            let held = from == Endpoint::Store && self.now < self.late_answers.0 && self.chance(self.late_answers.1);
             let late = if held { self.pick(STORE_TIMEOUT) } else { 0 };
-            self.at(delay + lag + late, Event::Outcome { node, life, call, input });
+            self.schedule(delay + lag + late, Event::Outcome { node, generation, call, input });
         }
     }
 }
--- a/tests/rules/world/users.rs
+++ b/tests/rules/world/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, ask and call off, and the rules about what they are told.
+//! Users: submissions, queries and cancellations, and the rules about the answers.
 
 use super::{Event, MS, S, World};
 use burlhatch::coordination::{Controller, Input, UserAnswer, UserRequest};
@@ -6,69 +6,77 @@
 use burlhatch::types::JobId;
 use rand::Rng;
 
-/// Users who look closely ask everywhere within so long.
-const LOOK_SPAN: u64 = 6 * MS;
+/// Time within which users repeat a request at all controllers after a change of a job.
+const FOLLOW_UP_SPAN: u64 = 6 * MS;
 
-/// What is asked in a close look.
+/// Kind of request about a known job.
 #[derive(Clone, Copy)]
-pub(super) enum Look {
+pub(super) enum JobRequest {
     Status,
     Submission,
     Cancellation,
 }
 
-pub(super) enum Asked {
+/// Request whose answer a user waits for.
+pub(super) enum PendingRequest {
     Submit(JobId),
     Get(JobId),
     Cancel(JobId),
-    Stranger,
-    /// A job that must not be accepted.
-    Odd(&'static str),
+    /// Query about a job that was never submitted.
+    UnknownJob,
+    /// Submission that must not be accepted, and why.
+    Invalid(&'static str),
 }
 
-/// What the users know of a job.
+/// Job as its users know it.
 pub struct UserJob {
     pub spec: JobSpec,
+    /// Time from which its user submits it.
     pub submitted: u64,
     pub accepted: bool,
+    /// Time from which its user cancels it.
     pub cancel_at: Option<u64>,
+    /// Time at which a user first received the answer that it is cancelled.
     pub cancelled: Option<u64>,
-    pub told: Option<JobState>,
-    /// Answers to questions asked before this may still be older.
-    pub(super) told_at: u64,
+    /// First final state that a user received.
+    pub reported_outcome: Option<JobState>,
+    /// Time of that answer; answers to earlier requests may still contain an earlier state.
+    pub(super) reported_outcome_at: u64,
     pub done_tasks: Vec<bool>,
-    pub(super) last_asked: u64,
-    /// Last answer about it that was no refusal, and the longest time without one since troubles ended.
+    pub(super) last_requested_at: u64,
+    /// Time of the last answer with its state.
     pub(super) answered: u64,
-    pub gap: u64,
-    /// When its first task started.
+    /// Longest time without such an answer since the liveness checks started.
+    pub max_answer_gap: u64,
+    /// Time at which its first task started.
     pub begun: Option<u64>,
-    /// It was submitted with a mistake: each of its tasks fails after so long at work, wherever it runs.
+    /// Running time after which each of its tasks fails on any machine, if the job is faulty.
     pub fails_after: Option<u64>,
-    /// How many of its tasks arrived on a machine.
+    /// Number of starts of its tasks.
     pub starts: u32,
-    /// Since when a task of it waits though it could run.
-    pub(super) stranded_since: Option<u64>,
+    /// Time since which one of its tasks waits though it could run.
+    pub(super) runnable_since: Option<u64>,
 }
 
-/// What matters of a question for the rules about its answer.
-struct Question {
-    asked_at: u64,
-    /// It was a cancellation.
-    cancels: bool,
-    /// A job that it needs was confirmed as cancelled too long ago for it to go on.
-    orphaned: bool,
-    /// Its user, or that of a job that it needs, has called it off.
-    called_off: bool,
+/// Properties of a request that the rules about its answer depend on.
+struct RequestContext {
+    requested_at: u64,
+    /// Whether the request was a cancellation.
+    is_cancellation: bool,
+    /// Whether the cancellation of the job, or of one that it depends on, was confirmed so long before the request that
+    /// the job must have ended.
+    cancellation_overdue: bool,
+    /// Whether the user of the job, or of one that it depends on, was due to cancel it by now.
+    cancellation_due: bool,
 }
 
 impl UserJob {
-    /// Takes in an answer; says which rules it breaks.
-    fn take_answer(&mut self, id: &JobId, answer: UserAnswer, question: &Question, now: u64) -> Vec<String> {
+    /// Records an answer and returns the rules that it violates.
+    fn check_answer(&mut self, id: &JobId, answer: UserAnswer, context: &RequestContext, now: u64) -> Vec<String> {
         match answer {
-            // Whoever is told that a job was taken is told that it is queued.
-            UserAnswer::Accepted(_) => self.take_state(id, JobState::Queued, question, now),
-            UserAnswer::Status(status) => self.take_state(id, status.state, question, now),
+            // The answer that a job is accepted implies that it is queued.
+            UserAnswer::Accepted(_) => self.check_state(id, JobState::Queued, context, now),
+            UserAnswer::Status(status) => self.check_state(id, status.state, context, now),
             UserAnswer::NotFound | UserAnswer::Malformed | UserAnswer::CanNeverRun(_) if self.accepted => {
                 vec![format!("forgotten: {id} is answered {answer:?}")]
             }
@@ -77,33 +85,35 @@
         }
     }
 
-    fn take_state(&mut self, id: &JobId, state: JobState, question: &Question, now: u64) -> Vec<String> {
-        let mut broken = Vec::new();
+    fn check_state(&mut self, id: &JobId, state: JobState, context: &RequestContext, now: u64) -> Vec<String> {
+        let mut violations = Vec::new();
         let is_final = matches!(state, JobState::Done | JobState::Cancelled);
         self.accepted = true;
         self.answered = now;
         if state == JobState::Done && self.done_tasks.iter().any(|done| !done) {
-            broken.push(format!("not_done: {id} is called done"));
+            violations.push(format!("not_done: {id} is reported as done"));
         }
-        if question.orphaned && !is_final {
-            broken.push(format!("orphaned: {id} is still called {state:?}"));
+        if context.cancellation_overdue && !is_final {
+            violations.push(format!("orphaned: {id} is still reported as {state:?}"));
         }
-        if state == JobState::Cancelled && !question.called_off {
-            broken.push(format!("went_back: {id} was not cancelled by its user"));
+        if state == JobState::Cancelled && !context.cancellation_due {
+            violations.push(format!("went_back: {id} was not cancelled by its user"));
         }
-        if question.asked_at >= self.told_at && self.told.is_some_and(|told| told != state) {
-            broken.push(format!("went_back: {id} was {:?}, is {state:?}", self.told));
+        if context.requested_at >= self.reported_outcome_at
+            && self.reported_outcome.is_some_and(|reported| reported != state)
+        {
+            violations.push(format!("went_back: {id} was {:?}, is {state:?}", self.reported_outcome));
         }
-        if is_final && self.told.is_none() {
-            (self.told, self.told_at) = (Some(state), now);
+        if is_final && self.reported_outcome.is_none() {
+            (self.reported_outcome, self.reported_outcome_at) = (Some(state), now);
         }
         if state == JobState::Cancelled && self.cancelled.is_none() {
             self.cancelled = Some(now);
         }
-        if question.cancels && !is_final {
-            broken.push(format!("a cancellation of {id} was answered {state:?}"));
+        if context.is_cancellation && !is_final {
+            violations.push(format!("a cancellation of {id} was answered {state:?}"));
         }
-        broken
+        violations
     }
 }
 
@@ -119,16 +129,16 @@
                 accepted: false,
                 cancel_at: None,
                 cancelled: None,
-                told: None,
-                told_at: 0,
+                reported_outcome: None,
+                reported_outcome_at: 0,
                 done_tasks: vec![false; tasks],
-                last_asked: 0,
+                last_requested_at: 0,
                 answered: self.now,
-                gap: 0,
+                max_answer_gap: 0,
                 begun: None,
                 fails_after: None,
                 starts: 0,
-                stranded_since: None,
+                runnable_since: None,
             },
         );
         id
@@ -159,43 +169,43 @@
         }
     }
 
-    pub(super) fn ask(&mut self, asked: Asked, request: UserRequest) {
+    pub(super) fn send_request(&mut self, pending: PendingRequest, request: UserRequest) {
         let node = self.rng.random_range(0..self.size.nodes);
-        self.ask_node(node, asked, request);
+        self.send_request_to(node, pending, request);
     }
 
-    pub(super) fn ask_node(&mut self, node: usize, asked: Asked, request: UserRequest) {
+    pub(super) fn send_request_to(&mut self, node: usize, pending: PendingRequest, request: UserRequest) {
         let ready = self.nodes[node].controller.as_ref().is_some_and(Controller::is_ready);
         if !ready {
             return;
         }
         self.nodes[node].next_request_id += 1;
         let request_id = self.nodes[node].next_request_id;
-        self.nodes[node].users.insert(request_id, (self.now, asked));
-        self.feed(node, Input::User(request_id, request));
+        self.nodes[node].users.insert(request_id, (self.now, pending));
+        self.deliver_input(node, Input::User(request_id, request));
     }
 
-    /// Its user calls a job off, at once.
-    pub fn call_off(&mut self, id: &JobId) {
+    /// Cancels an accepted job now, unless a user has received its final state.
+    pub fn cancel_job(&mut self, id: &JobId) {
         let now = self.now;
-        if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.told.is_none()) {
+        if let Some(job) = self.jobs.get_mut(id).filter(|j| j.accepted && j.reported_outcome.is_none()) {
             job.cancel_at = Some(job.cancel_at.map_or(now, |at| at.min(now)));
-            job.last_asked = 0;
+            job.last_requested_at = 0;
             let node = self.rng.random_range(0..self.size.nodes);
-            self.ask_node(node, Asked::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
+            self.send_request_to(node, PendingRequest::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
         }
     }
 
     pub(super) fn users_step(&mut self) {
-        self.note_gaps();
+        self.check_answer_gaps();
         if self.now / S != (self.now - 250 * MS) / S {
-            self.note_stranded();
+            self.check_runnable_tasks();
         }
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in ids {
             let now = self.now;
             let Some(job) = self.jobs.get_mut(&id) else { continue };
-            if job.submitted > now || now < job.last_asked + S {
+            if job.submitted > now || now < job.last_requested_at + S {
                 continue;
             }
             let depends_on = job.spec.depends_on.clone();
@@ -204,108 +214,114 @@
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let cancel = job.cancel_at.is_some_and(|at| at <= now) && job.cancelled.is_none() && job.accepted;
-            let over = job.told.is_some();
-            if !job.accepted || (!over && cancel) || now >= job.last_asked + 5 * S {
-                job.last_asked = now;
+            let is_finished = job.reported_outcome.is_some();
+            if !job.accepted || (!is_finished && cancel) || now >= job.last_requested_at + 5 * S {
+                job.last_requested_at = now;
                 let spec = job.spec.clone();
                 let accepted = job.accepted;
-                // Repeats of an accepted submission may come at any time.
-                let again = accepted && self.chance(10);
-                if !accepted || again {
+                // An accepted submission may be repeated at any time.
+                let is_repeat = accepted && self.chance(10);
+                if !accepted || is_repeat {
                     let submission = Submission { id: Some(id.clone()), spec: Some(spec) };
-                    self.ask(Asked::Submit(id.clone()), UserRequest::Submit(Box::new(submission)));
-                    self.look_at_submission(&id);
+                    self.send_request(PendingRequest::Submit(id.clone()), UserRequest::Submit(Box::new(submission)));
+                    self.repeat_submission_elsewhere(&id);
                 } else if cancel {
-                    self.ask(Asked::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
+                    self.send_request(PendingRequest::Cancel(id.clone()), UserRequest::Cancel(id.clone()));
                 } else {
-                    self.ask(Asked::Get(id.clone()), UserRequest::Get(id.clone()));
+                    self.send_request(PendingRequest::Get(id.clone()), UserRequest::Get(id.clone()));
                 }
             }
         }
-        if self.odd_requests {
-            self.odd_request();
+        if self.invalid_requests {
+            self.send_invalid_request();
         }
-        self.ask_in_bursts();
+        self.send_request_burst();
         if self.chance(20) {
-            self.ask(Asked::Stranger, UserRequest::Get(JobId::new("wk-999999")));
+            self.send_request(PendingRequest::UnknownJob, UserRequest::Get(JobId::new("wk-999999")));
         }
-        self.at(250 * MS, Event::Users);
+        self.schedule(250 * MS, Event::Users);
     }
 
-    /// Many questions about whatever job, also ended ones and some that nobody knows, and repeats of submissions.
-    fn ask_in_bursts(&mut self) {
+    /// Sends a number of queries about random jobs, including ended and unknown ones, and repeats of submissions.
+    fn send_request_burst(&mut self) {
         let ids: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
-        for _ in 0..self.question_burst {
+        for _ in 0..self.request_burst_size {
             let nth = self.pick(ids.len() as u64 + 1) as usize;
             let Some(id) = ids.get(nth).cloned() else {
-                let stranger = JobId::new(&format!("wk-none{}", self.pick(1000)));
-                self.ask(Asked::Stranger, UserRequest::Get(stranger));
+                let unknown = JobId::new(&format!("wk-none{}", self.pick(1000)));
+                self.send_request(PendingRequest::UnknownJob, UserRequest::Get(unknown));
                 continue;
             };
             let node = self.pick(self.size.nodes as u64) as usize;
-            let look = if self.chance(8) { Look::Submission } else { Look::Status };
-            self.look(node, id, look);
+            let kind = if self.chance(8) { JobRequest::Submission } else { JobRequest::Status };
+            self.send_job_request(node, id, kind);
         }
     }
 
-    pub(super) fn look(&mut self, node: usize, id: JobId, look: Look) {
+    pub(super) fn send_job_request(&mut self, node: usize, id: JobId, kind: JobRequest) {
         let Some(job) = self.jobs.get(&id) else { return };
-        match look {
-            Look::Status => self.ask_node(node, Asked::Get(id.clone()), UserRequest::Get(id)),
-            Look::Cancellation => self.ask_node(node, Asked::Cancel(id.clone()), UserRequest::Cancel(id)),
-            Look::Submission => {
+        match kind {
+            JobRequest::Status => self.send_request_to(node, PendingRequest::Get(id.clone()), UserRequest::Get(id)),
+            JobRequest::Cancellation => {
+                self.send_request_to(node, PendingRequest::Cancel(id.clone()), UserRequest::Cancel(id));
+            }
+            JobRequest::Submission => {
                 let submission = Submission { id: Some(id.clone()), spec: Some(job.spec.clone()) };
-                self.ask_node(node, Asked::Submit(id), UserRequest::Submit(Box::new(submission)));
+                self.send_request_to(node, PendingRequest::Submit(id), UserRequest::Submit(Box::new(submission)));
             }
         }
     }
 
-    pub(super) fn look_soon(&mut self, node: usize, id: &JobId, look: Look) {
-        let delay = self.pick(LOOK_SPAN);
-        self.at(delay, Event::Look { node, id: id.clone(), look });
+    pub(super) fn schedule_job_request(&mut self, node: usize, id: &JobId, kind: JobRequest) {
+        let delay = self.pick(FOLLOW_UP_SPAN);
+        self.schedule(delay, Event::JobRequest { node, id: id.clone(), kind });
     }
 
-    /// A submission is on its way: it is repeated here and there before it is answered.
-    pub(super) fn look_at_submission(&mut self, id: &JobId) {
+    /// Repeats a submission at some controllers while the first answer is still in flight.
+    pub(super) fn repeat_submission_elsewhere(&mut self, id: &JobId) {
         for node in 0..self.size.nodes {
-            if self.close_looks && self.chance(4) {
-                self.look_soon(node, id, Look::Submission);
+            if self.follow_up_requests && self.chance(4) {
+                self.schedule_job_request(node, id, JobRequest::Submission);
             }
         }
     }
 
-    /// A user was told something new about a job: all controllers are asked for it.
-    pub(super) fn look_at_news(&mut self, id: &JobId) {
-        if !self.close_looks {
+    /// Sends requests about a job to all controllers after a user received a new state of it.
+    pub(super) fn follow_up_on_change(&mut self, id: &JobId) {
+        if !self.follow_up_requests {
             return;
         }
-        let over = self.jobs[id].told.is_some();
+        let is_finished = self.jobs[id].reported_outcome.is_some();
         for node in 0..self.size.nodes {
-            self.look_soon(node, id, Look::Status);
-            self.look_soon(node, id, Look::Submission);
-            if over && self.chance(3) {
-                self.look_soon(node, id, Look::Cancellation);
+            self.schedule_job_request(node, id, JobRequest::Status);
+            self.schedule_job_request(node, id, JobRequest::Submission);
+            if is_finished && self.chance(3) {
+                self.schedule_job_request(node, id, JobRequest::Cancellation);
             }
         }
     }
 
-    /// When a job was called off, by its own user or with one that it needs, as `when` tells it of each.
-    pub(super) fn called_off(&self, id: &JobId, when: impl Fn(&UserJob) -> Option<u64> + Copy) -> Option<u64> {
+    /// Returns the earliest of the times that `when` returns for the job and all jobs that it depends on.
+    pub(super) fn earliest_cancellation(
+        &self,
+        id: &JobId,
+        when: impl Fn(&UserJob) -> Option<u64> + Copy,
+    ) -> Option<u64> {
         let job = self.jobs.get(id)?;
-        let before = job.spec.depends_on.iter().filter_map(|before| self.called_off(before, when));
+        let before = job.spec.depends_on.iter().filter_map(|before| self.earliest_cancellation(before, when));
         before.chain(when(job)).min()
     }
 
-    pub(super) fn odd_request(&mut self) {
+    pub(super) fn send_invalid_request(&mut self) {
         let known: Vec<JobId> = self.jobs.iter().filter(|(_, j)| j.accepted).map(|(id, _)| id.clone()).collect();
         let mut spec = World::spec(JobKind::Array, "red", 2, 1.0);
-        let what = match self.pick(6) {
+        let defect = match self.pick(6) {
             0 if !known.is_empty() => {
-                // A known job has its state, whatever the repeat holds.
+                // A known job keeps its state, regardless of the content of the repeated submission.
                 let id = known[self.pick(known.len() as u64) as usize].clone();
                 let spec = if self.chance(2) { None } else { Some(World::spec(JobKind::Gang, "nobody", 9, 99.0)) };
                 let submission = Submission { id: Some(id.clone()), spec };
-                return self.ask(Asked::Submit(id), UserRequest::Submit(Box::new(submission)));
+                return self.send_request(PendingRequest::Submit(id), UserRequest::Submit(Box::new(submission)));
             }
             1 => {
                 spec.cpus = 99.0;
@@ -313,7 +329,7 @@
             }
             2 => {
                 spec.depends_on = vec![JobId::new("wk-nobody")];
-                "what it awaits was never accepted"
+                "a job it depends on was never accepted"
             }
             3 => {
                 spec = World::spec(JobKind::Gang, "red", 30, 1.0);
@@ -321,57 +337,66 @@
             }
             _ => "a field is missing",
         };
-        let spec = (what != "a field is missing").then_some(spec);
+        let spec = (defect != "a field is missing").then_some(spec);
         let id = JobId::new(&format!("wk-odd{}", self.pick(50)));
-        self.ask(Asked::Odd(what), UserRequest::Submit(Box::new(Submission { id: Some(id), spec })));
+        self.send_request(
+            PendingRequest::Invalid(defect),
+            UserRequest::Submit(Box::new(Submission { id: Some(id), spec })),
+        );
     }
 
     pub(super) fn user_answer(&mut self, node: usize, request_id: u64, answer: UserAnswer) {
         if request_id == u64::MAX {
-            self.overheard = Some(answer);
+            self.test_answer = Some(answer);
             return;
         }
-        let Some((asked_at, asked)) = self.nodes[node].users.remove(&request_id) else { return };
-        self.longest_answer = self.longest_answer.max(self.now - asked_at);
-        let (id, cancels) = match asked {
-            Asked::Stranger => {
+        let Some((requested_at, pending)) = self.nodes[node].users.remove(&request_id) else { return };
+        self.longest_response_time = self.longest_response_time.max(self.now - requested_at);
+        let (id, is_cancellation) = match pending {
+            PendingRequest::UnknownJob => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
-                    self.broken("invented: a stranger's job is known".into());
+                    self.report_violation("invented: a job that was never submitted is known".into());
                 }
                 return;
             }
-            Asked::Odd(what) => {
+            PendingRequest::Invalid(defect) => {
                 if matches!(answer, UserAnswer::Status(_) | UserAnswer::Accepted(_)) {
-                    self.broken(format!("invented: accepted, though {what}"));
+                    self.report_violation(format!("invented: accepted, though {defect}"));
                 }
                 return;
             }
-            Asked::Cancel(id) => (id, true),
-            Asked::Submit(id) | Asked::Get(id) => (id, false),
+            PendingRequest::Cancel(id) => (id, true),
+            PendingRequest::Submit(id) | PendingRequest::Get(id) => (id, false),
         };
         let now = self.now;
-        let called_off = self.called_off(&id, |job| job.cancel_at.filter(|at| *at <= now));
-        let orphaned =
-            self.called_off(&id, |job| job.cancelled).is_some_and(|at| asked_at > at + self.size.times.cancel);
-        let cancel_at_once = self.cancel_at_once > 0 && self.chance(self.cancel_at_once);
+        let cancellation_due = self.earliest_cancellation(&id, |job| job.cancel_at.filter(|at| *at <= now));
+        let cancellation_overdue = self
+            .earliest_cancellation(&id, |job| job.cancelled)
+            .is_some_and(|at| requested_at > at + self.size.times.cancel);
+        let cancel_on_acceptance = self.cancel_on_acceptance > 0 && self.chance(self.cancel_on_acceptance);
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let before = (job.accepted, job.told);
-        let question = Question { asked_at, cancels, orphaned, called_off: called_off.is_some() };
-        let broken = job.take_answer(&id, answer, &question, now);
-        let cancels_now = !before.0 && job.accepted && cancel_at_once && job.told.is_none();
+        let before = (job.accepted, job.reported_outcome);
+        let context = RequestContext {
+            requested_at,
+            is_cancellation,
+            cancellation_overdue,
+            cancellation_due: cancellation_due.is_some(),
+        };
+        let violations = job.check_answer(&id, answer, &context, now);
+        let cancels_now = !before.0 && job.accepted && cancel_on_acceptance && job.reported_outcome.is_none();
         if cancels_now {
             job.cancel_at = Some(now);
         }
-        let news = before != (job.accepted, job.told);
-        for what in broken {
-            self.broken(what);
+        let is_changed = before != (job.accepted, job.reported_outcome);
+        for violation in violations {
+            self.report_violation(violation);
         }
-        if news {
-            self.look_at_news(&id);
+        if is_changed {
+            self.follow_up_on_change(&id);
         }
         if cancels_now {
             let node = self.pick(self.size.nodes as u64) as usize;
-            self.look_soon(node, &id, Look::Cancellation);
+            self.schedule_job_request(node, &id, JobRequest::Cancellation);
         }
     }
 }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -1,7 +1,7 @@
 //! Zones that are lost and come back: services are restored first and without running twice, work returns step by step,
 //! and no single controller's blindness counts as a lost zone.
 
-use super::world::{MS, Place, S, Size, TIMES, World};
+use super::world::{Endpoint, MS, S, Size, TIMES, World};
 use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
 use burlhatch::protocol::user::{JobKind, JobState, Priority};
 use burlhatch::settings::{Policy, ZoneSettings};
@@ -125,7 +125,7 @@
         let blind = world.holder("share/1").expect("somebody holds it");
         let (unseen, before) = (world.machines_in("a"), world.agents.len());
         world.cut(15 * S, false, move |from, to| {
-            *from == Place::Node(blind) && matches!(to, Place::Agent(id) if unseen.contains(id))
+            *from == Endpoint::Node(blind) && matches!(to, Endpoint::Agent(id) if unseen.contains(id))
         });
         let mut seen = Vec::new();
         for _ in 0..15 {
@@ -153,8 +153,8 @@
         world.late_writes(30 * S, 6);
         world.cut_zone("a", span, true);
         world.run_for(2 * S);
-        world.call_off(&services[0]);
-        world.call_off(&services[1]);
+        world.cancel_job(&services[0]);
+        world.cancel_job(&services[1]);
         world.run_for(span);
         world.run_for(20 * S);
         cancel_services(&mut world);
@@ -310,7 +310,7 @@
 fn versions_that_do_not_judge_zones_beside_those_that_do() {
     for seed in seeds(110, 5) {
         let mut world = world_of(seed, judging_zones());
-        world.all_old();
+        world.run_previous_version();
         submit_services(&mut world, 8);
         ordinary_jobs_from(&mut world, 100, 10);
         for node in 0..5 {
@@ -322,7 +322,7 @@
         world.cut_zone("a", 25 * S, true);
         world.run_for(6 * S);
         world.upgrade(1);
-        world.go_back(0, S);
+        world.downgrade(0, S);
         world.run_for(30 * S);
         cancel_services(&mut world);
         finish(&mut world, &format!("versions {seed}"));
@@ -389,7 +389,10 @@
         cancel_services(&mut world);
         finish(&mut world, &format!("order {seed}"));
         let arrays = world.jobs.values().filter(|job| job.spec.kind == JobKind::Array);
-        assert!(arrays.filter(|job| job.told == Some(JobState::Done)).count() >= 35, "{seed}: batch work was lost");
+        assert!(
+            arrays.filter(|job| job.reported_outcome == Some(JobState::Done)).count() >= 35,
+            "{seed}: batch work was lost"
+        );
     }
 }
 
@@ -439,7 +442,7 @@
         }
         let services: Vec<JobId> =
             (0..18).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
-        while world.jobs[&first].told.is_none() {
+        while world.jobs[&first].reported_outcome.is_none() {
             world.run_for(S);
             assert!(world.now < 90 * S, "{seed}: the first job is not done");
         }
