--- a/src/coordination/control/isolation.rs
+++ b/src/coordination/control/isolation.rs
@@ -5,8 +5,8 @@
 //! case machines of other shards still answer, and releasing the shard would not help: no sibling can reach the lost
 //! machines either, and the shard would move back and forth between controllers.
 //!
-//! Tests: `on_call::a_shard_whose_machines_all_hang_stays_where_it_is`,
-//! `on_call::a_controller_cut_from_its_agents_again_and_again`.
+//! Tests: `on_call::a_shard_whose_machines_all_hang_keeps_its_holder`,
+//! `on_call::a_controller_repeatedly_cut_off_from_its_agents`.
 
 use crate::coordination::Controller;
 use crate::coordination::fleet::machine::Machine;
--- a/src/coordination/store_sync/job_records/chunk_changes.rs
+++ b/src/coordination/store_sync/job_records/chunk_changes.rs
@@ -20,7 +20,7 @@
 
 /// The precondition which ensures that a machine stays in its shard until an attempt on it is recorded. Otherwise a
 /// task could start on a machine of another shard, and the controller that records its attempts would never receive
-/// proof of its end. Test: `upgrade::an_attempt_recorded_late_meets_an_earlier_leader`.
+/// proof of its end. Test: `upgrade::an_attempt_recorded_late_under_a_leader_of_the_earlier_version`.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum MachineGuard {
     /// The machine's record is a precondition of each attempt on it, because the leader moves machines itself.
--- a/src/coordination/store_sync/txn_outcomes.rs
+++ b/src/coordination/store_sync/txn_outcomes.rs
@@ -3,7 +3,7 @@
 //! A transaction without an answer may have been committed or may still be committed later, so the identical
 //! transaction is sent again until it is answered. After a conflict, nothing is decided until the replica has reached
 //! the revision of the refusal; then the decisions are derived again from the replica. Test:
-//! `meetings::transactions_without_an_answer_are_carried_out_late`.
+//! `combined_failures::transactions_without_an_answer_are_carried_out_late`.
 
 use crate::coordination::store_sync::evidence::Evidence;
 use crate::coordination::store_sync::pending_txns::{TxnEnd, TxnPurpose, TxnStage};
--- a/src/coordination/zones/conditions.rs
+++ b/src/coordination/zones/conditions.rs
@@ -97,7 +97,7 @@
 
     /// Whether a zone became suspected so recently that it may still be found lost. Its machines are not evaluated
     /// individually meanwhile: others in the zone may be unresponsive too but not probed yet
-    /// (`zone_cuts::no_machine_is_judged_alone_while_its_zone_is_being_judged`). The time is limited, as a single
+    /// (`zone_cuts::no_machine_is_deleted_individually_while_its_zone_is_suspected`). The time is limited, as a single
     /// controller that is cut off can suspect a zone indefinitely.
     pub(crate) fn is_zone_newly_suspected(&self, zone: &str) -> bool {
         let settings = &self.policy.zones;
--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -34,7 +34,7 @@
 
 /// No other trouble: late answers and close looks alone.
 #[test]
-fn close_looks_while_the_store_answers_late() {
+fn answers_stay_consistent_while_the_store_answers_late() {
     for seed in seeds(90, 4) {
         let mut world = looked_at(seed, SMALL);
         small_jobs(&mut world, 1, 60, 40 * S);
@@ -46,7 +46,7 @@
 
 /// The same with outages, a controller refused alone, changes of leader and transactions carried out late.
 #[test]
-fn close_looks_amid_troubles() {
+fn answers_stay_consistent_amid_failures() {
     for seed in seeds(91, 6) {
         let mut world = looked_at(seed, SMALL);
         world.heartbeat_copies = 10;
@@ -72,7 +72,7 @@
 /// Dependencies: that a job fell with one that it needs follows from another job's record, which a controller whose
 /// watch lags has not seen while its own transaction is carried out.
 #[test]
-fn close_looks_at_dependent_jobs() {
+fn answers_about_dependent_jobs_stay_consistent() {
     for seed in seeds(92, 6) {
         let mut world = looked_at(seed, SMALL);
         let firsts = small_jobs(&mut world, 1, 40, 40 * S);
@@ -99,7 +99,7 @@
 /// A service that remembers few changes: a controller that missed more begins anew while answers to its earlier reads
 /// and transactions are still on their way.
 #[test]
-fn close_looks_while_controllers_read_everything_again() {
+fn answers_stay_consistent_while_controllers_reread_the_store() {
     for seed in seeds(93, 4) {
         let mut world = looked_at(seed, SMALL);
         world.limit_store(Limits { history: 30, page_items: 5, page_bytes: 1500, rps: Some(150.0) });
@@ -114,7 +114,7 @@
 
 /// Five controllers and some hundred machines.
 #[test]
-fn close_looks_in_a_large_world() {
+fn answers_stay_consistent_in_a_large_cluster() {
     for seed in seeds(94, 1) {
         let mut world = looked_at(seed, LARGE);
         small_jobs(&mut world, 1, 120, 40 * S);
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -69,7 +69,7 @@
 /// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new fencing token,
 /// which an outage forbids as well.
 #[test]
-fn cancelled_through_others_while_the_owner_is_refused_and_then_all_are() {
+fn cancelled_while_the_store_refuses_the_shard_holder_and_then_is_down() {
     let mores = [
         More::Nothing,
         More::PeersHeld,
@@ -234,7 +234,7 @@
 /// the present fencing token proves nothing, but its answer renews the lease: it has to carry the stops as well. The cloud is
 /// down, so nothing else ends the tasks.
 #[test]
-fn fencing_tokens_in_quick_succession_do_not_keep_stops_back() {
+fn frequent_fencing_token_changes_do_not_delay_stops() {
     for seed in seeds(25, 6) {
         let times = times_of(seed);
         let size = Size { machines: 60, capacity: 70, times, ..LARGE };
@@ -269,7 +269,7 @@
 /// fencing token makes it void, and the cloud is down, so its machine can't be deleted. Its holder must not keep the session
 /// alive in which the start is valid.
 #[test]
-fn a_start_held_up_for_long_is_void_with_its_incarnation() {
+fn a_long_delayed_start_is_void_after_its_incarnation_ends() {
     for seed in seeds(26, 24) {
         let times = times_of(seed);
         let mut world = World::sized(seed, keeping_idle_machines(), Size { times, ..SMALL });
--- a/tests/rules/meetings.rs
+++ b/tests/rules/combined_failures.rs
@@ -22,7 +22,7 @@
 /// while the stored records still show starts. Then one is back at once and the others later, or all a moment after the
 /// first has ended again. Starts of earlier incarnations must count as gone, late heartbeats of them as nothing.
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
+fn all_controllers_are_down_for_longer_than_a_lease() {
     for seed in seeds(30, 4) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 8;
@@ -44,7 +44,7 @@
 /// and jobs are cancelled. What an earlier owner started counts until it is proven gone, on machines that can't be
 /// reached too.
 #[test]
-fn a_team_at_its_limit_as_its_owner_changes() {
+fn a_team_at_its_quota_as_its_shard_changes_holders() {
     for seed in seeds(31, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..16 {
@@ -130,7 +130,7 @@
 /// Heartbeats of earlier times, incarnations and attempts arrive at whoever leads by then; commands and their answers are
 /// held up for seconds while the machines go on.
 #[test]
-fn old_heartbeats_and_held_commands_reach_a_new_leader() {
+fn old_heartbeats_and_delayed_commands_reach_a_new_leader() {
     for seed in seeds(34, 4) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 2;
@@ -156,7 +156,7 @@
 /// A leader without store and siblings goes on with its agents while jobs are cancelled through the new
 /// one; it must neither keep what is cancelled alive nor say anything older to a user.
 #[test]
-fn cancelled_through_the_new_leader_while_the_old_one_has_its_agents() {
+fn cancelled_through_the_new_leader_while_the_old_one_still_reaches_its_agents() {
     for seed in seeds(35, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..9 {
@@ -200,7 +200,7 @@
 /// Ten changes of leader in two minutes, some inside an outage; shards go over and back, then all end and one
 /// returns within a second.
 #[test]
-fn ten_leaders_in_two_minutes() {
+fn ten_leader_changes_in_two_minutes() {
     for seed in seeds(37, 3) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 35);
@@ -282,7 +282,7 @@
 /// An owner ends while machines with long tasks can't be reached by anybody, or reach the new owner without hearing
 /// its answer; a whole zone with a controller in it is cut off for longer than a lease.
 #[test]
-fn an_owner_ends_while_machines_cannot_be_reached() {
+fn a_shard_holder_crashes_while_machines_are_unreachable() {
     for seed in seeds(40, 6) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         for n in 0..9 {
@@ -326,7 +326,7 @@
 /// outcome, and whichever is told first stays, on every controller; repeats have the state whatever they hold, and
 /// what can't run or lacks a field is never taken, also in the midst of takeovers.
 #[test]
-fn requests_at_the_end_of_the_last_task_and_odd_ones() {
+fn requests_as_the_last_task_ends_and_invalid_submissions() {
     for seed in seeds(41, 4) {
         let mut world = World::new(seed);
         world.cancel_at_end = 2;
@@ -355,7 +355,7 @@
 
 /// With fewer changes than needed and all kinds of late news together.
 #[test]
-fn all_new_troubles_together() {
+fn random_failures_with_late_heartbeats_and_transactions() {
     for seed in seeds(42, 6) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 10, capacity: 20, ..SMALL });
         world.heartbeat_copies = 5;
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn cuts_of_every_kind_with_late_delivery() {
+fn network_partitions_of_every_kind_with_late_delivery() {
     for seed in seeds(3, 8) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 30);
@@ -98,7 +98,7 @@
 /// A controller without store and siblings keeps its agents company as in an outage until
 /// its successor has reached them; its users hear at once that it can't help, and nothing is lost.
 #[test]
-fn a_controller_alone_with_its_agents_does_no_harm() {
+fn a_controller_that_reaches_only_its_agents_loses_no_work() {
     for node in 0..3 {
         let mut world = World::with_policy(30 + node as u64, keeping_idle_machines());
         let mut ids = Vec::new();
@@ -126,7 +126,7 @@
 /// Back within a fraction of a second, also in the middle of an election: no shard stays without an
 /// owner for longer than an election takes.
 #[test]
-fn processes_and_machines_back_within_a_fraction_of_a_second() {
+fn controllers_and_machines_that_return_within_a_fraction_of_a_second() {
     for seed in seeds(8, 4) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 30);
@@ -158,7 +158,7 @@
 /// A controller that stands still while its clocks run on wakes to a queue of old news, calls that
 /// all look late and machines that all look silent, perhaps after its shards have gone to others.
 #[test]
-fn a_stalled_controller_wakes_to_outdated_messages() {
+fn a_stalled_controller_resumes_with_outdated_messages() {
     for (seed, span) in seeds(15, 4).zip([S, 5 * S, 30 * S, 60 * S].into_iter().cycle()) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         world.heartbeat_copies = 10;
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -65,7 +65,7 @@
 /// Cancelled at each stage: what needs the job is withdrawn with it and told so by every controller, what it needs
 /// goes on. So is a job that names a cancelled one when it is submitted, also one withdrawn with another.
 #[test]
-fn what_depends_on_a_cancelled_job_is_cancelled_with_it() {
+fn dependents_of_a_cancelled_job_are_cancelled_with_it() {
     for stage_of in 0..4 {
         let mut world = World::new(71_000 + stage_of as u64);
         stage(&mut world, 1, "green", 2, &[]);
@@ -94,7 +94,7 @@
 
 /// Cancellations at the instant at which the job is done: answered with `done`, all after it go on.
 #[test]
-fn cancelled_as_the_job_before_is_done() {
+fn a_dependency_is_cancelled_as_it_ends() {
     for seed in seeds(72, 4) {
         let mut world = World::new(seed);
         world.cancel_at_end = 2;
@@ -114,7 +114,7 @@
 /// are cancelled through siblings, and then it is away for all for longer than a cancellation may take. Who can't
 /// write down what follows can tell it all the same.
 #[test]
-fn cancelled_while_the_owner_is_refused_and_then_all_are() {
+fn dependents_are_cancelled_while_the_store_refuses_the_shard_holder_and_then_is_down() {
     for seed in seeds(73, 6) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         let all: Vec<Vec<JobId>> = (0..3).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
@@ -144,7 +144,7 @@
 /// Controllers end, one after the other and all, and transactions are late, while stages follow each other and some
 /// are cancelled: what is known to be done is so after a takeover and a restart.
 #[test]
-fn dependent_jobs_while_controllers_come_and_go() {
+fn dependent_jobs_while_controllers_crash_and_restart() {
     for seed in seeds(74, 6) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 10;
@@ -203,7 +203,7 @@
 /// while, and jobs are cancelled whose owner is just being replaced. Once all are new dependencies come, and then the
 /// limits drop. (What else the old version was is in its bytes: `production.rs`.)
 #[test]
-fn a_rolling_upgrade_meets_a_crash_an_outage_and_cancellations() {
+fn a_rolling_upgrade_with_a_crash_an_outage_or_cancellations() {
     for (seed, trouble) in seeds(78, 6).zip(["crash", "outage", "cancel"].into_iter().cycle()) {
         let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 40, capacity: 60, ..LARGE });
         world.all_old();
@@ -293,7 +293,7 @@
 /// small value takes, and those that have ended take room until they are recorded as done. That is recorded before
 /// ordinary progress, which may wait much longer.
 #[test]
-fn ended_attempts_leave_full_chunks_for_tasks_that_wait() {
+fn ended_attempts_free_space_in_full_chunks_for_waiting_tasks() {
     let policy = Policy { record_delay_ms: 60_000, progress_patience_ms: 120_000, ..Policy::default() };
     let mut world = World::sized(79, policy, Size { machines: 30, capacity: 30, write_rps: 9.0, ..LARGE });
     world.lower_limits_at(2 * S, 2048, 4, 9.0);
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_day_with_troubles_repeats_to_the_last_effect() {
+fn equal_seeds_lead_to_equal_effects() {
     for seed in seeds(99, 4) {
         let fingerprint = day_with_troubles(seed);
         println!("fingerprint {seed}: {fingerprint}");
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -6,7 +6,7 @@
 use burlhatch::types::MachineId;
 
 #[test]
-fn machines_hang_die_and_fail() {
+fn machines_hang_die_and_fail_tasks() {
     // In world 4036 a gang, all that is left, met the faulty machine again and again.
     for seed in seeds(4, 6).chain([4036]) {
         let mut world = World::new(seed);
@@ -45,7 +45,7 @@
 
 /// When nothing reaches any machine, the fault is our own network: deleting them all would make it worse.
 #[test]
-fn many_machines_that_receive_nothing_are_left_alone() {
+fn many_machines_that_receive_nothing_are_kept() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
     let mut world = World::sized(8, keeping_idle_machines(), size);
     for n in 0..6 {
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -2,12 +2,12 @@
 
 mod answers;
 mod cancellations;
+mod combined_failures;
 mod controllers;
-mod days;
 mod dependencies;
 mod fingerprint;
 mod machines;
-mod meetings;
+mod mixed_scenarios;
 mod on_call;
 mod upgrade;
 mod world;
--- a/tests/rules/days.rs
+++ b/tests/rules/mixed_scenarios.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeSet;
 
 #[test]
-fn a_quiet_day_gets_everything_done() {
+fn all_jobs_finish_without_failures() {
     let mut world = World::new(1);
     ordinary_jobs(&mut world, 30);
     world.run_for(90 * S);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn services_start_within_a_second_on_a_quiet_day() {
+fn services_start_and_stop_within_seconds_without_load() {
     let mut world = World::new(2);
     world.run_for(5 * S);
     let id = world.submit(1, World::spec(JobKind::Service, "red", 1, 1.0));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn everything_at_once() {
+fn all_kinds_of_failures_at_random() {
     for seed in seeds(5, 10) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 35);
@@ -67,7 +67,7 @@
 /// With far more asked than can be done, large jobs begin within four minutes all the same, and of no
 /// team and kind less than half is served.
 #[test]
-fn under_overload_the_largest_jobs_begin_and_no_team_is_left_out() {
+fn under_overload_the_largest_jobs_begin_and_no_team_starves() {
     let mut world = World::new(40);
     world.cloud.capacity = 8;
     world.run_for(5 * S);
@@ -108,7 +108,7 @@
 /// How soon depends on how many machines the services' shard has got by then, so it is looked at in
 /// several worlds: in half of them within six seconds, and in no world after more than forty.
 #[test]
-fn urgent_work_gets_by_when_changes_are_short() {
+fn services_start_soon_though_the_write_budget_is_short() {
     let mut soon = 0;
     for seed in seeds(50, 10) {
         let size = Size { write_rps: 6.0, capacity: 30, machines: 20, ..SMALL };
@@ -138,7 +138,7 @@
 
 /// Five controllers, some hundred machines, and all new troubles with a crash of all and an outage.
 #[test]
-fn a_large_world_with_everything() {
+fn a_large_cluster_with_all_kinds_of_failures() {
     for seed in seeds(9, 2) {
         let mut world = World::sized(seed, Policy::default(), LARGE);
         world.heartbeat_copies = 10;
@@ -169,7 +169,7 @@
 /// A thousand machines in four zones: a zone cut off with a controller while the leader stands still,
 /// then an outage, an end of all controllers, and a third of the machines dead or hung at once.
 #[test]
-fn a_fleet_with_troubles_in_mass() {
+fn a_thousand_machines_with_mass_failures() {
     let mut world = World::sized(16_000, keeping_idle_machines(), FLEET);
     ordinary_jobs(&mut world, 150);
     for n in 0..6 {
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -41,7 +41,7 @@
 /// as those of other shards answer: a sibling would reach them no better, so the shard must not go to and fro. Seen on
 /// a recorded day, where a shard went to and fro seven times in forty seconds.
 #[test]
-fn a_shard_whose_machines_all_hang_stays_where_it_is() {
+fn a_shard_whose_machines_all_hang_keeps_its_holder() {
     for seed in seeds(60, 4) {
         let size = Size { machines: 15, capacity: 18, ..SMALL };
         let mut world = World::sized(seed, keeping_idle_machines(), size);
@@ -61,7 +61,7 @@
 /// A controller that reaches no machine gives its shards away before their leases run out and deletes none, also when
 /// it happens again and again: each time the services run on, and its shards change hands only to and from it.
 #[test]
-fn a_controller_cut_from_its_agents_again_and_again() {
+fn a_controller_repeatedly_cut_off_from_its_agents() {
     for seed in seeds(61, 3) {
         let hold = seed % 2 == 0;
         let mut world = World::with_policy(seed, keeping_idle_machines());
@@ -104,7 +104,7 @@
 /// Jobs with a mistake fail wherever they run until their users cancel them. They are tried ever more rarely and one
 /// task at a time; no machine is suspected, emptied or rented for them, and other jobs are done as ever.
 #[test]
-fn jobs_that_fail_everywhere_cost_the_others_nothing() {
+fn jobs_that_fail_everywhere_do_not_affect_other_jobs() {
     for seed in seeds(62, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         world.run_for(5 * S);
@@ -137,7 +137,7 @@
 
 /// Among jobs that fail everywhere a machine that is at fault itself is still found: what fails there gets on elsewhere.
 #[test]
-fn a_faulty_machine_is_found_among_broken_jobs() {
+fn a_faulty_machine_is_detected_among_failing_jobs() {
     for seed in seeds(63, 4) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         world.run_for(5 * S);
@@ -162,7 +162,7 @@
 /// Broken jobs while all controllers end and come back: whoever takes over learns anew that they fail, cancellations
 /// hold, and nothing is left behind.
 #[test]
-fn broken_jobs_and_a_restart_of_all() {
+fn failing_jobs_and_a_restart_of_all_controllers() {
     for seed in seeds(64, 3) {
         let mut world = World::new(seed);
         ordinary_jobs(&mut world, 20);
@@ -188,7 +188,7 @@
 /// Every spot machine that is rented boots for ever, and spot is the cheapest. Ordinary ones are rented soon, and those
 /// that don't come up are not rented again and again.
 #[test]
-fn where_one_instance_offer_never_comes_up_another_is_taken() {
+fn ordinary_instances_are_requested_if_spot_instances_never_boot() {
     for seed in seeds(65, 4) {
         let size = Size { machines: 1, capacity: 24, ..SMALL };
         let mut world = World::sized(seed, Policy::default(), size);
@@ -238,7 +238,7 @@
 /// A guest's one huge array of short tasks comes just after larger work of the same priority that fills all machines.
 /// It goes before what of that has not begun.
 #[test]
-fn a_huge_array_of_short_tasks_gets_past_larger_work() {
+fn a_huge_array_of_short_tasks_starts_before_larger_waiting_work() {
     for seed in seeds(67, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 8, capacity: 8, ..SMALL });
         world.run_for(5 * S);
@@ -263,7 +263,7 @@
 /// well, and in the others, whose idle machines went to it. Ordinary work of the house teams gets room all the same; the
 /// guest loses no more than that takes, and its machines go back when it is over.
 #[test]
-fn house_teams_get_capacity_where_a_guest_holds_everything() {
+fn teams_get_capacity_though_low_priority_work_holds_all_machines() {
     for seed in seeds(68, 4) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 8, capacity: 8, ..SMALL });
         world.run_for(5 * S);
@@ -293,7 +293,7 @@
 /// The same within one shard, which has all machines by then: ordinary work beyond its team's guarantee makes the
 /// guest's leave after half a minute, and the guest's work goes on where there is room.
 #[test]
-fn ordinary_work_preempts_the_lowest_priority_on_its_own_machines() {
+fn standard_priority_preempts_low_priority_within_a_shard() {
     for seed in seeds(73, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 6, capacity: 6, ..SMALL });
         world.run_for(5 * S);
@@ -313,7 +313,7 @@
 /// too. Services start in time, what a job costs at most is five changes (its batch and the removal of that, which jobs that
 /// come together share, its start, its outcome, the removal of its chunk), and all of it gets done.
 #[test]
-fn a_swarm_of_single_tasks_leaves_write_budget_to_the_others() {
+fn many_single_task_jobs_leave_write_budget_to_services() {
     for seed in seeds(69, 3) {
         let size = Size { machines: 16, capacity: 20, write_rps: 20.0, ..SMALL };
         let mut world = World::sized(seed, keeping_idle_machines(), size);
@@ -370,7 +370,7 @@
 /// than a lease, with packets held and with resets. Its shards have an owner within seconds, no machine is deleted for
 /// it, what runs goes on, its users hear at once, and shards change hands only there and back.
 #[test]
-fn a_controller_drops_off_the_network_in_every_way() {
+fn a_controller_loses_each_of_its_connections() {
     for (nth, loss) in LOSSES.into_iter().enumerate() {
         for (span, hold) in [(12 * S, true), (26 * S, nth % 2 == 0)] {
             let seed = 70_000 + nth as u64 * 10 + u64::from(hold);
@@ -404,7 +404,7 @@
 /// for more than its session, as boots fail and jobs are called off. What it sends late is harmless, and awake it
 /// deletes nothing by old silence.
 #[test]
-fn a_controller_is_stalled_twice_in_mid_transaction() {
+fn a_controller_stalls_twice_during_transactions() {
     for (seed, span) in seeds(71, 4).zip([2 * S, 5 * S, 25 * S, 70 * S].into_iter().cycle()) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         world.cloud.boot_percent = 300;
@@ -432,7 +432,7 @@
 /// share reads, so the store is asked no more often than its limit allows; leases last, and all are answered
 /// within the time of one read, in the second half next to a controller that has lost its agents.
 #[test]
-fn bursts_of_questions_share_reads_and_cost_no_lease() {
+fn bursts_of_status_requests_share_reads_and_cost_no_lease() {
     for seed in seeds(72, 3) {
         let mut world = World::with_policy(seed, keeping_idle_machines());
         ordinary_jobs(&mut world, 30);
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn holders_move_their_machines() {
+fn shard_holders_move_their_machines() {
     let mut world = world_of_many_moves(80);
     for round in 0..12 {
         work_of_one_team(&mut world, round);
@@ -47,7 +47,7 @@
 /// for seconds, while the leader ends, comes back as the earlier version and moves the machine, on which it sees
 /// nothing. (It takes the shard to use another machine, as it doesn't know which one holds the image.)
 #[test]
-fn an_attempt_recorded_late_meets_an_earlier_leader() {
+fn an_attempt_recorded_late_under_a_leader_of_the_earlier_version() {
     let mut moves = 0;
     for seed in seeds(82, 10) {
         let mut world = world_of_many_moves(seed);
--- a/tests/rules/zone_cuts.rs
+++ b/tests/rules/zone_cuts.rs
@@ -17,7 +17,7 @@
 /// its shard there had not been probed yet, and said nothing. Seed 119020: suspected 2.8 s after the cut, "machine cordoned
 /// ... cause=Silent silence_ms=5071" for m-000007 after 3.5 s, lost after 4.3 s.
 #[test]
-fn no_machine_is_judged_alone_while_its_zone_is_being_judged() {
+fn no_machine_is_deleted_individually_while_its_zone_is_suspected() {
     assert_small_zone_is_left_alone(seeds(119, 24));
 }
 
@@ -69,7 +69,7 @@
 /// With few sockets for direct messages, some machines of a zone that is cut off were never probed: they kept their services
 /// until their leases ended, though there was room elsewhere. Probes went out by when a machine was last seen. All that had
 /// failed already were due again a second later, took all sockets, and those seen last before the cut never had their turn;
-/// no machine is evacuated that has not failed a probe. On seed 118000 of `zones::a_third_of_four_thousand_machines_at_once`:
+/// no machine is evacuated that has not failed a probe. On seed 118000 of `zones::a_zone_with_a_third_of_four_thousand_machines_is_cut_off`:
 /// "evacuation held back ... reason=NotProbed" for six machines from 6.5 s after the cut on and nothing else, and
 /// "probes held back ... due_count=419 unprobed_count=414 unprobed_silence_ms=14534" 12 s after it.
 #[test]
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -116,7 +116,7 @@
 /// A controller that alone can't reach a zone's machines may not have them deleted: to others they may be well. Its own
 /// view is one vote of five.
 #[test]
-fn one_controllers_blindness_is_no_lost_zone() {
+fn a_zone_that_one_controller_cannot_reach_is_not_lost() {
     for seed in seeds(102, 4) {
         let mut world = World::sized(seed, judging_zones(), NINETY);
         world.cloud.never_up = 0;
@@ -143,7 +143,7 @@
 /// The zone is heard again at any moment of the move away: before anything is decided, while deletions are on their way,
 /// when some replicas are elsewhere already. Nothing may run twice, and what was cancelled meanwhile must end.
 #[test]
-fn a_zone_that_returns_in_the_middle_of_the_move_runs_nothing_twice() {
+fn a_zone_that_returns_during_evacuation_runs_nothing_twice() {
     for seed in seeds(103, 12) {
         let mut world = world_of(seed, judging_zones());
         let services = submit_services(&mut world, 10);
@@ -180,7 +180,7 @@
 /// Twice lost within a minute: for a while the zone is not trusted with all replicas of a service. Its penalty is
 /// stored, so that a restart of all controllers does not forget it.
 #[test]
-fn a_zone_that_flaps_twice_is_not_trusted_with_a_services_only_replica() {
+fn a_zone_lost_twice_gets_no_service_with_a_single_replica() {
     for seed in seeds(105, 4) {
         let mut policy = judging_zones();
         // Its machines stay, so that there is something to lose again.
@@ -208,7 +208,7 @@
 
 /// The second zone goes while the first is being restored. What is left has room for all services.
 #[test]
-fn a_second_zone_lost_in_the_restoration_of_the_first() {
+fn a_second_zone_is_lost_while_the_first_is_restored() {
     for seed in seeds(106, 4) {
         let mut world = world_of(seed, judging_zones());
         let services = submit_services(&mut world, 6);
@@ -264,7 +264,7 @@
 /// Elsewhere nothing can be rented, or what is rented never comes up: services take the room there is, batch work makes
 /// way, and no machine of the zone is deleted for a replica that would find no place.
 #[test]
-fn without_capacity_elsewhere_machines_are_not_given_up_for_nothing() {
+fn without_capacity_elsewhere_machines_of_a_lost_zone_are_kept() {
     // In world 108005 places were given away twice.
     for seed in seeds(108, 3).chain([108_005]) {
         let mut world = World::sized(seed, judging_zones(), NINETY);
@@ -290,7 +290,7 @@
 
 /// Gangs in one zone, jobs that must be spread and jobs bound to the lost zone, next to cuts and flaps.
 #[test]
-fn jobs_bound_to_zones_go_through_losses_and_returns() {
+fn zone_bound_jobs_finish_despite_zone_losses_and_returns() {
     for seed in seeds(109, 6) {
         let mut world = world_of(seed, judging_zones());
         world.heartbeat_copies = 3;
@@ -307,7 +307,7 @@
 
 /// Controllers that judge zones beside some that do not, which change while a zone is lost.
 #[test]
-fn versions_that_do_not_judge_zones_beside_those_that_do() {
+fn controllers_with_and_without_zone_conditions_side_by_side() {
     for seed in seeds(110, 5) {
         let mut world = world_of(seed, judging_zones());
         world.all_old();
@@ -331,7 +331,7 @@
 
 /// A zone that returns gets its work step by step: in no step more starts than the settings allow, though hundreds wait.
 #[test]
-fn work_comes_back_in_steps() {
+fn starts_in_a_returned_zone_are_ramped_up() {
     for seed in seeds(111, 3) {
         let mut policy = judging_zones();
         policy.zones.penalty_per_loss = 0.0;
@@ -369,7 +369,7 @@
 
 /// While services are restored batch work waits, and none of them waits for it.
 #[test]
-fn services_go_before_batch_work_in_a_restoration() {
+fn services_start_before_batch_work_while_a_zone_is_lost() {
     for seed in seeds(112, 4) {
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
         let mut world = World::sized(seed, judging_zones(), size);
@@ -421,7 +421,7 @@
 /// Batch work of the same priority that is overdue would go before services. It waits for another job until just before
 /// the zone is lost, and there is more of it than room.
 #[test]
-fn services_go_before_overdue_batch_work_of_their_priority() {
+fn services_start_before_overdue_batch_work_of_their_priority() {
     for seed in seeds(120, 3) {
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
         let mut world = World::sized(seed, judging_zones(), size);
@@ -485,7 +485,7 @@
 
 /// What can't be read among the stored views is not trusted, and taken away by the shard's holder.
 #[test]
-fn unreadable_views_are_ignored_and_written_anew() {
+fn unreadable_zone_views_are_ignored_and_deleted() {
     let mut world = world_of(114_000, judging_zones());
     submit_services(&mut world, 6);
     world.run_for(20 * S);
@@ -504,7 +504,7 @@
 /// Losses, flaps, returns and deaths of zones meet crashes, outages, refusals, hangs and freezes, in whatever order. The
 /// rules hold, no job waits beside room, and everything gets done.
 #[test]
-fn zones_and_everything_else_at_once() {
+fn zone_losses_with_all_kinds_of_failures() {
     for seed in seeds(115, 8) {
         let mut world = world_of(seed, judging_zones());
         ordinary_jobs(&mut world, 35);
@@ -529,7 +529,7 @@
 
 /// Some machines of a zone hang: that is no lost zone. They are judged one by one, and the zone goes on taking work.
 #[test]
-fn a_part_of_a_zone_is_not_the_zone() {
+fn a_zone_with_a_third_of_its_machines_hanging_is_not_lost() {
     for seed in seeds(116, 3) {
         let mut world = World::sized(seed, judging_zones(), NINETY);
         world.cloud.never_up = 0;
@@ -577,7 +577,7 @@
 /// Was red on this seed: six machines were never probed, as those that failed again and again came before them, so they
 /// were not evacuated (`zone_cuts` tells the story).
 #[test]
-fn a_third_of_four_thousand_machines_at_once() {
+fn a_zone_with_a_third_of_four_thousand_machines_is_cut_off() {
     let size =
         Size { nodes: 5, machines: 4000, capacity: 4400, write_rps: 50.0, zones: &["a", "b", "c"], times: TIMES };
     let mut world = World::sized(118_000, judging_zones(), size);
