--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -2,13 +2,13 @@
 //! hears nothing older, at any controller, however late the store answers.
 
 use super::world::{LARGE, Limits, MS, S, SMALL, Size, World};
-use super::{assert_clean, finish, ordinary_jobs, seeds};
+use super::{assert_no_violations, finish_all_jobs, seeds, submit_mixed_jobs};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::Policy;
 use burlhatch::types::JobId;
 
 /// One-task jobs that are soon over, of all teams, over so long a time.
-fn small_jobs(world: &mut World, first: u64, count: u64, span: u64) -> Vec<JobId> {
+fn submit_short_jobs(world: &mut World, first: u64, count: u64, span: u64) -> Vec<JobId> {
     let jobs = (0..count).map(|n| {
         let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 1, 1.0);
         spec.estimated_runtime_s = 1.0;
@@ -22,7 +22,7 @@
 
 /// A world in which users look closely, a third of the jobs are called off as soon as they are accepted, and answers
 /// of the store come late, watches at each controller by another lag.
-fn looked_at(seed: u64, size: Size) -> World {
+fn world_with_consistency_checks(seed: u64, size: Size) -> World {
     let mut world = World::sized(seed, Policy::default(), size);
     world.close_looks = true;
     world.cancel_at_once = 3;
@@ -36,10 +36,10 @@
 #[test]
 fn answers_stay_consistent_while_the_store_answers_late() {
     for seed in seeds(90, 4) {
-        let mut world = looked_at(seed, SMALL);
-        small_jobs(&mut world, 1, 60, 40 * S);
-        ordinary_jobs(&mut world, 10);
-        finish(&mut world, &format!("late answers {seed}"));
+        let mut world = world_with_consistency_checks(seed, SMALL);
+        submit_short_jobs(&mut world, 1, 60, 40 * S);
+        submit_mixed_jobs(&mut world, 10);
+        finish_all_jobs(&mut world, &format!("late answers {seed}"));
         assert!(world.jobs.values().any(|job| job.told == Some(JobState::Cancelled)), "{seed}: none was cancelled");
     }
 }
@@ -48,11 +48,11 @@
 #[test]
 fn answers_stay_consistent_amid_failures() {
     for seed in seeds(91, 6) {
-        let mut world = looked_at(seed, SMALL);
+        let mut world = world_with_consistency_checks(seed, SMALL);
         world.heartbeat_copies = 10;
         world.odd_requests = true;
-        small_jobs(&mut world, 100, 60, 60 * S);
-        ordinary_jobs(&mut world, 15);
+        submit_short_jobs(&mut world, 100, 60, 60 * S);
+        submit_mixed_jobs(&mut world, 15);
         for _ in 0..8 {
             world.run_for(6 * S);
             let (node, span) = (world.pick(3) as usize, (1 + world.pick(12)) * S);
@@ -65,7 +65,7 @@
                 _ => world.lag_watches(1200 * MS),
             }
         }
-        finish(&mut world, &format!("looks amid troubles {seed}"));
+        finish_all_jobs(&mut world, &format!("looks amid troubles {seed}"));
     }
 }
 
@@ -74,8 +74,8 @@
 #[test]
 fn answers_about_dependent_jobs_stay_consistent() {
     for seed in seeds(92, 6) {
-        let mut world = looked_at(seed, SMALL);
-        let firsts = small_jobs(&mut world, 1, 40, 40 * S);
+        let mut world = world_with_consistency_checks(seed, SMALL);
+        let firsts = submit_short_jobs(&mut world, 1, 40, 40 * S);
         for (n, first) in (0..).zip(&firsts) {
             let mut spec = World::spec(JobKind::Array, "green", 1, 1.0);
             spec.depends_on = vec![first.clone()];
@@ -92,7 +92,7 @@
                 _ => world.lag_watches(1200 * MS),
             }
         }
-        finish(&mut world, &format!("looks at pipelines {seed}"));
+        finish_all_jobs(&mut world, &format!("looks at pipelines {seed}"));
     }
 }
 
@@ -101,14 +101,14 @@
 #[test]
 fn answers_stay_consistent_while_controllers_reread_the_store() {
     for seed in seeds(93, 4) {
-        let mut world = looked_at(seed, SMALL);
+        let mut world = world_with_consistency_checks(seed, SMALL);
         world.limit_store(Limits { history: 30, page_items: 5, page_bytes: 1500, rps: Some(150.0) });
-        small_jobs(&mut world, 1, 50, 40 * S);
+        submit_short_jobs(&mut world, 1, 50, 40 * S);
         for _ in 0..5 {
             world.run_for(8 * S);
             world.lag_watches(1200 * MS);
         }
-        finish(&mut world, &format!("all over again {seed}"));
+        finish_all_jobs(&mut world, &format!("all over again {seed}"));
     }
 }
 
@@ -116,13 +116,13 @@
 #[test]
 fn answers_stay_consistent_in_a_large_cluster() {
     for seed in seeds(94, 1) {
-        let mut world = looked_at(seed, LARGE);
-        small_jobs(&mut world, 1, 120, 40 * S);
-        ordinary_jobs(&mut world, 30);
+        let mut world = world_with_consistency_checks(seed, LARGE);
+        submit_short_jobs(&mut world, 1, 120, 40 * S);
+        submit_mixed_jobs(&mut world, 30);
         world.run_for(20 * S);
         world.store_outage(6 * S);
         world.run_for(15 * S);
-        assert_clean(&world, "large");
-        finish(&mut world, &format!("large {seed}"));
+        assert_no_violations(&world, "large");
+        finish_all_jobs(&mut world, &format!("large {seed}"));
     }
 }
--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -1,12 +1,12 @@
 //! Cancellations that meet other troubles: once a user was told, nothing of the job may be left in time.
 
 use super::world::{CANCEL_S, LARGE, MS, Place, S, SHORT_LEASES, SLOW_HEARTBEATS, SMALL, Size, TIMES, Times, World};
-use super::{assert_clean, finish, keeping_idle_machines, seeds};
+use super::{assert_no_violations, finish_all_jobs, policy_keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::types::JobId;
 
 /// Arrays that run for much longer than a cancellation may take, of all teams.
-fn long_jobs(world: &mut World, count: u64, tasks: u32) -> Vec<JobId> {
+fn submit_long_jobs(world: &mut World, count: u64, tasks: u32) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
     let ids = (0..count).map(|n| {
         let mut spec = World::spec(JobKind::Array, teams[n as usize % 3], tasks, 1.0);
@@ -18,11 +18,11 @@
 }
 
 /// Agents' times of three deployments in turn.
-fn times_of(seed: u64) -> Times {
+fn agent_times(seed: u64) -> Times {
     [TIMES, SLOW_HEARTBEATS, SHORT_LEASES][seed as usize % 3]
 }
 
-fn cancel_at(world: &mut World, ids: &[JobId], delay: u64) {
+fn schedule_cancellation(world: &mut World, ids: &[JobId], delay: u64) {
     let at = world.now + delay;
     for id in ids {
         if let Some(job) = world.jobs.get_mut(id) {
@@ -31,97 +31,100 @@
     }
 }
 
-fn told(world: &World, ids: &[JobId]) -> usize {
+fn confirmed_count(world: &World, ids: &[JobId]) -> usize {
     ids.iter().filter(|id| world.jobs[*id].cancelled.is_some()).count()
 }
 
 /// A small world in which long jobs of every team run, and the shard whose holder gets into trouble.
-fn running(seed: u64) -> (World, Vec<JobId>, usize) {
-    let mut world = World::with_policy(seed, keeping_idle_machines());
-    let ids = long_jobs(&mut world, 6, 3);
+fn world_with_running_jobs(seed: u64) -> (World, Vec<JobId>, usize) {
+    let mut world = World::with_policy(seed, policy_keeping_idle_machines());
+    let ids = submit_long_jobs(&mut world, 6, 3);
     world.run_for(25 * S);
     assert!(ids.iter().all(|id| world.jobs[id].begun.is_some()), "{seed}: not all run");
-    let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-    (world, ids, owner)
+    let holder = world.holder(&format!("share/{}", seed % 3)).expect("owned");
+    (world, ids, holder)
 }
 
 /// What comes on top of the owner's being refused and the outage after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum More {
-    Nothing,
+enum ExtraFailure {
+    None,
     /// The owner's siblings can't reach it either: late, or never.
-    PeersHeld,
-    PeersLost,
+    PeerMessagesDelayed,
+    PeerMessagesLost,
     /// It stands still, or ends and comes back, soon after it may have said that it knows.
-    Freezes,
-    Crashes,
+    HolderStalls,
+    HolderCrashes,
     /// Machines hang from before the cancellation until long after its time is up.
-    Hang,
+    MachinesHang,
     /// Nothing reaches some machines.
-    Deaf,
+    MachinesUnreachable,
     /// The refusal lasts until its role has gone to a sibling, and the outage follows that at once.
-    HandsOver,
+    RoleTakenOver,
 }
 
-/// The store refuses the owner of a shard alone, users cancel through others, and then it is away for
-/// all for longer than a cancellation may take. The owner learns of outcomes by its watch, which is cut off, and
+/// The store refuses the holder of a shard alone, users cancel through others, and then it is away for
+/// all for longer than a cancellation may take. The holder learns of outcomes by its watch, which is cut off, and
 /// goes on answering its agents as in any outage: their leases last, and so would the cancelled tasks. A
 /// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new fencing token,
 /// which an outage forbids as well.
 #[test]
 fn cancelled_while_the_store_refuses_the_shard_holder_and_then_is_down() {
-    let mores = [
-        More::Nothing,
-        More::PeersHeld,
-        More::PeersLost,
-        More::Freezes,
-        More::Crashes,
-        More::Hang,
-        More::Deaf,
-        More::HandsOver,
+    let extra_failures = [
+        ExtraFailure::None,
+        ExtraFailure::PeerMessagesDelayed,
+        ExtraFailure::PeerMessagesLost,
+        ExtraFailure::HolderStalls,
+        ExtraFailure::HolderCrashes,
+        ExtraFailure::MachinesHang,
+        ExtraFailure::MachinesUnreachable,
+        ExtraFailure::RoleTakenOver,
     ];
-    let mut before_outage = [0; 8];
-    for (seed, (n, more)) in seeds(20, 24).zip(mores.into_iter().enumerate().cycle()) {
-        let (mut world, ids, owner) = running(seed);
+    let mut confirmed_before_outage = [0; 8];
+    for (seed, (n, extra_failure)) in seeds(20, 24).zip(extra_failures.into_iter().enumerate().cycle()) {
+        let (mut world, ids, holder) = world_with_running_jobs(seed);
         // The cancellation comes with the refusal, before it, or after it.
         match seed / 8 % 3 {
-            0 => cancel_at(&mut world, &ids, 0),
-            1 => cancel_at(&mut world, &ids, 700 * MS),
+            0 => schedule_cancellation(&mut world, &ids, 0),
+            1 => schedule_cancellation(&mut world, &ids, 700 * MS),
             _ => {
-                cancel_at(&mut world, &ids, 0);
+                schedule_cancellation(&mut world, &ids, 0);
                 world.run_for(250 * MS);
             }
         }
-        if more == More::Hang {
+        if extra_failure == ExtraFailure::MachinesHang {
             for nth in 0..3 {
                 world.hang(nth, (CANCEL_S + 15) * S);
             }
         }
-        if more == More::Deaf {
+        if extra_failure == ExtraFailure::MachinesUnreachable {
             for nth in 0..2 {
                 world.make_unreachable(nth, (CANCEL_S + 15) * S);
             }
         }
-        if matches!(more, More::PeersHeld | More::PeersLost) {
-            let peers = move |a: &Place, b: &Place| *a == Place::Node(owner) && matches!(b, Place::Node(_));
-            world.cut(10 * S, more == More::PeersHeld, peers);
+        if matches!(extra_failure, ExtraFailure::PeerMessagesDelayed | ExtraFailure::PeerMessagesLost) {
+            let peers = move |a: &Place, b: &Place| *a == Place::Node(holder) && matches!(b, Place::Node(_));
+            world.cut(10 * S, extra_failure == ExtraFailure::PeerMessagesDelayed, peers);
         }
-        world.refuse_node(owner, 14 * S);
-        let until_outage = if more == More::HandsOver { 5 * S } else { 2 * S };
+        world.refuse_node(holder, 14 * S);
+        let until_outage = if extra_failure == ExtraFailure::RoleTakenOver { 5 * S } else { 2 * S };
         world.run_for(until_outage);
         world.store_outage((CANCEL_S + 20) * S);
-        before_outage[n] += told(&world, &ids);
-        match more {
-            More::Freezes => world.freeze(owner, 30 * S),
-            More::Crashes => world.crash(owner, 300 * MS),
+        confirmed_before_outage[n] += confirmed_count(&world, &ids);
+        match extra_failure {
+            ExtraFailure::HolderStalls => world.freeze(holder, 30 * S),
+            ExtraFailure::HolderCrashes => world.crash(holder, 300 * MS),
             _ => {}
         }
         world.run_for((CANCEL_S + 25) * S);
-        assert_clean(&world, &format!("gap {more:?} {seed}"));
-        finish(&mut world, &format!("gap {more:?} {seed}"));
+        assert_no_violations(&world, &format!("gap {extra_failure:?} {seed}"));
+        finish_all_jobs(&mut world, &format!("gap {extra_failure:?} {seed}"));
     }
     // Without the owner's word users of its jobs are told nothing, but those of others are.
-    assert!(before_outage.iter().all(|told| *told > 0), "told before the outage: {before_outage:?}");
+    assert!(
+        confirmed_before_outage.iter().all(|count| *count > 0),
+        "confirmed before the outage: {confirmed_before_outage:?}"
+    );
 }
 
 /// While the owner's siblings can't reach it, though the store can be reached by all, users are not kept
@@ -129,12 +132,12 @@
 #[test]
 fn without_peer_messages_the_stored_records_confirm_cancellations() {
     for seed in seeds(21, 3) {
-        let (mut world, ids, _) = running(seed);
+        let (mut world, ids, _) = world_with_running_jobs(seed);
         world.cut(80 * S, false, |a, b| matches!((a, b), (Place::Node(_), Place::Node(_))));
-        cancel_at(&mut world, &ids, 0);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(20 * S);
-        assert_eq!(told(&world, &ids), ids.len(), "{seed}: not all were told");
-        finish(&mut world, &format!("no words {seed}"));
+        assert_eq!(confirmed_count(&world, &ids), ids.len(), "{seed}: not all were told");
+        finish_all_jobs(&mut world, &format!("no words {seed}"));
     }
 }
 
@@ -143,12 +146,12 @@
 /// rest stays.
 #[test]
 fn hundreds_of_tasks_are_cancelled_as_their_machines_hang() {
-    let mut world = World::sized(22_000, keeping_idle_machines(), Size { machines: 60, capacity: 70, ..LARGE });
+    let mut world = World::sized(22_000, policy_keeping_idle_machines(), Size { machines: 60, capacity: 70, ..LARGE });
     let mut spec = World::spec(JobKind::Array, "green", 200, 1.0);
     spec.estimated_runtime_s = 200.0;
     let id = world.submit(1, spec);
     world.run_for(30 * S);
-    cancel_at(&mut world, std::slice::from_ref(&id), 0);
+    schedule_cancellation(&mut world, std::slice::from_ref(&id), 0);
     for nth in 0..25 {
         world.hang(nth * 2, (CANCEL_S + 10) * S);
     }
@@ -157,41 +160,41 @@
     let machines = world.agents.len();
     world.store_outage((CANCEL_S + 20) * S);
     world.run_for((CANCEL_S + 25) * S);
-    assert_clean(&world, "hundreds");
+    assert_no_violations(&world, "hundreds");
     assert!(world.agents.len() * 2 >= machines, "machines deleted: {} of {machines} left", world.agents.len());
-    finish(&mut world, "hundreds");
+    finish_all_jobs(&mut world, "hundreds");
 }
 
-/// A successor finds cancelled jobs in the stored records whose tasks run on machines that only the former owner can
+/// A successor finds cancelled jobs in the stored records whose tasks run on machines that only the former holder can
 /// reach, which is cut off from all else and goes on answering them. Then the store is away, too, and it
 /// can't be written down that the machines are to go. When they have to follows from the time in the stored records.
 #[test]
 fn a_successor_that_cannot_reach_the_machines_deletes_them_in_time() {
     for seed in seeds(23, 16) {
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 8, ..SMALL });
-        let ids = long_jobs(&mut world, 6, 3);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), Size { machines: 8, ..SMALL });
+        let ids = submit_long_jobs(&mut world, 6, 3);
         world.run_for(25 * S);
-        let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-        leave_agents_with(&mut world, owner, (CANCEL_S + 30) * S, seed);
-        cancel_at(&mut world, &ids, 0);
+        let holder = world.holder(&format!("share/{}", seed % 3)).expect("owned");
+        isolate_with_agents(&mut world, holder, (CANCEL_S + 30) * S, seed);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(3 * S);
-        assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
+        assert!(confirmed_count(&world, &ids) > 0, "{seed}: nobody was told");
         if seed % 2 == 1 {
             world.store_outage((CANCEL_S + 20) * S);
         }
         world.run_for((CANCEL_S + 27) * S);
-        assert_clean(&world, &format!("successor {seed}"));
-        finish(&mut world, &format!("successor {seed}"));
+        assert_no_violations(&world, &format!("successor {seed}"));
+        finish_all_jobs(&mut world, &format!("successor {seed}"));
     }
 }
 
 /// Nobody but one controller hears the agents, and it hears nobody else: not the store, which gives its shard
 /// to a sibling, nor the siblings.
-fn leave_agents_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
-    let mine = move |place: &Place| *place == Place::Node(owner);
+fn isolate_with_agents(world: &mut World, holder: usize, duration: u64, seed: u64) {
+    let is_holder = move |place: &Place| *place == Place::Node(holder);
     world.cut(duration, true, move |a, b| match (a, b) {
-        (Place::Agent(_), Place::Node(_)) | (Place::Node(_), Place::Agent(_)) => !mine(a) && !mine(b),
-        _ => mine(a) || mine(b),
+        (Place::Agent(_), Place::Node(_)) | (Place::Node(_), Place::Agent(_)) => !is_holder(a) && !is_holder(b),
+        _ => is_holder(a) || is_holder(b),
     });
     world.run_for(6 * S);
     let mut waited = 0;
@@ -208,25 +211,25 @@
 #[test]
 fn a_deposed_holder_renews_leases_and_nobody_can_delete_the_machines() {
     for seed in seeds(24, 12) {
-        let times = times_of(seed);
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 8, times, ..SMALL });
-        let ids = long_jobs(&mut world, 6, 3);
+        let times = agent_times(seed);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), Size { machines: 8, times, ..SMALL });
+        let ids = submit_long_jobs(&mut world, 6, 3);
         world.run_for(25 * S);
-        let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-        leave_agents_with(&mut world, owner, times.cancel + 40 * S, seed);
-        cancel_at(&mut world, &ids, 0);
+        let holder = world.holder(&format!("share/{}", seed % 3)).expect("owned");
+        isolate_with_agents(&mut world, holder, times.cancel + 40 * S, seed);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(4 * S);
         if seed / 3 % 2 == 0 {
             world.store_outage(times.cancel + 20 * S);
-            for node in (0..3).filter(|node| *node != owner) {
+            for node in (0..3).filter(|node| *node != holder) {
                 world.crash(node, 4 * S);
             }
         } else {
             world.cloud_outage(times.cancel + 20 * S);
         }
         world.run_for(times.cancel + 27 * S);
-        assert_clean(&world, &format!("deposed {seed}"));
-        finish(&mut world, &format!("deposed {seed}"));
+        assert_no_violations(&world, &format!("deposed {seed}"));
+        finish_all_jobs(&mut world, &format!("deposed {seed}"));
     }
 }
 
@@ -236,9 +239,9 @@
 #[test]
 fn frequent_fencing_token_changes_do_not_delay_stops() {
     for seed in seeds(25, 6) {
-        let times = times_of(seed);
+        let times = agent_times(seed);
         let size = Size { machines: 60, capacity: 70, times, ..LARGE };
-        let mut world = World::sized(seed, keeping_idle_machines(), size);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), size);
         let mut ids = Vec::new();
         for n in 0..6 {
             let mut spec = World::spec(JobKind::Array, "green", 30, 1.0);
@@ -258,10 +261,10 @@
         world.late_commands(times.cancel + 35 * S, 1, 2 * S..16 * S);
         world.run_for(15 * S);
         world.cloud_outage(times.cancel + 20 * S);
-        cancel_at(&mut world, &ids, 0);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(times.cancel + 20 * S);
-        assert_clean(&world, &format!("terms {seed}"));
-        finish(&mut world, &format!("terms {seed}"));
+        assert_no_violations(&world, &format!("terms {seed}"));
+        finish_all_jobs(&mut world, &format!("terms {seed}"));
     }
 }
 
@@ -271,8 +274,8 @@
 #[test]
 fn a_long_delayed_start_is_void_after_its_incarnation_ends() {
     for seed in seeds(26, 24) {
-        let times = times_of(seed);
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { times, ..SMALL });
+        let times = agent_times(seed);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), Size { times, ..SMALL });
         // So that something runs in any case.
         world.submit(50, World::spec(JobKind::Array, "green", 2, 1.0));
         world.run_for(20 * S);
@@ -283,13 +286,13 @@
             ids.push(world.submit(n + 1, spec));
         }
         world.run_for(1500 * MS);
-        cancel_at(&mut world, &ids, 0);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(S);
-        assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
+        assert!(confirmed_count(&world, &ids) > 0, "{seed}: nobody was told");
         world.store_outage(times.cancel + 20 * S);
         world.cloud_outage(times.cancel + 20 * S);
         world.run_for(times.cancel + 25 * S);
-        assert_clean(&world, &format!("held start {seed}"));
-        finish(&mut world, &format!("held start {seed}"));
+        assert_no_violations(&world, &format!("held start {seed}"));
+        finish_all_jobs(&mut world, &format!("held start {seed}"));
     }
 }
--- a/tests/rules/combined_failures.rs
+++ b/tests/rules/combined_failures.rs
@@ -2,14 +2,14 @@
 //! such a meeting about. Those of cancellations with outages are in `cancellations.rs`.
 
 use super::world::{MS, Place, S, SMALL, Size, World};
-use super::{finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
 use burlhatch::protocol::user::JobKind;
 use burlhatch::settings::Policy;
 use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeSet;
 
 /// Some unfinished jobs are called off at once.
-fn call_off_some(world: &mut World, one_in: u32) {
+fn cancel_some(world: &mut World, one_in: u32) {
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
         if world.chance(one_in) {
@@ -26,7 +26,7 @@
     for seed in seeds(30, 4) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 8;
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         world.run_for(20 * S);
         for node in 0..3 {
             world.crash(node, 23 * S + node as u64 * (seed % 2) * 15 * S);
@@ -35,18 +35,18 @@
         let first = world.holder("leader").unwrap_or(0);
         world.crash(first, 300 * MS);
         world.run_for(5 * S);
-        call_off_some(&mut world, 4);
-        finish(&mut world, &format!("away {seed}"));
+        cancel_some(&mut world, 4);
+        finish_all_jobs(&mut world, &format!("away {seed}"));
     }
 }
 
-/// A team is at its limit when the leader and the team's owner change, while some of its machines can't be asked
-/// and jobs are cancelled. What an earlier owner started counts until it is proven gone, on machines that can't be
+/// A team is at its limit when the leader and the team's holder change, while some of its machines can't be asked
+/// and jobs are cancelled. What an earlier holder started counts until it is proven gone, on machines that can't be
 /// reached too.
 #[test]
 fn a_team_at_its_quota_as_its_shard_changes_holders() {
     for seed in seeds(31, 4) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         for n in 0..16 {
             let mut spec = World::spec(JobKind::Array, ["red", "blue"][n as usize % 2], 4, 2.0);
             spec.estimated_runtime_s = 25.0;
@@ -62,8 +62,8 @@
             }
             world.run_for(S);
         }
-        call_off_some(&mut world, 2);
-        finish(&mut world, &format!("limit {seed}"));
+        cancel_some(&mut world, 2);
+        finish_all_jobs(&mut world, &format!("limit {seed}"));
     }
 }
 
@@ -97,7 +97,7 @@
             }
             world.run_for(6 * S);
         }
-        finish(&mut world, &format!("zone-bound {seed}"));
+        finish_all_jobs(&mut world, &format!("zone-bound {seed}"));
     }
 }
 
@@ -108,7 +108,7 @@
 fn transactions_without_an_answer_are_carried_out_late() {
     for seed in seeds(33, 6) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 35);
+        submit_mixed_jobs(&mut world, 35);
         world.run_for(8 * S);
         world.late_writes(60 * S, 4);
         for round in 0..6 {
@@ -117,10 +117,10 @@
             match round % 3 {
                 0 => world.crash(node, 300 * MS),
                 1 => world.refuse_node(node, 5 * S),
-                _ => call_off_some(&mut world, 6),
+                _ => cancel_some(&mut world, 6),
             }
         }
-        finish(&mut world, &format!("late writes {seed}"));
+        finish_all_jobs(&mut world, &format!("late writes {seed}"));
         world.run_for(40 * S);
         let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/run/")).collect();
         assert!(left.is_empty(), "{seed}: left in the stored records: {left:?}");
@@ -134,7 +134,7 @@
     for seed in seeds(34, 4) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 2;
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for round in 0..8 {
             world.run_for(6 * S);
             let (nth, node) = (world.pick(9) as usize, world.pick(3) as usize);
@@ -149,7 +149,7 @@
                 _ => {}
             }
         }
-        finish(&mut world, &format!("old reports {seed}"));
+        finish_all_jobs(&mut world, &format!("old reports {seed}"));
     }
 }
 
@@ -158,7 +158,7 @@
 #[test]
 fn cancelled_through_the_new_leader_while_the_old_one_still_reaches_its_agents() {
     for seed in seeds(35, 4) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         for n in 0..9 {
             let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 3, 1.0);
             spec.estimated_runtime_s = 120.0;
@@ -169,11 +169,11 @@
         let hold = seed % 2 == 0;
         world.cut(60 * S, hold, move |a, b| *a == Place::Node(old) && matches!(b, Place::Store | Place::Node(_)));
         world.run_for(500 * MS);
-        call_off_some(&mut world, 3);
+        cancel_some(&mut world, 3);
         world.run_for(5 * S);
-        call_off_some(&mut world, 2);
+        cancel_some(&mut world, 2);
         world.run_for(50 * S);
-        finish(&mut world, &format!("old leader {seed}"));
+        finish_all_jobs(&mut world, &format!("old leader {seed}"));
     }
 }
 
@@ -184,7 +184,7 @@
     for seed in seeds(36, 3) {
         let mut world = World::new(seed);
         world.cloud.capacity = 9;
-        ordinary_jobs(&mut world, 60);
+        submit_mixed_jobs(&mut world, 60);
         world.run_for(10 * S);
         world.slow_links(50 * S, 900 * MS);
         world.run_for(15 * S);
@@ -193,7 +193,7 @@
         let nth = world.pick(9) as usize;
         world.hang(nth, 12 * S);
         world.crash(0, 4 * S);
-        finish(&mut world, &format!("slow links {seed}"));
+        finish_all_jobs(&mut world, &format!("slow links {seed}"));
     }
 }
 
@@ -203,7 +203,7 @@
 fn ten_leader_changes_in_two_minutes() {
     for seed in seeds(37, 3) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 35);
+        submit_mixed_jobs(&mut world, 35);
         // Two or three tasks that end far apart: some before a change, some after it.
         for n in 0..6 {
             let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 2 + n as u32 % 2, 1.0);
@@ -220,28 +220,28 @@
                 world.store_outage(14 * S);
             }
             if round % 3 == 1 {
-                call_off_some(&mut world, 12);
+                cancel_some(&mut world, 12);
             }
             world.run_for(12 * S);
         }
         for node in 0..3 {
             world.crash(node, if node == 1 { 700 * MS } else { 12 * S });
         }
-        finish(&mut world, &format!("ten leaders {seed}"));
+        finish_all_jobs(&mut world, &format!("ten leaders {seed}"));
     }
 }
 
 /// Agents that can't open connections to any controller, though direct commands reach them and are answered. Their
-/// leases run out again and again with all that was sent to them in between, and to an owner that counts answers
+/// leases run out again and again with all that was sent to them in between, and to an holder that counts answers
 /// they look alive. They get nothing, and are replaced unless many are so.
 #[test]
 fn machines_that_reach_no_controller_are_replaced() {
     // In world 38015 late copies of its heartbeats made it look heard.
     for seed in seeds(38, 4).chain(seeds(38, 16).skip(15)) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         let services: Vec<JobId> =
             (0..3).map(|n| world.submit(900 + n, World::spec(JobKind::Service, "green", 2, 1.0))).collect();
-        ordinary_jobs(&mut world, 25);
+        submit_mixed_jobs(&mut world, 25);
         world.run_for(20 * S);
         let serving: Vec<usize> = (0..world.agents.len())
             .filter(|n| world.agents.values().nth(*n).is_some_and(|w| w.tasks.keys().any(|k| services.contains(&k.0))))
@@ -258,7 +258,7 @@
             assert_eq!(world.running(id), 2, "{seed}: {id} is not up again");
             world.call_off(id);
         }
-        finish(&mut world, &format!("mute {seed}"));
+        finish_all_jobs(&mut world, &format!("mute {seed}"));
     }
 }
 
@@ -266,8 +266,8 @@
 #[test]
 fn many_machines_that_reach_no_controller_are_kept() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
-    let mut world = World::sized(39_000, keeping_idle_machines(), size);
-    ordinary_jobs(&mut world, 20);
+    let mut world = World::sized(39_000, policy_keeping_idle_machines(), size);
+    submit_mixed_jobs(&mut world, 20);
     world.run_for(30 * S);
     let before: Vec<MachineId> = world.agents.keys().cloned().collect();
     for nth in 0..before.len() {
@@ -276,23 +276,23 @@
     world.run_for(40 * S);
     let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
     assert!(lost <= 1, "{lost} machines were deleted");
-    finish(&mut world, "all mute");
+    finish_all_jobs(&mut world, "all mute");
 }
 
-/// An owner ends while machines with long tasks can't be reached by anybody, or reach the new owner without hearing
+/// An holder ends while machines with long tasks can't be reached by anybody, or reach the new holder without hearing
 /// its answer; a whole zone with a controller in it is cut off for longer than a lease.
 #[test]
 fn a_shard_holder_crashes_while_machines_are_unreachable() {
     for seed in seeds(40, 6) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         for n in 0..9 {
             let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 4, 1.0);
             spec.estimated_runtime_s = 40.0;
             world.submit(n + 1, spec);
         }
-        ordinary_jobs(&mut world, 15);
+        submit_mixed_jobs(&mut world, 15);
         world.run_for(20 * S);
-        let owner = world.holder("share/1").expect("owned");
+        let holder = world.holder("share/1").expect("owned");
         match seed % 3 {
             0 => {
                 let lost: BTreeSet<MachineId> = (0..2).filter_map(|n| world.nth_agent(n * 3)).collect();
@@ -307,7 +307,7 @@
                 let zone: BTreeSet<MachineId> =
                     world.agents.iter().filter(|(_, w)| w.zone == "b").map(|(id, _)| id.clone()).collect();
                 let inside = move |place: &Place| match place {
-                    Place::Node(node) => *node == (owner + 1) % 3,
+                    Place::Node(node) => *node == (holder + 1) % 3,
                     Place::Agent(id) => zone.contains(id),
                     _ => false,
                 };
@@ -315,10 +315,10 @@
             }
         }
         world.run_for(300 * MS);
-        world.crash(owner, 3 * S);
+        world.crash(holder, 3 * S);
         world.run_for(8 * S);
-        call_off_some(&mut world, 4);
-        finish(&mut world, &format!("unreached {seed}"));
+        cancel_some(&mut world, 4);
+        finish_all_jobs(&mut world, &format!("unreached {seed}"));
     }
 }
 
@@ -331,7 +331,7 @@
         let mut world = World::new(seed);
         world.cancel_at_end = 2;
         world.odd_requests = true;
-        ordinary_jobs(&mut world, 60);
+        submit_mixed_jobs(&mut world, 60);
         for round in 0..5 {
             world.run_for(12 * S);
             match round {
@@ -341,7 +341,7 @@
                 _ => {}
             }
         }
-        finish(&mut world, &format!("at the end {seed}"));
+        finish_all_jobs(&mut world, &format!("at the end {seed}"));
         for id in world.jobs.keys().cloned().collect::<Vec<_>>() {
             let told = world.jobs[&id].told;
             for node in 0..3 {
@@ -361,7 +361,7 @@
         world.heartbeat_copies = 5;
         world.cancel_at_end = 6;
         world.odd_requests = true;
-        ordinary_jobs(&mut world, 45);
+        submit_mixed_jobs(&mut world, 45);
         for _ in 0..10 {
             world.run_for(5 * S);
             let (nth, node) = (world.pick(12) as usize, world.pick(3) as usize);
@@ -370,7 +370,7 @@
                 0 => world.late_writes(span, 4),
                 1 => drop(world.unreported(nth, span)),
                 2 => drop(world.make_unreachable(nth, span)),
-                3 => call_off_some(&mut world, 10),
+                3 => cancel_some(&mut world, 10),
                 4 => world
                     .cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Store | Place::Node(_))),
                 5 => world.crash(node, 300 * MS),
@@ -379,6 +379,6 @@
                 _ => world.slow_links(span, 600 * MS),
             }
         }
-        finish(&mut world, &format!("together {seed}"));
+        finish_all_jobs(&mut world, &format!("together {seed}"));
     }
 }
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -1,7 +1,9 @@
 //! Controllers that end, stand still or lose part of the network, and a store that is away.
 
 use super::world::{MS, Place, S, World};
-use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{
+    assert_no_violations, cancel_services, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs,
+};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::JobKind;
 use burlhatch::types::MachineId;
@@ -10,7 +12,7 @@
 fn controllers_crash_one_after_the_other_and_all_at_once() {
     for seed in seeds(1, 4) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for round in 0..8 {
             world.run_for(7 * S);
             let node = world.pick(3) as usize;
@@ -23,7 +25,7 @@
                 }
             }
         }
-        finish(&mut world, &format!("crashes {seed}"));
+        finish_all_jobs(&mut world, &format!("crashes {seed}"));
     }
 }
 
@@ -31,7 +33,7 @@
 fn store_outages_and_refusals() {
     for seed in seeds(2, 3) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 25);
+        submit_mixed_jobs(&mut world, 25);
         world.run_for(10 * S);
         world.store_outage(15 * S);
         world.run_for(8 * S);
@@ -43,7 +45,7 @@
         for node in 0..3 {
             world.crash(node, S);
         }
-        finish(&mut world, &format!("outages {seed}"));
+        finish_all_jobs(&mut world, &format!("outages {seed}"));
     }
 }
 
@@ -51,7 +53,7 @@
 fn network_partitions_of_every_kind_with_late_delivery() {
     for seed in seeds(3, 8) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for _ in 0..5 {
             world.run_for(6 * S);
             let node = world.pick(3) as usize;
@@ -70,7 +72,7 @@
                 }
             }
         }
-        finish(&mut world, &format!("cuts {seed}"));
+        finish_all_jobs(&mut world, &format!("cuts {seed}"));
     }
 }
 
@@ -91,7 +93,7 @@
         world.run_for(35 * S);
         assert!(before.iter().filter(|id| !world.agents.contains_key(id)).count() <= 1, "machines were deleted");
         assert!(world.started <= started + 2, "services were restarted");
-        assert_clean(&world, "cut off");
+        assert_no_violations(&world, "cut off");
     }
 }
 
@@ -100,7 +102,7 @@
 #[test]
 fn a_controller_that_reaches_only_its_agents_loses_no_work() {
     for node in 0..3 {
-        let mut world = World::with_policy(30 + node as u64, keeping_idle_machines());
+        let mut world = World::with_policy(30 + node as u64, policy_keeping_idle_machines());
         let mut ids = Vec::new();
         for n in 0..9 {
             let team = ["red", "blue", "green"][n as usize % 3];
@@ -119,17 +121,17 @@
         assert!(machines.iter().all(|id| world.agents.contains_key(id)), "machines were deleted");
         assert!(world.started <= started + 6, "running services were started again");
         cancel_services(&mut world);
-        finish(&mut world, &format!("alone {node}"));
+        finish_all_jobs(&mut world, &format!("alone {node}"));
     }
 }
 
 /// Back within a fraction of a second, also in the middle of an election: no shard stays without an
-/// owner for longer than an election takes.
+/// holder for longer than an election takes.
 #[test]
 fn controllers_and_machines_that_return_within_a_fraction_of_a_second() {
     for seed in seeds(8, 4) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         world.run_for(8 * S);
         let mut longest = 0;
         let mut unowned = 0;
@@ -150,8 +152,8 @@
             unowned = if world.unowned_shards() > 0 { unowned + 100 } else { 0 };
             longest = longest.max(unowned);
         }
-        assert!(longest <= 6000, "{seed}: a share was without an owner for {longest} ms");
-        finish(&mut world, &format!("fractions {seed}"));
+        assert!(longest <= 6000, "{seed}: a share was without an holder for {longest} ms");
+        finish_all_jobs(&mut world, &format!("fractions {seed}"));
     }
 }
 
@@ -160,9 +162,9 @@
 #[test]
 fn a_stalled_controller_resumes_with_outdated_messages() {
     for (seed, span) in seeds(15, 4).zip([S, 5 * S, 30 * S, 60 * S].into_iter().cycle()) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         world.heartbeat_copies = 10;
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         world.run_for(20 * S);
         let leader = world.holder("leader").expect("somebody leads");
         let machines = world.stored_machines().len();
@@ -172,14 +174,14 @@
             world.store_outage(span + 3 * S);
         }
         world.run_for(span + 4 * S);
-        let owner = world.holder("share/1").expect("owned");
-        world.freeze(owner, span);
+        let holder = world.holder("share/1").expect("owned");
+        world.freeze(holder, span);
         world.run_for(span / 2);
-        world.freeze((owner + 1) % 3, span);
+        world.freeze((holder + 1) % 3, span);
         world.run_for(span + 6 * S);
         assert_eq!(world.unowned_shards(), 0, "freeze {seed}");
         // What fell silent by its own standstill must not be deleted.
         assert!(world.stored_machines().len() * 2 > machines, "freeze {seed}: machines deleted");
-        finish(&mut world, &format!("freeze {seed}"));
+        finish_all_jobs(&mut world, &format!("freeze {seed}"));
     }
 }
--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -1,13 +1,13 @@
 //! Jobs that wait for others: nothing starts too early, nothing is orphaned, whatever fails meanwhile.
 
 use super::world::{CANCEL_S, LARGE, MS, Place, S, SMALL, Size, World};
-use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{assert_no_violations, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobKind, JobState, Priority};
 use burlhatch::settings::Policy;
 use burlhatch::types::JobId;
 
-fn stage(world: &mut World, number: u64, team: &str, tasks: u32, depends_on: &[JobId]) -> JobId {
+fn submit_stage(world: &mut World, number: u64, team: &str, tasks: u32, depends_on: &[JobId]) -> JobId {
     let mut spec = World::spec(JobKind::Array, team, tasks, 1.0);
     spec.depends_on = depends_on.to_vec();
     spec.estimated_runtime_s = 4.0;
@@ -16,14 +16,14 @@
 
 /// A first stage, two or three that need it, one that needs these, and a last one that is urgent; each of another
 /// team, and so of another shard.
-fn dependency_chain(world: &mut World, number: u64) -> Vec<JobId> {
+fn submit_dependency_chain(world: &mut World, number: u64) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
-    let first = stage(world, number, teams[world.jobs.len() % 3], 2, &[]);
+    let first = submit_stage(world, number, teams[world.jobs.len() % 3], 2, &[]);
     let wide: Vec<JobId> = (0..2 + number / 10 % 2)
-        .map(|n| stage(world, number + 1 + n, teams[n as usize], 3, std::slice::from_ref(&first)))
+        .map(|n| submit_stage(world, number + 1 + n, teams[n as usize], 3, std::slice::from_ref(&first)))
         .collect();
-    let join = stage(world, number + 5, "green", 2, &wide);
-    let last = stage(world, number + 6, "red", 2, std::slice::from_ref(&join));
+    let join = submit_stage(world, number + 5, "green", 2, &wide);
+    let last = submit_stage(world, number + 6, "red", 2, std::slice::from_ref(&join));
     if let Some(job) = world.jobs.get_mut(&last) {
         job.spec.priority = Priority::High;
         job.spec.deadline_s = Some(60.0);
@@ -38,26 +38,26 @@
     all
 }
 
-fn states(world: &World, ids: &[JobId]) -> Vec<Option<JobState>> {
+fn reported_states(world: &World, ids: &[JobId]) -> Vec<Option<JobState>> {
     ids.iter().map(|id| world.jobs[id].told).collect()
 }
 
 #[test]
 fn dependent_jobs_run_one_after_the_other() {
     let mut world = World::new(70);
-    let all: Vec<Vec<JobId>> = (0..4).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
+    let all: Vec<Vec<JobId>> = (0..4).map(|n| submit_dependency_chain(&mut world, 100 + n * 10)).collect();
     world.run_for(3 * S);
     for ids in &all {
         let Some(UserAnswer::Status(status)) = world.ask_fresh(0, &ids[1]) else { panic!("no answer") };
         assert_eq!((status.state, status.running), (JobState::Queued, Some(0)), "it waits");
     }
-    finish(&mut world, "stages");
+    finish_all_jobs(&mut world, "stages");
     for ids in &all {
-        assert!(states(&world, ids).iter().all(|s| *s == Some(JobState::Done)));
+        assert!(reported_states(&world, ids).iter().all(|s| *s == Some(JobState::Done)));
     }
     // A job may also name one that was over long ago.
     world.run_for(60 * S);
-    let late = stage(&mut world, 900, "green", 1, &[all[0][0].clone(), all[1][4].clone()]);
+    let late = submit_stage(&mut world, 900, "green", 1, &[all[0][0].clone(), all[1][4].clone()]);
     world.run_for(40 * S);
     assert_eq!(world.jobs[&late].told, Some(JobState::Done));
 }
@@ -68,13 +68,13 @@
 fn dependents_of_a_cancelled_job_are_cancelled_with_it() {
     for stage_of in 0..4 {
         let mut world = World::new(71_000 + stage_of as u64);
-        stage(&mut world, 1, "green", 2, &[]);
-        let ids = dependency_chain(&mut world, 110);
+        submit_stage(&mut world, 1, "green", 2, &[]);
+        let ids = submit_dependency_chain(&mut world, 110);
         world.run_for(2 * S);
         world.call_off(&ids[stage_of]);
         world.run_for(2 * S);
-        let later = stage(&mut world, 800, "blue", 1, &[ids[4].clone()]);
-        let unrelated = stage(&mut world, 801, "blue", 1, &[ids[0].clone()]);
+        let later = submit_stage(&mut world, 800, "blue", 1, &[ids[4].clone()]);
+        let unrelated = submit_stage(&mut world, 801, "blue", 1, &[ids[0].clone()]);
         world.run_for(3 * S);
         for node in 0..3 {
             for id in ids[4..].iter().chain([&later]) {
@@ -82,7 +82,7 @@
                 assert_eq!(status.state, JobState::Cancelled, "{id} at {node}");
             }
         }
-        finish(&mut world, &format!("cancelled at {stage_of}"));
+        finish_all_jobs(&mut world, &format!("cancelled at {stage_of}"));
         let expected = if stage_of == 0 { JobState::Cancelled } else { JobState::Done };
         assert_eq!(world.jobs[&unrelated].told, Some(expected));
         // That follows from the other's outcome, and is written down when there is time for it.
@@ -99,9 +99,9 @@
         let mut world = World::new(seed);
         world.cancel_at_end = 2;
         for n in 0..8 {
-            dependency_chain(&mut world, 100 + n * 10);
+            submit_dependency_chain(&mut world, 100 + n * 10);
         }
-        finish(&mut world, &format!("at the end {seed}"));
+        finish_all_jobs(&mut world, &format!("at the end {seed}"));
         for (id, job) in &world.jobs {
             let before = job.spec.depends_on.iter().map(|b| world.jobs[b].told);
             let orphan = before.clone().any(|told| told == Some(JobState::Cancelled));
@@ -110,34 +110,34 @@
     }
 }
 
-/// The gap once more, with dependencies: the store refuses the owner of a shard alone while jobs before others
+/// The gap once more, with dependencies: the store refuses the holder of a shard alone while jobs before others
 /// are cancelled through siblings, and then it is away for all for longer than a cancellation may take. Who can't
 /// write down what follows can tell it all the same.
 #[test]
 fn dependents_are_cancelled_while_the_store_refuses_the_shard_holder_and_then_is_down() {
     for seed in seeds(73, 6) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
-        let all: Vec<Vec<JobId>> = (0..3).map(|n| dependency_chain(&mut world, 100 + n * 10)).collect();
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
+        let all: Vec<Vec<JobId>> = (0..3).map(|n| submit_dependency_chain(&mut world, 100 + n * 10)).collect();
         for ids in &all {
             for id in &ids[..3] {
                 world.jobs.get_mut(id).expect("submitted").spec.estimated_runtime_s = 150.0;
             }
         }
         world.run_for(20 * S);
-        let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
+        let holder = world.holder(&format!("share/{}", seed % 3)).expect("owned");
         if seed % 2 == 0 {
-            let peers = move |a: &Place, b: &Place| *a == Place::Node(owner) && matches!(b, Place::Node(_));
+            let peers = move |a: &Place, b: &Place| *a == Place::Node(holder) && matches!(b, Place::Node(_));
             world.cut(10 * S, true, peers);
         }
         for ids in &all {
             world.call_off(&ids[0]);
         }
-        world.refuse_node(owner, 14 * S);
+        world.refuse_node(holder, 14 * S);
         world.run_for(2 * S);
         world.store_outage((CANCEL_S + 20) * S);
         world.run_for((CANCEL_S + 25) * S);
-        assert_clean(&world, &format!("gap {seed}"));
-        finish(&mut world, &format!("gap {seed}"));
+        assert_no_violations(&world, &format!("gap {seed}"));
+        finish_all_jobs(&mut world, &format!("gap {seed}"));
     }
 }
 
@@ -149,9 +149,9 @@
         let mut world = World::new(seed);
         world.heartbeat_copies = 10;
         world.odd_requests = true;
-        ordinary_jobs(&mut world, 12);
+        submit_mixed_jobs(&mut world, 12);
         for n in 0..6 {
-            let ids = dependency_chain(&mut world, 100 + n * 10);
+            let ids = submit_dependency_chain(&mut world, 100 + n * 10);
             if n % 3 == 2 {
                 let victim = ids[world.pick(4) as usize].clone();
                 world.jobs.get_mut(&victim).expect("submitted").cancel_at = Some(12 * S);
@@ -168,7 +168,7 @@
                 _ => world.crash(node, 400 * MS),
             }
         }
-        finish(&mut world, &format!("stages {seed}"));
+        finish_all_jobs(&mut world, &format!("stages {seed}"));
     }
 }
 
@@ -177,15 +177,15 @@
 #[test]
 fn a_long_chain_and_a_wide_fan_are_cancelled_at_once() {
     let mut world = World::sized(75, Policy::default(), Size { write_rps: 8.0, ..SMALL });
-    let root = stage(&mut world, 1, "green", 2, &[]);
+    let root = submit_stage(&mut world, 1, "green", 2, &[]);
     world.jobs.get_mut(&root).expect("submitted").spec.estimated_runtime_s = 100.0;
     let mut ids = vec![root.clone()];
     for n in 0..30 {
         let before = ids[ids.len() - 1].clone();
-        ids.push(stage(&mut world, 10 + n, ["red", "blue", "green"][n as usize % 3], 2, &[before]));
+        ids.push(submit_stage(&mut world, 10 + n, ["red", "blue", "green"][n as usize % 3], 2, &[before]));
     }
     for n in 0..60 {
-        ids.push(stage(&mut world, 100 + n, "blue", 2, std::slice::from_ref(&root)));
+        ids.push(submit_stage(&mut world, 100 + n, "blue", 2, std::slice::from_ref(&root)));
     }
     world.run_for(50 * S);
     assert!(ids.iter().all(|id| world.jobs[id].accepted), "not all accepted");
@@ -195,20 +195,21 @@
         let Some(UserAnswer::Status(status)) = world.ask_fresh(1, id) else { panic!("{id}: no answer") };
         assert_eq!(status.state, JobState::Cancelled, "{id}");
     }
-    finish(&mut world, "chain and fan");
+    finish_all_jobs(&mut world, "chain and fan");
 }
 
 /// An upgrade, one controller after the other, while both versions serve on each other's records: the old one writes
 /// larger values and transactions. One that is still old ends and comes back old, the store is away for a
-/// while, and jobs are cancelled whose owner is just being replaced. Once all are new dependencies come, and then the
+/// while, and jobs are cancelled whose holder is just being replaced. Once all are new dependencies come, and then the
 /// limits drop. (What else the old version was is in its bytes: `production.rs`.)
 #[test]
 fn a_rolling_upgrade_with_a_crash_an_outage_or_cancellations() {
     for (seed, trouble) in seeds(78, 6).zip(["crash", "outage", "cancel"].into_iter().cycle()) {
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 40, capacity: 60, ..LARGE });
+        let mut world =
+            World::sized(seed, policy_keeping_idle_machines(), Size { machines: 40, capacity: 60, ..LARGE });
         world.all_old();
         world.lower_limits_at(70 * S, 2048, 4, 18.0);
-        ordinary_jobs(&mut world, 20);
+        submit_mixed_jobs(&mut world, 20);
         let large: Vec<JobId> = (0..3)
             .map(|n| {
                 let mut spec = World::spec(JobKind::Array, "green", 250, 0.5);
@@ -233,9 +234,9 @@
         }
         world.run_for(4 * S);
         for n in 0..4 {
-            dependency_chain(&mut world, 700 + n * 10);
+            submit_dependency_chain(&mut world, 700 + n * 10);
         }
-        finish(&mut world, &format!("upgrade, {trouble} {seed}"));
+        finish_all_jobs(&mut world, &format!("upgrade, {trouble} {seed}"));
     }
 }
 
@@ -244,11 +245,11 @@
 #[test]
 fn a_job_depends_on_hundreds_of_others() {
     let mut world = World::new(77);
-    let root = stage(&mut world, 1, "green", 2, &[]);
+    let root = submit_stage(&mut world, 1, "green", 2, &[]);
     world.jobs.get_mut(&root).expect("submitted").spec.estimated_runtime_s = 200.0;
     let many: Vec<JobId> =
-        (0..700).map(|n| stage(&mut world, 1000 + n, "green", 1, std::slice::from_ref(&root))).collect();
-    let last = stage(&mut world, 5000, "red", 1, &many);
+        (0..700).map(|n| submit_stage(&mut world, 1000 + n, "green", 1, std::slice::from_ref(&root))).collect();
+    let last = submit_stage(&mut world, 5000, "red", 1, &many);
     world.run_for(60 * S);
     assert!(world.jobs[&last].accepted, "not accepted");
     assert!(world.stored_keys().iter().filter(|k| k.contains("/awaits/")).count() >= 2, "in pieces");
@@ -260,7 +261,7 @@
     let answer = world.ask_fresh(0, &last);
     assert!(matches!(&answer, Some(UserAnswer::Status(s)) if s.state == JobState::Cancelled), "{answer:?}");
     world.call_off(&root);
-    finish(&mut world, "hundreds awaited");
+    finish_all_jobs(&mut world, "hundreds awaited");
     world.run_for(300 * S);
     let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/awaits/")).collect();
     assert!(left.is_empty(), "left in the stored records: {left:?}");
@@ -273,19 +274,19 @@
     for seed in seeds(76, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 60, capacity: 80, ..LARGE });
         world.lower_limits_at(25 * S, 2048, 4, 18.0);
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for n in 0..3 {
             let mut spec = World::spec(JobKind::Array, "green", 300, 0.5);
             spec.estimated_runtime_s = 12.0;
             world.submit(500 + n, spec);
-            dependency_chain(&mut world, 600 + n * 10);
+            submit_dependency_chain(&mut world, 600 + n * 10);
         }
         world.run_for(30 * S);
         world.crash(seed as usize % 5, 3 * S);
         for nth in 0..6 {
             world.kill_machine(nth * 7);
         }
-        finish(&mut world, &format!("limits {seed}"));
+        finish_all_jobs(&mut world, &format!("limits {seed}"));
     }
 }
 
@@ -298,7 +299,7 @@
     let mut world = World::sized(79, policy, Size { machines: 30, capacity: 30, write_rps: 9.0, ..LARGE });
     world.lower_limits_at(2 * S, 2048, 4, 9.0);
     world.run_for(15 * S);
-    ordinary_jobs(&mut world, 40);
+    submit_mixed_jobs(&mut world, 40);
     let mut spec = World::spec(JobKind::Array, "green", 128, 0.1);
     spec.estimated_runtime_s = 6.0;
     let id = world.submit(500, spec);
@@ -308,5 +309,5 @@
     }
     let took = (world.now - began) / S;
     assert!(took < 45, "128 tasks of some 6 s took {took} s beside free machines");
-    finish(&mut world, "full chunks");
+    finish_all_jobs(&mut world, "full chunks");
 }
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -3,12 +3,12 @@
 //!     cargo test --test rules fingerprint -- --nocapture
 
 use super::world::{MS, Place, S, World};
-use super::{finish, ordinary_jobs, seeds};
+use super::{finish_all_jobs, seeds, submit_mixed_jobs};
 
 /// A day with most kinds of troubles, and what the controllers did in it.
-fn day_with_troubles(seed: u64) -> String {
+fn run_with_failures(seed: u64) -> String {
     let mut world = World::new(seed);
-    ordinary_jobs(&mut world, 25);
+    submit_mixed_jobs(&mut world, 25);
     world.lag_watches(200 * MS);
     world.close_looks = true;
     world.cancel_at_end = 6;
@@ -28,15 +28,15 @@
             _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
         }
     }
-    finish(&mut world, &format!("fingerprint {seed}"));
+    finish_all_jobs(&mut world, &format!("fingerprint {seed}"));
     world.fingerprint.to_string()
 }
 
 #[test]
 fn equal_seeds_lead_to_equal_effects() {
     for seed in seeds(99, 4) {
-        let fingerprint = day_with_troubles(seed);
+        let fingerprint = run_with_failures(seed);
         println!("fingerprint {seed}: {fingerprint}");
-        assert_eq!(day_with_troubles(seed), fingerprint, "equal seeds lead to equal effects");
+        assert_eq!(run_with_failures(seed), fingerprint, "equal seeds lead to equal effects");
     }
 }
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -1,7 +1,7 @@
 //! Machines that hang, die, fail their tasks, hear nothing, or whose old heartbeats come late.
 
 use super::world::{MS, S, SMALL, Size, World};
-use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{cancel_services, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
 use burlhatch::protocol::user::JobKind;
 use burlhatch::types::MachineId;
 
@@ -10,7 +10,7 @@
     // In world 4036 a gang, all that is left, met the faulty machine again and again.
     for seed in seeds(4, 6).chain([4036]) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for round in 0..6 {
             world.run_for(8 * S);
             let nth = world.pick(9) as usize;
@@ -23,7 +23,7 @@
                 _ => world.sicken(nth),
             }
         }
-        finish(&mut world, &format!("machines {seed}"));
+        finish_all_jobs(&mut world, &format!("machines {seed}"));
     }
 }
 
@@ -33,13 +33,13 @@
 fn a_machine_that_receives_nothing_is_replaced() {
     for seed in seeds(6, 4) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         world.run_for(10 * S);
         let nth = world.pick(5) as usize;
         let unreachable = world.make_unreachable(nth, 300 * S).expect("a machine");
         world.run_for(25 * S);
         assert!(!world.agents.contains_key(&unreachable), "{seed}: {unreachable} is still there");
-        finish(&mut world, &format!("deaf machine {seed}"));
+        finish_all_jobs(&mut world, &format!("deaf machine {seed}"));
     }
 }
 
@@ -47,7 +47,7 @@
 #[test]
 fn many_machines_that_receive_nothing_are_kept() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
-    let mut world = World::sized(8, keeping_idle_machines(), size);
+    let mut world = World::sized(8, policy_keeping_idle_machines(), size);
     for n in 0..6 {
         let team = ["red", "blue", "green"][n as usize % 3];
         world.submit(n + 1, World::spec(JobKind::Service, team, 2, 1.0));
@@ -61,7 +61,7 @@
     let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
     assert!(lost <= 1, "{lost} machines were deleted");
     cancel_services(&mut world);
-    finish(&mut world, "all deaf");
+    finish_all_jobs(&mut world, "all deaf");
 }
 
 /// Late copies prove nothing: no ghost of a deleted machine comes into the stored records, no lease is taken
@@ -71,7 +71,7 @@
     for seed in seeds(7, 6) {
         let mut world = World::new(seed);
         world.heartbeat_copies = 2;
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for round in 0..6 {
             world.run_for(6 * S);
             let (nth, node) = (world.pick(9) as usize, world.pick(3) as usize);
@@ -81,7 +81,7 @@
                 _ => world.hang(nth, 12 * S),
             }
         }
-        finish(&mut world, &format!("copies {seed}"));
+        finish_all_jobs(&mut world, &format!("copies {seed}"));
         world.heartbeat_copies = 0;
         world.run_for(100 * S);
         let ghosts: Vec<MachineId> =
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -11,8 +11,8 @@
 mod on_call;
 mod upgrade;
 mod world;
-mod zone_course;
 mod zone_cuts;
+mod zone_scenario;
 mod zones;
 mod zones_measured;
 
@@ -21,7 +21,7 @@
 use world::{S, World};
 
 /// A mix of all shapes; services are cancelled in the end, some arrays too.
-fn ordinary_jobs(world: &mut World, count: u64) {
+fn submit_mixed_jobs(world: &mut World, count: u64) {
     for n in 0..count {
         let team = ["red", "blue", "green"][world.pick(3) as usize];
         let mut spec = match world.pick(6) {
@@ -64,7 +64,7 @@
     from * 1000..from * 1000 + more
 }
 
-fn assert_clean(world: &World, name: &str) {
+fn assert_no_violations(world: &World, name: &str) {
     assert!(world.violations.is_empty(), "{name}: {:#?}", &world.violations[..world.violations.len().min(5)]);
     assert!(world.started > 0, "{name}: nothing ran");
 }
@@ -76,7 +76,7 @@
     }
 }
 
-fn finish(world: &mut World, name: &str) {
+fn finish_all_jobs(world: &mut World, name: &str) {
     world.troubles_end();
     for _ in 0..60 {
         if world.all_over() {
@@ -84,11 +84,11 @@
         }
         world.run_for(10 * S);
     }
-    assert_clean(world, name);
+    assert_no_violations(world, name);
     assert!(world.all_over(), "{name}: unfinished {:#?}", world.unfinished());
 }
 
 /// So that a machine that is gone was taken for lost.
-fn keeping_idle_machines() -> Policy {
+fn policy_keeping_idle_machines() -> Policy {
     Policy { idle_return_ms: 86_400_000, ..Policy::default() }
 }
--- a/tests/rules/mixed_scenarios.rs
+++ b/tests/rules/mixed_scenarios.rs
@@ -1,7 +1,7 @@
 //! Whole days: quiet ones, overload, everything at once, and fleets.
 
 use super::world::{FLEET, LARGE, MS, Place, S, SMALL, Size, World};
-use super::{assert_clean, finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{assert_no_violations, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::Policy;
 use burlhatch::types::MachineId;
@@ -10,9 +10,9 @@
 #[test]
 fn all_jobs_finish_without_failures() {
     let mut world = World::new(1);
-    ordinary_jobs(&mut world, 30);
+    submit_mixed_jobs(&mut world, 30);
     world.run_for(90 * S);
-    finish(&mut world, "quiet");
+    finish_all_jobs(&mut world, "quiet");
     let done = world.jobs.values().filter(|j| j.told == Some(JobState::Done)).count();
     assert!(done >= 15, "only {done} jobs were done");
     // Only outcomes, machines and roles stay in the stored records.
@@ -35,14 +35,14 @@
     }
     world.run_for(8 * S);
     assert_eq!(running(&world), 0, "cancelled services are stopped");
-    finish(&mut world, "service");
+    finish_all_jobs(&mut world, "service");
 }
 
 #[test]
 fn all_kinds_of_failures_at_random() {
     for seed in seeds(5, 10) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 35);
+        submit_mixed_jobs(&mut world, 35);
         for _ in 0..10 {
             world.run_for(5 * S);
             let nth = world.pick(9) as usize;
@@ -60,7 +60,7 @@
                 _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
             }
         }
-        finish(&mut world, &format!("everything {seed}"));
+        finish_all_jobs(&mut world, &format!("everything {seed}"));
     }
 }
 
@@ -100,7 +100,7 @@
         let begun = of_team().filter(|j| j.begun.is_some()).count();
         assert!(begun * 2 >= of_team().count(), "{team}: {begun} of {}", of_team().count());
     }
-    assert_clean(&world, "overload");
+    assert_no_violations(&world, "overload");
 }
 
 /// When the store takes few changes, what can wait least goes first: services start soon
@@ -130,7 +130,7 @@
         for id in &services {
             world.jobs.get_mut(id).expect("submitted").cancel_at = Some(0);
         }
-        finish(&mut world, &format!("few changes {seed}"));
+        finish_all_jobs(&mut world, &format!("few changes {seed}"));
         assert!(world.limited() < 400, "{seed}: refused {} times", world.limited());
     }
     assert!(soon >= 5, "soon in {soon} of 10 worlds only");
@@ -142,7 +142,7 @@
     for seed in seeds(9, 2) {
         let mut world = World::sized(seed, Policy::default(), LARGE);
         world.heartbeat_copies = 10;
-        ordinary_jobs(&mut world, 120);
+        submit_mixed_jobs(&mut world, 120);
         world.run_for(15 * S);
         for nth in [3, 60, 110] {
             world.make_unreachable(nth, 100 * S);
@@ -162,7 +162,7 @@
         for nth in 0..10 {
             world.kill_machine(nth * 17);
         }
-        finish(&mut world, &format!("large {seed}"));
+        finish_all_jobs(&mut world, &format!("large {seed}"));
     }
 }
 
@@ -170,8 +170,8 @@
 /// then an outage, an end of all controllers, and a third of the machines dead or hung at once.
 #[test]
 fn a_thousand_machines_with_mass_failures() {
-    let mut world = World::sized(16_000, keeping_idle_machines(), FLEET);
-    ordinary_jobs(&mut world, 150);
+    let mut world = World::sized(16_000, policy_keeping_idle_machines(), FLEET);
+    submit_mixed_jobs(&mut world, 150);
     for n in 0..6 {
         let mut spec = World::spec(if n < 3 { JobKind::Service } else { JobKind::Array }, "green", 16, 1.0);
         if n < 3 {
@@ -209,5 +209,5 @@
         world.kill_machine(nth * 5);
         world.hang(nth * 4 + 1, 12 * S);
     }
-    finish(&mut world, "fleet");
+    finish_all_jobs(&mut world, "fleet");
 }
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -2,14 +2,14 @@
 //! fail, guests who fill everything, jobs that can never succeed.
 
 use super::world::{MS, Place, S, SMALL, Size, World};
-use super::{cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{cancel_services, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
 use burlhatch::coordination::UserAnswer;
 use burlhatch::protocol::user::{JobKind, JobSpec, JobState, Priority};
 use burlhatch::settings::Policy;
 use burlhatch::types::{JobId, MachineId};
 
 /// How often it is looked at who holds a shard.
-const LOOK_EVERY: u64 = 20 * MS;
+const POLL_INTERVAL: u64 = 20 * MS;
 
 const TEAMS: [&str; 3] = ["red", "blue", "green"];
 
@@ -19,7 +19,7 @@
 }
 
 /// How many of these machines are not there any more.
-fn count_gone(world: &World, machines: &[MachineId]) -> usize {
+fn count_deleted(world: &World, machines: &[MachineId]) -> usize {
     machines.iter().filter(|id| !world.agents.contains_key(id)).count()
 }
 
@@ -28,8 +28,8 @@
     let role = format!("share/{shard}");
     let mut holder = world.holder(&role);
     let mut changes = 0;
-    for _ in 0..span / LOOK_EVERY {
-        world.run_for(LOOK_EVERY);
+    for _ in 0..span / POLL_INTERVAL {
+        world.run_for(POLL_INTERVAL);
         let now = world.holder(&role);
         changes += usize::from(now != holder);
         holder = now;
@@ -44,8 +44,8 @@
 fn a_shard_whose_machines_all_hang_keeps_its_holder() {
     for seed in seeds(60, 4) {
         let size = Size { machines: 15, capacity: 18, ..SMALL };
-        let mut world = World::sized(seed, keeping_idle_machines(), size);
-        ordinary_jobs(&mut world, 20);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), size);
+        submit_mixed_jobs(&mut world, 20);
         world.run_for(20 * S);
         let shard = (seed % 3) as u32;
         for id in world.machines_of_shard(shard) {
@@ -54,7 +54,7 @@
         let changes = changes_of_holder(&mut world, shard, 60 * S);
         assert_eq!(changes, 0, "{seed}: the share was given up or taken {changes} times");
         cancel_services(&mut world);
-        finish(&mut world, &format!("hanging share {seed}"));
+        finish_all_jobs(&mut world, &format!("hanging share {seed}"));
     }
 }
 
@@ -64,7 +64,7 @@
 fn a_controller_repeatedly_cut_off_from_its_agents() {
     for seed in seeds(61, 3) {
         let hold = seed % 2 == 0;
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         submit_services(&mut world, 1, 6);
         world.run_for(30 * S);
         let (before, started) = (world.stored_machines(), world.started);
@@ -74,18 +74,18 @@
             world.cut(16 * S, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
             changes += changes_of_holder(&mut world, 1, 40 * S);
         }
-        let lost = count_gone(&world, &before);
+        let lost = count_deleted(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
         assert!(world.started <= started + 2, "{seed}: services were started again");
         // Given up, taken by a sibling, and the same on the way back, each time.
         assert!(changes <= 12, "{seed}: the share was given up or taken {changes} times in three cuts");
         cancel_services(&mut world);
-        finish(&mut world, &format!("cut again {seed}"));
+        finish_all_jobs(&mut world, &format!("cut again {seed}"));
     }
 }
 
 /// Jobs that fail on every machine after so long at work: arrays, a gang, and a service.
-fn submit_broken(world: &mut World, from: u64, fails_after: u64) -> Vec<JobId> {
+fn submit_failing_jobs(world: &mut World, from: u64, fails_after: u64) -> Vec<JobId> {
     let shapes =
         [(JobKind::Array, 8), (JobKind::Array, 20), (JobKind::Array, 1), (JobKind::Gang, 3), (JobKind::Service, 2)];
     let mut ids = Vec::new();
@@ -97,7 +97,7 @@
     ids
 }
 
-fn call_off_all(world: &mut World, ids: &[JobId]) {
+fn cancel_all(world: &mut World, ids: &[JobId]) {
     ids.iter().for_each(|id| world.call_off(id));
 }
 
@@ -106,32 +106,32 @@
 #[test]
 fn jobs_that_fail_everywhere_do_not_affect_other_jobs() {
     for seed in seeds(62, 4) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         world.run_for(5 * S);
         let services = submit_services(&mut world, 900, 3);
         world.run_for(15 * S);
-        let broken = submit_broken(&mut world, 1, (seed % 4) * S);
+        let failing = submit_failing_jobs(&mut world, 1, (seed % 4) * S);
         world.run_for(60 * S);
-        let starts = |world: &World| broken.iter().map(|id| world.jobs[id].starts).sum::<u32>();
+        let starts = |world: &World| failing.iter().map(|id| world.jobs[id].starts).sum::<u32>();
         let (before, rented) = (world.agents.keys().cloned().collect::<Vec<MachineId>>(), world.cloud.machines.len());
         let (begun, all) = (starts(&world), world.started);
         let healthy: Vec<JobId> =
             (0..6).map(|n| world.submit(500 + n, World::spec(JobKind::Array, TEAMS[n as usize % 3], 4, 1.0))).collect();
         world.run_for(60 * S);
         let again = starts(&world) - begun;
-        assert!(again <= 5 * 8, "{seed}: tasks of broken jobs were started {again} times in a minute");
+        assert!(again <= 5 * 8, "{seed}: tasks of failing jobs were started {again} times in a minute");
         assert!(world.started - all >= u64::from(again) + 24, "{seed}: the others did not start");
         let late = healthy.iter().filter(|id| world.jobs[*id].told != Some(JobState::Done)).count();
         assert_eq!(late, 0, "{seed}: healthy jobs are not done after a minute");
-        let lost = count_gone(&world, &before);
+        let lost = count_deleted(&world, &before);
         assert_eq!(lost, 0, "{seed}: machines were given back or replaced");
-        assert!(world.cloud.machines.len() <= rented + 1, "{seed}: machines were rented for broken jobs");
+        assert!(world.cloud.machines.len() <= rented + 1, "{seed}: machines were rented for failing jobs");
         for id in &services {
             assert_eq!(world.running(id), 2, "{seed}: {id} is disturbed");
         }
-        call_off_all(&mut world, &broken);
+        cancel_all(&mut world, &failing);
         cancel_services(&mut world);
-        finish(&mut world, &format!("broken {seed}"));
+        finish_all_jobs(&mut world, &format!("failing {seed}"));
     }
 }
 
@@ -139,9 +139,9 @@
 #[test]
 fn a_faulty_machine_is_detected_among_failing_jobs() {
     for seed in seeds(63, 4) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         world.run_for(5 * S);
-        let broken = submit_broken(&mut world, 1, S);
+        let failing = submit_failing_jobs(&mut world, 1, S);
         let nth = world.pick(5) as usize;
         let sick = world.nth_agent(nth).expect("a machine");
         world.sicken(nth);
@@ -154,8 +154,8 @@
             world.run_for(4 * S);
         }
         assert!(!world.agents.contains_key(&sick), "{seed}: {sick} is still there");
-        call_off_all(&mut world, &broken);
-        finish(&mut world, &format!("faulty among broken {seed}"));
+        cancel_all(&mut world, &failing);
+        finish_all_jobs(&mut world, &format!("faulty among failing {seed}"));
     }
 }
 
@@ -165,16 +165,16 @@
 fn failing_jobs_and_a_restart_of_all_controllers() {
     for seed in seeds(64, 3) {
         let mut world = World::new(seed);
-        ordinary_jobs(&mut world, 20);
-        let broken = submit_broken(&mut world, 800, S);
+        submit_mixed_jobs(&mut world, 20);
+        let failing = submit_failing_jobs(&mut world, 800, S);
         world.run_for(25 * S);
         for node in 0..3 {
             world.crash(node, 2 * S + node as u64 * S);
         }
         world.run_for(15 * S);
         world.store_outage(6 * S);
-        call_off_all(&mut world, &broken);
-        finish(&mut world, &format!("broken and restart {seed}"));
+        cancel_all(&mut world, &failing);
+        finish_all_jobs(&mut world, &format!("failing and restart {seed}"));
     }
 }
 
@@ -204,7 +204,7 @@
         assert_eq!(done, 3, "{seed}: {done} of 3 done after 150 s");
         let [_, spot] = world.cloud.rented;
         assert!(spot <= 30, "{seed}: {spot} spot machines were rented in vain");
-        finish(&mut world, &format!("dead spot {seed}"));
+        finish_all_jobs(&mut world, &format!("dead spot {seed}"));
     }
 }
 
@@ -227,7 +227,7 @@
         let rented: usize = world.cloud.rented.iter().sum();
         assert!(rented <= 60, "{seed}: {rented} machines were rented for 24 tasks");
         world.cloud.boot_percent = 100;
-        finish(&mut world, &format!("late boots {seed}"));
+        finish_all_jobs(&mut world, &format!("late boots {seed}"));
         world.run_for(120 * S);
         let recorded = world.stored_machines();
         let stray: Vec<&MachineId> = world.agents.keys().filter(|id| !recorded.contains(id)).collect();
@@ -243,10 +243,10 @@
         let mut world = World::sized(seed, Policy::default(), Size { machines: 8, capacity: 8, ..SMALL });
         world.run_for(5 * S);
         for n in 0..4 {
-            world.submit(n + 1, low(wide_array("green", 300, 60.0)));
+            world.submit(n + 1, with_low_priority(wide_array("green", 300, 60.0)));
         }
         world.run_for(10 * S);
-        let mut spec = low(World::spec(JobKind::Array, "green", 1500, 1.0));
+        let mut spec = with_low_priority(World::spec(JobKind::Array, "green", 1500, 1.0));
         spec.estimated_runtime_s = 1.0;
         let huge = world.submit(100, spec);
         world.run_for(400 * S);
@@ -255,7 +255,7 @@
     }
 }
 
-fn low(spec: JobSpec) -> JobSpec {
+fn with_low_priority(spec: JobSpec) -> JobSpec {
     JobSpec { priority: Priority::Low, ..spec }
 }
 
@@ -267,7 +267,8 @@
     for seed in seeds(68, 4) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 8, capacity: 8, ..SMALL });
         world.run_for(5 * S);
-        let guests: Vec<JobId> = (0..3).map(|n| world.submit(n + 1, low(wide_array("green", 12, 200.0)))).collect();
+        let guests: Vec<JobId> =
+            (0..3).map(|n| world.submit(n + 1, with_low_priority(wide_array("green", 12, 200.0)))).collect();
         world.run_for(40 * S);
         let held = world.agents.values().filter(|w| !w.tasks.is_empty()).count();
         assert!(held >= 7, "{seed}: the guest holds {held} machines only");
@@ -284,7 +285,7 @@
         for id in &guests {
             world.call_off(id);
         }
-        finish(&mut world, &format!("guest {seed}"));
+        finish_all_jobs(&mut world, &format!("guest {seed}"));
         world.run_for(400 * S);
         assert!(world.agents.len() <= 6, "{seed}: {} machines are kept", world.agents.len());
     }
@@ -297,7 +298,7 @@
     for seed in seeds(73, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 6, capacity: 6, ..SMALL });
         world.run_for(5 * S);
-        let guest = world.submit(1, low(wide_array("green", 20, 300.0)));
+        let guest = world.submit(1, with_low_priority(wide_array("green", 20, 300.0)));
         world.run_for(40 * S);
         assert!(world.running(&guest) >= 6, "{seed}: {} tasks of the guest run", world.running(&guest));
         let house = world.submit(100, World::spec(JobKind::Array, "green", 3, 1.0));
@@ -305,7 +306,7 @@
         assert!(world.jobs[&house].begun.is_some(), "{seed}: not begun after 40 s");
         assert!(world.running(&guest) >= 5, "{seed}: {} tasks of the guest are left", world.running(&guest));
         world.call_off(&guest);
-        finish(&mut world, &format!("guest's share {seed}"));
+        finish_all_jobs(&mut world, &format!("guest's share {seed}"));
     }
 }
 
@@ -316,12 +317,12 @@
 fn many_single_task_jobs_leave_write_budget_to_services() {
     for seed in seeds(69, 3) {
         let size = Size { machines: 16, capacity: 20, write_rps: 20.0, ..SMALL };
-        let mut world = World::sized(seed, keeping_idle_machines(), size);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), size);
         world.run_for(10 * S);
         let changes = world.changes();
         let mut services = Vec::new();
         for n in 0..300 {
-            let mut spec = low(World::spec(JobKind::Array, "green", 1, 0.25));
+            let mut spec = with_low_priority(World::spec(JobKind::Array, "green", 1, 0.25));
             spec.estimated_runtime_s = 4.0;
             world.submit(n + 1, spec);
             if n % 60 == 30 {
@@ -336,7 +337,7 @@
         let late: Vec<_> = services.iter().map(|id| &world.jobs[id]).filter(|j| j.begun.is_none()).collect();
         assert!(late.is_empty(), "{seed}: {} services did not start", late.len());
         cancel_services(&mut world);
-        finish(&mut world, &format!("swarm {seed}"));
+        finish_all_jobs(&mut world, &format!("swarm {seed}"));
         let each = (world.changes() - changes) as f64 / 300.0;
         assert!(each <= 5.2, "{seed}: {each} changes for each job");
     }
@@ -344,7 +345,7 @@
 
 /// What a controller may lose touch with.
 #[derive(Clone, Copy, Debug)]
-enum Loss {
+enum LostConnection {
     Everything,
     KeyValueStore,
     Agents,
@@ -353,16 +354,22 @@
     Refused,
 }
 
-const LOSSES: [Loss; 5] = [Loss::Everything, Loss::KeyValueStore, Loss::Agents, Loss::Siblings, Loss::Refused];
+const LOST_CONNECTIONS: [LostConnection; 5] = [
+    LostConnection::Everything,
+    LostConnection::KeyValueStore,
+    LostConnection::Agents,
+    LostConnection::Siblings,
+    LostConnection::Refused,
+];
 
-fn lose(world: &mut World, node: usize, loss: Loss, span: u64, hold: bool) {
+fn cut_connection(world: &mut World, node: usize, lost_connection: LostConnection, span: u64, hold: bool) {
     let it = Place::Node(node);
-    match loss {
-        Loss::Everything => world.cut(span, hold, move |a, _| *a == it),
-        Loss::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
-        Loss::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Agent(_))),
-        Loss::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
-        Loss::Refused => world.refuse_node(node, span),
+    match lost_connection {
+        LostConnection::Everything => world.cut(span, hold, move |a, _| *a == it),
+        LostConnection::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
+        LostConnection::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Agent(_))),
+        LostConnection::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
+        LostConnection::Refused => world.refuse_node(node, span),
     }
 }
 
@@ -371,31 +378,34 @@
 /// it, what runs goes on, its users hear at once, and shards change hands only there and back.
 #[test]
 fn a_controller_loses_each_of_its_connections() {
-    for (nth, loss) in LOSSES.into_iter().enumerate() {
+    for (nth, lost_connection) in LOST_CONNECTIONS.into_iter().enumerate() {
         for (span, hold) in [(12 * S, true), (26 * S, nth % 2 == 0)] {
             let seed = 70_000 + nth as u64 * 10 + u64::from(hold);
-            let name = format!("{loss:?} for {} s, held: {hold}", span / S);
-            let mut world = World::with_policy(seed, keeping_idle_machines());
+            let name = format!("{lost_connection:?} for {} s, held: {hold}", span / S);
+            let mut world = World::with_policy(seed, policy_keeping_idle_machines());
             let services = submit_services(&mut world, 1, 6);
             world.run_for(30 * S);
             let (before, started) = (world.stored_machines(), world.started);
             for role in ["leader", "share/1"] {
                 let node = world.holder(role).expect("held");
-                lose(&mut world, node, loss, span, hold);
+                cut_connection(&mut world, node, lost_connection, span, hold);
                 world.run_for(6 * S);
                 assert_eq!(world.unowned_shards(), 0, "{name}: a share has no owner");
-                if matches!(loss, Loss::Everything | Loss::KeyValueStore | Loss::Refused) {
+                if matches!(
+                    lost_connection,
+                    LostConnection::Everything | LostConnection::KeyValueStore | LostConnection::Refused
+                ) {
                     let answer = world.ask_at(node, &services[0]);
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
                 }
                 let changes = changes_of_holder(&mut world, 1, span + 14 * S);
                 assert!(changes <= 6, "{name}: share 1 was given up or taken {changes} times");
             }
-            let lost = count_gone(&world, &before);
+            let lost = count_deleted(&world, &before);
             assert_eq!(lost, 0, "{name}: machines were deleted");
             assert!(world.started <= started + 2, "{name}: services were started again");
             cancel_services(&mut world);
-            finish(&mut world, &name);
+            finish_all_jobs(&mut world, &name);
         }
     }
 }
@@ -406,9 +416,9 @@
 #[test]
 fn a_controller_stalls_twice_during_transactions() {
     for (seed, span) in seeds(71, 4).zip([2 * S, 5 * S, 25 * S, 70 * S].into_iter().cycle()) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         world.cloud.boot_percent = 300;
-        ordinary_jobs(&mut world, 40);
+        submit_mixed_jobs(&mut world, 40);
         world.run_for(15 * S);
         let node = world.holder("leader").expect("somebody leads");
         let before = world.stored_machines();
@@ -417,14 +427,14 @@
             world.run_for(400 * MS);
             world.freeze(node, span);
             let ids: Vec<JobId> = world.jobs.keys().take(4).cloned().collect();
-            call_off_all(&mut world, &ids);
+            cancel_all(&mut world, &ids);
             world.run_for(span + 1500 * MS);
         }
         world.run_for(8 * S);
         assert_eq!(world.unowned_shards(), 0, "{seed}: a share has no owner");
-        let lost = count_gone(&world, &before);
+        let lost = count_deleted(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
-        finish(&mut world, &format!("standstill {seed}"));
+        finish_all_jobs(&mut world, &format!("standstill {seed}"));
     }
 }
 
@@ -434,21 +444,21 @@
 #[test]
 fn bursts_of_status_requests_share_reads_and_cost_no_lease() {
     for seed in seeds(72, 3) {
-        let mut world = World::with_policy(seed, keeping_idle_machines());
-        ordinary_jobs(&mut world, 30);
+        let mut world = World::with_policy(seed, policy_keeping_idle_machines());
+        submit_mixed_jobs(&mut world, 30);
         world.run_for(20 * S);
         world.longest_answer = 0;
         world.question_burst = 300;
         let requests = world.store_requests();
         world.run_for(15 * S);
         let node = world.holder("share/0").expect("owned");
-        lose(&mut world, node, Loss::Agents, 12 * S, true);
+        cut_connection(&mut world, node, LostConnection::Agents, 12 * S, true);
         world.run_for(15 * S);
         let each_second = (world.store_requests() - requests) / 30;
         assert!(each_second <= 100, "{seed}: {each_second} requests a second of 200 allowed");
         assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
         assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
         world.question_burst = 0;
-        finish(&mut world, &format!("burst {seed}"));
+        finish_all_jobs(&mut world, &format!("burst {seed}"));
     }
 }
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -2,19 +2,19 @@
 //! later one leaves that to the holders of the shards.
 
 use super::world::{LARGE, MS, S, Size, World};
-use super::{finish, keeping_idle_machines, seeds};
+use super::{finish_all_jobs, policy_keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobKind, Priority};
 use burlhatch::settings::Policy;
 
 /// Teams' work comes in turns, and nothing can be rented: machines go back and forth between shards.
 fn world_of_many_moves(seed: u64) -> World {
-    let policy = Policy { shift_after_ms: 300, shift_part: 1.0, drain_ms: 1000, ..keeping_idle_machines() };
+    let policy = Policy { shift_after_ms: 300, shift_part: 1.0, drain_ms: 1000, ..policy_keeping_idle_machines() };
     let mut world = World::sized(seed, policy, Size { machines: 7, capacity: 7, ..LARGE });
     world.heartbeat_copies = 0;
     world
 }
 
-fn work_of_one_team(world: &mut World, round: u64) {
+fn submit_work_of_one_team(world: &mut World, round: u64) {
     let team = ["red", "green", "blue", "green"][round as usize % 4];
     for n in 0..4 {
         let mut spec = World::spec(JobKind::Array, team, 4, 2.0);
@@ -28,14 +28,14 @@
 fn shard_holders_move_their_machines() {
     let mut world = world_of_many_moves(80);
     for round in 0..12 {
-        work_of_one_team(&mut world, round);
+        submit_work_of_one_team(&mut world, round);
         world.run_for(4 * S);
     }
-    finish(&mut world, "moves");
+    finish_all_jobs(&mut world, "moves");
     assert!(world.records.moves >= 20, "only {} moves", world.records.moves);
 }
 
-fn urgent_work(world: &mut World, number: u64, team: &str, tasks: u32, image: &str) {
+fn submit_urgent_work(world: &mut World, number: u64, team: &str, tasks: u32, image: &str) {
     let mut spec = World::spec(JobKind::Array, team, tasks, 2.0);
     spec.estimated_runtime_s = 1.0;
     spec.priority = Priority::High;
@@ -52,21 +52,21 @@
     for seed in seeds(82, 10) {
         let mut world = world_of_many_moves(seed);
         world.run_for(6 * S);
-        urgent_work(&mut world, 1, "blue", 2, "first");
+        submit_urgent_work(&mut world, 1, "blue", 2, "first");
         world.run_for(500 * MS);
-        urgent_work(&mut world, 2, "blue", 2, "second");
+        submit_urgent_work(&mut world, 2, "blue", 2, "second");
         world.run_for(12 * S);
         let leader = world.holder("leader").expect("somebody leads");
         let holder = world.holder("share/1").expect("somebody holds it");
         assert_ne!(leader, holder);
         world.late_writes_of(holder, 8 * S);
-        urgent_work(&mut world, 3, "blue", 1, "second");
+        submit_urgent_work(&mut world, 3, "blue", 1, "second");
         world.run_for(400 * MS);
         world.go_back(leader, 200 * MS);
-        urgent_work(&mut world, 4, "green", 60, "third");
+        submit_urgent_work(&mut world, 4, "green", 60, "third");
         world.run_for(20 * S);
         moves += world.records.moves;
-        finish(&mut world, &format!("late start {seed}"));
+        finish_all_jobs(&mut world, &format!("late start {seed}"));
     }
     assert!(moves >= 10, "only {moves} moves");
 }
@@ -83,7 +83,7 @@
             world.all_old();
         }
         for round in 0..16 {
-            work_of_one_team(&mut world, round);
+            submit_work_of_one_team(&mut world, round);
             world.late_writes(4 * S, 2);
             let span = S + world.pick(2 * S);
             world.run_for(span);
@@ -103,7 +103,7 @@
             world.run_for(3 * S);
         }
         moves += world.records.moves;
-        finish(&mut world, &format!("versions change {seed}"));
+        finish_all_jobs(&mut world, &format!("versions change {seed}"));
     }
     assert!(moves >= 60, "only {moves} moves");
 }
--- a/tests/rules/zone_cuts.rs
+++ b/tests/rules/zone_cuts.rs
@@ -3,8 +3,9 @@
 
 use super::seeds;
 use super::world::{MS, S, Size, TIMES, World};
-use super::zone_course::{
-    CUT, Course, FIRST_EXPIRY, Loss, MEASURED, Outcome, Trouble, ZONES, judging_zones, play, world_with_services,
+use super::zone_scenario::{
+    CUT_DURATION, ControllerCrash, FIRST_EXPIRY, Loss, OBSERVED_SPAN, Outcome, Scenario, ZONES, policy_with_zones,
+    run_scenario, world_with_services,
 };
 use burlhatch::protocol::user::JobKind;
 use burlhatch::types::{JobId, MachineId};
@@ -18,51 +19,51 @@
 /// ... cause=Silent silence_ms=5071" for m-000007 after 3.5 s, lost after 4.3 s.
 #[test]
 fn no_machine_is_deleted_individually_while_its_zone_is_suspected() {
-    assert_small_zone_is_left_alone(seeds(119, 24));
+    assert_small_zone_keeps_its_machines(seeds(119, 24));
 }
 
 /// Symptom, not mended: the holder of two of the zone's four machines votes against it, the holders of one each do not, and that
 /// is not more than half: all four are deleted one by one.
 #[test]
 fn a_small_zone_without_a_majority_against_it_is_left_alone() {
-    assert_small_zone_is_left_alone(119_059..119_060);
+    assert_small_zone_keeps_its_machines(119_059..119_060);
 }
 
-/// Replicas wait for their leases in this course, and no machine of the zone may be deleted before.
-fn assert_small_zone_is_left_alone(seeds: Range<u64>) {
+/// Replicas wait for their leases in this scenario, and no machine of the zone may be deleted before.
+fn assert_small_zone_keeps_its_machines(seeds: Range<u64>) {
     for seed in seeds {
-        let mut policy = judging_zones();
+        let mut policy = policy_with_zones();
         policy.zones.evacuate = false;
         let size = Size { nodes: 5, machines: 12, capacity: 12, write_rps: 60.0, zones: ZONES, times: TIMES };
         let spec = World::spec(JobKind::Service, "green", 1, 1.0);
         let (mut world, _) = world_with_services(seed, policy, size, 36, &spec);
         world.run_for(30 * S);
         let in_zone = world.machines_in("a");
-        world.cut_zone("a", CUT, true);
+        world.cut_zone("a", CUT_DURATION, true);
         world.run_for(FIRST_EXPIRY);
         let staying = world.machines_to_stay();
         let deleted = in_zone.iter().filter(|id| !staying.contains(*id)).count();
         assert_eq!(deleted, 0, "{seed}: {deleted} of {} machines", in_zone.len());
         super::cancel_services(&mut world);
-        super::finish(&mut world, &format!("judged alone {seed}"));
+        super::finish_all_jobs(&mut world, &format!("judged alone {seed}"));
     }
 }
 
-/// How a course differs from the plain one.
-type Change = fn(&mut Course);
+/// How a scenario differs from the plain one.
+type Variation = fn(&mut Scenario);
 
-fn variations() -> Vec<(&'static str, Change)> {
+fn variations() -> Vec<(&'static str, Variation)> {
     vec![
         ("cut", |_| ()),
-        ("cut 37 s on", |course| course.lost_after = 37 * S),
-        ("cut 41.7 s on", |course| course.lost_after = 41_700 * MS),
-        ("cut 55 s on", |course| course.lost_after = 55 * S),
-        ("zone b", |course| course.zone = "b"),
-        ("zone c", |course| course.zone = "c"),
-        ("three controllers", |course| course.nodes = 3),
-        ("dead", |course| course.loss = Loss::Dead),
-        ("leader crashes", |course| course.trouble = Trouble::Leader),
-        ("holder crashes", |course| course.trouble = Trouble::Holder),
+        ("cut 37 s on", |scenario| scenario.lost_after = 37 * S),
+        ("cut 41.7 s on", |scenario| scenario.lost_after = 41_700 * MS),
+        ("cut 55 s on", |scenario| scenario.lost_after = 55 * S),
+        ("zone b", |scenario| scenario.zone = "b"),
+        ("zone c", |scenario| scenario.zone = "c"),
+        ("three controllers", |scenario| scenario.nodes = 3),
+        ("dead", |scenario| scenario.loss = Loss::Dead),
+        ("leader crashes", |scenario| scenario.crash = ControllerCrash::Leader),
+        ("holder crashes", |scenario| scenario.crash = ControllerCrash::Holder),
     ]
 }
 
@@ -76,9 +77,9 @@
 fn every_machine_of_a_lost_zone_is_probed_and_evacuated_though_sockets_are_few() {
     for seed in seeds(121, 3) {
         for lost_after in [37 * S, 40 * S, 41_700 * MS] {
-            let mut course = Course { lost_after, ..Course::new(seed, 600, 3) };
-            course.policy.direct_part = FEW_SOCKETS;
-            let outcome = play(&course);
+            let mut scenario = Scenario { lost_after, ..Scenario::new(seed, 600, 3) };
+            scenario.policy.direct_part = FEW_SOCKETS;
+            let outcome = run_scenario(&scenario);
             assert!(outcome.displaced >= 50, "{seed}: only {} replicas are in the zone", outcome.displaced);
             assert_eq!((outcome.late_replicas, outcome.left_machines), (0, 0), "{seed}, {lost_after}: {outcome:?}");
         }
@@ -93,19 +94,19 @@
 fn machines_of_a_zone_that_is_cut_off_work_on_though_sockets_are_few() {
     for seed in seeds(122, 3) {
         for lost_after in [37 * S, 40 * S, 41_700 * MS] {
-            let mut course = Course { lost_after, ..Course::new(seed, 600, 3) };
-            course.policy.direct_part = FEW_SOCKETS;
-            assert_left_alone_with_zones_off(course);
+            let mut scenario = Scenario { lost_after, ..Scenario::new(seed, 600, 3) };
+            scenario.policy.direct_part = FEW_SOCKETS;
+            assert_no_machine_deleted_with_zones_off(scenario);
         }
     }
 }
 
-/// Plays a course with zones off: no machine of the zone may be deleted before the first leases can expire.
-fn assert_left_alone_with_zones_off(mut course: Course) {
-    course.policy.zones.enabled = false;
-    let outcome = play(&course);
+/// Plays a scenario with zones off: no machine of the zone may be deleted before the first leases can expire.
+fn assert_no_machine_deleted_with_zones_off(mut scenario: Scenario) {
+    scenario.policy.zones.enabled = false;
+    let outcome = run_scenario(&scenario);
     let deleted = outcome.idle_deleted + outcome.evacuated_machines;
-    assert_eq!(deleted, 0, "{}, {}: {outcome:?}", course.seed, course.lost_after);
+    assert_eq!(deleted, 0, "{}, {}: {outcome:?}", scenario.seed, scenario.lost_after);
 }
 
 /// One heartbeat came late from a machine that was cut off, and it was deleted as one that sends but receives nothing: probes
@@ -115,8 +116,8 @@
 #[test]
 fn a_late_heartbeat_does_not_make_a_machine_that_is_cut_off_unreachable() {
     for seed in seeds(123, 4) {
-        let course = Course { services: 4, replicas: 8, heartbeat_copies: 2, ..Course::new(seed, 150, 3) };
-        assert_left_alone_with_zones_off(course);
+        let scenario = Scenario { services: 4, replicas: 8, heartbeat_copies: 2, ..Scenario::new(seed, 150, 3) };
+        assert_no_machine_deleted_with_zones_off(scenario);
     }
 }
 
@@ -126,8 +127,8 @@
 #[test]
 fn late_heartbeats_of_others_do_not_make_a_machine_look_lost_alone() {
     for seed in seeds(124, 3).chain([123_010]) {
-        let course = Course { services: 4, replicas: 8, heartbeat_copies: 2, ..Course::new(seed, 150, 3) };
-        assert_left_alone_with_zones_off(course);
+        let scenario = Scenario { services: 4, replicas: 8, heartbeat_copies: 2, ..Scenario::new(seed, 150, 3) };
+        assert_no_machine_deleted_with_zones_off(scenario);
     }
 }
 
@@ -141,7 +142,7 @@
         let size = Size { nodes: 3, machines: 24, capacity: 24, write_rps: 50.0, zones: ZONES, times: TIMES };
         // Two fill a machine, and two machines are left.
         let spec = World::spec(JobKind::Service, "green", 1, 2.0);
-        let (mut world, services) = world_with_services(seed, judging_zones(), size, 44, &spec);
+        let (mut world, services) = world_with_services(seed, policy_with_zones(), size, 44, &spec);
         world.run_for(60 * S);
         assert!(services.iter().all(|id| world.running(id) == 1), "{seed}: services are not at work");
         let running_in = |world: &World, is_in: bool| {
@@ -150,12 +151,12 @@
         };
         let (displaced, elsewhere) = (running_in(&world, true), running_in(&world, false));
         let room = (2 * 16 - elsewhere).min(displaced);
-        world.cut_zone("a", CUT, true);
+        world.cut_zone("a", CUT_DURATION, true);
         world.run_for(FIRST_EXPIRY);
         let moved = running_in(&world, false) - elsewhere;
         assert_eq!(moved, room, "{seed}: {displaced} displaced, room for {room}");
         super::cancel_services(&mut world);
-        super::finish(&mut world, &format!("room for some {seed}"));
+        super::finish_all_jobs(&mut world, &format!("room for some {seed}"));
     }
 }
 
@@ -167,14 +168,14 @@
     for seed in seeds(126, 3) {
         let size = Size { nodes: 3, machines: 24, capacity: 30, write_rps: 50.0, zones: ZONES, times: TIMES };
         let spec = World::spec(JobKind::Service, "green", 1, 2.0);
-        let (mut world, services) = world_with_services(seed, judging_zones(), size, 24, &spec);
+        let (mut world, services) = world_with_services(seed, policy_with_zones(), size, 24, &spec);
         world.run_for(30 * S);
         let mut hosts = world.machines_in("a");
         hosts.retain(|id| !world.agents[id].tasks.is_empty());
         // The services of one machine go on, so that there is something to restore.
         let kept = hosts.pop().expect("something runs in the zone");
         let goes_on: Vec<JobId> = world.agents[&kept].tasks.keys().map(|(job, _)| job.clone()).collect();
-        world.cut_zone("a", CUT, true);
+        world.cut_zone("a", CUT_DURATION, true);
         for id in services.iter().filter(|id| !goes_on.contains(id)) {
             world.call_off(id);
         }
@@ -183,7 +184,7 @@
         let deleted = hosts.iter().filter(|id| !staying.contains(*id)).count();
         assert_eq!(deleted, 0, "{seed}: {deleted} of {} machines", hosts.len());
         super::cancel_services(&mut world);
-        super::finish(&mut world, &format!("cancelled services {seed}"));
+        super::finish_all_jobs(&mut world, &format!("cancelled services {seed}"));
     }
 }
 
@@ -196,19 +197,19 @@
     for seed in seeds(127, 4) {
         let size = Size { nodes: 3, machines: 90, capacity: 110, write_rps: 60.0, zones: ZONES, times: TIMES };
         let spec = World::spec(JobKind::Service, "green", 2, 1.0);
-        let (mut world, services) = world_with_services(seed, judging_zones(), size, 10, &spec);
+        let (mut world, services) = world_with_services(seed, policy_with_zones(), size, 10, &spec);
         world.run_for(30 * S);
-        world.cut_zone("a", CUT, true);
+        world.cut_zone("a", CUT_DURATION, true);
         world.run_for(FIRST_EXPIRY);
         let runs_services = |id: &MachineId| !world.agents[id].tasks.is_empty();
         let hung = world.machines_in("b").into_iter().find(runs_services).expect("services run in the other zone");
-        world.hang_machine(&hung, CUT);
+        world.hang_machine(&hung, CUT_DURATION);
         world.run_for(FIRST_EXPIRY);
         assert!(!world.machines_to_stay().contains(&hung), "{seed}: {hung} is not replaced before its lease ends");
         let missing = services.iter().filter(|id| world.running(id) < 2).count();
         assert_eq!(missing, 0, "{seed}: {missing} services are not whole");
         super::cancel_services(&mut world);
-        super::finish(&mut world, &format!("hung elsewhere {seed}"));
+        super::finish_all_jobs(&mut world, &format!("hung elsewhere {seed}"));
     }
 }
 
@@ -220,19 +221,20 @@
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<usize>().ok());
     let machines = number("BURLHATCH_MACHINES").unwrap_or(600);
     let only = number("BURLHATCH_VARIATION");
-    for (index, (name, change)) in variations().into_iter().enumerate() {
+    for (index, (name, variation)) in variations().into_iter().enumerate() {
         if only.is_some_and(|only| only != index) {
             continue;
         }
         let mut outcomes = Vec::new();
         for seed in seeds(118, 20) {
-            let mut course = Course::new(seed, machines, 5);
-            change(&mut course);
-            outcomes.push(play(&course));
+            let mut scenario = Scenario::new(seed, machines, 5);
+            variation(&mut scenario);
+            outcomes.push(run_scenario(&scenario));
         }
         let late_runs = outcomes.iter().filter(|outcome| outcome.late_replicas > 0).count();
         let sum = |value: fn(&Outcome) -> usize| outcomes.iter().map(value).sum::<usize>();
-        let mut times: Vec<u64> = outcomes.iter().map(|outcome| outcome.restored.unwrap_or(MEASURED) / MS).collect();
+        let mut times: Vec<u64> =
+            outcomes.iter().map(|outcome| outcome.restored.unwrap_or(OBSERVED_SPAN) / MS).collect();
         times.sort_unstable();
         println!(
             "| {machines} | {name} | {late_runs} of {} | {} of {} | {} | {} | {} | {} |",
--- a/tests/rules/zone_course.rs
+++ b/tests/rules/zone_scenario.rs
@@ -1,8 +1,8 @@
-//! A course with many variations: services run everywhere, one zone is lost, and it is seen when their replicas are at work
+//! A scenario with many variations: services run everywhere, one zone is lost, and it is seen when their replicas are at work
 //! elsewhere and which machines of the zone are deleted.
 
 use super::world::{MS, S, Size, TIMES, World};
-use super::{assert_clean, keeping_idle_machines};
+use super::{assert_no_violations, policy_keeping_idle_machines};
 use burlhatch::protocol::user::{JobKind, JobSpec};
 use burlhatch::settings::{Policy, ZoneSettings};
 use burlhatch::types::{JobId, MachineId};
@@ -11,11 +11,11 @@
 /// A lease counts from the last heartbeat, so the first may expire this much before the others.
 pub const FIRST_EXPIRY: u64 = TIMES.lease - 2 * S;
 /// How long the zone is away.
-pub const CUT: u64 = 60 * S;
+pub const CUT_DURATION: u64 = 60 * S;
 /// How often it is looked whether replicas are at work elsewhere.
-const STEP: u64 = 250 * MS;
+const POLL_INTERVAL: u64 = 250 * MS;
 /// What is measured ends here.
-pub const MEASURED: u64 = 40 * S;
+pub const OBSERVED_SPAN: u64 = 40 * S;
 
 /// What happens to the zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// What else happens meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ControllerCrash {
     None,
     /// The leader crashes.
     Leader,
@@ -36,12 +36,12 @@
     Holder,
 }
 
-pub fn judging_zones() -> Policy {
-    Policy { zones: ZoneSettings { enabled: true, ..ZoneSettings::default() }, ..keeping_idle_machines() }
+pub fn policy_with_zones() -> Policy {
+    Policy { zones: ZoneSettings { enabled: true, ..ZoneSettings::default() }, ..policy_keeping_idle_machines() }
 }
 
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct Scenario {
     pub seed: u64,
     pub machines: usize,
     pub nodes: usize,
@@ -51,17 +51,17 @@
     /// How long the services have been submitted when the zone is lost.
     pub lost_after: u64,
     pub loss: Loss,
-    pub trouble: Trouble,
+    pub crash: ControllerCrash,
     /// How long after the loss.
-    pub trouble_after: u64,
+    pub crash_after: u64,
     /// Late copies of heartbeats, one in so many.
     pub heartbeat_copies: u32,
     pub policy: Policy,
 }
 
-impl Course {
-    pub fn new(seed: u64, machines: usize, nodes: usize) -> Course {
-        Course {
+impl Scenario {
+    pub fn new(seed: u64, machines: usize, nodes: usize) -> Scenario {
+        Scenario {
             seed,
             machines,
             nodes,
@@ -70,10 +70,10 @@
             zone: "a",
             lost_after: 40 * S,
             loss: Loss::Cut,
-            trouble: Trouble::None,
-            trouble_after: 4 * S,
+            crash: ControllerCrash::None,
+            crash_after: 4 * S,
             heartbeat_copies: 30,
-            policy: judging_zones(),
+            policy: policy_with_zones(),
         }
     }
 }
@@ -124,9 +124,9 @@
     (world, services)
 }
 
-/// A course at the moment at which the zone is lost.
-struct Run<'a> {
-    course: &'a Course,
+/// A scenario at the moment at which the zone is lost.
+struct ScenarioRun<'a> {
+    scenario: &'a Scenario,
     world: World,
     services: Vec<JobId>,
     /// The zone's machines with replicas.
@@ -137,24 +137,24 @@
     lost_at: u64,
 }
 
-impl<'a> Run<'a> {
-    fn start(course: &'a Course) -> Run<'a> {
-        let Course { seed, machines, nodes, zone, .. } = *course;
+impl<'a> ScenarioRun<'a> {
+    fn start(scenario: &'a Scenario) -> ScenarioRun<'a> {
+        let Scenario { seed, machines, nodes, zone, .. } = *scenario;
         let size =
             Size { nodes, machines, capacity: machines + machines / 10, write_rps: 50.0, zones: ZONES, times: TIMES };
-        let spec = JobSpec { spread: true, ..World::spec(JobKind::Service, "green", course.replicas, 1.0) };
-        let (mut world, services) = world_with_services(seed, course.policy.clone(), size, course.services, &spec);
-        world.heartbeat_copies = course.heartbeat_copies;
-        world.run_for(course.lost_after);
+        let spec = JobSpec { spread: true, ..World::spec(JobKind::Service, "green", scenario.replicas, 1.0) };
+        let (mut world, services) = world_with_services(seed, scenario.policy.clone(), size, scenario.services, &spec);
+        world.heartbeat_copies = scenario.heartbeat_copies;
+        world.run_for(scenario.lost_after);
         let in_zone = world.machines_in(zone);
         let (hosts, idle): (Vec<_>, Vec<_>) = in_zone.into_iter().partition(|id| !world.agents[id].tasks.is_empty());
         let displaced = hosts.iter().map(|id| world.agents[id].tasks.len()).sum();
-        match course.loss {
-            Loss::Cut => world.cut_zone(zone, CUT, true),
+        match scenario.loss {
+            Loss::Cut => world.cut_zone(zone, CUT_DURATION, true),
             Loss::Dead => world.kill_zone(zone),
         }
         let lost_at = world.now;
-        Run { course, world, services, hosts, idle, displaced, lost_at }
+        ScenarioRun { scenario, world, services, hosts, idle, displaced, lost_at }
     }
 
     fn since_loss(&self) -> u64 {
@@ -162,14 +162,14 @@
     }
 
     fn missing_replicas(&self) -> usize {
-        missing_replicas(&self.world, &self.services, self.course.zone)
+        missing_replicas(&self.world, &self.services, self.scenario.zone)
     }
 
-    fn cause_trouble(&mut self) {
-        let node = match self.course.trouble {
-            Trouble::None => return,
-            Trouble::Leader => self.world.holder("leader"),
-            Trouble::Holder => holder_of_most_replicas(&self.world, &self.hosts),
+    fn crash_controller(&mut self) {
+        let node = match self.scenario.crash {
+            ControllerCrash::None => return,
+            ControllerCrash::Leader => self.world.holder("leader"),
+            ControllerCrash::Holder => holder_of_most_replicas(&self.world, &self.hosts),
         };
         self.world.crash(node.expect("somebody holds the role"), 30 * S);
     }
@@ -180,7 +180,7 @@
             if restored.is_none() && self.missing_replicas() == 0 {
                 *restored = Some(self.since_loss());
             }
-            self.world.run_for(STEP);
+            self.world.run_for(POLL_INTERVAL);
         }
     }
 
@@ -200,16 +200,16 @@
     }
 }
 
-pub fn play(course: &Course) -> Outcome {
-    let mut run = Run::start(course);
+pub fn run_scenario(scenario: &Scenario) -> Outcome {
+    let mut run = ScenarioRun::start(scenario);
     let mut restored = None;
-    run.run_until(course.trouble_after, &mut restored);
-    run.cause_trouble();
+    run.run_until(scenario.crash_after, &mut restored);
+    run.crash_controller();
     run.run_until(FIRST_EXPIRY, &mut restored);
     let outcome = run.outcome(restored);
-    while restored.is_none() && run.since_loss() < MEASURED {
-        run.run_until(run.since_loss() + STEP, &mut restored);
+    while restored.is_none() && run.since_loss() < OBSERVED_SPAN {
+        run.run_until(run.since_loss() + POLL_INTERVAL, &mut restored);
     }
-    assert_clean(&run.world, &format!("{course:?}"));
+    assert_no_violations(&run.world, &format!("{scenario:?}"));
     Outcome { restored, ..outcome }
 }
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -2,7 +2,9 @@
 //! and no single controller's blindness counts as a lost zone.
 
 use super::world::{MS, Place, S, Size, TIMES, World};
-use super::{assert_clean, cancel_services, finish, keeping_idle_machines, ordinary_jobs, seeds};
+use super::{
+    assert_no_violations, cancel_services, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs,
+};
 use burlhatch::protocol::user::{JobKind, JobState, Priority};
 use burlhatch::settings::{Policy, ZoneSettings};
 use burlhatch::types::JobId;
@@ -12,15 +14,15 @@
 const THREE_ZONES: Size =
     Size { nodes: 5, machines: 24, capacity: 48, write_rps: 60.0, zones: &["a", "b", "c"], times: TIMES };
 /// Each shard has several machines in each zone, so that none is replaced as a single one that fell silent.
-const NINETY: Size = Size { machines: 90, capacity: 110, ..THREE_ZONES };
+const NINETY_MACHINES: Size = Size { machines: 90, capacity: 110, ..THREE_ZONES };
 /// The agent's lease in this world: without a deletion nothing of a zone that is cut off starts elsewhere before.
 const LEASE: u64 = 20 * S;
 
-fn judging_zones() -> Policy {
-    Policy { zones: ZoneSettings { enabled: true, ..ZoneSettings::default() }, ..keeping_idle_machines() }
+fn policy_with_zones() -> Policy {
+    Policy { zones: ZoneSettings { enabled: true, ..ZoneSettings::default() }, ..policy_keeping_idle_machines() }
 }
 
-fn world_of(seed: u64, policy: Policy) -> World {
+fn world_with_policy(seed: u64, policy: Policy) -> World {
     let mut world = World::sized(seed, policy, THREE_ZONES);
     world.cloud.never_up = 0;
     world
@@ -33,11 +35,11 @@
 }
 
 /// Replicas of a service in other zones than this one.
-fn outside(world: &World, id: &JobId, zone: &str) -> usize {
+fn replicas_outside(world: &World, id: &JobId, zone: &str) -> usize {
     world.agents.values().filter(|w| w.zone != zone).flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
 
-fn inside(world: &World, zone: &str) -> usize {
+fn tasks_in_zone(world: &World, zone: &str) -> usize {
     world.agents.values().filter(|w| w.zone == zone).map(|w| w.tasks.len()).sum()
 }
 
@@ -45,7 +47,7 @@
 fn time_to_restore(world: &mut World, services: &[JobId], zone: &str, most: u64) -> Option<u64> {
     let began = world.now;
     while world.now - began < most {
-        let whole = |id: &JobId| outside(world, id, zone) == world.jobs[id].spec.tasks as usize;
+        let whole = |id: &JobId| replicas_outside(world, id, zone) == world.jobs[id].spec.tasks as usize;
         if services.iter().all(whole) {
             return Some(world.now - began);
         }
@@ -54,7 +56,7 @@
     None
 }
 
-fn zone_keys(world: &World) -> Vec<String> {
+fn stored_zone_keys(world: &World) -> Vec<String> {
     world.stored_keys().into_iter().filter(|key| key.contains("/zone/")).collect()
 }
 
@@ -65,17 +67,17 @@
     for seed in seeds(100, 4) {
         let mut restored = [None, None];
         for (judged, restored) in restored.iter_mut().enumerate() {
-            let mut policy = judging_zones();
+            let mut policy = policy_with_zones();
             policy.zones.enabled = judged == 1;
-            let mut world = World::sized(seed, policy, NINETY);
+            let mut world = World::sized(seed, policy, NINETY_MACHINES);
             world.cloud.never_up = 0;
             let services = submit_services(&mut world, 60);
             world.run_for(30 * S);
-            assert!(inside(&world, "a") > 0, "{seed}: nothing runs in the zone");
+            assert!(tasks_in_zone(&world, "a") > 0, "{seed}: nothing runs in the zone");
             world.cut_zone("a", 90 * S, true);
             *restored = time_to_restore(&mut world, &services, "a", 60 * S);
             cancel_services(&mut world);
-            finish(&mut world, &format!("zone cut off {seed}"));
+            finish_all_jobs(&mut world, &format!("zone cut off {seed}"));
         }
         let [by_machine, by_zone] = restored;
         assert!(by_zone.is_some_and(|span| span <= 15 * S), "{seed}: {by_zone:?}");
@@ -89,9 +91,9 @@
 #[test]
 fn a_zone_that_dies_with_its_controllers_is_replaced() {
     for seed in seeds(101, 4) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         let services = submit_services(&mut world, 12);
-        ordinary_jobs_from(&mut world, 100, 20);
+        submit_batch_jobs(&mut world, 100, 20);
         world.run_for(20 * S);
         let leader = world.holder("leader").expect("somebody leads");
         world.kill_zone("a");
@@ -100,11 +102,11 @@
         let restored = time_to_restore(&mut world, &services, "a", 60 * S);
         assert!(restored.is_some_and(|span| span <= 30 * S), "{seed}: {restored:?}");
         cancel_services(&mut world);
-        finish(&mut world, &format!("zone gone {seed}"));
+        finish_all_jobs(&mut world, &format!("zone gone {seed}"));
     }
 }
 
-fn ordinary_jobs_from(world: &mut World, from: u64, count: u64) {
+fn submit_batch_jobs(world: &mut World, from: u64, count: u64) {
     for n in 0..count {
         let tasks = 1 + world.pick(6) as u32;
         let mut spec = World::spec(JobKind::Array, "green", tasks, 2.0);
@@ -118,14 +120,14 @@
 #[test]
 fn a_zone_that_one_controller_cannot_reach_is_not_lost() {
     for seed in seeds(102, 4) {
-        let mut world = World::sized(seed, judging_zones(), NINETY);
+        let mut world = World::sized(seed, policy_with_zones(), NINETY_MACHINES);
         world.cloud.never_up = 0;
         submit_services(&mut world, 40);
         world.run_for(30 * S);
-        let blind = world.holder("share/1").expect("somebody holds it");
+        let cut_off_controller = world.holder("share/1").expect("somebody holds it");
         let (unseen, before) = (world.machines_in("a"), world.agents.len());
         world.cut(15 * S, false, move |from, to| {
-            *from == Place::Node(blind) && matches!(to, Place::Agent(id) if unseen.contains(id))
+            *from == Place::Node(cut_off_controller) && matches!(to, Place::Agent(id) if unseen.contains(id))
         });
         let mut seen = Vec::new();
         for _ in 0..15 {
@@ -136,7 +138,7 @@
         assert!(!seen.contains(&Condition::Lost), "{seed}: taken for lost by one controller's word");
         assert_eq!(world.agents.len(), before, "{seed}: machines were deleted");
         cancel_services(&mut world);
-        finish(&mut world, &format!("blind controller {seed}"));
+        finish_all_jobs(&mut world, &format!("cut_off_controller controller {seed}"));
     }
 }
 
@@ -145,9 +147,9 @@
 #[test]
 fn a_zone_that_returns_during_evacuation_runs_nothing_twice() {
     for seed in seeds(103, 12) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         let services = submit_services(&mut world, 10);
-        ordinary_jobs_from(&mut world, 100, 10);
+        submit_batch_jobs(&mut world, 100, 10);
         world.run_for(20 * S);
         let span = 3 * S + seed % 12 * 700 * MS;
         world.late_writes(30 * S, 6);
@@ -158,23 +160,23 @@
         world.run_for(span);
         world.run_for(20 * S);
         cancel_services(&mut world);
-        finish(&mut world, &format!("returned in the middle {seed}"));
+        finish_all_jobs(&mut world, &format!("returned in the middle {seed}"));
     }
 }
 
 /// A flap shorter than detection leaves no trace.
 #[test]
 fn a_flap_shorter_than_detection_changes_nothing() {
-    let mut world = world_of(104_000, judging_zones());
+    let mut world = world_with_policy(104_000, policy_with_zones());
     submit_services(&mut world, 8);
     world.run_for(30 * S);
     let (before, started) = (world.agents.len(), world.started);
     world.cut_zone("a", 1500 * MS, true);
     world.run_for(20 * S);
     assert_eq!((world.agents.len(), world.started), (before, started));
-    assert!(zone_keys(&world).is_empty(), "{:?}", zone_keys(&world));
+    assert!(stored_zone_keys(&world).is_empty(), "{:?}", stored_zone_keys(&world));
     cancel_services(&mut world);
-    finish(&mut world, "short flap");
+    finish_all_jobs(&mut world, "short flap");
 }
 
 /// Twice lost within a minute: for a while the zone is not trusted with all replicas of a service. Its penalty is
@@ -182,10 +184,10 @@
 #[test]
 fn a_zone_lost_twice_gets_no_service_with_a_single_replica() {
     for seed in seeds(105, 4) {
-        let mut policy = judging_zones();
+        let mut policy = policy_with_zones();
         // Its machines stay, so that there is something to lose again.
         policy.zones.evacuate = false;
-        let mut world = world_of(seed, policy);
+        let mut world = world_with_policy(seed, policy);
         submit_services(&mut world, 8);
         world.run_for(30 * S);
         for _ in 0..2 {
@@ -199,10 +201,10 @@
         let single: Vec<JobId> =
             (0..9).map(|n| world.submit(200 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         world.run_for(15 * S);
-        let there = single.iter().filter(|id| world.running(id) > outside(&world, id, "a")).count();
+        let there = single.iter().filter(|id| world.running(id) > replicas_outside(&world, id, "a")).count();
         assert_eq!(there, 0, "{seed}: {there} single replicas in the zone that flaps");
         cancel_services(&mut world);
-        finish(&mut world, &format!("two flaps {seed}"));
+        finish_all_jobs(&mut world, &format!("two flaps {seed}"));
     }
 }
 
@@ -210,23 +212,23 @@
 #[test]
 fn a_second_zone_is_lost_while_the_first_is_restored() {
     for seed in seeds(106, 4) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         let services = submit_services(&mut world, 6);
         world.run_for(30 * S);
         world.cut_zone("a", 80 * S, true);
         world.run_for(7 * S);
         world.cut_zone("b", 80 * S, true);
         let began = world.now;
-        while services.iter().any(|id| outside_of_both(&world, id) < 2) {
+        while services.iter().any(|id| replicas_in_zone_c(&world, id) < 2) {
             world.run_for(500 * MS);
             assert!(world.now - began <= 45 * S, "{seed}: not restored");
         }
         cancel_services(&mut world);
-        finish(&mut world, &format!("two zones {seed}"));
+        finish_all_jobs(&mut world, &format!("two zones {seed}"));
     }
 }
 
-fn outside_of_both(world: &World, id: &JobId) -> usize {
+fn replicas_in_zone_c(world: &World, id: &JobId) -> usize {
     let agents = world.agents.values().filter(|w| w.zone == "c");
     agents.flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
@@ -236,9 +238,9 @@
 #[test]
 fn restoration_survives_outages_and_changes_of_the_leader() {
     for seed in seeds(107, 9) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         let services = submit_services(&mut world, 9);
-        ordinary_jobs_from(&mut world, 100, 8);
+        submit_batch_jobs(&mut world, 100, 8);
         world.run_for(25 * S);
         let trouble = |world: &mut World, when: u64| {
             let leader = world.holder("leader").unwrap_or(0);
@@ -257,7 +259,7 @@
         let restored = time_to_restore(&mut world, &services, "none", 60 * S);
         assert!(restored.is_some(), "{seed}: services are not whole");
         cancel_services(&mut world);
-        finish(&mut world, &format!("troubles in restoration {seed}"));
+        finish_all_jobs(&mut world, &format!("troubles in restoration {seed}"));
     }
 }
 
@@ -267,7 +269,7 @@
 fn without_capacity_elsewhere_machines_of_a_lost_zone_are_kept() {
     // In world 108005 places were given away twice.
     for seed in seeds(108, 3).chain([108_005]) {
-        let mut world = World::sized(seed, judging_zones(), NINETY);
+        let mut world = World::sized(seed, policy_with_zones(), NINETY_MACHINES);
         world.cloud.never_up = 0;
         world.cloud.capacity = 90;
         // Each service takes a whole machine, and five are free.
@@ -284,7 +286,7 @@
         let restored = time_to_restore(&mut world, &services, "none", 90 * S);
         assert!(restored.is_some(), "{seed}: services are not whole");
         cancel_services(&mut world);
-        finish(&mut world, &format!("no capacity {seed}"));
+        finish_all_jobs(&mut world, &format!("no capacity {seed}"));
     }
 }
 
@@ -292,16 +294,16 @@
 #[test]
 fn zone_bound_jobs_finish_despite_zone_losses_and_returns() {
     for seed in seeds(109, 6) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         world.heartbeat_copies = 3;
-        ordinary_jobs(&mut world, 30);
+        submit_mixed_jobs(&mut world, 30);
         for round in 0..3 {
             world.run_for(12 * S);
             let zone = ["a", "b", "c"][((seed + round) % 3) as usize];
             let span = (4 + world.pick(25)) * S;
             world.cut_zone(zone, span, true);
         }
-        finish(&mut world, &format!("bound jobs {seed}"));
+        finish_all_jobs(&mut world, &format!("bound jobs {seed}"));
     }
 }
 
@@ -309,10 +311,10 @@
 #[test]
 fn controllers_with_and_without_zone_conditions_side_by_side() {
     for seed in seeds(110, 5) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         world.all_old();
         submit_services(&mut world, 8);
-        ordinary_jobs_from(&mut world, 100, 10);
+        submit_batch_jobs(&mut world, 100, 10);
         for node in 0..5 {
             if node % 2 == 0 {
                 world.upgrade(node);
@@ -325,7 +327,7 @@
         world.go_back(0, S);
         world.run_for(30 * S);
         cancel_services(&mut world);
-        finish(&mut world, &format!("versions {seed}"));
+        finish_all_jobs(&mut world, &format!("versions {seed}"));
     }
 }
 
@@ -333,10 +335,10 @@
 #[test]
 fn starts_in_a_returned_zone_are_ramped_up() {
     for seed in seeds(111, 3) {
-        let mut policy = judging_zones();
+        let mut policy = policy_with_zones();
         policy.zones.penalty_per_loss = 0.0;
         let zones = policy.zones.clone();
-        let mut world = world_of(seed, policy);
+        let mut world = world_with_policy(seed, policy);
         world.run_for(10 * S);
         world.cut_zone("a", 40 * S, false);
         world.run_for(41 * S);
@@ -351,7 +353,7 @@
         let mut seen = Vec::new();
         for _ in 0..20 {
             world.run_for(S);
-            seen.push(inside(&world, "a"));
+            seen.push(tasks_in_zone(&world, "a"));
         }
         let first = (zones.ramp_initial * shards) as usize;
         let began = seen.iter().position(|count| *count > 0).expect("work came back");
@@ -363,7 +365,7 @@
         for job in world.jobs.values_mut() {
             job.cancel_at = Some(0);
         }
-        finish(&mut world, &format!("steps {seed}"));
+        finish_all_jobs(&mut world, &format!("steps {seed}"));
     }
 }
 
@@ -372,7 +374,7 @@
 fn services_start_before_batch_work_while_a_zone_is_lost() {
     for seed in seeds(112, 4) {
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
-        let mut world = World::sized(seed, judging_zones(), size);
+        let mut world = World::sized(seed, policy_with_zones(), size);
         let services: Vec<JobId> =
             (0..12).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         // Batch work of the same priority as ordinary work has it, more than there is room for.
@@ -387,7 +389,7 @@
         let restored = time_to_restore(&mut world, &services, "a", 60 * S);
         assert!(restored.is_some_and(|span| span <= 18 * S), "{seed}: {restored:?}");
         cancel_services(&mut world);
-        finish(&mut world, &format!("order {seed}"));
+        finish_all_jobs(&mut world, &format!("order {seed}"));
         let arrays = world.jobs.values().filter(|job| job.spec.kind == JobKind::Array);
         assert!(arrays.filter(|job| job.told == Some(JobState::Done)).count() >= 35, "{seed}: batch work was lost");
     }
@@ -397,7 +399,7 @@
 #[test]
 fn resources_are_reserved_for_replicas_that_are_not_proven_absent_yet() {
     for seed in seeds(119, 3) {
-        let mut policy = judging_zones();
+        let mut policy = policy_with_zones();
         // The proof takes a lease.
         policy.zones.evacuate = false;
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
@@ -411,10 +413,10 @@
         batch.estimated_runtime_s = 30.0;
         let batch = world.submit(100, batch);
         world.run_for(8 * S);
-        assert!(world.jobs[&batch].accepted && services.iter().any(|id| outside(&world, id, "a") == 0));
+        assert!(world.jobs[&batch].accepted && services.iter().any(|id| replicas_outside(&world, id, "a") == 0));
         assert_eq!(world.running(&batch), 0, "{seed}: batch work took room of replicas in the lost zone");
         cancel_services(&mut world);
-        finish(&mut world, &format!("room kept {seed}"));
+        finish_all_jobs(&mut world, &format!("room kept {seed}"));
     }
 }
 
@@ -424,7 +426,7 @@
 fn services_start_before_overdue_batch_work_of_their_priority() {
     for seed in seeds(120, 3) {
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
-        let mut world = World::sized(seed, judging_zones(), size);
+        let mut world = World::sized(seed, policy_with_zones(), size);
         let mut first = World::spec(JobKind::Array, "green", 1, 1.0);
         first.estimated_runtime_s = 24.0;
         let first = world.submit(99, first);
@@ -448,7 +450,7 @@
         let restored = time_to_restore(&mut world, &services, "a", 60 * S);
         assert!(restored.is_some_and(|span| span <= 40 * S), "{seed}: {restored:?}");
         cancel_services(&mut world);
-        finish(&mut world, &format!("overdue batch work {seed}"));
+        finish_all_jobs(&mut world, &format!("overdue batch work {seed}"));
     }
 }
 
@@ -456,15 +458,15 @@
 /// before the next one leaves. Released, it takes work again.
 #[test]
 fn a_zone_on_hold_is_emptied_one_replica_at_a_time() {
-    let mut policy = judging_zones();
+    let mut policy = policy_with_zones();
     policy.zones.moves_per_minute = 60.0;
     // One job's replicas one right after the other, if only the budget kept them apart.
     policy.zones.move_pause_ms = 1000;
     policy.zones.hold_wait_ms = 5000;
-    let mut world = world_of(113_000, policy);
+    let mut world = world_with_policy(113_000, policy);
     let services = submit_services(&mut world, 6);
     world.run_for(30 * S);
-    assert!(services.iter().any(|id| outside(&world, id, "a") < 2), "no replica is in the zone");
+    assert!(services.iter().any(|id| replicas_outside(&world, id, "a") < 2), "no replica is in the zone");
     world.write_key("bh/zone-hold/a", Some(Value::Map(vec![(Value::Text("at".into()), Value::Integer(1.into()))])));
     let mut least = usize::MAX;
     for _ in 0..240 {
@@ -472,7 +474,7 @@
         least = least.min(services.iter().map(|id| world.running(id)).min().unwrap_or(0));
     }
     assert!(least >= 1, "a service lost all replicas at once");
-    assert!(services.iter().all(|id| outside(&world, id, "a") == 2), "the zone still has replicas");
+    assert!(services.iter().all(|id| replicas_outside(&world, id, "a") == 2), "the zone still has replicas");
     world.write_key("bh/zone-hold/a", None);
     let mut bound = World::spec(JobKind::Array, "green", 2, 1.0);
     bound.zone = Some("a".into());
@@ -480,13 +482,13 @@
     world.run_for(20 * S);
     assert!(world.jobs[&bound].begun.is_some(), "the zone takes no work though it was released");
     cancel_services(&mut world);
-    finish(&mut world, "hold");
+    finish_all_jobs(&mut world, "hold");
 }
 
 /// What can't be read among the stored views is not trusted, and taken away by the shard's holder.
 #[test]
 fn unreadable_zone_views_are_ignored_and_deleted() {
-    let mut world = world_of(114_000, judging_zones());
+    let mut world = world_with_policy(114_000, policy_with_zones());
     submit_services(&mut world, 6);
     world.run_for(20 * S);
     let (before, started) = (world.agents.len(), world.started);
@@ -495,10 +497,10 @@
     }
     world.run_for(10 * S);
     assert_eq!((world.agents.len(), world.started), (before, started), "an unreadable view was acted on");
-    assert!(zone_keys(&world).is_empty(), "{:?}", zone_keys(&world));
+    assert!(stored_zone_keys(&world).is_empty(), "{:?}", stored_zone_keys(&world));
     cancel_services(&mut world);
-    finish(&mut world, "unreadable");
-    assert_clean(&world, "unreadable");
+    finish_all_jobs(&mut world, "unreadable");
+    assert_no_violations(&world, "unreadable");
 }
 
 /// Losses, flaps, returns and deaths of zones meet crashes, outages, refusals, hangs and freezes, in whatever order. The
@@ -506,8 +508,8 @@
 #[test]
 fn zone_losses_with_all_kinds_of_failures() {
     for seed in seeds(115, 8) {
-        let mut world = world_of(seed, judging_zones());
-        ordinary_jobs(&mut world, 35);
+        let mut world = world_with_policy(seed, policy_with_zones());
+        submit_mixed_jobs(&mut world, 35);
         for _ in 0..10 {
             world.run_for(5 * S);
             let zone = ["a", "b", "c"][world.pick(3) as usize];
@@ -523,7 +525,7 @@
                 _ => world.cut_zone(zone, span, true),
             }
         }
-        finish(&mut world, &format!("zones and everything {seed}"));
+        finish_all_jobs(&mut world, &format!("zones and everything {seed}"));
     }
 }
 
@@ -531,7 +533,7 @@
 #[test]
 fn a_zone_with_a_third_of_its_machines_hanging_is_not_lost() {
     for seed in seeds(116, 3) {
-        let mut world = World::sized(seed, judging_zones(), NINETY);
+        let mut world = World::sized(seed, policy_with_zones(), NINETY_MACHINES);
         world.cloud.never_up = 0;
         let services = submit_services(&mut world, 40);
         world.run_for(30 * S);
@@ -548,7 +550,7 @@
         assert!(world.jobs[&bound].begun.is_some(), "{seed}: the zone takes no work");
         assert!(time_to_restore(&mut world, &services, "none", 30 * S).is_some(), "{seed}: services are not whole");
         cancel_services(&mut world);
-        finish(&mut world, &format!("part of a zone {seed}"));
+        finish_all_jobs(&mut world, &format!("part of a zone {seed}"));
     }
 }
 
@@ -557,9 +559,9 @@
 #[test]
 fn instances_that_never_come_up_delay_only_unschedulable_tasks() {
     for seed in seeds(117, 3) {
-        let mut world = world_of(seed, judging_zones());
+        let mut world = world_with_policy(seed, policy_with_zones());
         let services = submit_services(&mut world, 20);
-        ordinary_jobs_from(&mut world, 100, 20);
+        submit_batch_jobs(&mut world, 100, 20);
         world.run_for(30 * S);
         world.cloud.never_up = 1;
         world.kill_zone("a");
@@ -567,7 +569,7 @@
         assert!(restored.is_some(), "{seed}: two zones of three have room for all services");
         world.cloud.never_up = 0;
         cancel_services(&mut world);
-        finish(&mut world, &format!("boots {seed}"));
+        finish_all_jobs(&mut world, &format!("boots {seed}"));
     }
 }
 
@@ -580,17 +582,17 @@
 fn a_zone_with_a_third_of_four_thousand_machines_is_cut_off() {
     let size =
         Size { nodes: 5, machines: 4000, capacity: 4400, write_rps: 50.0, zones: &["a", "b", "c"], times: TIMES };
-    let mut world = World::sized(118_000, judging_zones(), size);
+    let mut world = World::sized(118_000, policy_with_zones(), size);
     world.cloud.never_up = 0;
     let mut spec = World::spec(JobKind::Service, "green", 20, 1.0);
     spec.spread = true;
     let services: Vec<JobId> = (0..20).map(|n| world.submit(1 + n, spec.clone())).collect();
     world.run_for(40 * S);
-    let there = inside(&world, "a");
+    let there = tasks_in_zone(&world, "a");
     assert!(there >= 50, "only {there} replicas are in the zone");
     world.cut_zone("a", 60 * S, true);
     let restored = time_to_restore(&mut world, &services, "a", 40 * S);
     // Leases prove nothing before.
     assert!(restored.is_some_and(|span| span < LEASE - 2 * S), "{restored:?}");
-    assert_clean(&world, "4,000 machines");
+    assert_no_violations(&world, "4,000 machines");
 }
--- a/tests/rules/zones_measured.rs
+++ b/tests/rules/zones_measured.rs
@@ -3,7 +3,7 @@
 //! `cargo run -p burlhatch-testbed -- report FILE PAGE`.
 
 use super::world::{MS, S, Size, TIMES, World};
-use super::{assert_clean, keeping_idle_machines};
+use super::{assert_no_violations, policy_keeping_idle_machines};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::settings::{Policy, ZoneSettings};
 use burlhatch::types::JobId;
@@ -12,11 +12,11 @@
 use std::io::Write;
 
 const SERVICES: u64 = 30;
-const CUT: u64 = 60 * S;
-const RUN: u64 = 150 * S;
-const WAVE: u64 = 5 * S;
+const CUT_DURATION: u64 = 60 * S;
+const OBSERVED_SPAN: u64 = 150 * S;
+const WAVE_INTERVAL: u64 = 5 * S;
 
-fn fleet(machines: usize) -> Size {
+fn cluster_size(machines: usize) -> Size {
     Size { nodes: 5, machines, capacity: machines * 13 / 10, write_rps: 50.0, zones: &["a", "b", "c"], times: TIMES }
 }
 
@@ -43,8 +43,8 @@
 
 impl Run {
     fn new(seed: u64, machines: usize, zones: ZoneSettings) -> Run {
-        let policy = Policy { zones, ..keeping_idle_machines() };
-        let mut world = World::sized(seed, policy, fleet(machines));
+        let policy = Policy { zones, ..policy_keeping_idle_machines() };
+        let mut world = World::sized(seed, policy, cluster_size(machines));
         world.cloud.never_up = 0;
         let replicas = (machines as u64 / SERVICES).max(2) as u32;
         let mut spec = World::spec(JobKind::Service, "green", replicas, 1.0);
@@ -56,7 +56,7 @@
 
     fn step(&mut self) {
         if self.world.now >= self.next_wave {
-            self.next_wave += WAVE;
+            self.next_wave += WAVE_INTERVAL;
             for _ in 0..10 {
                 let number = 1000 + self.batches.len() as u64;
                 let mut spec = World::spec(JobKind::Array, "green", (self.machines / 20) as u32, 1.0);
@@ -79,19 +79,19 @@
         counts
     }
 
-    fn measure(mut self, note: &mut dyn FnMut(&str, Option<u64>)) {
+    fn measure(mut self, record: &mut dyn FnMut(&str, Option<u64>)) {
         while self.world.now < 45 * S {
             self.step();
         }
-        self.world.cut_zone("a", CUT, true);
+        self.world.cut_zone("a", CUT_DURATION, true);
         let (began, starts) = (self.world.now, self.world.started);
         let whole = self.world.jobs[&self.services[0]].spec.tasks as usize;
         let mut restored: BTreeMap<JobId, u64> = BTreeMap::new();
         let (mut fetch_queue, mut most_changes, mut second) = (0, 0, (began, self.world.changes()));
-        while self.world.now < began + RUN {
+        while self.world.now < began + OBSERVED_SPAN {
             self.step();
             let span = self.world.now - began;
-            if span <= CUT && restored.len() < self.services.len() {
+            if span <= CUT_DURATION && restored.len() < self.services.len() {
                 let outside = self.replicas_outside("a");
                 for id in self.services.iter().filter(|id| outside.get(id) == Some(&whole)) {
                     restored.entry(id.clone()).or_insert(span);
@@ -103,15 +103,15 @@
                 second = (self.world.now, self.world.changes());
             }
         }
-        assert_clean(&self.world, "measured");
+        assert_no_violations(&self.world, "measured");
         for id in &self.services {
-            note("service whole outside the zone, ms after the cut", restored.get(id).map(|span| span / MS));
+            record("service whole outside the zone, ms after the cut", restored.get(id).map(|span| span / MS));
         }
         let done = self.batches.iter().filter(|id| self.world.jobs[*id].told == Some(JobState::Done)).count();
-        note("batch jobs done by the end", Some(done as u64));
-        note("starts after the cut", Some(self.world.started - starts));
-        note("longest fetch queue of a machine, images", Some(fetch_queue as u64));
-        note("most changes in a second, of 50", Some(most_changes));
+        record("batch jobs done by the end", Some(done as u64));
+        record("starts after the cut", Some(self.world.started - starts));
+        record("longest fetch queue of a machine, images", Some(fetch_queue as u64));
+        record("most changes in a second, of 50", Some(most_changes));
     }
 }
 
