--- a/tests/rules/answers.rs
+++ b/tests/rules/answers.rs
@@ -1,5 +1,5 @@
-//! What one controller told is never taken back by another: whoever asks after an acceptance or an outcome was told
-//! hears nothing older, at any controller, however late the store answers.
+//! Answers of different controllers are consistent: after a user was told of an acceptance or an outcome, no controller
+//! answers with an older state, however late the store answers.
 
 use super::world::{LARGE, Limits, MS, S, SMALL, Size, World};
 use super::{assert_no_violations, finish_all_jobs, seeds, submit_mixed_jobs};
@@ -7,7 +7,7 @@
 use burlhatch::settings::Policy;
 use burlhatch::types::JobId;
 
-/// One-task jobs that are soon over, of all teams, over so long a time.
+/// Submits jobs of one short task for all teams, at random moments within `span`.
 fn submit_short_jobs(world: &mut World, first: u64, count: u64, span: u64) -> Vec<JobId> {
     let jobs = (0..count).map(|n| {
         let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 1, 1.0);
@@ -20,8 +20,9 @@
     jobs.collect()
 }
 
-/// A world in which users look closely, a third of the jobs are called off as soon as they are accepted, and answers
-/// of the store come late, watches at each controller by another lag.
+/// Returns a world in which users ask all controllers right after each change of a job, and cancel a third of the jobs
+/// as soon as they are accepted. A quarter of the store's answers come late, and each controller's watch lags by a
+/// delay of its own.
 fn world_with_consistency_checks(seed: u64, size: Size) -> World {
     let mut world = World::sized(seed, Policy::default(), size);
     world.close_looks = true;
@@ -32,7 +33,7 @@
     world
 }
 
-/// No other trouble: late answers and close looks alone.
+/// There are no other failures.
 #[test]
 fn answers_stay_consistent_while_the_store_answers_late() {
     for seed in seeds(90, 4) {
@@ -44,7 +45,8 @@
     }
 }
 
-/// The same with outages, a controller refused alone, changes of leader and transactions carried out late.
+/// Adds outages, a single controller that the store refuses, crashes of the leader and transactions that are committed
+/// late.
 #[test]
 fn answers_stay_consistent_amid_failures() {
     for seed in seeds(91, 6) {
@@ -65,20 +67,20 @@
                 _ => world.lag_watches(1200 * MS),
             }
         }
-        finish_all_jobs(&mut world, &format!("looks amid troubles {seed}"));
+        finish_all_jobs(&mut world, &format!("consistency amid failures {seed}"));
     }
 }
 
-/// Dependencies: that a job fell with one that it needs follows from another job's record, which a controller whose
-/// watch lags has not seen while its own transaction is carried out.
+/// The cancellation of a dependent job follows from the record of the job it depends on. A controller whose watch lags
+/// has not seen that record when its own transaction is committed.
 #[test]
 fn answers_about_dependent_jobs_stay_consistent() {
     for seed in seeds(92, 6) {
         let mut world = world_with_consistency_checks(seed, SMALL);
-        let firsts = submit_short_jobs(&mut world, 1, 40, 40 * S);
-        for (n, first) in (0..).zip(&firsts) {
+        let dependencies = submit_short_jobs(&mut world, 1, 40, 40 * S);
+        for (n, dependency) in (0..).zip(&dependencies) {
             let mut spec = World::spec(JobKind::Array, "green", 1, 1.0);
-            spec.depends_on = vec![first.clone()];
+            spec.depends_on = vec![dependency.clone()];
             let second = world.submit(200 + n, spec.clone());
             spec.depends_on = vec![second];
             world.submit(400 + n, spec);
@@ -92,12 +94,12 @@
                 _ => world.lag_watches(1200 * MS),
             }
         }
-        finish_all_jobs(&mut world, &format!("looks at pipelines {seed}"));
+        finish_all_jobs(&mut world, &format!("dependent jobs {seed}"));
     }
 }
 
-/// A service that remembers few changes: a controller that missed more begins anew while answers to its earlier reads
-/// and transactions are still on their way.
+/// The store keeps a short history of changes: a controller that missed more reads everything again, while answers to
+/// its earlier reads and transactions are still under way.
 #[test]
 fn answers_stay_consistent_while_controllers_reread_the_store() {
     for seed in seeds(93, 4) {
@@ -108,11 +110,11 @@
             world.run_for(8 * S);
             world.lag_watches(1200 * MS);
         }
-        finish_all_jobs(&mut world, &format!("all over again {seed}"));
+        finish_all_jobs(&mut world, &format!("store read again {seed}"));
     }
 }
 
-/// Five controllers and some hundred machines.
+/// Five controllers and 200 machines.
 #[test]
 fn answers_stay_consistent_in_a_large_cluster() {
     for seed in seeds(94, 1) {
--- a/tests/rules/controllers.rs
+++ b/tests/rules/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers that end, stand still or lose part of the network, and a store that is away.
+//! Controllers that crash, stall or lose part of the network, and outages of the store.
 
 use super::world::{MS, Place, S, World};
 use super::{
@@ -16,7 +16,7 @@
         for round in 0..8 {
             world.run_for(7 * S);
             let node = world.pick(3) as usize;
-            // Sometimes back within a fraction of a second, in the middle of an election.
+            // Sometimes it returns within a fraction of a second, during an election.
             let back = if world.chance(3) { 200 * MS } else { 4 * S };
             world.crash(node, back);
             if round == 5 {
@@ -66,18 +66,18 @@
                 _ => {
                     let nth = world.pick(9) as usize;
                     if let Some(id) = world.nth_agent(nth) {
-                        let cut_off: MachineId = id;
-                        world.cut(span, hold, move |a, _| *a == Place::Agent(cut_off.clone()));
+                        let cut_off_machine: MachineId = id;
+                        world.cut(span, hold, move |a, _| *a == Place::Agent(cut_off_machine.clone()));
                     }
                 }
             }
         }
-        finish_all_jobs(&mut world, &format!("cuts {seed}"));
+        finish_all_jobs(&mut world, &format!("partitions {seed}"));
     }
 }
 
-/// A controller that loses all machines at once must not take them for dead: it leaves its shard to
-/// a sibling, and the services run on.
+/// A controller that loses contact with all machines at once must not take them for dead: it releases its shard to a
+/// sibling, and the services run on.
 #[test]
 fn a_controller_cut_off_from_the_machines_deletes_none() {
     for node in 0..3 {
@@ -97,8 +97,8 @@
     }
 }
 
-/// A controller without store and siblings keeps its agents company as in an outage until
-/// its successor has reached them; its users hear at once that it can't help, and nothing is lost.
+/// A controller without store and siblings goes on answering its agents, as in an outage, until its successor has
+/// reached them. Its users are answered at once that it is unavailable, and nothing is lost.
 #[test]
 fn a_controller_that_reaches_only_its_agents_loses_no_work() {
     for node in 0..3 {
@@ -114,7 +114,7 @@
         let started = world.started;
         world.cut(45 * S, true, move |a, b| *a == Place::Node(node) && *b == Place::Store);
         world.run_for(6 * S);
-        assert_eq!(world.unowned_shards(), 0, "its shares are taken over");
+        assert_eq!(world.unowned_shards(), 0, "its shards are taken over");
         let answer = world.ask_at(node, &ids[0]);
         assert!(matches!(answer, Some(UserAnswer::Unavailable { retry_after_s: 1.. })), "{answer:?}");
         world.run_for(42 * S);
@@ -125,8 +125,8 @@
     }
 }
 
-/// Back within a fraction of a second, also in the middle of an election: no shard stays without an
-/// holder for longer than an election takes.
+/// Controllers and machines return within a fraction of a second, also during an election: no shard is without a holder
+/// for longer than an election takes.
 #[test]
 fn controllers_and_machines_that_return_within_a_fraction_of_a_second() {
     for seed in seeds(8, 4) {
@@ -141,7 +141,7 @@
                 let back = (50 + world.pick(500)) * MS;
                 world.crash(node, back);
                 world.hang(nth, 300 * MS);
-                // Another falls while the first one's shards may be changing hands.
+                // Another controller crashes while the shards of the first may be changing holders.
                 world.crash((node + 1) % 3, back / 2);
             }
             if step % 130 == 129 {
@@ -152,13 +152,13 @@
             unowned = if world.unowned_shards() > 0 { unowned + 100 } else { 0 };
             longest = longest.max(unowned);
         }
-        assert!(longest <= 6000, "{seed}: a share was without an holder for {longest} ms");
+        assert!(longest <= 6000, "{seed}: a shard was without a holder for {longest} ms");
         finish_all_jobs(&mut world, &format!("fractions {seed}"));
     }
 }
 
-/// A controller that stands still while its clocks run on wakes to a queue of old news, calls that
-/// all look late and machines that all look silent, perhaps after its shards have gone to others.
+/// A controller that stalls while its clocks run on resumes with a queue of outdated messages, with calls that all look
+/// late and machines that all look silent, possibly after its shards were taken over.
 #[test]
 fn a_stalled_controller_resumes_with_outdated_messages() {
     for (seed, span) in seeds(15, 4).zip([S, 5 * S, 30 * S, 60 * S].into_iter().cycle()) {
@@ -166,22 +166,22 @@
         world.heartbeat_copies = 10;
         submit_mixed_jobs(&mut world, 30);
         world.run_for(20 * S);
-        let leader = world.holder("leader").expect("somebody leads");
+        let leader = world.holder("leader").expect("there is a leader");
         let machines = world.stored_machines().len();
         world.freeze(leader, span);
         if seed % 2 == 1 {
-            // All on their own during an outage: no shard changes hands, nobody answers its machines.
+            // During an outage no shard changes holders, so no controller answers the machines of the stalled one.
             world.store_outage(span + 3 * S);
         }
         world.run_for(span + 4 * S);
-        let holder = world.holder("share/1").expect("owned");
+        let holder = world.holder("share/1").expect("the shard has a holder");
         world.freeze(holder, span);
         world.run_for(span / 2);
         world.freeze((holder + 1) % 3, span);
         world.run_for(span + 6 * S);
-        assert_eq!(world.unowned_shards(), 0, "freeze {seed}");
-        // What fell silent by its own standstill must not be deleted.
-        assert!(world.stored_machines().len() * 2 > machines, "freeze {seed}: machines deleted");
-        finish_all_jobs(&mut world, &format!("freeze {seed}"));
+        assert_eq!(world.unowned_shards(), 0, "stall {seed}");
+        // Machines that look silent because the controller was stalled must not be deleted.
+        assert!(world.stored_machines().len() * 2 > machines, "stall {seed}: machines deleted");
+        finish_all_jobs(&mut world, &format!("stall {seed}"));
     }
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! Days in the simulated world: whatever fails, the protocol's rules hold and jobs get done.
+//! Failure scenarios in the simulated cluster: whatever fails, the rules of the protocol hold and all jobs finish.
 
 mod answers;
 mod cancellations;
@@ -20,7 +20,7 @@
 use burlhatch::settings::Policy;
 use world::{S, World};
 
-/// A mix of all shapes; services are cancelled in the end, some arrays too.
+/// Submits jobs of all kinds. All services and some of the other jobs are cancelled later.
 fn submit_mixed_jobs(world: &mut World, count: u64) {
     for n in 0..count {
         let team = ["red", "blue", "green"][world.pick(3) as usize];
@@ -54,14 +54,15 @@
     }
 }
 
-/// Seeds of one test: a few always, more when the variable asks for a long look.
-fn seeds(from: u64, few: u64) -> std::ops::Range<u64> {
-    // For a look at one day: BURLHATCH_WORLD_SEED=50007 BURLHATCH_WORLD_LOG=debug.
-    if let Some(one) = std::env::var("BURLHATCH_WORLD_SEED").ok().and_then(|n| n.parse().ok()) {
-        return one..one + 1;
+/// Returns the seeds of one test: `default_count` of them, as many as BURLHATCH_WORLD_SEEDS says, or the one in
+/// BURLHATCH_WORLD_SEED.
+fn seeds(test_number: u64, default_count: u64) -> std::ops::Range<u64> {
+    // To debug one seed: BURLHATCH_WORLD_SEED=50007 BURLHATCH_WORLD_LOG=debug.
+    if let Some(seed) = std::env::var("BURLHATCH_WORLD_SEED").ok().and_then(|n| n.parse().ok()) {
+        return seed..seed + 1;
     }
-    let more = std::env::var("BURLHATCH_WORLD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(few);
-    from * 1000..from * 1000 + more
+    let count = std::env::var("BURLHATCH_WORLD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(default_count);
+    test_number * 1000..test_number * 1000 + count
 }
 
 fn assert_no_violations(world: &World, name: &str) {
@@ -76,6 +77,7 @@
     }
 }
 
+/// Ends all failures, runs until every job has finished, and checks that no rule was violated.
 fn finish_all_jobs(world: &mut World, name: &str) {
     world.troubles_end();
     for _ in 0..60 {
@@ -88,7 +90,8 @@
     assert!(world.all_over(), "{name}: unfinished {:#?}", world.unfinished());
 }
 
-/// So that a machine that is gone was taken for lost.
+/// Returns a policy under which idle machines are never returned to the cloud, so that a machine which is gone was
+/// deleted as lost.
 fn policy_keeping_idle_machines() -> Policy {
     Policy { idle_return_ms: 86_400_000, ..Policy::default() }
 }
