--- a/tests/rules/dependencies.rs
+++ b/tests/rules/dependencies.rs
@@ -1,4 +1,5 @@
-//! Jobs that wait for others: nothing starts too early, nothing is orphaned, whatever fails meanwhile.
+//! Jobs that depend on others: whatever fails, no job starts before the jobs it depends on are done, and none is left
+//! behind when one of those is cancelled.
 
 use super::world::{CANCEL_S, LARGE, MS, Place, S, SMALL, Size, World};
 use super::{assert_no_violations, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
@@ -14,26 +15,26 @@
     world.submit(number, spec)
 }
 
-/// A first stage, two or three that need it, one that needs these, and a last one that is urgent; each of another
-/// team, and so of another shard.
+/// Submits a first stage, two or three jobs that depend on it, one that depends on these, and an urgent last one. They
+/// belong to several teams and therefore to several shards.
 fn submit_dependency_chain(world: &mut World, number: u64) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
     let first = submit_stage(world, number, teams[world.jobs.len() % 3], 2, &[]);
-    let wide: Vec<JobId> = (0..2 + number / 10 % 2)
+    let second: Vec<JobId> = (0..2 + number / 10 % 2)
         .map(|n| submit_stage(world, number + 1 + n, teams[n as usize], 3, std::slice::from_ref(&first)))
         .collect();
-    let join = submit_stage(world, number + 5, "green", 2, &wide);
+    let join = submit_stage(world, number + 5, "green", 2, &second);
     let last = submit_stage(world, number + 6, "red", 2, std::slice::from_ref(&join));
     if let Some(job) = world.jobs.get_mut(&last) {
         job.spec.priority = Priority::High;
         job.spec.deadline_s = Some(60.0);
         if (number / 10).is_multiple_of(3) {
-            // Some users submit the last only when the others are over.
+            // Some users submit the last job only after the others have ended.
             job.submitted += 40 * S;
         }
     }
     let mut all = vec![first];
-    all.extend(wide);
+    all.extend(second);
     all.extend([join, last]);
     all
 }
@@ -49,21 +50,22 @@
     world.run_for(3 * S);
     for ids in &all {
         let Some(UserAnswer::Status(status)) = world.ask_fresh(0, &ids[1]) else { panic!("no answer") };
-        assert_eq!((status.state, status.running), (JobState::Queued, Some(0)), "it waits");
+        assert_eq!((status.state, status.running), (JobState::Queued, Some(0)), "the job waits for its dependency");
     }
     finish_all_jobs(&mut world, "stages");
     for ids in &all {
         assert!(reported_states(&world, ids).iter().all(|s| *s == Some(JobState::Done)));
     }
-    // A job may also name one that was over long ago.
+    // A job may also depend on one that ended long ago.
     world.run_for(60 * S);
     let late = submit_stage(&mut world, 900, "green", 1, &[all[0][0].clone(), all[1][4].clone()]);
     world.run_for(40 * S);
     assert_eq!(world.jobs[&late].told, Some(JobState::Done));
 }
 
-/// Cancelled at each stage: what needs the job is withdrawn with it and told so by every controller, what it needs
-/// goes on. So is a job that names a cancelled one when it is submitted, also one withdrawn with another.
+/// Cancels the job of each stage in turn. The jobs that depend on it are cancelled with it, and every controller
+/// reports them so; the jobs that it depends on go on. A job that names a cancelled one when it is submitted is
+/// cancelled too, also if that one was cancelled with another.
 #[test]
 fn dependents_of_a_cancelled_job_are_cancelled_with_it() {
     for stage_of in 0..4 {
@@ -85,14 +87,14 @@
         finish_all_jobs(&mut world, &format!("cancelled at {stage_of}"));
         let expected = if stage_of == 0 { JobState::Cancelled } else { JobState::Done };
         assert_eq!(world.jobs[&unrelated].told, Some(expected));
-        // That follows from the other's outcome, and is written down when there is time for it.
+        // The outcome follows from that of the dependency, and is recorded later when the write budget allows it.
         world.run_for(60 * S);
         let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/batch/")).collect();
-        assert!(left.is_empty(), "left in the stored records: {left:?}");
+        assert!(left.is_empty(), "not deleted from the stored records: {left:?}");
     }
 }
 
-/// Cancellations at the instant at which the job is done: answered with `done`, all after it go on.
+/// A cancellation that comes as the job ends is answered with `done`, and the jobs that depend on it go on.
 #[test]
 fn a_dependency_is_cancelled_as_it_ends() {
     for seed in seeds(72, 4) {
@@ -103,16 +105,19 @@
         }
         finish_all_jobs(&mut world, &format!("at the end {seed}"));
         for (id, job) in &world.jobs {
-            let before = job.spec.depends_on.iter().map(|b| world.jobs[b].told);
-            let orphan = before.clone().any(|told| told == Some(JobState::Cancelled));
-            assert!(!orphan || job.told == Some(JobState::Cancelled), "{seed}: {id} outlived what it needs");
+            let dependencies = job.spec.depends_on.iter().map(|id| world.jobs[id].told);
+            let has_cancelled_dependency = dependencies.clone().any(|told| told == Some(JobState::Cancelled));
+            assert!(
+                !has_cancelled_dependency || job.told == Some(JobState::Cancelled),
+                "{seed}: {id} was not cancelled with its dependency"
+            );
         }
     }
 }
 
-/// The gap once more, with dependencies: the store refuses the holder of a shard alone while jobs before others
-/// are cancelled through siblings, and then it is away for all for longer than a cancellation may take. Who can't
-/// write down what follows can tell it all the same.
+/// The store refuses only the holder of a shard while jobs that others depend on are cancelled through siblings. Then
+/// the store is down for all for longer than a cancellation may take. A controller that can't record the consequences
+/// of a cancellation still reports them to users.
 #[test]
 fn dependents_are_cancelled_while_the_store_refuses_the_shard_holder_and_then_is_down() {
     for seed in seeds(73, 6) {
@@ -124,7 +129,7 @@
             }
         }
         world.run_for(20 * S);
-        let holder = world.holder(&format!("share/{}", seed % 3)).expect("owned");
+        let holder = world.holder(&format!("share/{}", seed % 3)).expect("the shard has a holder");
         if seed % 2 == 0 {
             let peers = move |a: &Place, b: &Place| *a == Place::Node(holder) && matches!(b, Place::Node(_));
             world.cut(10 * S, true, peers);
@@ -136,13 +141,13 @@
         world.run_for(2 * S);
         world.store_outage((CANCEL_S + 20) * S);
         world.run_for((CANCEL_S + 25) * S);
-        assert_no_violations(&world, &format!("gap {seed}"));
-        finish_all_jobs(&mut world, &format!("gap {seed}"));
+        assert_no_violations(&world, &format!("refusal and outage {seed}"));
+        finish_all_jobs(&mut world, &format!("refusal and outage {seed}"));
     }
 }
 
-/// Controllers end, one after the other and all, and transactions are late, while stages follow each other and some
-/// are cancelled: what is known to be done is so after a takeover and a restart.
+/// Controllers crash, one after the other and all at once, and transactions are late, while stages follow each other
+/// and some are cancelled. A job known to be done stays done after a takeover and a restart.
 #[test]
 fn dependent_jobs_while_controllers_crash_and_restart() {
     for seed in seeds(74, 6) {
@@ -172,8 +177,8 @@
     }
 }
 
-/// A long chain and a wide fan are withdrawn as a whole, within few changes and long before their time is up, though
-/// the store takes few.
+/// A long chain and a wide fan of dependent jobs are cancelled as a whole, in few changes and long before the time
+/// limit, although the store takes few changes.
 #[test]
 fn a_long_chain_and_a_wide_fan_are_cancelled_at_once() {
     let mut world = World::sized(75, Policy::default(), Size { write_rps: 8.0, ..SMALL });
@@ -198,13 +203,14 @@
     finish_all_jobs(&mut world, "chain and fan");
 }
 
-/// An upgrade, one controller after the other, while both versions serve on each other's records: the old one writes
-/// larger values and transactions. One that is still old ends and comes back old, the store is away for a
-/// while, and jobs are cancelled whose holder is just being replaced. Once all are new dependencies come, and then the
-/// limits drop. (What else the old version was is in its bytes: `production.rs`.)
+/// A rolling upgrade: controllers of both versions work on each other's records, and the earlier version writes larger
+/// values and transactions. A controller that is not upgraded yet crashes and restarts as the earlier version, or the
+/// store is down for a while, or jobs are cancelled while their shard's holder is replaced. After the upgrade, jobs
+/// with dependencies are submitted and the store's limits drop. (The byte format of the earlier version is tested in
+/// `production.rs`.)
 #[test]
 fn a_rolling_upgrade_with_a_crash_an_outage_or_cancellations() {
-    for (seed, trouble) in seeds(78, 6).zip(["crash", "outage", "cancel"].into_iter().cycle()) {
+    for (seed, failure) in seeds(78, 6).zip(["crash", "outage", "cancel"].into_iter().cycle()) {
         let mut world =
             World::sized(seed, policy_keeping_idle_machines(), Size { machines: 40, capacity: 60, ..LARGE });
         world.all_old();
@@ -219,15 +225,15 @@
             .collect();
         world.run_for(20 * S);
         for node in 0..5 {
-            if trouble == "cancel" && node == 2 {
+            if failure == "cancel" && node == 2 {
                 world.call_off(&large[1]);
             }
             world.upgrade(node);
             world.run_for(2 * S);
-            if node < 4 && trouble == "crash" {
+            if node < 4 && failure == "crash" {
                 world.crash(4, if node % 2 == 0 { 300 * MS } else { 4 * S });
             }
-            if node == 3 && trouble == "outage" {
+            if node == 3 && failure == "outage" {
                 world.store_outage(7 * S);
             }
             world.run_for(6 * S);
@@ -236,12 +242,12 @@
         for n in 0..4 {
             submit_dependency_chain(&mut world, 700 + n * 10);
         }
-        finish_all_jobs(&mut world, &format!("upgrade, {trouble} {seed}"));
+        finish_all_jobs(&mut world, &format!("upgrade, {failure} {seed}"));
     }
 }
 
-/// A job may await more others than one value can name. Its list is written down before it, in pieces, and cleared
-/// away after it.
+/// A job may depend on more jobs than one value can name. Its list is written before it, in several parts, and deleted
+/// after it.
 #[test]
 fn a_job_depends_on_hundreds_of_others() {
     let mut world = World::new(77);
@@ -252,23 +258,26 @@
     let last = submit_stage(&mut world, 5000, "red", 1, &many);
     world.run_for(60 * S);
     assert!(world.jobs[&last].accepted, "not accepted");
-    assert!(world.stored_keys().iter().filter(|k| k.contains("/awaits/")).count() >= 2, "in pieces");
+    assert!(
+        world.stored_keys().iter().filter(|k| k.contains("/awaits/")).count() >= 2,
+        "the list is not stored in parts"
+    );
     world.crash(0, S);
     world.run_for(5 * S);
-    // The last of all is what it waits for, as read back.
+    // The list of dependencies is complete after the restart: it still contains the last one.
     world.call_off(&many[699]);
     world.run_for(5 * S);
     let answer = world.ask_fresh(0, &last);
     assert!(matches!(&answer, Some(UserAnswer::Status(s)) if s.state == JobState::Cancelled), "{answer:?}");
     world.call_off(&root);
-    finish_all_jobs(&mut world, "hundreds awaited");
+    finish_all_jobs(&mut world, "hundreds of dependencies");
     world.run_for(300 * S);
     let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/awaits/")).collect();
-    assert!(left.is_empty(), "left in the stored records: {left:?}");
+    assert!(left.is_empty(), "not deleted from the stored records: {left:?}");
 }
 
-/// The limits drop without notice while arrays with hundreds of tasks run whose records were written under the old
-/// ones: nothing larger is written any more, nothing is lost, and all get done.
+/// The store's limits drop without notice while arrays with hundreds of tasks run whose records were written under the
+/// old limits. From then on nothing larger is written, nothing is lost, and all jobs get done.
 #[test]
 fn limits_of_the_store_drop_without_notice() {
     for seed in seeds(76, 3) {
@@ -290,9 +299,9 @@
     }
 }
 
-/// Guards against tasks that wait for tens of seconds beside free machines: a chunk can name only as many starts as a
-/// small value takes, and those that have ended take room until they are recorded as done. That is recorded before
-/// ordinary progress, which may wait much longer.
+/// Guards against tasks that wait for tens of seconds while machines are free: a chunk can name only as many starts as
+/// fit into a small value, and ended ones take space until they are recorded as done. That is recorded before ordinary
+/// progress, which may wait much longer.
 #[test]
 fn ended_attempts_free_space_in_full_chunks_for_waiting_tasks() {
     let policy = Policy { record_delay_ms: 60_000, progress_patience_ms: 120_000, ..Policy::default() };
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -1,11 +1,11 @@
-//! The behaviour of the controllers as one number, to compare versions of the sources that should behave alike:
+//! A fingerprint of the controllers' behaviour, to compare versions of the source that should behave alike:
 //!
 //!     cargo test --test rules fingerprint -- --nocapture
 
 use super::world::{MS, Place, S, World};
 use super::{finish_all_jobs, seeds, submit_mixed_jobs};
 
-/// A day with most kinds of troubles, and what the controllers did in it.
+/// Runs a scenario with most kinds of failures and returns the fingerprint of the controllers' effects.
 fn run_with_failures(seed: u64) -> String {
     let mut world = World::new(seed);
     submit_mixed_jobs(&mut world, 25);
--- a/tests/rules/machines.rs
+++ b/tests/rules/machines.rs
@@ -1,4 +1,4 @@
-//! Machines that hang, die, fail their tasks, hear nothing, or whose old heartbeats come late.
+//! Machines that hang, die, fail their tasks or receive nothing, and old heartbeats that arrive late.
 
 use super::world::{MS, S, SMALL, Size, World};
 use super::{cancel_services, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
@@ -7,7 +7,7 @@
 
 #[test]
 fn machines_hang_die_and_fail_tasks() {
-    // In world 4036 a gang, all that is left, met the faulty machine again and again.
+    // With seed 4036 a gang, the only job left, was placed on the faulty machine again and again.
     for seed in seeds(4, 6).chain([4036]) {
         let mut world = World::new(seed);
         submit_mixed_jobs(&mut world, 30);
@@ -27,8 +27,8 @@
     }
 }
 
-/// A machine that can send but not hear is never silent. It has to be found out all the same, get no
-/// further work and be replaced with proof; its tasks run elsewhere, once.
+/// A machine that can send but receives nothing is never silent. It must still be detected, get no further work and be
+/// replaced with proof that its tasks ended; they run elsewhere, once.
 #[test]
 fn a_machine_that_receives_nothing_is_replaced() {
     for seed in seeds(6, 4) {
@@ -39,11 +39,11 @@
         let unreachable = world.make_unreachable(nth, 300 * S).expect("a machine");
         world.run_for(25 * S);
         assert!(!world.agents.contains_key(&unreachable), "{seed}: {unreachable} is still there");
-        finish_all_jobs(&mut world, &format!("deaf machine {seed}"));
+        finish_all_jobs(&mut world, &format!("unreachable machine {seed}"));
     }
 }
 
-/// When nothing reaches any machine, the fault is our own network: deleting them all would make it worse.
+/// When no machine can be reached, the controllers' own network is at fault: deleting all machines would make it worse.
 #[test]
 fn many_machines_that_receive_nothing_are_kept() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
@@ -61,11 +61,11 @@
     let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
     assert!(lost <= 1, "{lost} machines were deleted");
     cancel_services(&mut world);
-    finish_all_jobs(&mut world, "all deaf");
+    finish_all_jobs(&mut world, "all machines unreachable");
 }
 
-/// Late copies prove nothing: no ghost of a deleted machine comes into the stored records, no lease is taken
-/// for renewed, no task for absent.
+/// Late copies of heartbeats prove nothing: no deleted machine reappears in the stored records, no lease counts as
+/// renewed, and no task as absent.
 #[test]
 fn late_copies_of_heartbeats_prove_nothing() {
     for seed in seeds(7, 6) {
@@ -84,8 +84,8 @@
         finish_all_jobs(&mut world, &format!("copies {seed}"));
         world.heartbeat_copies = 0;
         world.run_for(100 * S);
-        let ghosts: Vec<MachineId> =
+        let recorded_but_deleted: Vec<MachineId> =
             world.stored_machines().into_iter().filter(|id| !world.agents.contains_key(id)).collect();
-        assert!(ghosts.is_empty(), "{seed}: in the stored records but not there: {ghosts:?}");
+        assert!(recorded_but_deleted.is_empty(), "{seed}: recorded but deleted: {recorded_but_deleted:?}");
     }
 }
--- a/tests/rules/mixed_scenarios.rs
+++ b/tests/rules/mixed_scenarios.rs
@@ -1,4 +1,4 @@
-//! Whole days: quiet ones, overload, everything at once, and fleets.
+//! Whole scenarios: no failures, overload, a short write budget, and all kinds of failures in small and large clusters.
 
 use super::world::{FLEET, LARGE, MS, Place, S, SMALL, Size, World};
 use super::{assert_no_violations, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
@@ -12,14 +12,14 @@
     let mut world = World::new(1);
     submit_mixed_jobs(&mut world, 30);
     world.run_for(90 * S);
-    finish_all_jobs(&mut world, "quiet");
+    finish_all_jobs(&mut world, "no failures");
     let done = world.jobs.values().filter(|j| j.told == Some(JobState::Done)).count();
     assert!(done >= 15, "only {done} jobs were done");
     // Only outcomes, machines and roles stay in the stored records.
     world.run_for(30 * S);
     let left: Vec<String> =
         world.stored_keys().into_iter().filter(|k| k.contains("/run/") || k.contains("/batch/")).collect();
-    assert!(left.is_empty(), "left in the stored records: {left:?}");
+    assert!(left.is_empty(), "not deleted from the stored records: {left:?}");
 }
 
 #[test]
@@ -50,8 +50,8 @@
             let span = (1 + world.pick(25)) * S;
             match world.pick(7) {
                 0 => world.crash(node, span.min(6 * S)),
-                // One after the other they may leave an owner blind for longer than cancellations
-                // may take; nobody could keep that rule.
+                // Consecutive outages may keep a shard's holder uninformed for longer than a cancellation may take;
+                // then no controller could meet that limit.
                 1 => world.store_outage(span.min(8 * S)),
                 2 => world.refuse_node(node, span),
                 3 => world.hang(nth, span),
@@ -60,12 +60,12 @@
                 _ => world.cut(span, true, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_))),
             }
         }
-        finish_all_jobs(&mut world, &format!("everything {seed}"));
+        finish_all_jobs(&mut world, &format!("random failures {seed}"));
     }
 }
 
-/// With far more asked than can be done, large jobs begin within four minutes all the same, and of no
-/// team and kind less than half is served.
+/// With far more work submitted than can be done, large jobs still begin within four minutes, and at least half of each
+/// team's jobs begin.
 #[test]
 fn under_overload_the_largest_jobs_begin_and_no_team_starves() {
     let mut world = World::new(40);
@@ -103,10 +103,10 @@
     assert_no_violations(&world, "overload");
 }
 
-/// When the store takes few changes, what can wait least goes first: services start soon
-/// though arrays have enough to write down for a long time, and arrays are not starved either.
-/// How soon depends on how many machines the services' shard has got by then, so it is looked at in
-/// several worlds: in half of them within six seconds, and in no world after more than forty.
+/// When the store takes few changes, the most urgent ones are written first: services start soon although arrays have
+/// enough to record for a long time, and the arrays are not starved either. How soon depends on how many machines the
+/// services' shard has by then, so several worlds are checked: the services begin within six seconds in half of them,
+/// and within forty seconds in all.
 #[test]
 fn services_start_soon_though_the_write_budget_is_short() {
     let mut soon = 0;
@@ -130,13 +130,14 @@
         for id in &services {
             world.jobs.get_mut(id).expect("submitted").cancel_at = Some(0);
         }
-        finish_all_jobs(&mut world, &format!("few changes {seed}"));
+        finish_all_jobs(&mut world, &format!("short write budget {seed}"));
         assert!(world.limited() < 400, "{seed}: refused {} times", world.limited());
     }
-    assert!(soon >= 5, "soon in {soon} of 10 worlds only");
+    assert!(soon >= 5, "services began soon in only {soon} of 10 worlds");
 }
 
-/// Five controllers, some hundred machines, and all new troubles with a crash of all and an outage.
+/// Five controllers and 200 machines: unreachable and hanging machines, a controller without the store, an outage, and
+/// a crash of all controllers.
 #[test]
 fn a_large_cluster_with_all_kinds_of_failures() {
     for seed in seeds(9, 2) {
@@ -147,8 +148,8 @@
         for nth in [3, 60, 110] {
             world.make_unreachable(nth, 100 * S);
         }
-        let alone = world.pick(5) as usize;
-        world.cut(20 * S, true, move |a, b| *a == Place::Node(alone) && *b == Place::Store);
+        let without_store = world.pick(5) as usize;
+        world.cut(20 * S, true, move |a, b| *a == Place::Node(without_store) && *b == Place::Store);
         world.run_for(6 * S);
         for nth in 0..30 {
             world.hang(nth * 6, 12 * S);
@@ -166,8 +167,8 @@
     }
 }
 
-/// A thousand machines in four zones: a zone cut off with a controller while the leader stands still,
-/// then an outage, an end of all controllers, and a third of the machines dead or hung at once.
+/// A thousand machines in four zones: one zone is cut off together with a controller while the leader stalls. Then
+/// follow an outage, a crash of all controllers, and the death or hanging of a third of the machines at once.
 #[test]
 fn a_thousand_machines_with_mass_failures() {
     let mut world = World::sized(16_000, policy_keeping_idle_machines(), FLEET);
@@ -185,9 +186,9 @@
         }
     }
     world.run_for(14 * S);
-    let inside: BTreeSet<MachineId> =
+    let machines_in_zone: BTreeSet<MachineId> =
         world.agents.iter().filter(|(_, w)| w.zone == "d").map(|(id, _)| id.clone()).collect();
-    let zone = inside.clone();
+    let zone = machines_in_zone.clone();
     let is_in = move |place: &Place| match place {
         Place::Node(node) => *node == 3,
         Place::Agent(id) => zone.contains(id),
@@ -195,11 +196,15 @@
     };
     world.cut(16 * S, true, move |a, b| is_in(a) != is_in(b));
     world.run_for(4 * S);
-    let leader = world.holder("leader").expect("somebody leads");
+    let leader = world.holder("leader").expect("there is a leader");
     world.freeze(leader, 5 * S);
     world.run_for(13 * S);
-    let left = inside.iter().filter(|id| world.agents.contains_key(id)).count();
-    assert!(left * 10 >= inside.len() * 9, "{left} of {} left: a zone cut off was deleted", inside.len());
+    let left = machines_in_zone.iter().filter(|id| world.agents.contains_key(id)).count();
+    assert!(
+        left * 10 >= machines_in_zone.len() * 9,
+        "{left} of {} machines are left: those of a zone that is cut off were deleted",
+        machines_in_zone.len()
+    );
     world.store_outage(5 * S);
     for node in 0..5 {
         world.crash(node, 200 * MS + node as u64 * 300 * MS);
@@ -209,5 +214,5 @@
         world.kill_machine(nth * 5);
         world.hang(nth * 4 + 1, 12 * S);
     }
-    finish_all_jobs(&mut world, "fleet");
+    finish_all_jobs(&mut world, "mass failures");
 }
