--- a/tests/rules/combined_failures.rs
+++ b/tests/rules/combined_failures.rs
@@ -1,5 +1,6 @@
-//! Two troubles at once. Most rules that broke on real days broke when two troubles met; each test here brings
-//! such a meeting about. Those of cancellations with outages are in `cancellations.rs`.
+//! Two or more failures at the same time. Most rules that were violated in recorded incidents were violated when two
+//! failures coincided; each test here combines such failures. Cancellations combined with outages are in
+//! `cancellations.rs`.
 
 use super::world::{MS, Place, S, SMALL, Size, World};
 use super::{finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
@@ -8,7 +9,7 @@
 use burlhatch::types::{JobId, MachineId};
 use std::collections::BTreeSet;
 
-/// Some unfinished jobs are called off at once.
+/// Cancels unfinished jobs, each with a probability of one in `one_in`.
 fn cancel_some(world: &mut World, one_in: u32) {
     let ids: Vec<JobId> = world.jobs.keys().cloned().collect();
     for id in ids {
@@ -18,9 +19,10 @@
     }
 }
 
-/// All controllers are away for longer than a lease: the agents have killed everything and begun new incarnations,
-/// while the stored records still show starts. Then one is back at once and the others later, or all a moment after the
-/// first has ended again. Starts of earlier incarnations must count as gone, late heartbeats of them as nothing.
+/// All controllers are down for longer than a lease: the agents have killed all tasks and begun new incarnations, while
+/// the stored records still show starts. Then one controller returns first and the others later, or all return just
+/// after the first has crashed again. Starts of earlier incarnations must count as ended, and their late heartbeats
+/// must be ignored.
 #[test]
 fn all_controllers_are_down_for_longer_than_a_lease() {
     for seed in seeds(30, 4) {
@@ -36,13 +38,13 @@
         world.crash(first, 300 * MS);
         world.run_for(5 * S);
         cancel_some(&mut world, 4);
-        finish_all_jobs(&mut world, &format!("away {seed}"));
+        finish_all_jobs(&mut world, &format!("all controllers down {seed}"));
     }
 }
 
-/// A team is at its limit when the leader and the team's holder change, while some of its machines can't be asked
-/// and jobs are cancelled. What an earlier holder started counts until it is proven gone, on machines that can't be
-/// reached too.
+/// A team is at its quota when the leader and the holder of the team's shard change, while some of its machines are
+/// unreachable and jobs are cancelled. What an earlier holder started counts until it is proven absent, also on
+/// machines that can't be reached.
 #[test]
 fn a_team_at_its_quota_as_its_shard_changes_holders() {
     for seed in seeds(31, 4) {
@@ -63,12 +65,12 @@
             world.run_for(S);
         }
         cancel_some(&mut world, 2);
-        finish_all_jobs(&mut world, &format!("limit {seed}"));
+        finish_all_jobs(&mut world, &format!("quota {seed}"));
     }
 }
 
-/// Jobs bound to one zone, arrays too, lose machines there, again and again, and none of the others' machines may
-/// stand in. What is not proven gone still binds the job to its zone.
+/// Jobs bound to one zone, among them arrays, repeatedly lose machines there, and machines of other zones may not
+/// replace them. An attempt that is not proven absent still binds its job to the zone.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     for seed in seeds(32, 4) {
@@ -101,9 +103,10 @@
     }
 }
 
-/// Transactions without an answer are sent again, and both may be carried out, the first copy seconds later and
-/// after newer ones of the same controller, or of its successor. No condition may hold again by then: not on a
-/// batch that was cleared away, a chunk that was removed, a role that has gone on, or a session that has ended.
+/// A transaction without an answer is sent again, and both copies may be committed, the first one seconds later and
+/// after newer transactions of the same controller or of its successor. None of its preconditions may hold again by
+/// then: not on a batch that was deleted, a chunk that was removed, a role with another holder, or a session that has
+/// ended.
 #[test]
 fn transactions_without_an_answer_are_carried_out_late() {
     for seed in seeds(33, 6) {
@@ -123,12 +126,12 @@
         finish_all_jobs(&mut world, &format!("late writes {seed}"));
         world.run_for(40 * S);
         let left: Vec<String> = world.stored_keys().into_iter().filter(|k| k.contains("/run/")).collect();
-        assert!(left.is_empty(), "{seed}: left in the stored records: {left:?}");
+        assert!(left.is_empty(), "{seed}: not deleted from the stored records: {left:?}");
     }
 }
 
-/// Heartbeats of earlier times, incarnations and attempts arrive at whoever leads by then; commands and their answers are
-/// held up for seconds while the machines go on.
+/// Heartbeats of earlier times, incarnations and attempts reach the present leader; commands and their answers are
+/// delayed by seconds while the machines go on.
 #[test]
 fn old_heartbeats_and_delayed_commands_reach_a_new_leader() {
     for seed in seeds(34, 4) {
@@ -149,12 +152,12 @@
                 _ => {}
             }
         }
-        finish_all_jobs(&mut world, &format!("old reports {seed}"));
+        finish_all_jobs(&mut world, &format!("old heartbeats {seed}"));
     }
 }
 
-/// A leader without store and siblings goes on with its agents while jobs are cancelled through the new
-/// one; it must neither keep what is cancelled alive nor say anything older to a user.
+/// A leader cut off from the store and its siblings goes on with its agents while jobs are cancelled through the new
+/// leader. It must neither keep cancelled tasks running nor report an older state to a user.
 #[test]
 fn cancelled_through_the_new_leader_while_the_old_one_still_reaches_its_agents() {
     for seed in seeds(35, 4) {
@@ -165,7 +168,7 @@
             world.submit(n + 1, spec);
         }
         world.run_for(20 * S);
-        let old = world.holder("leader").expect("somebody leads");
+        let old = world.holder("leader").expect("there is a leader");
         let hold = seed % 2 == 0;
         world.cut(60 * S, hold, move |a, b| *a == Place::Node(old) && matches!(b, Place::Store | Place::Node(_)));
         world.run_for(500 * MS);
@@ -177,8 +180,8 @@
     }
 }
 
-/// More work than room, urgent and not, over slow links, while controllers hand over and back: answers arrive
-/// after their callers gave up, and orders cross.
+/// There is more work than capacity, some of it urgent, and links are slow, while shards move to other controllers and
+/// back: answers arrive after their callers gave up, and commands overtake each other.
 #[test]
 fn more_work_than_capacity_over_slow_links() {
     for seed in seeds(36, 3) {
@@ -197,14 +200,14 @@
     }
 }
 
-/// Ten changes of leader in two minutes, some inside an outage; shards go over and back, then all end and one
-/// returns within a second.
+/// The leader changes ten times in two minutes, some of these times during an outage; shards move to other controllers
+/// and back. Then all controllers crash, and one returns within a second.
 #[test]
 fn ten_leader_changes_in_two_minutes() {
     for seed in seeds(37, 3) {
         let mut world = World::new(seed);
         submit_mixed_jobs(&mut world, 35);
-        // Two or three tasks that end far apart: some before a change, some after it.
+        // Jobs of two or three long tasks, some of which end before a change of leader and some after it.
         for n in 0..6 {
             let mut spec = World::spec(JobKind::Array, ["red", "blue", "green"][n as usize % 3], 2 + n as u32 % 2, 1.0);
             spec.estimated_runtime_s = 60.0;
@@ -231,12 +234,12 @@
     }
 }
 
-/// Agents that can't open connections to any controller, though direct commands reach them and are answered. Their
-/// leases run out again and again with all that was sent to them in between, and to an holder that counts answers
-/// they look alive. They get nothing, and are replaced unless many are so.
+/// Agents can't open connections to any controller, though direct commands reach them and are answered. Their leases
+/// expire again and again, with all attempts that were sent to them in between, while a holder that counts answers
+/// takes them for alive. They get no work and are replaced, unless many machines are affected.
 #[test]
 fn machines_that_reach_no_controller_are_replaced() {
-    // In world 38015 late copies of its heartbeats made it look heard.
+    // With seed 38015 late copies of the machine's heartbeats were taken for new ones.
     for seed in seeds(38, 4).chain(seeds(38, 16).skip(15)) {
         let mut world = World::with_policy(seed, policy_keeping_idle_machines());
         let services: Vec<JobId> =
@@ -249,20 +252,20 @@
         let nth = serving.first().copied().unwrap_or(0);
         let unreported = world.unreported(nth, 300 * S).expect("a machine");
         if seed % 2 == 1 {
-            let node = world.holder("share/2").expect("owned");
+            let node = world.holder("share/2").expect("the shard has a holder");
             world.crash(node, 4 * S);
         }
         world.run_for(30 * S);
         assert!(!world.agents.contains_key(&unreported), "{seed}: {unreported} is still there");
         for id in &services {
-            assert_eq!(world.running(id), 2, "{seed}: {id} is not up again");
+            assert_eq!(world.running(id), 2, "{seed}: {id} is not running again");
             world.call_off(id);
         }
-        finish_all_jobs(&mut world, &format!("mute {seed}"));
+        finish_all_jobs(&mut world, &format!("machine without heartbeats {seed}"));
     }
 }
 
-/// When none of many machines gets a heartbeat through, the fault is elsewhere and they are kept.
+/// When no heartbeat of many machines arrives, the fault is not theirs, and they are kept.
 #[test]
 fn many_machines_that_reach_no_controller_are_kept() {
     let size = Size { machines: 20, capacity: 24, ..SMALL };
@@ -276,11 +279,11 @@
     world.run_for(40 * S);
     let lost = before.iter().filter(|id| !world.agents.contains_key(id)).count();
     assert!(lost <= 1, "{lost} machines were deleted");
-    finish_all_jobs(&mut world, "all mute");
+    finish_all_jobs(&mut world, "no machine with heartbeats");
 }
 
-/// An holder ends while machines with long tasks can't be reached by anybody, or reach the new holder without hearing
-/// its answer; a whole zone with a controller in it is cut off for longer than a lease.
+/// A shard's holder crashes while machines with long tasks are unreachable for all, or reach the new holder without
+/// receiving its answer, or a whole zone is cut off for longer than a lease with a controller in it.
 #[test]
 fn a_shard_holder_crashes_while_machines_are_unreachable() {
     for seed in seeds(40, 6) {
@@ -292,7 +295,7 @@
         }
         submit_mixed_jobs(&mut world, 15);
         world.run_for(20 * S);
-        let holder = world.holder("share/1").expect("owned");
+        let holder = world.holder("share/1").expect("the shard has a holder");
         match seed % 3 {
             0 => {
                 let lost: BTreeSet<MachineId> = (0..2).filter_map(|n| world.nth_agent(n * 3)).collect();
@@ -318,13 +321,13 @@
         world.crash(holder, 3 * S);
         world.run_for(8 * S);
         cancel_some(&mut world, 4);
-        finish_all_jobs(&mut world, &format!("unreached {seed}"));
+        finish_all_jobs(&mut world, &format!("unreachable machines {seed}"));
     }
 }
 
-/// A cancellation, a question or a repeat meets the end of a job's last task. Done and cancelled race for the one
-/// outcome, and whichever is told first stays, on every controller; repeats have the state whatever they hold, and
-/// what can't run or lacks a field is never taken, also in the midst of takeovers.
+/// A cancellation, a query or a repeated submission arrives as a job's last task ends. Done and cancelled compete to be
+/// the only outcome, and the one reported first stays, on every controller. Repeated submissions are answered with the
+/// job's state, whatever they contain; a job that can't run or lacks a field is never accepted, also during takeovers.
 #[test]
 fn requests_as_the_last_task_ends_and_invalid_submissions() {
     for seed in seeds(41, 4) {
@@ -353,7 +356,7 @@
     }
 }
 
-/// With fewer changes than needed and all kinds of late news together.
+/// Random failures, with late copies of heartbeats, late transactions and invalid submissions.
 #[test]
 fn random_failures_with_late_heartbeats_and_transactions() {
     for seed in seeds(42, 6) {
@@ -379,6 +382,6 @@
                 _ => world.slow_links(span, 600 * MS),
             }
         }
-        finish_all_jobs(&mut world, &format!("together {seed}"));
+        finish_all_jobs(&mut world, &format!("combined failures {seed}"));
     }
 }
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -1,5 +1,5 @@
-//! Troubles that operators met on call: controllers without part of the network, those that stand still, boots that
-//! fail, guests who fill everything, jobs that can never succeed.
+//! Failures that operators met while on call: controllers cut off from part of the network, stalled controllers,
+//! instances that fail to boot, low-priority work that takes all capacity, and jobs that can never succeed.
 
 use super::world::{MS, Place, S, SMALL, Size, World};
 use super::{cancel_services, finish_all_jobs, policy_keeping_idle_machines, seeds, submit_mixed_jobs};
@@ -8,22 +8,22 @@
 use burlhatch::settings::Policy;
 use burlhatch::types::{JobId, MachineId};
 
-/// How often it is looked at who holds a shard.
+/// The interval at which a shard's holder is observed.
 const POLL_INTERVAL: u64 = 20 * MS;
 
 const TEAMS: [&str; 3] = ["red", "blue", "green"];
 
-/// Services of two tasks, for each team in turn.
+/// Submits services of two tasks, for each team in turn.
 fn submit_services(world: &mut World, from: u64, count: u64) -> Vec<JobId> {
     (0..count).map(|n| world.submit(from + n, World::spec(JobKind::Service, TEAMS[n as usize % 3], 2, 1.0))).collect()
 }
 
-/// How many of these machines are not there any more.
+/// Returns how many of these machines were deleted.
 fn count_deleted(world: &World, machines: &[MachineId]) -> usize {
     machines.iter().filter(|id| !world.agents.contains_key(id)).count()
 }
 
-/// How often a shard was given up or taken within a span.
+/// Returns how often a shard was released or acquired within `span`.
 fn changes_of_holder(world: &mut World, shard: u32, span: u64) -> usize {
     let role = format!("share/{shard}");
     let mut holder = world.holder(&role);
@@ -37,9 +37,10 @@
     changes
 }
 
-/// All machines of one shard hang together for longer than a controller's patience. It is the machines that are lost,
-/// as those of other shards answer: a sibling would reach them no better, so the shard must not go to and fro. Seen on
-/// a recorded day, where a shard went to and fro seven times in forty seconds.
+/// All machines of one shard hang together for longer than a controller waits for its machines. As machines of other
+/// shards answer, these machines are lost and the controller is not isolated: a sibling would reach them no better, so
+/// the shard must not move back and forth. In a recorded incident a shard moved back and forth seven times in forty
+/// seconds.
 #[test]
 fn a_shard_whose_machines_all_hang_keeps_its_holder() {
     for seed in seeds(60, 4) {
@@ -52,14 +53,14 @@
             world.hang_machine(&id, 40 * S);
         }
         let changes = changes_of_holder(&mut world, shard, 60 * S);
-        assert_eq!(changes, 0, "{seed}: the share was given up or taken {changes} times");
+        assert_eq!(changes, 0, "{seed}: the shard was released or acquired {changes} times");
         cancel_services(&mut world);
-        finish_all_jobs(&mut world, &format!("hanging share {seed}"));
+        finish_all_jobs(&mut world, &format!("hanging shard {seed}"));
     }
 }
 
-/// A controller that reaches no machine gives its shards away before their leases run out and deletes none, also when
-/// it happens again and again: each time the services run on, and its shards change hands only to and from it.
+/// A controller that reaches no machine releases its shards before their leases expire and deletes no machine, also
+/// when that happens repeatedly: each time the services run on, and its shards only move away from it and back.
 #[test]
 fn a_controller_repeatedly_cut_off_from_its_agents() {
     for seed in seeds(61, 3) {
@@ -68,7 +69,7 @@
         submit_services(&mut world, 1, 6);
         world.run_for(30 * S);
         let (before, started) = (world.stored_machines(), world.started);
-        let node = world.holder("share/1").expect("owned");
+        let node = world.holder("share/1").expect("the shard has a holder");
         let mut changes = 0;
         for _ in 0..3 {
             world.cut(16 * S, hold, move |a, b| *a == Place::Node(node) && matches!(b, Place::Agent(_)));
@@ -77,14 +78,14 @@
         let lost = count_deleted(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
         assert!(world.started <= started + 2, "{seed}: services were started again");
-        // Given up, taken by a sibling, and the same on the way back, each time.
-        assert!(changes <= 12, "{seed}: the share was given up or taken {changes} times in three cuts");
+        // For each cut: released, acquired by a sibling, and the same on the way back.
+        assert!(changes <= 12, "{seed}: the shard was released or acquired {changes} times in three cuts");
         cancel_services(&mut world);
         finish_all_jobs(&mut world, &format!("cut again {seed}"));
     }
 }
 
-/// Jobs that fail on every machine after so long at work: arrays, a gang, and a service.
+/// Submits arrays, a gang and a service that fail on every machine after running for `fails_after`.
 fn submit_failing_jobs(world: &mut World, from: u64, fails_after: u64) -> Vec<JobId> {
     let shapes =
         [(JobKind::Array, 8), (JobKind::Array, 20), (JobKind::Array, 1), (JobKind::Gang, 3), (JobKind::Service, 2)];
@@ -101,8 +102,8 @@
     ids.iter().for_each(|id| world.call_off(id));
 }
 
-/// Jobs with a mistake fail wherever they run until their users cancel them. They are tried ever more rarely and one
-/// task at a time; no machine is suspected, emptied or rented for them, and other jobs are done as ever.
+/// Jobs with a mistake fail wherever they run until their users cancel them. They are retried after growing delays and
+/// one task at a time; no machine is suspected, drained or requested for them, and other jobs get done as usual.
 #[test]
 fn jobs_that_fail_everywhere_do_not_affect_other_jobs() {
     for seed in seeds(62, 4) {
@@ -120,14 +121,14 @@
         world.run_for(60 * S);
         let again = starts(&world) - begun;
         assert!(again <= 5 * 8, "{seed}: tasks of failing jobs were started {again} times in a minute");
-        assert!(world.started - all >= u64::from(again) + 24, "{seed}: the others did not start");
+        assert!(world.started - all >= u64::from(again) + 24, "{seed}: other jobs did not start");
         let late = healthy.iter().filter(|id| world.jobs[*id].told != Some(JobState::Done)).count();
         assert_eq!(late, 0, "{seed}: healthy jobs are not done after a minute");
         let lost = count_deleted(&world, &before);
-        assert_eq!(lost, 0, "{seed}: machines were given back or replaced");
-        assert!(world.cloud.machines.len() <= rented + 1, "{seed}: machines were rented for failing jobs");
+        assert_eq!(lost, 0, "{seed}: machines were returned or replaced");
+        assert!(world.cloud.machines.len() <= rented + 1, "{seed}: instances were requested for failing jobs");
         for id in &services {
-            assert_eq!(world.running(id), 2, "{seed}: {id} is disturbed");
+            assert_eq!(world.running(id), 2, "{seed}: {id} does not run on");
         }
         cancel_all(&mut world, &failing);
         cancel_services(&mut world);
@@ -135,7 +136,7 @@
     }
 }
 
-/// Among jobs that fail everywhere a machine that is at fault itself is still found: what fails there gets on elsewhere.
+/// A faulty machine is detected also among jobs that fail everywhere: tasks that fail there succeed elsewhere.
 #[test]
 fn a_faulty_machine_is_detected_among_failing_jobs() {
     for seed in seeds(63, 4) {
@@ -143,7 +144,7 @@
         world.run_for(5 * S);
         let failing = submit_failing_jobs(&mut world, 1, S);
         let nth = world.pick(5) as usize;
-        let sick = world.nth_agent(nth).expect("a machine");
+        let faulty = world.nth_agent(nth).expect("a machine");
         world.sicken(nth);
         let mut number = 100;
         for _ in 0..30 {
@@ -153,14 +154,14 @@
             }
             world.run_for(4 * S);
         }
-        assert!(!world.agents.contains_key(&sick), "{seed}: {sick} is still there");
+        assert!(!world.agents.contains_key(&faulty), "{seed}: {faulty} is still there");
         cancel_all(&mut world, &failing);
         finish_all_jobs(&mut world, &format!("faulty among failing {seed}"));
     }
 }
 
-/// Broken jobs while all controllers end and come back: whoever takes over learns anew that they fail, cancellations
-/// hold, and nothing is left behind.
+/// All controllers crash and restart while jobs fail everywhere: the new holders learn again that these fail,
+/// cancellations hold, and no record is left behind.
 #[test]
 fn failing_jobs_and_a_restart_of_all_controllers() {
     for seed in seeds(64, 3) {
@@ -178,15 +179,15 @@
     }
 }
 
-/// Batch work that may run on any machine, spot or not, one task to a machine.
+/// Returns batch work that may run on any machine, spot or not, with one task on each.
 fn wide_array(team: &str, tasks: u32, run_s: f64) -> JobSpec {
     let mut spec = World::spec(JobKind::Array, team, tasks, 4.0);
     spec.estimated_runtime_s = run_s;
     spec
 }
 
-/// Every spot machine that is rented boots for ever, and spot is the cheapest. Ordinary ones are rented soon, and those
-/// that don't come up are not rented again and again.
+/// Spot instances are the cheapest, and none that is requested ever boots. Ordinary ones are requested soon, and spot
+/// instances are not requested again and again.
 #[test]
 fn ordinary_instances_are_requested_if_spot_instances_never_boot() {
     for seed in seeds(65, 4) {
@@ -196,20 +197,20 @@
         world.cloud.never_up = 0;
         world.run_for(5 * S);
         let ids: Vec<JobId> = (0..3).map(|n| world.submit(n + 1, wide_array("green", 6, 20.0))).collect();
-        // Long before those that don't come up are given up, which is after 30 s.
+        // Long before the instances that don't boot are abandoned, which is after 30 s.
         world.run_for(25 * S);
-        assert!(world.cloud.rented[0] > 0, "{seed}: no ordinary machine was rented");
+        assert!(world.cloud.rented[0] > 0, "{seed}: no ordinary instance was requested");
         world.run_for(125 * S);
         let done = ids.iter().filter(|id| world.jobs[*id].told == Some(JobState::Done)).count();
         assert_eq!(done, 3, "{seed}: {done} of 3 done after 150 s");
         let [_, spot] = world.cloud.rented;
-        assert!(spot <= 30, "{seed}: {spot} spot machines were rented in vain");
-        finish_all_jobs(&mut world, &format!("dead spot {seed}"));
+        assert!(spot <= 30, "{seed}: {spot} spot instances were requested in vain");
+        finish_all_jobs(&mut world, &format!("spot instances {seed}"));
     }
 }
 
-/// Machines that come up after several times the usual time are used or given back; none is left without a record, and
-/// meanwhile others are rented in their place, but not without bound. The leader stands still as they boot.
+/// Machines that boot in several times the usual time are used or returned, and none is left without a record.
+/// Meanwhile others are requested in their place, within bounds. The leader stalls while they boot.
 #[test]
 fn machines_that_come_up_late_are_used_or_returned() {
     for seed in seeds(66, 4).chain(seeds(66, 9).skip(8)) {
@@ -221,22 +222,22 @@
             world.submit(n + 1, wide_array(TEAMS[n as usize % 3], 4, 20.0));
         }
         world.run_for(12 * S);
-        let leader = world.holder("leader").expect("somebody leads");
+        let leader = world.holder("leader").expect("there is a leader");
         world.freeze(leader, 6 * S);
         world.run_for(60 * S);
         let rented: usize = world.cloud.rented.iter().sum();
-        assert!(rented <= 60, "{seed}: {rented} machines were rented for 24 tasks");
+        assert!(rented <= 60, "{seed}: {rented} instances were requested for 24 tasks");
         world.cloud.boot_percent = 100;
         finish_all_jobs(&mut world, &format!("late boots {seed}"));
         world.run_for(120 * S);
         let recorded = world.stored_machines();
-        let stray: Vec<&MachineId> = world.agents.keys().filter(|id| !recorded.contains(id)).collect();
-        assert!(stray.is_empty(), "{seed}: up and in no record: {stray:?}");
+        let unrecorded: Vec<&MachineId> = world.agents.keys().filter(|id| !recorded.contains(id)).collect();
+        assert!(unrecorded.is_empty(), "{seed}: running without a record: {unrecorded:?}");
     }
 }
 
-/// A guest's one huge array of short tasks comes just after larger work of the same priority that fills all machines.
-/// It goes before what of that has not begun.
+/// A huge array of short tasks is submitted just after larger work of the same low priority that fills all machines. It
+/// starts before the part of that work that has not begun.
 #[test]
 fn a_huge_array_of_short_tasks_starts_before_larger_waiting_work() {
     for seed in seeds(67, 3) {
@@ -259,60 +260,64 @@
     JobSpec { priority: Priority::Low, ..spec }
 }
 
-/// A guest's long work of the lowest priority holds all there is to rent, in its own shard, which is a house team's as
-/// well, and in the others, whose idle machines went to it. Ordinary work of the house teams gets room all the same; the
-/// guest loses no more than that takes, and its machines go back when it is over.
+/// Long work of the lowest priority holds all available machines: those of its own shard, which other work of its team
+/// shares, and those of the other shards, whose idle machines moved to it. Work of normal priority of all teams still
+/// gets capacity; the low-priority work loses no more than that takes, and its machines are returned when it has ended.
 #[test]
 fn teams_get_capacity_though_low_priority_work_holds_all_machines() {
     for seed in seeds(68, 4) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 8, capacity: 8, ..SMALL });
         world.run_for(5 * S);
-        let guests: Vec<JobId> =
+        let low_priority_jobs: Vec<JobId> =
             (0..3).map(|n| world.submit(n + 1, with_low_priority(wide_array("green", 12, 200.0)))).collect();
         world.run_for(40 * S);
         let held = world.agents.values().filter(|w| !w.tasks.is_empty()).count();
-        assert!(held >= 7, "{seed}: the guest holds {held} machines only");
-        let house: Vec<JobId> =
+        assert!(held >= 7, "{seed}: low-priority work holds only {held} machines");
+        let normal: Vec<JobId> =
             (0..3).map(|n| world.submit(100 + n, World::spec(JobKind::Array, TEAMS[n as usize], 3, 1.0))).collect();
         world.run_for(45 * S);
-        for id in &house {
+        for id in &normal {
             let job = &world.jobs[id];
             let waited = job.begun.map(|at| (at - job.submitted) / S);
             assert!(waited.is_some_and(|s| s <= 30), "{seed}: {id} began after {waited:?} s");
         }
-        let left = world.agents.values().filter(|w| w.tasks.keys().any(|k| guests.contains(&k.0))).count();
-        assert!(left >= 4, "{seed}: the guest is left with {left} machines");
-        for id in &guests {
+        let left = world.agents.values().filter(|w| w.tasks.keys().any(|k| low_priority_jobs.contains(&k.0))).count();
+        assert!(left >= 4, "{seed}: low-priority work is left with {left} machines");
+        for id in &low_priority_jobs {
             world.call_off(id);
         }
-        finish_all_jobs(&mut world, &format!("guest {seed}"));
+        finish_all_jobs(&mut world, &format!("capacity {seed}"));
         world.run_for(400 * S);
         assert!(world.agents.len() <= 6, "{seed}: {} machines are kept", world.agents.len());
     }
 }
 
-/// The same within one shard, which has all machines by then: ordinary work beyond its team's guarantee makes the
-/// guest's leave after half a minute, and the guest's work goes on where there is room.
+/// The same within a shard that holds all machines: normal-priority work beyond its team's guaranteed quota preempts
+/// low-priority work after half a minute, and that goes on where there is capacity.
 #[test]
-fn standard_priority_preempts_low_priority_within_a_shard() {
+fn normal_priority_preempts_low_priority_within_a_shard() {
     for seed in seeds(73, 3) {
         let mut world = World::sized(seed, Policy::default(), Size { machines: 6, capacity: 6, ..SMALL });
         world.run_for(5 * S);
-        let guest = world.submit(1, with_low_priority(wide_array("green", 20, 300.0)));
+        let low_priority = world.submit(1, with_low_priority(wide_array("green", 20, 300.0)));
         world.run_for(40 * S);
-        assert!(world.running(&guest) >= 6, "{seed}: {} tasks of the guest run", world.running(&guest));
-        let house = world.submit(100, World::spec(JobKind::Array, "green", 3, 1.0));
+        assert!(world.running(&low_priority) >= 6, "{seed}: {} low-priority tasks run", world.running(&low_priority));
+        let normal = world.submit(100, World::spec(JobKind::Array, "green", 3, 1.0));
         world.run_for(40 * S);
-        assert!(world.jobs[&house].begun.is_some(), "{seed}: not begun after 40 s");
-        assert!(world.running(&guest) >= 5, "{seed}: {} tasks of the guest are left", world.running(&guest));
-        world.call_off(&guest);
-        finish_all_jobs(&mut world, &format!("guest's share {seed}"));
+        assert!(world.jobs[&normal].begun.is_some(), "{seed}: not begun after 40 s");
+        assert!(
+            world.running(&low_priority) >= 5,
+            "{seed}: {} low-priority tasks are left",
+            world.running(&low_priority)
+        );
+        world.call_off(&low_priority);
+        finish_all_jobs(&mut world, &format!("preemption {seed}"));
     }
 }
 
-/// Single-task jobs of a guest come faster than the store takes changes for them, in the midst of an outage
-/// too. Services start in time, what a job costs at most is five changes (its batch and the removal of that, which jobs that
-/// come together share, its start, its outcome, the removal of its chunk), and all of it gets done.
+/// Low-priority jobs of one task arrive faster than the store takes changes for them, with some seeds also during an
+/// outage. Services start in time, all jobs get done, and a job costs at most five changes: its batch and the removal
+/// of that (which jobs that arrive together share), its start, its outcome, and the removal of its chunk.
 #[test]
 fn many_single_task_jobs_leave_write_budget_to_services() {
     for seed in seeds(69, 3) {
@@ -337,20 +342,20 @@
         let late: Vec<_> = services.iter().map(|id| &world.jobs[id]).filter(|j| j.begun.is_none()).collect();
         assert!(late.is_empty(), "{seed}: {} services did not start", late.len());
         cancel_services(&mut world);
-        finish_all_jobs(&mut world, &format!("swarm {seed}"));
+        finish_all_jobs(&mut world, &format!("single tasks {seed}"));
         let each = (world.changes() - changes) as f64 / 300.0;
         assert!(each <= 5.2, "{seed}: {each} changes for each job");
     }
 }
 
-/// What a controller may lose touch with.
+/// A connection that a controller loses.
 #[derive(Clone, Copy, Debug)]
 enum LostConnection {
     Everything,
     KeyValueStore,
     Agents,
     Siblings,
-    /// The store alone refuses it.
+    /// The store refuses this controller only.
     Refused,
 }
 
@@ -373,9 +378,9 @@
     }
 }
 
-/// A controller, the leader and then the owner of a shard, drops off the network in each way, for less and for more
-/// than a lease, with packets held and with resets. Its shards have an owner within seconds, no machine is deleted for
-/// it, what runs goes on, its users hear at once, and shards change hands only there and back.
+/// A controller, first the leader and then a shard's holder, loses each of its connections, for less and for more than
+/// a lease, with packets delayed and with resets. Its shards have a holder within seconds, no machine is deleted
+/// because of it, running tasks go on, its users are answered at once, and shards only move away from it and back.
 #[test]
 fn a_controller_loses_each_of_its_connections() {
     for (nth, lost_connection) in LOST_CONNECTIONS.into_iter().enumerate() {
@@ -387,10 +392,10 @@
             world.run_for(30 * S);
             let (before, started) = (world.stored_machines(), world.started);
             for role in ["leader", "share/1"] {
-                let node = world.holder(role).expect("held");
+                let node = world.holder(role).expect("the role has a holder");
                 cut_connection(&mut world, node, lost_connection, span, hold);
                 world.run_for(6 * S);
-                assert_eq!(world.unowned_shards(), 0, "{name}: a share has no owner");
+                assert_eq!(world.unowned_shards(), 0, "{name}: a shard has no holder");
                 if matches!(
                     lost_connection,
                     LostConnection::Everything | LostConnection::KeyValueStore | LostConnection::Refused
@@ -399,7 +404,7 @@
                     assert!(matches!(answer, Some(UserAnswer::Unavailable { .. })), "{name}: {answer:?}");
                 }
                 let changes = changes_of_holder(&mut world, 1, span + 14 * S);
-                assert!(changes <= 6, "{name}: share 1 was given up or taken {changes} times");
+                assert!(changes <= 6, "{name}: shard 1 was released or acquired {changes} times");
             }
             let lost = count_deleted(&world, &before);
             assert_eq!(lost, 0, "{name}: machines were deleted");
@@ -410,9 +415,9 @@
     }
 }
 
-/// A controller stands still twice in a row, with transactions on their way that are carried out meanwhile, for less and
-/// for more than its session, as boots fail and jobs are called off. What it sends late is harmless, and awake it
-/// deletes nothing by old silence.
+/// A controller stalls twice in a row, with transactions under way that are committed meanwhile, for less and for more
+/// than its session, while boots are slow and jobs are cancelled. What it sends late is harmless, and after it resumes
+/// it deletes no machine for outdated silence.
 #[test]
 fn a_controller_stalls_twice_during_transactions() {
     for (seed, span) in seeds(71, 4).zip([2 * S, 5 * S, 25 * S, 70 * S].into_iter().cycle()) {
@@ -420,7 +425,7 @@
         world.cloud.boot_percent = 300;
         submit_mixed_jobs(&mut world, 40);
         world.run_for(15 * S);
-        let node = world.holder("leader").expect("somebody leads");
+        let node = world.holder("leader").expect("there is a leader");
         let before = world.stored_machines();
         for _ in 0..2 {
             world.late_writes_of(node, S);
@@ -431,16 +436,16 @@
             world.run_for(span + 1500 * MS);
         }
         world.run_for(8 * S);
-        assert_eq!(world.unowned_shards(), 0, "{seed}: a share has no owner");
+        assert_eq!(world.unowned_shards(), 0, "{seed}: a shard has no holder");
         let lost = count_deleted(&world, &before);
         assert!(lost <= 1, "{seed}: {lost} machines were deleted");
-        finish_all_jobs(&mut world, &format!("standstill {seed}"));
+        finish_all_jobs(&mut world, &format!("stalls {seed}"));
     }
 }
 
-/// Questions come a hundred times as often, at all controllers, also about jobs that are over or that nobody knows. They
-/// share reads, so the store is asked no more often than its limit allows; leases last, and all are answered
-/// within the time of one read, in the second half next to a controller that has lost its agents.
+/// Status requests come a hundred times as often, at all controllers, also about ended and unknown jobs. They share
+/// reads, so that requests to the store stay within its limit; leases are renewed, and all requests are answered within
+/// the time of one read. In the second half one controller has lost its agents.
 #[test]
 fn bursts_of_status_requests_share_reads_and_cost_no_lease() {
     for seed in seeds(72, 3) {
@@ -451,7 +456,7 @@
         world.question_burst = 300;
         let requests = world.store_requests();
         world.run_for(15 * S);
-        let node = world.holder("share/0").expect("owned");
+        let node = world.holder("share/0").expect("the shard has a holder");
         cut_connection(&mut world, node, LostConnection::Agents, 12 * S, true);
         world.run_for(15 * S);
         let each_second = (world.store_requests() - requests) / 30;
@@ -459,6 +464,6 @@
         assert!(world.longest_answer <= 3 * S, "{seed}: a user waited {} ms", world.longest_answer / MS);
         assert_eq!(world.unowned_shards(), 0, "{seed}: a session was lost");
         world.question_burst = 0;
-        finish_all_jobs(&mut world, &format!("burst {seed}"));
+        finish_all_jobs(&mut world, &format!("status requests {seed}"));
     }
 }
--- a/tests/rules/upgrade.rs
+++ b/tests/rules/upgrade.rs
@@ -1,12 +1,13 @@
-//! Controllers of two record versions side by side: the earlier leader moves machines between shards by itself, the
-//! later one leaves that to the holders of the shards.
+//! Controllers of two record versions at the same time: a leader of the earlier version moves machines between shards
+//! itself, one of the later version leaves that to the holders of the shards.
 
 use super::world::{LARGE, MS, S, Size, World};
 use super::{finish_all_jobs, policy_keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobKind, Priority};
 use burlhatch::settings::Policy;
 
-/// Teams' work comes in turns, and nothing can be rented: machines go back and forth between shards.
+/// Returns a world in which machines move back and forth between shards, as the teams submit work in turn and no
+/// instances can be requested.
 fn world_of_many_moves(seed: u64) -> World {
     let policy = Policy { shift_after_ms: 300, shift_part: 1.0, drain_ms: 1000, ..policy_keeping_idle_machines() };
     let mut world = World::sized(seed, policy, Size { machines: 7, capacity: 7, ..LARGE });
@@ -43,9 +44,10 @@
     world.submit(number, spec);
 }
 
-/// The one race that a start under a later leader would lose to an earlier one: the record of the start is on its way
-/// for seconds, while the leader ends, comes back as the earlier version and moves the machine, on which it sees
-/// nothing. (It takes the shard to use another machine, as it doesn't know which one holds the image.)
+/// The only race that a start recorded under a leader of the later version would lose against one of the earlier
+/// version: the record of the start is delayed by seconds, while the leader crashes, restarts as the earlier version
+/// and moves the machine, on which it sees no attempt. (To make the shard use another machine, its holder doesn't know
+/// which one holds the image.)
 #[test]
 fn an_attempt_recorded_late_under_a_leader_of_the_earlier_version() {
     let mut moves = 0;
@@ -56,8 +58,8 @@
         world.run_for(500 * MS);
         submit_urgent_work(&mut world, 2, "blue", 2, "second");
         world.run_for(12 * S);
-        let leader = world.holder("leader").expect("somebody leads");
-        let holder = world.holder("share/1").expect("somebody holds it");
+        let leader = world.holder("leader").expect("there is a leader");
+        let holder = world.holder("share/1").expect("the shard has a holder");
         assert_ne!(leader, holder);
         world.late_writes_of(holder, 8 * S);
         submit_urgent_work(&mut world, 3, "blue", 1, "second");
@@ -71,9 +73,9 @@
     assert!(moves >= 10, "only {moves} moves");
 }
 
-/// Each controller in turn is of either version, also back and forth, while machines move: leaders end, transactions
-/// are carried out seconds late, the store is away for a while. A start is never recorded on a machine that
-/// has left its shard, and all work gets done.
+/// Each controller in turn runs either version, changing back and forth, while machines move, leaders crash,
+/// transactions are committed seconds late and the store is down for a while. A start is never recorded on a machine
+/// that has left its shard, and all work gets done.
 #[test]
 fn the_leaders_version_changes_while_machines_move() {
     let mut moves = 0;
