--- a/tests/rules/zone_cuts.rs
+++ b/tests/rules/zone_cuts.rs
@@ -1,5 +1,5 @@
-//! A zone is cut off: all of its replicas have to be at work elsewhere before the agents' leases would prove anything, and
-//! what else goes on there is left alone.
+//! A zone is cut off: all of its replicas have to run in other zones before the expiry of the agents' leases would
+//! prove their absence, and nothing else in the zone is affected.
 
 use super::seeds;
 use super::world::{MS, S, Size, TIMES, World};
@@ -11,25 +11,27 @@
 use burlhatch::types::{JobId, MachineId};
 use std::ops::Range;
 
-/// Part of the sockets that leaves each controller a few for more than 60 machines in the zone.
+/// The part of the sockets that leaves each controller only a few for more than 60 machines in the zone.
 const FEW_SOCKETS: f64 = 0.02;
 
-/// A machine of a zone that was cut off was deleted as silent alone, while the zone was suspected and not yet lost: the others of
-/// its shard there had not been probed yet, and said nothing. Seed 119020: suspected 2.8 s after the cut, "machine cordoned
-/// ... cause=Silent silence_ms=5071" for m-000007 after 3.5 s, lost after 4.3 s.
+/// Guards against deleting a machine of a zone that is cut off as a single silent one, while the zone is suspected but
+/// not lost yet: the other machines of its shard in the zone had not been probed, so they did not count as silent. Seed
+/// 119020: suspected 2.8 s after the cut, "machine cordoned ... cause=Silent silence_ms=5071" for m-000007 after 3.5 s,
+/// lost after 4.3 s.
 #[test]
 fn no_machine_is_deleted_individually_while_its_zone_is_suspected() {
     assert_small_zone_keeps_its_machines(seeds(119, 24));
 }
 
-/// Symptom, not mended: the holder of two of the zone's four machines votes against it, the holders of one each do not, and that
-/// is not more than half: all four are deleted one by one.
+/// Known fault, not fixed: the holder of two of the zone's four machines votes against it, the holders of one each do
+/// not. That is not more than half, so all four machines are deleted one by one.
 #[test]
 fn a_small_zone_without_a_majority_against_it_is_left_alone() {
     assert_small_zone_keeps_its_machines(119_059..119_060);
 }
 
-/// Replicas wait for their leases in this scenario, and no machine of the zone may be deleted before.
+/// Asserts that no machine of a small zone is deleted before the first lease can expire. Evacuation is disabled, so
+/// replicas are restored only after the leases expire.
 fn assert_small_zone_keeps_its_machines(seeds: Range<u64>) {
     for seed in seeds {
         let mut policy = policy_with_zones();
@@ -45,11 +47,11 @@
         let deleted = in_zone.iter().filter(|id| !staying.contains(*id)).count();
         assert_eq!(deleted, 0, "{seed}: {deleted} of {} machines", in_zone.len());
         super::cancel_services(&mut world);
-        super::finish_all_jobs(&mut world, &format!("judged alone {seed}"));
+        super::finish_all_jobs(&mut world, &format!("small zone {seed}"));
     }
 }
 
-/// How a scenario differs from the plain one.
+/// A change to the default scenario.
 type Variation = fn(&mut Scenario);
 
 fn variations() -> Vec<(&'static str, Variation)> {
@@ -67,12 +69,13 @@
     ]
 }
 
-/// With few sockets for direct messages, some machines of a zone that is cut off were never probed: they kept their services
-/// until their leases ended, though there was room elsewhere. Probes went out by when a machine was last seen. All that had
-/// failed already were due again a second later, took all sockets, and those seen last before the cut never had their turn;
-/// no machine is evacuated that has not failed a probe. On seed 118000 of `zones::a_zone_with_a_third_of_four_thousand_machines_is_cut_off`:
-/// "evacuation held back ... reason=NotProbed" for six machines from 6.5 s after the cut on and nothing else, and
-/// "probes held back ... due_count=419 unprobed_count=414 unprobed_silence_ms=14534" 12 s after it.
+/// With few sockets for direct messages, some machines of a zone that was cut off were never probed. Only machines that
+/// failed a probe are evacuated, so these kept their services until their leases expired, though there was capacity
+/// elsewhere. Probes were sent in the order of the machines' last sign of life: those that had already failed one were
+/// due again a second later and took all sockets, and those seen last before the cut never had their turn. Seed 118000
+/// of `zones::a_zone_with_a_third_of_four_thousand_machines_is_cut_off`: only "evacuation held back ...
+/// reason=NotProbed" for six machines from 6.5 s after the cut on, and "probes held back ... due_count=419
+/// unprobed_count=414 unprobed_silence_ms=14534" 12 s after it.
 #[test]
 fn every_machine_of_a_lost_zone_is_probed_and_evacuated_though_sockets_are_few() {
     for seed in seeds(121, 3) {
@@ -86,10 +89,10 @@
     }
 }
 
-/// While a zone was cut off and sockets were few, some of its machines were deleted one by one, though they worked on. A
-/// machine whose last sign of life before the cut was the answer to a probe, and that was not probed since, counted as one
-/// that answers while its heartbeats don't arrive: "machine cordoned ... cause=MissingHeartbeats" on seed 122000 for two
-/// machines, one of them last seen 10.4 s before and with its first probe since just sent.
+/// While a zone was cut off and sockets were few, some of its machines were deleted one by one although they worked on.
+/// A machine whose last sign of life before the cut was the answer to a probe, and that was not probed since, counted
+/// as one that answers while its heartbeats are missing. Seed 122000: "machine cordoned ... cause=MissingHeartbeats"
+/// for two machines; one of them was last seen 10.4 s earlier, and its first probe since had just been sent.
 #[test]
 fn machines_of_a_zone_that_is_cut_off_work_on_though_sockets_are_few() {
     for seed in seeds(122, 3) {
@@ -101,7 +104,8 @@
     }
 }
 
-/// Plays a scenario with zones off: no machine of the zone may be deleted before the first leases can expire.
+/// Runs a scenario with zone conditions disabled and asserts that no machine of the zone is deleted before the first
+/// leases can expire.
 fn assert_no_machine_deleted_with_zones_off(mut scenario: Scenario) {
     scenario.policy.zones.enabled = false;
     let outcome = run_scenario(&scenario);
@@ -109,10 +113,10 @@
     assert_eq!(deleted, 0, "{}, {}: {outcome:?}", scenario.seed, scenario.lost_after);
 }
 
-/// One heartbeat came late from a machine that was cut off, and it was deleted as one that sends but receives nothing: probes
-/// had failed since the cut, and the heartbeat was newer than the first that did. On seed 123000: "machine cordoned ...
-/// cause=Unreachable silence_ms=1568 heartbeat_age_ms=1568" 14.6 s after the cut, and none of its heartbeats before that
-/// within these 14.6 s.
+/// After one heartbeat of a machine that was cut off arrived late, the machine was deleted as one that sends but
+/// receives nothing: probes had failed since the cut, and the heartbeat was newer than the first failed one. Seed
+/// 123000: "machine cordoned ... cause=Unreachable silence_ms=1568 heartbeat_age_ms=1568" 14.6 s after the cut, without
+/// any earlier heartbeat of the machine in these 14.6 s.
 #[test]
 fn a_late_heartbeat_does_not_make_a_machine_that_is_cut_off_unreachable() {
     for seed in seeds(123, 4) {
@@ -121,9 +125,9 @@
     }
 }
 
-/// Late heartbeats of others in the zone made the machine that was seen first before the cut look lost alone: the others had
-/// been seen since, so it was compared with neighbours that were no better off. Seed 123010: "machine cordoned ... cause=Silent
-/// silence_ms=15613" for m-000085 12.4 s after the cut.
+/// The machine of a zone that was seen first before the cut looked lost alone after late heartbeats of others in the
+/// zone: as these had been seen since, it was compared with neighbours that were no better off. Seed 123010: "machine
+/// cordoned ... cause=Silent silence_ms=15613" for m-000085 12.4 s after the cut.
 #[test]
 fn late_heartbeats_of_others_do_not_make_a_machine_look_lost_alone() {
     for seed in seeds(124, 3).chain([123_010]) {
@@ -132,19 +136,20 @@
     }
 }
 
-/// There was room elsewhere for some replicas of a lost zone, and none or hardly any of it was used, as the machines ran two
-/// services each. Places were kept for each service by itself, those with the first names first, and a machine was evacuated
-/// only if all of its services had one. Seed 125004: "evacuation held back ... reason=NoCapacity" for seven machines and
-/// nothing evacuated, with room for two replicas; seed 125001: room for four, two moved.
+/// There was capacity elsewhere for some replicas of a lost zone, but little or none of it was used, because the
+/// machines ran two services each. Capacity was reserved for each service separately, in the order of their names, and
+/// a machine was evacuated only if there was capacity for all of its services. Seed 125004: "evacuation held back ...
+/// reason=NoCapacity" for seven machines and nothing evacuated, with capacity for two replicas; seed 125001: capacity
+/// for four, two moved.
 #[test]
 fn room_for_some_replicas_is_used_though_machines_run_several_services() {
     for seed in seeds(125, 6) {
         let size = Size { nodes: 3, machines: 24, capacity: 24, write_rps: 50.0, zones: ZONES, times: TIMES };
-        // Two fill a machine, and two machines are left.
+        // Two replicas fill a machine, and two machines remain free.
         let spec = World::spec(JobKind::Service, "green", 1, 2.0);
         let (mut world, services) = world_with_services(seed, policy_with_zones(), size, 44, &spec);
         world.run_for(60 * S);
-        assert!(services.iter().all(|id| world.running(id) == 1), "{seed}: services are not at work");
+        assert!(services.iter().all(|id| world.running(id) == 1), "{seed}: not all services run");
         let running_in = |world: &World, is_in: bool| {
             let agents = world.agents.values().filter(|agent| (agent.zone == "a") == is_in);
             agents.map(|agent| agent.tasks.len()).sum::<usize>()
@@ -156,13 +161,13 @@
         let moved = running_in(&world, false) - elsewhere;
         assert_eq!(moved, room, "{seed}: {displaced} displaced, room for {room}");
         super::cancel_services(&mut world);
-        super::finish_all_jobs(&mut world, &format!("room for some {seed}"));
+        super::finish_all_jobs(&mut world, &format!("capacity for some {seed}"));
     }
 }
 
-/// The services on a machine of a lost zone were cancelled, and it was deleted although there was nothing to restore, with the
-/// batch work that went on there. Cancelled services still take resources on it, and that was all that was asked. Seed 126000:
-/// "machine evacuated from lost zone ... replica_count=0" for three machines of three.
+/// A machine of a lost zone whose services were cancelled was deleted although there was nothing to restore, together
+/// with the batch work that went on there: the only condition was that its services still took resources, and cancelled
+/// ones do. Seed 126000: "machine evacuated from lost zone ... replica_count=0" for three machines of three.
 #[test]
 fn a_machine_whose_services_are_cancelled_is_not_evacuated() {
     for seed in seeds(126, 3) {
@@ -172,7 +177,7 @@
         world.run_for(30 * S);
         let mut hosts = world.machines_in("a");
         hosts.retain(|id| !world.agents[id].tasks.is_empty());
-        // The services of one machine go on, so that there is something to restore.
+        // The services of one machine are not cancelled, so that there is something to restore.
         let kept = hosts.pop().expect("something runs in the zone");
         let goes_on: Vec<JobId> = world.agents[&kept].tasks.keys().map(|(job, _)| job.clone()).collect();
         world.cut_zone("a", CUT_DURATION, true);
@@ -188,10 +193,10 @@
     }
 }
 
-/// While a zone was away, a single machine that hung in another was not replaced, and its services waited for its lease. The
-/// idle machines of the zone stay and are silent, more than a quarter of the shard: that was taken for the controller's own
-/// fault, and no machine was judged for as long as the zone was away. Seeds 127001 to 127003: no "machine cordoned" for the
-/// machine that hangs.
+/// While a zone was lost, a single hanging machine in another zone was not replaced, and its services waited for its
+/// lease to expire. The idle machines of the lost zone stay and are silent; as they were more than a quarter of the
+/// shard, the controller assumed a fault of its own and evaluated no machine as long as the zone was lost. Seeds 127001
+/// to 127003: no "machine cordoned" for the machine that hangs.
 #[test]
 fn a_machine_that_hangs_elsewhere_while_a_zone_is_away_is_replaced() {
     for seed in seeds(127, 4) {
@@ -207,14 +212,16 @@
         world.run_for(FIRST_EXPIRY);
         assert!(!world.machines_to_stay().contains(&hung), "{seed}: {hung} is not replaced before its lease ends");
         let missing = services.iter().filter(|id| world.running(id) < 2).count();
-        assert_eq!(missing, 0, "{seed}: {missing} services are not whole");
+        assert_eq!(missing, 0, "{seed}: {missing} services lack a replica");
         super::cancel_services(&mut world);
         super::finish_all_jobs(&mut world, &format!("hung elsewhere {seed}"));
     }
 }
 
-/// The table for the incident page. Long, so not part of the suite:
-/// `BURLHATCH_MACHINES=4000 BURLHATCH_WORLD_SEEDS=20 cargo test --release --test rules measure_zone_cuts -- --ignored --nocapture`
+/// Prints a table of the outcomes of all variations. It takes long and is not part of the suite:
+///
+///     BURLHATCH_MACHINES=4000 BURLHATCH_WORLD_SEEDS=20 cargo test --release --test rules measure_zone_cuts -- \
+///         --ignored --nocapture
 #[test]
 #[ignore = "a measurement, takes minutes"]
 fn measure_zone_cuts() {
--- a/tests/rules/zone_scenario.rs
+++ b/tests/rules/zone_scenario.rs
@@ -1,5 +1,5 @@
-//! A scenario with many variations: services run everywhere, one zone is lost, and it is seen when their replicas are at work
-//! elsewhere and which machines of the zone are deleted.
+//! A scenario with many variations: services run in all zones, and one zone is lost. The outcome says when their
+//! replicas run in other zones and which machines of the zone are deleted.
 
 use super::world::{MS, S, Size, TIMES, World};
 use super::{assert_no_violations, policy_keeping_idle_machines};
@@ -8,13 +8,14 @@
 use burlhatch::types::{JobId, MachineId};
 
 pub const ZONES: &[&str] = &["a", "b", "c"];
-/// A lease counts from the last heartbeat, so the first may expire this much before the others.
+/// The time after the loss at which the first lease may expire, as a lease counts from the last heartbeat before the
+/// loss.
 pub const FIRST_EXPIRY: u64 = TIMES.lease - 2 * S;
-/// How long the zone is away.
+/// The duration of a zone's cut.
 pub const CUT_DURATION: u64 = 60 * S;
-/// How often it is looked whether replicas are at work elsewhere.
+/// The interval at which the replicas in other zones are counted.
 const POLL_INTERVAL: u64 = 250 * MS;
-/// What is measured ends here.
+/// The time after the loss at which the observation ends.
 pub const OBSERVED_SPAN: u64 = 40 * S;
 
 /// What happens to the zone.
@@ -26,13 +27,12 @@
     Dead,
 }
 
-/// What else happens meanwhile.
+/// Which controller crashes after the loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControllerCrash {
     None,
-    /// The leader crashes.
     Leader,
-    /// The controller crashes that holds the shard with most replicas in the zone.
+    /// The holder of the shard with most replicas in the zone.
     Holder,
 }
 
@@ -48,13 +48,13 @@
     pub services: u64,
     pub replicas: u32,
     pub zone: &'static str,
-    /// How long the services have been submitted when the zone is lost.
+    /// The time after the services' submission at which the zone is lost.
     pub lost_after: u64,
     pub loss: Loss,
     pub crash: ControllerCrash,
-    /// How long after the loss.
+    /// The time after the loss at which the controller crashes.
     pub crash_after: u64,
-    /// Late copies of heartbeats, one in so many.
+    /// Late copies of heartbeats: one heartbeat in this many is delivered again later.
     pub heartbeat_copies: u32,
     pub policy: Policy,
 }
@@ -82,15 +82,15 @@
 pub struct Outcome {
     /// Replicas in the zone when it was lost.
     pub displaced: usize,
-    /// Until all replicas were at work elsewhere.
+    /// The time after the loss at which all replicas ran in other zones.
     pub restored: Option<u64>,
-    /// Replicas that were not, when the first leases could expire.
+    /// Replicas not running in other zones when the first leases could expire.
     pub late_replicas: usize,
-    /// Machines that had replicas then, and were not even to be deleted.
+    /// Machines that had replicas at the loss and were neither deleted nor to be deleted by then.
     pub left_machines: usize,
-    /// Machines that had replicas, and were deleted or to be by then.
+    /// Machines that had replicas at the loss and were deleted or to be deleted by then.
     pub evacuated_machines: usize,
-    /// Machines without replicas that were deleted by then.
+    /// Machines without replicas at the loss that were deleted or to be deleted by then.
     pub idle_deleted: usize,
 }
 
@@ -110,7 +110,7 @@
     world.holder(&format!("share/{shard}"))
 }
 
-/// A world in which services of so many replicas each are at work.
+/// Returns a world to which this many services of one specification were submitted.
 pub fn world_with_services(
     seed: u64,
     policy: Policy,
@@ -124,14 +124,14 @@
     (world, services)
 }
 
-/// A scenario at the moment at which the zone is lost.
+/// A run of a scenario from the moment at which the zone is lost.
 struct ScenarioRun<'a> {
     scenario: &'a Scenario,
     world: World,
     services: Vec<JobId>,
     /// The zone's machines with replicas.
     hosts: Vec<MachineId>,
-    /// The others.
+    /// The zone's machines without replicas.
     idle: Vec<MachineId>,
     displaced: usize,
     lost_at: u64,
@@ -171,10 +171,10 @@
             ControllerCrash::Leader => self.world.holder("leader"),
             ControllerCrash::Holder => holder_of_most_replicas(&self.world, &self.hosts),
         };
-        self.world.crash(node.expect("somebody holds the role"), 30 * S);
+        self.world.crash(node.expect("the role has a holder"), 30 * S);
     }
 
-    /// Runs until a moment after the loss; when all replicas were at work elsewhere, if they were.
+    /// Runs until `end` after the loss, and sets `restored` to the time at which all replicas ran in other zones.
     fn run_until(&mut self, end: u64, restored: &mut Option<u64>) {
         while self.since_loss() < end {
             if restored.is_none() && self.missing_replicas() == 0 {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// What there is to say when the first leases could expire.
+    /// Returns the outcome at the time at which the first leases can expire.
     fn outcome(&self, restored: Option<u64>) -> Outcome {
         let staying = self.world.machines_to_stay();
         let staying_count = |ids: &[MachineId]| ids.iter().filter(|id| staying.contains(*id)).count();
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -1,5 +1,5 @@
-//! Zones that are lost and come back: services are restored first and without running twice, work returns step by step,
-//! and no single controller's blindness counts as a lost zone.
+//! Zones that are lost and return: services are restored first and never run twice, work returns in steps, and a zone
+//! that only one controller can't reach is not lost.
 
 use super::world::{MS, Place, S, Size, TIMES, World};
 use super::{
@@ -13,9 +13,10 @@
 
 const THREE_ZONES: Size =
     Size { nodes: 5, machines: 24, capacity: 48, write_rps: 60.0, zones: &["a", "b", "c"], times: TIMES };
-/// Each shard has several machines in each zone, so that none is replaced as a single one that fell silent.
+/// With ninety machines each shard has several in each zone, so that none is replaced as a single silent one.
 const NINETY_MACHINES: Size = Size { machines: 90, capacity: 110, ..THREE_ZONES };
-/// The agent's lease in this world: without a deletion nothing of a zone that is cut off starts elsewhere before.
+/// The agents' lease: unless a machine is deleted, no replica of a zone that is cut off starts elsewhere before its
+/// lease expires.
 const LEASE: u64 = 20 * S;
 
 fn policy_with_zones() -> Policy {
@@ -28,13 +29,13 @@
     world
 }
 
-/// Services of two replicas each, of the team without a limit.
+/// Submits services of two replicas each, for the team without a limit.
 fn submit_services(world: &mut World, count: u64) -> Vec<JobId> {
     let spec = || World::spec(JobKind::Service, "green", 2, 1.0);
     (0..count).map(|n| world.submit(1 + n, spec())).collect()
 }
 
-/// Replicas of a service in other zones than this one.
+/// Returns how many replicas of a service run in other zones.
 fn replicas_outside(world: &World, id: &JobId, zone: &str) -> usize {
     world.agents.values().filter(|w| w.zone != zone).flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
@@ -43,12 +44,12 @@
     world.agents.values().filter(|w| w.zone == zone).map(|w| w.tasks.len()).sum()
 }
 
-/// How long it takes until all replicas of these services are outside a zone.
+/// Returns the time until all replicas of these services run outside a zone, or `None` after `most`.
 fn time_to_restore(world: &mut World, services: &[JobId], zone: &str, most: u64) -> Option<u64> {
     let began = world.now;
     while world.now - began < most {
-        let whole = |id: &JobId| replicas_outside(world, id, zone) == world.jobs[id].spec.tasks as usize;
-        if services.iter().all(whole) {
+        let is_restored = |id: &JobId| replicas_outside(world, id, zone) == world.jobs[id].spec.tasks as usize;
+        if services.iter().all(is_restored) {
             return Some(world.now - began);
         }
         world.run_for(250 * MS);
@@ -60,15 +61,16 @@
     world.stored_keys().into_iter().filter(|key| key.contains("/zone/")).collect()
 }
 
-/// The need: a zone is cut off, its machines work on, and their leases outlast what users bear. Judged as a whole its
-/// services are at work elsewhere long before; judged machine by machine they are not.
+/// A zone is cut off while its machines work on, with leases longer than an outage that users tolerate. If the zone is
+/// evaluated as a whole, its services run elsewhere long before the leases expire; if each machine is evaluated
+/// individually, they do not.
 #[test]
 fn services_of_a_zone_that_is_cut_off_are_restored_before_leases_run_out() {
     for seed in seeds(100, 4) {
         let mut restored = [None, None];
-        for (judged, restored) in restored.iter_mut().enumerate() {
+        for (zones_enabled, restored) in restored.iter_mut().enumerate() {
             let mut policy = policy_with_zones();
-            policy.zones.enabled = judged == 1;
+            policy.zones.enabled = zones_enabled == 1;
             let mut world = World::sized(seed, policy, NINETY_MACHINES);
             world.cloud.never_up = 0;
             let services = submit_services(&mut world, 60);
@@ -81,13 +83,13 @@
         }
         let [by_machine, by_zone] = restored;
         assert!(by_zone.is_some_and(|span| span <= 15 * S), "{seed}: {by_zone:?}");
-        // A lease counts from the last heartbeat.
+        // A lease counts from the last heartbeat before the cut.
         let leases_only = by_machine.is_none_or(|span| span > LEASE - 4 * S);
-        assert!(leases_only, "{seed}: {by_machine:?} without judging zones");
+        assert!(leases_only, "{seed}: {by_machine:?} without zone conditions");
     }
 }
 
-/// The zone is gone for good, with two of five controllers, the leader among them, in the morning's load.
+/// A zone is gone permanently, together with two of five controllers, the leader among them, while jobs are waiting.
 #[test]
 fn a_zone_that_dies_with_its_controllers_is_replaced() {
     for seed in seeds(101, 4) {
@@ -95,7 +97,7 @@
         let services = submit_services(&mut world, 12);
         submit_batch_jobs(&mut world, 100, 20);
         world.run_for(20 * S);
-        let leader = world.holder("leader").expect("somebody leads");
+        let leader = world.holder("leader").expect("there is a leader");
         world.kill_zone("a");
         world.crash(leader, 100 * S);
         world.crash((leader + 1) % 5, 100 * S);
@@ -115,7 +117,7 @@
     }
 }
 
-/// A controller that alone can't reach a zone's machines may not have them deleted: to others they may be well. Its own
+/// A controller that alone can't reach a zone's machines may not have them deleted, as others may reach them. Its own
 /// view is one vote of five.
 #[test]
 fn a_zone_that_one_controller_cannot_reach_is_not_lost() {
@@ -124,26 +126,26 @@
         world.cloud.never_up = 0;
         submit_services(&mut world, 40);
         world.run_for(30 * S);
-        let cut_off_controller = world.holder("share/1").expect("somebody holds it");
+        let isolated_controller = world.holder("share/1").expect("the shard has a holder");
         let (unseen, before) = (world.machines_in("a"), world.agents.len());
         world.cut(15 * S, false, move |from, to| {
-            *from == Place::Node(cut_off_controller) && matches!(to, Place::Agent(id) if unseen.contains(id))
+            *from == Place::Node(isolated_controller) && matches!(to, Place::Agent(id) if unseen.contains(id))
         });
         let mut seen = Vec::new();
         for _ in 0..15 {
             world.run_for(S);
             seen.extend(world.stored_conditions("a"));
         }
-        assert!(!seen.is_empty(), "{seed}: nobody noticed");
-        assert!(!seen.contains(&Condition::Lost), "{seed}: taken for lost by one controller's word");
+        assert!(!seen.is_empty(), "{seed}: no controller suspected the zone");
+        assert!(!seen.contains(&Condition::Lost), "{seed}: lost by one controller's vote");
         assert_eq!(world.agents.len(), before, "{seed}: machines were deleted");
         cancel_services(&mut world);
-        finish_all_jobs(&mut world, &format!("cut_off_controller controller {seed}"));
+        finish_all_jobs(&mut world, &format!("isolated controller {seed}"));
     }
 }
 
-/// The zone is heard again at any moment of the move away: before anything is decided, while deletions are on their way,
-/// when some replicas are elsewhere already. Nothing may run twice, and what was cancelled meanwhile must end.
+/// The zone's heartbeats return at any moment of the evacuation: before anything is decided, while deletions are under
+/// way, or when some replicas already run elsewhere. Nothing may run twice, and jobs cancelled meanwhile must end.
 #[test]
 fn a_zone_that_returns_during_evacuation_runs_nothing_twice() {
     for seed in seeds(103, 12) {
@@ -160,11 +162,11 @@
         world.run_for(span);
         world.run_for(20 * S);
         cancel_services(&mut world);
-        finish_all_jobs(&mut world, &format!("returned in the middle {seed}"));
+        finish_all_jobs(&mut world, &format!("return during evacuation {seed}"));
     }
 }
 
-/// A flap shorter than detection leaves no trace.
+/// A flap shorter than detection changes no machine, task or record.
 #[test]
 fn a_flap_shorter_than_detection_changes_nothing() {
     let mut world = world_with_policy(104_000, policy_with_zones());
@@ -179,13 +181,13 @@
     finish_all_jobs(&mut world, "short flap");
 }
 
-/// Twice lost within a minute: for a while the zone is not trusted with all replicas of a service. Its penalty is
-/// stored, so that a restart of all controllers does not forget it.
+/// After a zone was lost twice within a minute, it is not given all replicas of a service for a while. Its penalty is
+/// stored, so that a restart of all controllers does not lose it.
 #[test]
 fn a_zone_lost_twice_gets_no_service_with_a_single_replica() {
     for seed in seeds(105, 4) {
         let mut policy = policy_with_zones();
-        // Its machines stay, so that there is something to lose again.
+        // The zone's machines stay, so that they can be lost again.
         policy.zones.evacuate = false;
         let mut world = world_with_policy(seed, policy);
         submit_services(&mut world, 8);
@@ -201,14 +203,14 @@
         let single: Vec<JobId> =
             (0..9).map(|n| world.submit(200 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
         world.run_for(15 * S);
-        let there = single.iter().filter(|id| world.running(id) > replicas_outside(&world, id, "a")).count();
-        assert_eq!(there, 0, "{seed}: {there} single replicas in the zone that flaps");
+        let in_zone = single.iter().filter(|id| world.running(id) > replicas_outside(&world, id, "a")).count();
+        assert_eq!(in_zone, 0, "{seed}: {in_zone} single replicas in the zone that flaps");
         cancel_services(&mut world);
         finish_all_jobs(&mut world, &format!("two flaps {seed}"));
     }
 }
 
-/// The second zone goes while the first is being restored. What is left has room for all services.
+/// A second zone is lost while the first is being restored. The remaining zone has capacity for all services.
 #[test]
 fn a_second_zone_is_lost_while_the_first_is_restored() {
     for seed in seeds(106, 4) {
@@ -233,8 +235,8 @@
     agents.flat_map(|w| w.tasks.keys()).filter(|key| key.0 == *id).count()
 }
 
-/// The store is away, or refuses the leader alone, at the loss, in the middle, and at the return; a new leader
-/// takes over in between. Nothing is decided on stale records.
+/// The store is down, or refuses only the leader, at the loss, during the restoration and at the return, or the leader
+/// crashes then and another takes over. Nothing is decided on stale records.
 #[test]
 fn restoration_survives_outages_and_changes_of_the_leader() {
     for seed in seeds(107, 9) {
@@ -242,7 +244,7 @@
         let services = submit_services(&mut world, 9);
         submit_batch_jobs(&mut world, 100, 8);
         world.run_for(25 * S);
-        let trouble = |world: &mut World, when: u64| {
+        let inject_failure = |world: &mut World, when: u64| {
             let leader = world.holder("leader").unwrap_or(0);
             match (seed + when) % 3 {
                 0 => world.store_outage(8 * S),
@@ -251,28 +253,28 @@
             }
         };
         world.cut_zone("a", 30 * S, true);
-        trouble(&mut world, 0);
+        inject_failure(&mut world, 0);
         world.run_for(7 * S);
-        trouble(&mut world, 1);
+        inject_failure(&mut world, 1);
         world.run_for(20 * S);
-        trouble(&mut world, 2);
+        inject_failure(&mut world, 2);
         let restored = time_to_restore(&mut world, &services, "none", 60 * S);
-        assert!(restored.is_some(), "{seed}: services are not whole");
+        assert!(restored.is_some(), "{seed}: services lack replicas");
         cancel_services(&mut world);
-        finish_all_jobs(&mut world, &format!("troubles in restoration {seed}"));
+        finish_all_jobs(&mut world, &format!("failures in restoration {seed}"));
     }
 }
 
-/// Elsewhere nothing can be rented, or what is rented never comes up: services take the room there is, batch work makes
-/// way, and no machine of the zone is deleted for a replica that would find no place.
+/// No instances are available elsewhere: services take the free capacity, and no machine of the zone is deleted for a
+/// replica that could not be placed.
 #[test]
 fn without_capacity_elsewhere_machines_of_a_lost_zone_are_kept() {
-    // In world 108005 places were given away twice.
+    // With seed 108005 the same capacity was assigned twice.
     for seed in seeds(108, 3).chain([108_005]) {
         let mut world = World::sized(seed, policy_with_zones(), NINETY_MACHINES);
         world.cloud.never_up = 0;
         world.cloud.capacity = 90;
-        // Each service takes a whole machine, and five are free.
+        // Each service takes a whole machine, and five machines are free.
         let services: Vec<JobId> =
             (0..85).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 4.0))).collect();
         world.run_for(40 * S);
@@ -284,13 +286,13 @@
         assert!(deleted <= 5, "{seed}: {deleted} machines were deleted though five replicas have room elsewhere");
         world.cloud.capacity = 90;
         let restored = time_to_restore(&mut world, &services, "none", 90 * S);
-        assert!(restored.is_some(), "{seed}: services are not whole");
+        assert!(restored.is_some(), "{seed}: services lack replicas");
         cancel_services(&mut world);
         finish_all_jobs(&mut world, &format!("no capacity {seed}"));
     }
 }
 
-/// Gangs in one zone, jobs that must be spread and jobs bound to the lost zone, next to cuts and flaps.
+/// Gangs in one zone, jobs that must be spread and jobs bound to the lost zone, with cuts and flaps.
 #[test]
 fn zone_bound_jobs_finish_despite_zone_losses_and_returns() {
     for seed in seeds(109, 6) {
@@ -307,7 +309,8 @@
     }
 }
 
-/// Controllers that judge zones beside some that do not, which change while a zone is lost.
+/// Controllers that evaluate zones run beside some that do not, and the versions of controllers change while a zone is
+/// lost.
 #[test]
 fn controllers_with_and_without_zone_conditions_side_by_side() {
     for seed in seeds(110, 5) {
@@ -331,7 +334,8 @@
     }
 }
 
-/// A zone that returns gets its work step by step: in no step more starts than the settings allow, though hundreds wait.
+/// A zone that returns gets its work in steps: no step has more starts than the settings allow, though hundreds of
+/// tasks wait.
 #[test]
 fn starts_in_a_returned_zone_are_ramped_up() {
     for seed in seeds(111, 3) {
@@ -342,7 +346,7 @@
         world.run_for(10 * S);
         world.cut_zone("a", 40 * S, false);
         world.run_for(41 * S);
-        // Everything that waits is bound to the zone, and each task takes long.
+        // All waiting jobs are bound to the zone, and each task takes long.
         for n in 0..6 {
             let mut spec = World::spec(JobKind::Array, "green", 8, 0.5);
             spec.zone = Some("a".into());
@@ -357,7 +361,7 @@
         }
         let first = (zones.ramp_initial * shards) as usize;
         let began = seen.iter().position(|count| *count > 0).expect("work came back");
-        // Each shard's steps begin at a moment of its own: two of them may fall into one step's time.
+        // Each shard's steps begin at a time of its own, so two of a shard's steps may fall into one step's time.
         let step = (zones.ramp_step_ms / 1000) as usize;
         let early = seen[(began + step - 1).min(seen.len() - 1)];
         assert!(early <= first * 3, "{seed}: {early} starts in the first step's time, {seen:?}");
@@ -369,7 +373,7 @@
     }
 }
 
-/// While services are restored batch work waits, and none of them waits for it.
+/// While services are restored, batch work waits, and no service waits for batch work.
 #[test]
 fn services_start_before_batch_work_while_a_zone_is_lost() {
     for seed in seeds(112, 4) {
@@ -377,7 +381,7 @@
         let mut world = World::sized(seed, policy_with_zones(), size);
         let services: Vec<JobId> =
             (0..12).map(|n| world.submit(1 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
-        // Batch work of the same priority as ordinary work has it, more than there is room for.
+        // Batch work of high priority, which is below that of services, and more of it than capacity.
         for n in 0..40 {
             let mut spec = World::spec(JobKind::Array, "green", 4, 1.0);
             spec.estimated_runtime_s = 6.0;
@@ -395,12 +399,13 @@
     }
 }
 
-/// Room is kept for replicas in the lost zone before they are proven gone: batch work that comes meanwhile leaves it.
+/// Capacity is reserved for replicas in the lost zone before they are proven absent: batch work submitted meanwhile
+/// does not take it.
 #[test]
 fn resources_are_reserved_for_replicas_that_are_not_proven_absent_yet() {
     for seed in seeds(119, 3) {
         let mut policy = policy_with_zones();
-        // The proof takes a lease.
+        // Without evacuation, proof takes until the lease expires.
         policy.zones.evacuate = false;
         let size = Size { machines: 12, capacity: 12, ..THREE_ZONES };
         let mut world = World::sized(seed, policy, size);
@@ -414,14 +419,14 @@
         let batch = world.submit(100, batch);
         world.run_for(8 * S);
         assert!(world.jobs[&batch].accepted && services.iter().any(|id| replicas_outside(&world, id, "a") == 0));
-        assert_eq!(world.running(&batch), 0, "{seed}: batch work took room of replicas in the lost zone");
+        assert_eq!(world.running(&batch), 0, "{seed}: batch work took capacity reserved for replicas in the lost zone");
         cancel_services(&mut world);
-        finish_all_jobs(&mut world, &format!("room kept {seed}"));
+        finish_all_jobs(&mut world, &format!("reserved capacity {seed}"));
     }
 }
 
-/// Batch work of the same priority that is overdue would go before services. It waits for another job until just before
-/// the zone is lost, and there is more of it than room.
+/// Overdue batch work of the same priority would otherwise go before services. It waits for another job until just
+/// before the zone is lost, and there is more of it than capacity.
 #[test]
 fn services_start_before_overdue_batch_work_of_their_priority() {
     for seed in seeds(120, 3) {
@@ -445,7 +450,7 @@
             world.run_for(S);
             assert!(world.now < 90 * S, "{seed}: the first job is not done");
         }
-        assert!(services.iter().all(|id| world.running(id) == 1), "{seed}: services are not at work");
+        assert!(services.iter().all(|id| world.running(id) == 1), "{seed}: not all services run");
         world.cut_zone("a", 60 * S, true);
         let restored = time_to_restore(&mut world, &services, "a", 60 * S);
         assert!(restored.is_some_and(|span| span <= 40 * S), "{seed}: {restored:?}");
@@ -454,13 +459,14 @@
     }
 }
 
-/// Operators hold a zone: nothing new starts there, its services leave one replica at a time, and come to work elsewhere
-/// before the next one leaves. Released, it takes work again.
+/// Operators put a zone on hold: nothing new starts there, and its services leave one replica at a time, each running
+/// elsewhere before the next one leaves. After its release the zone gets work again.
 #[test]
 fn a_zone_on_hold_is_emptied_one_replica_at_a_time() {
     let mut policy = policy_with_zones();
     policy.zones.moves_per_minute = 60.0;
-    // One job's replicas one right after the other, if only the budget kept them apart.
+    // With so short a pause and so large a budget, only the rule of one replica at a time keeps the replicas of a job
+    // apart.
     policy.zones.move_pause_ms = 1000;
     policy.zones.hold_wait_ms = 5000;
     let mut world = world_with_policy(113_000, policy);
@@ -485,7 +491,7 @@
     finish_all_jobs(&mut world, "hold");
 }
 
-/// What can't be read among the stored views is not trusted, and taken away by the shard's holder.
+/// A stored view that can't be read is not trusted, and the shard's holder deletes it.
 #[test]
 fn unreadable_zone_views_are_ignored_and_deleted() {
     let mut world = world_with_policy(114_000, policy_with_zones());
@@ -503,8 +509,8 @@
     assert_no_violations(&world, "unreadable");
 }
 
-/// Losses, flaps, returns and deaths of zones meet crashes, outages, refusals, hangs and freezes, in whatever order. The
-/// rules hold, no job waits beside room, and everything gets done.
+/// Losses, flaps and returns of zones combined with crashes, outages, refusals, hangs and stalls, in random order. The
+/// rules hold, no job waits while there is capacity, and all jobs finish.
 #[test]
 fn zone_losses_with_all_kinds_of_failures() {
     for seed in seeds(115, 8) {
@@ -525,11 +531,12 @@
                 _ => world.cut_zone(zone, span, true),
             }
         }
-        finish_all_jobs(&mut world, &format!("zones and everything {seed}"));
+        finish_all_jobs(&mut world, &format!("zones and random failures {seed}"));
     }
 }
 
-/// Some machines of a zone hang: that is no lost zone. They are judged one by one, and the zone goes on taking work.
+/// Some machines of a zone hang, which does not make the zone lost: they are evaluated individually, and the zone goes
+/// on taking work.
 #[test]
 fn a_zone_with_a_third_of_its_machines_hanging_is_not_lost() {
     for seed in seeds(116, 3) {
@@ -545,17 +552,17 @@
         let bound = world.submit(500, bound);
         for _ in 0..30 {
             world.run_for(S);
-            assert!(!world.stored_conditions("a").contains(&Condition::Lost), "{seed}: a third is taken for the zone");
+            assert!(!world.stored_conditions("a").contains(&Condition::Lost), "{seed}: the zone counts as lost");
         }
         assert!(world.jobs[&bound].begun.is_some(), "{seed}: the zone takes no work");
-        assert!(time_to_restore(&mut world, &services, "none", 30 * S).is_some(), "{seed}: services are not whole");
+        assert!(time_to_restore(&mut world, &services, "none", 30 * S).is_some(), "{seed}: services lack replicas");
         cancel_services(&mut world);
         finish_all_jobs(&mut world, &format!("part of a zone {seed}"));
     }
 }
 
-/// What is rented in place of the zone's machines never comes up for a while: services take the room there is, and what
-/// has none yet gets it when boots work again.
+/// Instances requested in place of the zone's machines never boot for a while: services take the free capacity, and
+/// tasks without capacity get it when instances boot again.
 #[test]
 fn instances_that_never_come_up_delay_only_unschedulable_tasks() {
     for seed in seeds(117, 3) {
@@ -566,18 +573,18 @@
         world.cloud.never_up = 1;
         world.kill_zone("a");
         let restored = time_to_restore(&mut world, &services, "a", 45 * S);
-        assert!(restored.is_some(), "{seed}: two zones of three have room for all services");
+        assert!(restored.is_some(), "{seed}: services were not restored though two zones have capacity for all");
         world.cloud.never_up = 0;
         cancel_services(&mut world);
         finish_all_jobs(&mut world, &format!("boots {seed}"));
     }
 }
 
-/// A third of 4,000 machines is cut off at once: the changes that restoration takes come in the order of need, and all
-/// replicas are at work elsewhere in well under the time that leases and one burst would take.
+/// A third of 4,000 machines is cut off at once: the changes of the restoration are written in the order of need, and
+/// all replicas run elsewhere well before the leases expire.
 ///
-/// Was red on this seed: six machines were never probed, as those that failed again and again came before them, so they
-/// were not evacuated (`zone_cuts` tells the story).
+/// Guards against machines that are never probed, and therefore not evacuated, because machines that fail again and
+/// again are probed before them: with this seed there were six (see `zone_cuts`).
 #[test]
 fn a_zone_with_a_third_of_four_thousand_machines_is_cut_off() {
     let size =
@@ -588,11 +595,11 @@
     spec.spread = true;
     let services: Vec<JobId> = (0..20).map(|n| world.submit(1 + n, spec.clone())).collect();
     world.run_for(40 * S);
-    let there = tasks_in_zone(&world, "a");
-    assert!(there >= 50, "only {there} replicas are in the zone");
+    let in_zone = tasks_in_zone(&world, "a");
+    assert!(in_zone >= 50, "only {in_zone} replicas are in the zone");
     world.cut_zone("a", 60 * S, true);
     let restored = time_to_restore(&mut world, &services, "a", 40 * S);
-    // Leases prove nothing before.
+    // Leases prove nothing before their expiry.
     assert!(restored.is_some_and(|span| span < LEASE - 2 * S), "{restored:?}");
     assert_no_violations(&world, "4,000 machines");
 }
--- a/tests/rules/zones_measured.rs
+++ b/tests/rules/zones_measured.rs
@@ -1,6 +1,7 @@
-//! Measurements of a zone's loss and return in simulated time. Long, so not part of the suite:
-//! `BURLHATCH_SAMPLES=FILE cargo test --release --test rules measure_zones -- --ignored`, then
-//! `cargo run -p burlhatch-testbed -- report FILE PAGE`.
+//! Measurements of a zone's loss and return in simulated time. They take long and are not part of the suite:
+//!
+//!     BURLHATCH_SAMPLES=FILE cargo test --release --test rules measure_zones -- --ignored
+//!     cargo run -p burlhatch-testbed -- report FILE PAGE
 
 use super::world::{MS, S, Size, TIMES, World};
 use super::{assert_no_violations, policy_keeping_idle_machines};
@@ -32,7 +33,7 @@
     ]
 }
 
-/// One run: services at work everywhere, batch work in waves, a zone cut off for a minute.
+/// A run with services in all zones, batch work in waves, and one zone that is cut off for a minute.
 struct Run {
     world: World,
     machines: usize,
@@ -85,7 +86,7 @@
         }
         self.world.cut_zone("a", CUT_DURATION, true);
         let (began, starts) = (self.world.now, self.world.started);
-        let whole = self.world.jobs[&self.services[0]].spec.tasks as usize;
+        let replica_count = self.world.jobs[&self.services[0]].spec.tasks as usize;
         let mut restored: BTreeMap<JobId, u64> = BTreeMap::new();
         let (mut fetch_queue, mut most_changes, mut second) = (0, 0, (began, self.world.changes()));
         while self.world.now < began + OBSERVED_SPAN {
@@ -93,7 +94,7 @@
             let span = self.world.now - began;
             if span <= CUT_DURATION && restored.len() < self.services.len() {
                 let outside = self.replicas_outside("a");
-                for id in self.services.iter().filter(|id| outside.get(id) == Some(&whole)) {
+                for id in self.services.iter().filter(|id| outside.get(id) == Some(&replica_count)) {
                     restored.entry(id.clone()).or_insert(span);
                 }
             }
@@ -118,7 +119,8 @@
 #[test]
 #[ignore = "a measurement: takes minutes to hours"]
 fn measure_zones() {
-    let number = |name: &str, usual: u64| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual);
+    let number =
+        |name: &str, default: u64| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default);
     let path = std::env::var("BURLHATCH_SAMPLES").expect("BURLHATCH_SAMPLES names a file");
     let machines = number("BURLHATCH_MACHINES", 60) as usize;
     let first = number("BURLHATCH_FIRST_SEED", 0);
