--- a/tests/rules/mixed_scenarios.rs
+++ b/tests/rules/mixed_scenarios.rs
@@ -97,8 +97,8 @@
     }
     for team in ["red", "blue", "green"] {
         let of_team = || world.jobs.values().filter(|j| j.spec.team.as_deref() == Some(team));
-        let begun = of_team().filter(|j| j.begun.is_some()).count();
-        assert!(begun * 2 >= of_team().count(), "{team}: {begun} of {}", of_team().count());
+        let begun_count = of_team().filter(|j| j.begun.is_some()).count();
+        assert!(begun_count * 2 >= of_team().count(), "{team}: {begun_count} of {}", of_team().count());
     }
     assert_no_violations(&world, "overload");
 }
@@ -122,11 +122,11 @@
         world.run_for(2 * S);
         let services: Vec<_> =
             (0..3).map(|n| world.submit(900 + n, World::spec(JobKind::Service, "green", 1, 1.0))).collect();
-        let begun = |world: &World| services.iter().all(|id| world.jobs[id].begun.is_some());
+        let all_begun = |world: &World| services.iter().all(|id| world.jobs[id].begun.is_some());
         world.run_for(6 * S);
-        soon += usize::from(begun(&world));
+        soon += usize::from(all_begun(&world));
         world.run_for(34 * S);
-        assert!(begun(&world), "{seed}: services have not begun");
+        assert!(all_begun(&world), "{seed}: services have not begun");
         for id in &services {
             world.jobs.get_mut(id).expect("submitted").cancel_at = Some(0);
         }
--- a/tests/rules/on_call.rs
+++ b/tests/rules/on_call.rs
@@ -115,13 +115,13 @@
         world.run_for(60 * S);
         let starts = |world: &World| failing.iter().map(|id| world.jobs[id].starts).sum::<u32>();
         let (before, rented) = (world.agents.keys().cloned().collect::<Vec<MachineId>>(), world.cloud.machines.len());
-        let (begun, all) = (starts(&world), world.started);
+        let (failing_starts, all_starts) = (starts(&world), world.started);
         let healthy: Vec<JobId> =
             (0..6).map(|n| world.submit(500 + n, World::spec(JobKind::Array, TEAMS[n as usize % 3], 4, 1.0))).collect();
         world.run_for(60 * S);
-        let again = starts(&world) - begun;
+        let again = starts(&world) - failing_starts;
         assert!(again <= 5 * 8, "{seed}: tasks of failing jobs were started {again} times in a minute");
-        assert!(world.started - all >= u64::from(again) + 24, "{seed}: other jobs did not start");
+        assert!(world.started - all_starts >= u64::from(again) + 24, "{seed}: other jobs did not start");
         let late = healthy.iter().filter(|id| world.jobs[*id].told != Some(JobState::Done)).count();
         assert_eq!(late, 0, "{seed}: healthy jobs are not done after a minute");
         let lost = count_deleted(&world, &before);
@@ -368,12 +368,12 @@
 ];
 
 fn cut_connection(world: &mut World, node: usize, lost_connection: LostConnection, span: u64, hold: bool) {
-    let it = Place::Node(node);
+    let controller = Place::Node(node);
     match lost_connection {
-        LostConnection::Everything => world.cut(span, hold, move |a, _| *a == it),
-        LostConnection::KeyValueStore => world.cut(span, hold, move |a, b| *a == it && *b == Place::Store),
-        LostConnection::Agents => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Agent(_))),
-        LostConnection::Siblings => world.cut(span, hold, move |a, b| *a == it && matches!(b, Place::Node(_))),
+        LostConnection::Everything => world.cut(span, hold, move |a, _| *a == controller),
+        LostConnection::KeyValueStore => world.cut(span, hold, move |a, b| *a == controller && *b == Place::Store),
+        LostConnection::Agents => world.cut(span, hold, move |a, b| *a == controller && matches!(b, Place::Agent(_))),
+        LostConnection::Siblings => world.cut(span, hold, move |a, b| *a == controller && matches!(b, Place::Node(_))),
         LostConnection::Refused => world.refuse_node(node, span),
     }
 }
--- a/tests/rules/zone_cuts.rs
+++ b/tests/rules/zone_cuts.rs
@@ -125,9 +125,10 @@
     }
 }
 
-/// The machine of a zone that was seen first before the cut looked lost alone after late heartbeats of others in the
-/// zone: as these had been seen since, it was compared with neighbours that were no better off. Seed 123010: "machine
-/// cordoned ... cause=Silent silence_ms=15613" for m-000085 12.4 s after the cut.
+/// Of the machines in a zone that was cut off, the one last seen longest before the cut was deleted as a single lost
+/// machine after late heartbeats of others arrived: as the others had been seen since, it was compared with them
+/// although they were cut off too. Seed 123010: "machine cordoned ... cause=Silent silence_ms=15613" for m-000085 12.4
+/// s after the cut.
 #[test]
 fn late_heartbeats_of_others_do_not_make_a_machine_look_lost_alone() {
     for seed in seeds(124, 3).chain([123_010]) {
--- a/tests/rules/zone_scenario.rs
+++ b/tests/rules/zone_scenario.rs
@@ -174,7 +174,7 @@
         self.world.crash(node.expect("the role has a holder"), 30 * S);
     }
 
-    /// Runs until `end` after the loss, and sets `restored` to the time at which all replicas ran in other zones.
+    /// Runs until `end` after the loss, and sets `restored` if all replicas ran in other zones by then.
     fn run_until(&mut self, end: u64, restored: &mut Option<u64>) {
         while self.since_loss() < end {
             if restored.is_none() && self.missing_replicas() == 0 {
--- a/tests/rules/zones.rs
+++ b/tests/rules/zones.rs
@@ -44,10 +44,10 @@
     world.agents.values().filter(|w| w.zone == zone).map(|w| w.tasks.len()).sum()
 }
 
-/// Returns the time until all replicas of these services run outside a zone, or `None` after `most`.
-fn time_to_restore(world: &mut World, services: &[JobId], zone: &str, most: u64) -> Option<u64> {
+/// Returns the time until all replicas of these services run outside a zone, or `None` after `time_limit`.
+fn time_to_restore(world: &mut World, services: &[JobId], zone: &str, time_limit: u64) -> Option<u64> {
     let began = world.now;
-    while world.now - began < most {
+    while world.now - began < time_limit {
         let is_restored = |id: &JobId| replicas_outside(world, id, zone) == world.jobs[id].spec.tasks as usize;
         if services.iter().all(is_restored) {
             return Some(world.now - began);
@@ -360,12 +360,12 @@
             seen.push(tasks_in_zone(&world, "a"));
         }
         let first = (zones.ramp_initial * shards) as usize;
-        let began = seen.iter().position(|count| *count > 0).expect("work came back");
+        let began = seen.iter().position(|count| *count > 0).expect("work returned to the zone");
         // Each shard's steps begin at a time of its own, so two of a shard's steps may fall into one step's time.
         let step = (zones.ramp_step_ms / 1000) as usize;
         let early = seen[(began + step - 1).min(seen.len() - 1)];
         assert!(early <= first * 3, "{seed}: {early} starts in the first step's time, {seen:?}");
-        assert!(*seen.last().expect("looked") > early, "{seed}: nothing more came back: {seen:?}");
+        assert!(*seen.last().expect("the zone was observed") > early, "{seed}: no more work returned: {seen:?}");
         for job in world.jobs.values_mut() {
             job.cancel_at = Some(0);
         }
