--- a/tests/rules/cancellations.rs
+++ b/tests/rules/cancellations.rs
@@ -1,12 +1,13 @@
-//! Cancellations that meet other troubles: once a user was told, nothing of the job may be left in time.
+//! Cancellations combined with other failures: after a user was told that a job is cancelled, nothing of it may run
+//! beyond the time limit for cancellations.
 
 use super::world::{CANCEL_S, Endpoint, LARGE, MS, S, SHORT_LEASES, SLOW_HEARTBEATS, SMALL, Size, TIMES, Times, World};
-use super::{assert_clean, finish, keeping_idle_machines, seeds};
+use super::{assert_no_violations, finish_all_jobs, policy_keeping_idle_machines, seeds};
 use burlhatch::protocol::user::{JobKind, JobState};
 use burlhatch::types::JobId;
 
-/// Arrays that run for much longer than a cancellation may take, of all teams.
-fn long_jobs(world: &mut World, count: u64, tasks: u32) -> Vec<JobId> {
+/// Submits arrays, for all teams, that run much longer than a cancellation may take.
+fn submit_long_jobs(world: &mut World, count: u64, tasks: u32) -> Vec<JobId> {
     let teams = ["red", "blue", "green"];
     let ids = (0..count).map(|n| {
         let mut spec = World::spec(JobKind::Array, teams[n as usize % 3], tasks, 1.0);
@@ -17,12 +18,12 @@
     ids.collect()
 }
 
-/// Agents' times of three deployments in turn.
-fn times_of(seed: u64) -> Times {
+/// Returns the agents' intervals of one of three deployments, in turn.
+fn agent_times(seed: u64) -> Times {
     [TIMES, SLOW_HEARTBEATS, SHORT_LEASES][seed as usize % 3]
 }
 
-fn cancel_at(world: &mut World, ids: &[JobId], delay: u64) {
+fn schedule_cancellation(world: &mut World, ids: &[JobId], delay: u64) {
     let at = world.now + delay;
     for id in ids {
         if let Some(job) = world.jobs.get_mut(id) {
@@ -31,124 +32,132 @@
     }
 }
 
-fn told(world: &World, ids: &[JobId]) -> usize {
+/// Returns how many of these cancellations a user was told of.
+fn confirmed_count(world: &World, ids: &[JobId]) -> usize {
     ids.iter().filter(|id| world.jobs[*id].cancelled.is_some()).count()
 }
 
-/// A small world in which long jobs of every team run, and the shard whose holder gets into trouble.
-fn running(seed: u64) -> (World, Vec<JobId>, usize) {
-    let mut world = World::with_policy(seed, keeping_idle_machines());
-    let ids = long_jobs(&mut world, 6, 3);
+/// Returns a small world in which long jobs of every team run, and the holder of the shard that will fail.
+fn world_with_running_jobs(seed: u64) -> (World, Vec<JobId>, usize) {
+    let mut world = World::with_policy(seed, policy_keeping_idle_machines());
+    let ids = submit_long_jobs(&mut world, 6, 3);
     world.run_for(25 * S);
-    assert!(ids.iter().all(|id| world.jobs[id].begun.is_some()), "{seed}: not all run");
-    let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-    (world, ids, owner)
+    assert!(ids.iter().all(|id| world.jobs[id].begun.is_some()), "{seed}: some jobs have not begun");
+    let holder = world.holder(&format!("share/{}", seed % 3)).expect("the shard has a holder");
+    (world, ids, holder)
 }
 
-/// What comes on top of the owner's being refused and the outage after it.
+/// What fails besides the store's refusal of the holder and the outage after it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum More {
-    Nothing,
-    /// The owner's siblings can't reach it either: late, or never.
-    PeersHeld,
-    PeersLost,
-    /// It stands still, or ends and comes back, soon after it may have said that it knows.
-    Freezes,
-    Crashes,
-    /// Machines hang from before the cancellation until long after its time is up.
-    Hang,
-    /// Nothing reaches some machines.
-    Deaf,
-    /// The refusal lasts until its role has gone to a sibling, and the outage follows that at once.
-    HandsOver,
+enum ExtraFailure {
+    None,
+    /// Messages from the holder's siblings to it and back are delayed, or with `PeerMessagesLost` fail.
+    PeerMessagesDelayed,
+    PeerMessagesLost,
+    /// The holder stalls, or with `HolderCrashes` crashes and restarts, possibly just after it acknowledged the
+    /// cancellation.
+    HolderStalls,
+    HolderCrashes,
+    /// Machines hang from before the cancellation until long after its time limit.
+    MachinesHang,
+    /// Some machines receive nothing.
+    MachinesUnreachable,
+    /// The refusal lasts until a sibling has taken over the holder's role, and the outage follows immediately.
+    RoleTakenOver,
 }
 
-/// The store refuses the owner of a shard alone, users cancel through others, and then it is away for
-/// all for longer than a cancellation may take. The owner learns of outcomes by its watch, which is cut off, and
-/// goes on answering its agents as in any outage: their leases last, and so would the cancelled tasks. A
-/// direct start or stop that got no answer keeps a machine in doubt, and what would settle that is a new fencing token,
-/// which an outage forbids as well.
+/// The store refuses only the holder of a shard while users cancel through other controllers. Then the store is down
+/// for all for longer than a cancellation may take. The holder learns of outcomes through its watch, which is cut off,
+/// and goes on answering its agents as in any outage, so that their leases are renewed and the cancelled tasks could
+/// run on.
+///
+/// A direct start or stop without an answer leaves a machine in doubt; only a new fencing token would settle that, and
+/// it can't be recorded in an outage.
 #[test]
-fn cancelled_through_others_while_the_owner_is_refused_and_then_all_are() {
-    let mores = [
-        More::Nothing,
-        More::PeersHeld,
-        More::PeersLost,
-        More::Freezes,
-        More::Crashes,
-        More::Hang,
-        More::Deaf,
-        More::HandsOver,
+fn cancelled_while_the_store_refuses_the_shard_holder_and_then_is_down() {
+    let extra_failures = [
+        ExtraFailure::None,
+        ExtraFailure::PeerMessagesDelayed,
+        ExtraFailure::PeerMessagesLost,
+        ExtraFailure::HolderStalls,
+        ExtraFailure::HolderCrashes,
+        ExtraFailure::MachinesHang,
+        ExtraFailure::MachinesUnreachable,
+        ExtraFailure::RoleTakenOver,
     ];
-    let mut before_outage = [0; 8];
-    for (seed, (n, more)) in seeds(20, 24).zip(mores.into_iter().enumerate().cycle()) {
-        let (mut world, ids, owner) = running(seed);
-        // The cancellation comes with the refusal, before it, or after it.
+    let mut confirmed_before_outage = [0; 8];
+    for (seed, (n, extra_failure)) in seeds(20, 24).zip(extra_failures.into_iter().enumerate().cycle()) {
+        let (mut world, ids, holder) = world_with_running_jobs(seed);
+        // The cancellation comes at the time of the refusal, after it, or before it.
         match seed / 8 % 3 {
-            0 => cancel_at(&mut world, &ids, 0),
-            1 => cancel_at(&mut world, &ids, 700 * MS),
+            0 => schedule_cancellation(&mut world, &ids, 0),
+            1 => schedule_cancellation(&mut world, &ids, 700 * MS),
             _ => {
-                cancel_at(&mut world, &ids, 0);
+                schedule_cancellation(&mut world, &ids, 0);
                 world.run_for(250 * MS);
             }
         }
-        if more == More::Hang {
+        if extra_failure == ExtraFailure::MachinesHang {
             for nth in 0..3 {
                 world.hang(nth, (CANCEL_S + 15) * S);
             }
         }
-        if more == More::Deaf {
+        if extra_failure == ExtraFailure::MachinesUnreachable {
             for nth in 0..2 {
                 world.make_unreachable(nth, (CANCEL_S + 15) * S);
             }
         }
-        if matches!(more, More::PeersHeld | More::PeersLost) {
-            let peers = move |a: &Endpoint, b: &Endpoint| *a == Endpoint::Node(owner) && matches!(b, Endpoint::Node(_));
-            world.cut(10 * S, more == More::PeersHeld, peers);
+        if matches!(extra_failure, ExtraFailure::PeerMessagesDelayed | ExtraFailure::PeerMessagesLost) {
+            let peers =
+                move |a: &Endpoint, b: &Endpoint| *a == Endpoint::Node(holder) && matches!(b, Endpoint::Node(_));
+            world.cut(10 * S, extra_failure == ExtraFailure::PeerMessagesDelayed, peers);
         }
-        world.refuse_node(owner, 14 * S);
-        let until_outage = if more == More::HandsOver { 5 * S } else { 2 * S };
+        world.refuse_node(holder, 14 * S);
+        let until_outage = if extra_failure == ExtraFailure::RoleTakenOver { 5 * S } else { 2 * S };
         world.run_for(until_outage);
         world.store_outage((CANCEL_S + 20) * S);
-        before_outage[n] += told(&world, &ids);
-        match more {
-            More::Freezes => world.freeze(owner, 30 * S),
-            More::Crashes => world.crash(owner, 300 * MS),
+        confirmed_before_outage[n] += confirmed_count(&world, &ids);
+        match extra_failure {
+            ExtraFailure::HolderStalls => world.freeze(holder, 30 * S),
+            ExtraFailure::HolderCrashes => world.crash(holder, 300 * MS),
             _ => {}
         }
         world.run_for((CANCEL_S + 25) * S);
-        assert_clean(&world, &format!("gap {more:?} {seed}"));
-        finish(&mut world, &format!("gap {more:?} {seed}"));
+        assert_no_violations(&world, &format!("refusal and outage, {extra_failure:?} {seed}"));
+        finish_all_jobs(&mut world, &format!("refusal and outage, {extra_failure:?} {seed}"));
     }
-    // Without the owner's word users of its jobs are told nothing, but those of others are.
-    assert!(before_outage.iter().all(|told| *told > 0), "told before the outage: {before_outage:?}");
+    // Without the holder's acknowledgement, cancellations of its jobs are not confirmed; those of other jobs are.
+    assert!(
+        confirmed_before_outage.iter().all(|count| *count > 0),
+        "confirmed before the outage: {confirmed_before_outage:?}"
+    );
 }
 
-/// While the owner's siblings can't reach it, though the store can be reached by all, users are not kept
-/// waiting for its word: what is left of a job in the stored records tells the same.
+/// If the siblings can't reach the holder but all reach the store, users don't wait for the holder's acknowledgement:
+/// the remaining records of a job prove the same.
 #[test]
 fn without_peer_messages_the_stored_records_confirm_cancellations() {
     for seed in seeds(21, 3) {
-        let (mut world, ids, _) = running(seed);
+        let (mut world, ids, _) = world_with_running_jobs(seed);
         world.cut(80 * S, false, |a, b| matches!((a, b), (Endpoint::Node(_), Endpoint::Node(_))));
-        cancel_at(&mut world, &ids, 0);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(20 * S);
-        assert_eq!(told(&world, &ids), ids.len(), "{seed}: not all were told");
-        finish(&mut world, &format!("no words {seed}"));
+        assert_eq!(confirmed_count(&world, &ids), ids.len(), "{seed}: not all cancellations were confirmed");
+        finish_all_jobs(&mut world, &format!("no peer messages {seed}"));
     }
 }
 
-/// Machines hang as a job with hundreds of tasks is cancelled, more at once than are taken for lost, and go on
-/// when its time is up; meanwhile nothing can be written down. Those that are not proven idle are deleted, the
-/// rest stays.
+/// While a job with hundreds of tasks is cancelled, more machines hang at once than are taken for lost. They resume
+/// after the time limit, and nothing can be recorded meanwhile. Machines that are not proven idle are deleted, the
+/// others stay.
 #[test]
 fn hundreds_of_tasks_are_cancelled_as_their_machines_hang() {
-    let mut world = World::sized(22_000, keeping_idle_machines(), Size { machines: 60, capacity: 70, ..LARGE });
+    let mut world = World::sized(22_000, policy_keeping_idle_machines(), Size { machines: 60, capacity: 70, ..LARGE });
     let mut spec = World::spec(JobKind::Array, "green", 200, 1.0);
     spec.estimated_runtime_s = 200.0;
     let id = world.submit(1, spec);
     world.run_for(30 * S);
-    cancel_at(&mut world, std::slice::from_ref(&id), 0);
+    schedule_cancellation(&mut world, std::slice::from_ref(&id), 0);
     for nth in 0..25 {
         world.hang(nth * 2, (CANCEL_S + 10) * S);
     }
@@ -157,41 +166,44 @@
     let machines = world.agents.len();
     world.store_outage((CANCEL_S + 20) * S);
     world.run_for((CANCEL_S + 25) * S);
-    assert_clean(&world, "hundreds");
+    assert_no_violations(&world, "hundreds of tasks");
     assert!(world.agents.len() * 2 >= machines, "machines deleted: {} of {machines} left", world.agents.len());
-    finish(&mut world, "hundreds");
+    finish_all_jobs(&mut world, "hundreds of tasks");
 }
 
-/// A successor finds cancelled jobs in the stored records whose tasks run on machines that only the former owner can
-/// reach, which is cut off from all else and goes on answering them. Then the store is away, too, and it
-/// can't be written down that the machines are to go. When they have to follows from the time in the stored records.
+/// A successor finds cancelled jobs in the stored records whose tasks run on machines that only the former holder can
+/// reach. That controller is cut off from everything else and goes on answering its agents. Then the store is down too,
+/// so that the deletion of the machines can't be recorded. The time by which they must be deleted follows from the time
+/// in the stored records.
 #[test]
 fn a_successor_that_cannot_reach_the_machines_deletes_them_in_time() {
     for seed in seeds(23, 16) {
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 8, ..SMALL });
-        let ids = long_jobs(&mut world, 6, 3);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), Size { machines: 8, ..SMALL });
+        let ids = submit_long_jobs(&mut world, 6, 3);
         world.run_for(25 * S);
-        let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-        leave_agents_with(&mut world, owner, (CANCEL_S + 30) * S, seed);
-        cancel_at(&mut world, &ids, 0);
+        let holder = world.holder(&format!("share/{}", seed % 3)).expect("the shard has a holder");
+        isolate_with_agents(&mut world, holder, (CANCEL_S + 30) * S, seed);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(3 * S);
-        assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
+        assert!(confirmed_count(&world, &ids) > 0, "{seed}: no cancellation was confirmed");
         if seed % 2 == 1 {
             world.store_outage((CANCEL_S + 20) * S);
         }
         world.run_for((CANCEL_S + 27) * S);
-        assert_clean(&world, &format!("successor {seed}"));
-        finish(&mut world, &format!("successor {seed}"));
+        assert_no_violations(&world, &format!("successor {seed}"));
+        finish_all_jobs(&mut world, &format!("successor {seed}"));
     }
 }
 
-/// Nobody but one controller hears the agents, and it hears nobody else: not the store, which gives its shard
-/// to a sibling, nor the siblings.
-fn leave_agents_with(world: &mut World, owner: usize, duration: u64, seed: u64) {
-    let mine = move |place: &Endpoint| *place == Endpoint::Node(owner);
+/// Cuts all controllers except the holder off from the agents, and the holder off from everything but the agents. Its
+/// shard is taken over by a sibling.
+fn isolate_with_agents(world: &mut World, holder: usize, duration: u64, seed: u64) {
+    let is_holder = move |place: &Endpoint| *place == Endpoint::Node(holder);
     world.cut(duration, true, move |a, b| match (a, b) {
-        (Endpoint::Agent(_), Endpoint::Node(_)) | (Endpoint::Node(_), Endpoint::Agent(_)) => !mine(a) && !mine(b),
-        _ => mine(a) || mine(b),
+        (Endpoint::Agent(_), Endpoint::Node(_)) | (Endpoint::Node(_), Endpoint::Agent(_)) => {
+            !is_holder(a) && !is_holder(b)
+        }
+        _ => is_holder(a) || is_holder(b),
     });
     world.run_for(6 * S);
     let mut waited = 0;
@@ -199,46 +211,47 @@
         world.run_for(100 * MS);
         waited += 100 * MS;
     }
-    assert_eq!(world.unheld_shards(), 0, "{seed}: taken over");
+    assert_eq!(world.unheld_shards(), 0, "{seed}: the shard was not taken over");
 }
 
-/// A shard has a new holder that can't reach the machines, and the deposed one, which knows of nothing, goes on renewing
-/// their leases. Users cancel. Then the successors end in an outage of the store, or the cloud is down: nobody
-/// is left who could delete the machines. A cancellation may only be told once the machines obey who knows of it.
+/// The new holder of a shard can't reach the machines, and the deposed one, which knows nothing of the takeover, goes
+/// on renewing their leases. After users cancel, the successors crash in an outage of the store, or the cloud is down,
+/// so that no controller can delete the machines. A cancellation may only be confirmed once the machines accept
+/// commands under the fencing token of a controller that knows of it.
 #[test]
 fn a_deposed_holder_renews_leases_and_nobody_can_delete_the_machines() {
     for seed in seeds(24, 12) {
-        let times = times_of(seed);
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { machines: 8, times, ..SMALL });
-        let ids = long_jobs(&mut world, 6, 3);
+        let times = agent_times(seed);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), Size { machines: 8, times, ..SMALL });
+        let ids = submit_long_jobs(&mut world, 6, 3);
         world.run_for(25 * S);
-        let owner = world.holder(&format!("share/{}", seed % 3)).expect("owned");
-        leave_agents_with(&mut world, owner, times.cancel + 40 * S, seed);
-        cancel_at(&mut world, &ids, 0);
+        let holder = world.holder(&format!("share/{}", seed % 3)).expect("the shard has a holder");
+        isolate_with_agents(&mut world, holder, times.cancel + 40 * S, seed);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(4 * S);
         if seed / 3 % 2 == 0 {
             world.store_outage(times.cancel + 20 * S);
-            for node in (0..3).filter(|node| *node != owner) {
+            for node in (0..3).filter(|node| *node != holder) {
                 world.crash(node, 4 * S);
             }
         } else {
             world.cloud_outage(times.cancel + 20 * S);
         }
         world.run_for(times.cancel + 27 * S);
-        assert_clean(&world, &format!("deposed {seed}"));
-        finish(&mut world, &format!("deposed {seed}"));
+        assert_no_violations(&world, &format!("deposed holder {seed}"));
+        finish_all_jobs(&mut world, &format!("deposed holder {seed}"));
     }
 }
 
-/// Direct commands come late, so machines are in doubt and their shards get one new fencing token after another. A heartbeat without
-/// the present fencing token proves nothing, but its answer renews the lease: it has to carry the stops as well. The cloud is
-/// down, so nothing else ends the tasks.
+/// Direct commands are late, so that machines are in doubt and their shards get one new fencing token after another. A
+/// heartbeat without the current fencing token proves nothing, but its answer renews the lease and therefore has to
+/// carry the stops too. The cloud is down, so nothing else ends the tasks.
 #[test]
-fn fencing_tokens_in_quick_succession_do_not_keep_stops_back() {
+fn frequent_fencing_token_changes_do_not_delay_stops() {
     for seed in seeds(25, 6) {
-        let times = times_of(seed);
+        let times = agent_times(seed);
         let size = Size { machines: 60, capacity: 70, times, ..LARGE };
-        let mut world = World::sized(seed, keeping_idle_machines(), size);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), size);
         let mut ids = Vec::new();
         for n in 0..6 {
             let mut spec = World::spec(JobKind::Array, "green", 30, 1.0);
@@ -246,7 +259,7 @@
             spec.spot = false;
             ids.push(world.submit(n + 1, spec));
         }
-        // Services come and are called off all the time, which takes direct commands.
+        // Services are submitted and cancelled all the time, which takes direct commands.
         for n in 0..120 {
             let id = world.submit(100 + n, World::spec(JobKind::Service, "green", 4, 0.25));
             if let Some(job) = world.jobs.get_mut(&id) {
@@ -258,22 +271,22 @@
         world.late_commands(times.cancel + 35 * S, 1, 2 * S..16 * S);
         world.run_for(15 * S);
         world.cloud_outage(times.cancel + 20 * S);
-        cancel_at(&mut world, &ids, 0);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(times.cancel + 20 * S);
-        assert_clean(&world, &format!("terms {seed}"));
-        finish(&mut world, &format!("terms {seed}"));
+        assert_no_violations(&world, &format!("fencing tokens {seed}"));
+        finish_all_jobs(&mut world, &format!("fencing tokens {seed}"));
     }
 }
 
-/// A start that was sent directly is held up for longer than a cancellation may take. The store is away, so no new
-/// fencing token makes it void, and the cloud is down, so its machine can't be deleted. Its holder must not keep the session
-/// alive in which the start is valid.
+/// A direct start command is delayed for longer than a cancellation may take. The store is down, so that no new fencing
+/// token invalidates the command, and the cloud is down, so that its machine can't be deleted. The holder must not
+/// renew the lease of the incarnation in which the start is valid.
 #[test]
-fn a_start_held_up_for_long_is_void_with_its_incarnation() {
+fn a_long_delayed_start_is_void_after_its_incarnation_ends() {
     for seed in seeds(26, 24) {
-        let times = times_of(seed);
-        let mut world = World::sized(seed, keeping_idle_machines(), Size { times, ..SMALL });
-        // So that something runs in any case.
+        let times = agent_times(seed);
+        let mut world = World::sized(seed, policy_keeping_idle_machines(), Size { times, ..SMALL });
+        // Ensures that something runs in any case.
         world.submit(50, World::spec(JobKind::Array, "green", 2, 1.0));
         world.run_for(20 * S);
         world.late_commands(4 * S, 1, times.cancel + 5 * S..times.cancel + 12 * S);
@@ -283,13 +296,13 @@
             ids.push(world.submit(n + 1, spec));
         }
         world.run_for(1500 * MS);
-        cancel_at(&mut world, &ids, 0);
+        schedule_cancellation(&mut world, &ids, 0);
         world.run_for(S);
-        assert!(told(&world, &ids) > 0, "{seed}: nobody was told");
+        assert!(confirmed_count(&world, &ids) > 0, "{seed}: no cancellation was confirmed");
         world.store_outage(times.cancel + 20 * S);
         world.cloud_outage(times.cancel + 20 * S);
         world.run_for(times.cancel + 25 * S);
-        assert_clean(&world, &format!("held start {seed}"));
-        finish(&mut world, &format!("held start {seed}"));
+        assert_no_violations(&world, &format!("delayed start {seed}"));
+        finish_all_jobs(&mut world, &format!("delayed start {seed}"));
     }
 }
--- a/tests/rules/fingerprint.rs
+++ b/tests/rules/fingerprint.rs
@@ -1,14 +1,14 @@
-//! The behaviour of the controllers as one number, to compare versions of the sources that should behave alike:
+//! A fingerprint of the controllers' behaviour, to compare versions of the source that should behave alike:
 //!
 //!     cargo test --test rules fingerprint -- --nocapture
 
 use super::world::{Endpoint, MS, S, World};
-use super::{finish, ordinary_jobs, seeds};
+use super::{finish_all_jobs, seeds, submit_mixed_jobs};
 
-/// A day with most kinds of troubles, and what the controllers did in it.
-fn day_with_troubles(seed: u64) -> String {
+/// Runs a scenario with most kinds of failures and returns the fingerprint of the controllers' effects.
+fn run_with_failures(seed: u64) -> String {
     let mut world = World::new(seed);
-    ordinary_jobs(&mut world, 25);
+    submit_mixed_jobs(&mut world, 25);
     world.lag_watches(200 * MS);
     world.follow_up_requests = true;
     world.cancel_on_completion = 6;
@@ -28,15 +28,15 @@
             _ => world.cut(span, true, move |a, b| *a == Endpoint::Node(node) && matches!(b, Endpoint::Agent(_))),
         }
     }
-    finish(&mut world, &format!("fingerprint {seed}"));
+    finish_all_jobs(&mut world, &format!("fingerprint {seed}"));
     world.fingerprint.to_string()
 }
 
 #[test]
-fn a_day_with_troubles_repeats_to_the_last_effect() {
+fn equal_seeds_lead_to_equal_effects() {
     for seed in seeds(99, 4) {
-        let fingerprint = day_with_troubles(seed);
+        let fingerprint = run_with_failures(seed);
         println!("fingerprint {seed}: {fingerprint}");
-        assert_eq!(day_with_troubles(seed), fingerprint, "equal seeds lead to equal effects");
+        assert_eq!(run_with_failures(seed), fingerprint, "equal seeds lead to equal effects");
     }
 }
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,18 +1,18 @@
-//! Days in the simulated world: whatever fails, the protocol's rules hold and jobs get done.
+//! Failure scenarios in the simulated cluster: whatever fails, the rules of the protocol hold and all jobs finish.
 
 mod answers;
 mod cancellations;
+mod combined_failures;
 mod controllers;
-mod days;
 mod dependencies;
 mod fingerprint;
 mod machines;
-mod meetings;
+mod mixed_scenarios;
 mod on_call;
 mod upgrade;
 mod world;
-mod zone_course;
 mod zone_cuts;
+mod zone_scenario;
 mod zones;
 mod zones_measured;
 
@@ -20,8 +20,8 @@
 use burlhatch::settings::Policy;
 use world::{S, World};
 
-/// A mix of all shapes; services are cancelled in the end, some arrays too.
-fn ordinary_jobs(world: &mut World, count: u64) {
+/// Submits jobs of all kinds. All services and some of the other jobs are cancelled later.
+fn submit_mixed_jobs(world: &mut World, count: u64) {
     for n in 0..count {
         let team = ["red", "blue", "green"][world.pick(3) as usize];
         let mut spec = match world.pick(6) {
@@ -54,17 +54,18 @@
     }
 }
 
-/// Seeds of one test: a few always, more when the variable asks for a long look.
-fn seeds(from: u64, few: u64) -> std::ops::Range<u64> {
-    // For a look at one day: BURLHATCH_WORLD_SEED=50007 BURLHATCH_WORLD_LOG=debug.
-    if let Some(one) = std::env::var("BURLHATCH_WORLD_SEED").ok().and_then(|n| n.parse().ok()) {
-        return one..one + 1;
+/// Returns the seeds of one test: `default_count` of them, as many as BURLHATCH_WORLD_SEEDS says, or the one in
+/// BURLHATCH_WORLD_SEED.
+fn seeds(test_number: u64, default_count: u64) -> std::ops::Range<u64> {
+    // To debug one seed: BURLHATCH_WORLD_SEED=50007 BURLHATCH_WORLD_LOG=debug.
+    if let Some(seed) = std::env::var("BURLHATCH_WORLD_SEED").ok().and_then(|n| n.parse().ok()) {
+        return seed..seed + 1;
     }
-    let more = std::env::var("BURLHATCH_WORLD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(few);
-    from * 1000..from * 1000 + more
+    let count = std::env::var("BURLHATCH_WORLD_SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(default_count);
+    test_number * 1000..test_number * 1000 + count
 }
 
-fn assert_clean(world: &World, name: &str) {
+fn assert_no_violations(world: &World, name: &str) {
     assert!(world.violations.is_empty(), "{name}: {:#?}", &world.violations[..world.violations.len().min(5)]);
     assert!(world.started > 0, "{name}: nothing ran");
 }
@@ -76,7 +77,8 @@
     }
 }
 
-fn finish(world: &mut World, name: &str) {
+/// Ends all failures, runs until every job has finished, and checks that no rule was violated.
+fn finish_all_jobs(world: &mut World, name: &str) {
     world.start_liveness_checks();
     for _ in 0..60 {
         if world.all_jobs_finished() {
@@ -84,11 +86,12 @@
         }
         world.run_for(10 * S);
     }
-    assert_clean(world, name);
+    assert_no_violations(world, name);
     assert!(world.all_jobs_finished(), "{name}: unfinished {:#?}", world.unfinished());
 }
 
-/// So that a machine that is gone was taken for lost.
-fn keeping_idle_machines() -> Policy {
+/// Returns a policy under which idle machines are never returned to the cloud, so that a machine which is gone was
+/// deleted as lost.
+fn policy_keeping_idle_machines() -> Policy {
     Policy { idle_return_ms: 86_400_000, ..Policy::default() }
 }
--- a/tests/rules/zone_course.rs
+++ b/tests/rules/zone_scenario.rs
@@ -1,21 +1,22 @@
-//! A course with many variations: services run everywhere, one zone is lost, and it is seen when their replicas are at work
-//! elsewhere and which machines of the zone are deleted.
+//! A scenario with many variations: services run in all zones, and one zone is lost. The outcome says when their
+//! replicas run in other zones and which machines of the zone are deleted.
 
 use super::world::{MS, S, Size, TIMES, World};
-use super::{assert_clean, keeping_idle_machines};
+use super::{assert_no_violations, policy_keeping_idle_machines};
 use burlhatch::protocol::user::{JobKind, JobSpec};
 use burlhatch::settings::{Policy, ZoneSettings};
 use burlhatch::types::{JobId, MachineId};
 
 pub const ZONES: &[&str] = &["a", "b", "c"];
-/// A lease counts from the last heartbeat, so the first may expire this much before the others.
+/// The time after the loss at which the first lease may expire, as a lease counts from the last heartbeat before the
+/// loss.
 pub const FIRST_EXPIRY: u64 = TIMES.lease - 2 * S;
-/// How long the zone is away.
-pub const CUT: u64 = 60 * S;
-/// How often it is looked whether replicas are at work elsewhere.
-const STEP: u64 = 250 * MS;
-/// What is measured ends here.
-pub const MEASURED: u64 = 40 * S;
+/// The duration of a zone's cut.
+pub const CUT_DURATION: u64 = 60 * S;
+/// The interval at which the replicas in other zones are counted.
+const POLL_INTERVAL: u64 = 250 * MS;
+/// The time after the loss at which the observation ends.
+pub const OBSERVED_SPAN: u64 = 40 * S;
 
 /// What happens to the zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,42 +27,41 @@
     Dead,
 }
 
-/// What else happens meanwhile.
+/// Which controller crashes after the loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ControllerCrash {
     None,
-    /// The leader crashes.
     Leader,
-    /// The controller crashes that holds the shard with most replicas in the zone.
+    /// The holder of the shard with most replicas in the zone.
     Holder,
 }
 
-pub fn judging_zones() -> Policy {
-    Policy { zones: ZoneSettings { enabled: true, ..ZoneSettings::default() }, ..keeping_idle_machines() }
+pub fn policy_with_zones() -> Policy {
+    Policy { zones: ZoneSettings { enabled: true, ..ZoneSettings::default() }, ..policy_keeping_idle_machines() }
 }
 
 #[derive(Clone, Debug)]
-pub struct Course {
+pub struct Scenario {
     pub seed: u64,
     pub machines: usize,
     pub nodes: usize,
     pub services: u64,
     pub replicas: u32,
     pub zone: &'static str,
-    /// How long the services have been submitted when the zone is lost.
+    /// The time after the services' submission at which the zone is lost.
     pub lost_after: u64,
     pub loss: Loss,
-    pub trouble: Trouble,
-    /// How long after the loss.
-    pub trouble_after: u64,
-    /// Late copies of heartbeats, one in so many.
+    pub crash: ControllerCrash,
+    /// The time after the loss at which the controller crashes.
+    pub crash_after: u64,
+    /// Late copies of heartbeats: one heartbeat in this many is delivered again later.
     pub heartbeat_copies: u32,
     pub policy: Policy,
 }
 
-impl Course {
-    pub fn new(seed: u64, machines: usize, nodes: usize) -> Course {
-        Course {
+impl Scenario {
+    pub fn new(seed: u64, machines: usize, nodes: usize) -> Scenario {
+        Scenario {
             seed,
             machines,
             nodes,
@@ -70,10 +70,10 @@
             zone: "a",
             lost_after: 40 * S,
             loss: Loss::Cut,
-            trouble: Trouble::None,
-            trouble_after: 4 * S,
+            crash: ControllerCrash::None,
+            crash_after: 4 * S,
             heartbeat_copies: 30,
-            policy: judging_zones(),
+            policy: policy_with_zones(),
         }
     }
 }
@@ -82,15 +82,15 @@
 pub struct Outcome {
     /// Replicas in the zone when it was lost.
     pub displaced: usize,
-    /// Until all replicas were at work elsewhere.
+    /// The time after the loss at which all replicas ran in other zones.
     pub restored: Option<u64>,
-    /// Replicas that were not, when the first leases could expire.
+    /// Replicas not running in other zones when the first leases could expire.
     pub late_replicas: usize,
-    /// Machines that had replicas then, and were not even to be deleted.
+    /// Machines that had replicas at the loss and were neither deleted nor to be deleted by then.
     pub left_machines: usize,
-    /// Machines that had replicas, and were deleted or to be by then.
+    /// Machines that had replicas at the loss and were deleted or to be deleted by then.
     pub evacuated_machines: usize,
-    /// Machines without replicas that were deleted by then.
+    /// Machines without replicas at the loss that were deleted or to be deleted by then.
     pub idle_deleted: usize,
 }
 
@@ -110,7 +110,7 @@
     world.holder(&format!("share/{shard}"))
 }
 
-/// A world in which services of so many replicas each are at work.
+/// Returns a world to which this many services of one specification were submitted.
 pub fn world_with_services(
     seed: u64,
     policy: Policy,
@@ -124,37 +124,37 @@
     (world, services)
 }
 
-/// A course at the moment at which the zone is lost.
-struct Run<'a> {
-    course: &'a Course,
+/// A run of a scenario from the moment at which the zone is lost.
+struct ScenarioRun<'a> {
+    scenario: &'a Scenario,
     world: World,
     services: Vec<JobId>,
     /// The zone's machines with replicas.
     hosts: Vec<MachineId>,
-    /// The others.
+    /// The zone's machines without replicas.
     idle: Vec<MachineId>,
     displaced: usize,
     lost_at: u64,
 }
 
-impl<'a> Run<'a> {
-    fn start(course: &'a Course) -> Run<'a> {
-        let Course { seed, machines, nodes, zone, .. } = *course;
+impl<'a> ScenarioRun<'a> {
+    fn start(scenario: &'a Scenario) -> ScenarioRun<'a> {
+        let Scenario { seed, machines, nodes, zone, .. } = *scenario;
         let size =
             Size { nodes, machines, capacity: machines + machines / 10, write_rps: 50.0, zones: ZONES, times: TIMES };
-        let spec = JobSpec { spread: true, ..World::spec(JobKind::Service, "green", course.replicas, 1.0) };
-        let (mut world, services) = world_with_services(seed, course.policy.clone(), size, course.services, &spec);
-        world.heartbeat_copies = course.heartbeat_copies;
-        world.run_for(course.lost_after);
+        let spec = JobSpec { spread: true, ..World::spec(JobKind::Service, "green", scenario.replicas, 1.0) };
+        let (mut world, services) = world_with_services(seed, scenario.policy.clone(), size, scenario.services, &spec);
+        world.heartbeat_copies = scenario.heartbeat_copies;
+        world.run_for(scenario.lost_after);
         let in_zone = world.machines_in(zone);
         let (hosts, idle): (Vec<_>, Vec<_>) = in_zone.into_iter().partition(|id| !world.agents[id].tasks.is_empty());
         let displaced = hosts.iter().map(|id| world.agents[id].tasks.len()).sum();
-        match course.loss {
-            Loss::Cut => world.cut_zone(zone, CUT, true),
+        match scenario.loss {
+            Loss::Cut => world.cut_zone(zone, CUT_DURATION, true),
             Loss::Dead => world.kill_zone(zone),
         }
         let lost_at = world.now;
-        Run { course, world, services, hosts, idle, displaced, lost_at }
+        ScenarioRun { scenario, world, services, hosts, idle, displaced, lost_at }
     }
 
     fn since_loss(&self) -> u64 {
@@ -162,29 +162,29 @@
     }
 
     fn missing_replicas(&self) -> usize {
-        missing_replicas(&self.world, &self.services, self.course.zone)
+        missing_replicas(&self.world, &self.services, self.scenario.zone)
     }
 
-    fn cause_trouble(&mut self) {
-        let node = match self.course.trouble {
-            Trouble::None => return,
-            Trouble::Leader => self.world.holder("leader"),
-            Trouble::Holder => holder_of_most_replicas(&self.world, &self.hosts),
+    fn crash_controller(&mut self) {
+        let node = match self.scenario.crash {
+            ControllerCrash::None => return,
+            ControllerCrash::Leader => self.world.holder("leader"),
+            ControllerCrash::Holder => holder_of_most_replicas(&self.world, &self.hosts),
         };
-        self.world.crash(node.expect("somebody holds the role"), 30 * S);
+        self.world.crash(node.expect("the role has a holder"), 30 * S);
     }
 
-    /// Runs until a moment after the loss; when all replicas were at work elsewhere, if they were.
+    /// Runs until `end` after the loss, and sets `restored` if all replicas ran in other zones by then.
     fn run_until(&mut self, end: u64, restored: &mut Option<u64>) {
         while self.since_loss() < end {
             if restored.is_none() && self.missing_replicas() == 0 {
                 *restored = Some(self.since_loss());
             }
-            self.world.run_for(STEP);
+            self.world.run_for(POLL_INTERVAL);
         }
     }
 
-    /// What there is to say when the first leases could expire.
+    /// Returns the outcome at the time at which the first leases can expire.
     fn outcome(&self, restored: Option<u64>) -> Outcome {
         let staying = self.world.undeleted_machines();
         let staying_count = |ids: &[MachineId]| ids.iter().filter(|id| staying.contains(*id)).count();
@@ -200,16 +200,16 @@
     }
 }
 
-pub fn play(course: &Course) -> Outcome {
-    let mut run = Run::start(course);
+pub fn run_scenario(scenario: &Scenario) -> Outcome {
+    let mut run = ScenarioRun::start(scenario);
     let mut restored = None;
-    run.run_until(course.trouble_after, &mut restored);
-    run.cause_trouble();
+    run.run_until(scenario.crash_after, &mut restored);
+    run.crash_controller();
     run.run_until(FIRST_EXPIRY, &mut restored);
     let outcome = run.outcome(restored);
-    while restored.is_none() && run.since_loss() < MEASURED {
-        run.run_until(run.since_loss() + STEP, &mut restored);
+    while restored.is_none() && run.since_loss() < OBSERVED_SPAN {
+        run.run_until(run.since_loss() + POLL_INTERVAL, &mut restored);
     }
-    assert_clean(&run.world, &format!("{course:?}"));
+    assert_no_violations(&run.world, &format!("{scenario:?}"));
     Outcome { restored, ..outcome }
 }
